--- a/decide/allocator.go
+++ b/decide/allocator.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// wishLifetime is how long an agent's wish counts without being repeated.
+	// wishLifetime is the lifetime of a permit request that is not repeated.
 	wishLifetime = 2 * time.Second
-	// loadingLifetime is how long a silent agent's loads and permits still
-	// count against the store's places.
+	// loadingLifetime is how long the loads and permits of an agent that stopped sending
+	// requests still count against the store's parallel limit.
 	loadingLifetime = 5 * time.Second
-	// allocatorDecrease and allocatorIncrease adapt the rate when the store
-	// refuses although the limit was kept: another allocator is at work, or
-	// the store gives less than it promised.
+	// allocatorDecrease and allocatorIncrease are the factors that adapt the rate when the
+	// store refuses loads within its limit, because another allocator is active or the
+	// store's capacity is below its configured limit. The rate stays above allocatorFloor
+	// times the limit.
 	allocatorDecrease = 0.7
 	allocatorIncrease = 0.02
 	allocatorFloor    = 0.1
-	// batchPlaces is how many of the store's places batch loads leave free.
+	// batchPlaces is how many of the store's parallel loads batch work leaves free.
 	batchPlaces = 2
 )
 
-// Allocator shares the rate and the parallel places of one weight store between
-// the agents that use it. It gives each permit to the most valuable wish.
+// Allocator shares the rate and the parallel loads of one weight store between the agents
+// that use it. It gives each permit to the most valuable request.
 //
-// Agents find their allocator by rendezvous hashing over the live hosts. Two
-// agents may hold different ones for a while: then the store refuses more
-// often, both allocators slow down, and nothing else happens.
+// Agents find their allocator by rendezvous hashing over the live hosts. Agents with
+// different views of the hosts may use two allocators for a while. Then the store refuses
+// more loads and both allocators lower their rate; there is no other effect.
 type Allocator struct {
 	limit  StoreLimit
 	epoch  uint64
@@ -39,20 +40,20 @@
 
 type ask struct {
 	wish  Wish
-	total uint64 // permits given in this epoch
+	total uint64 // permits granted in this epoch
 	used  uint64
 	busy  int
 	miss  uint64
 	at    time.Time
 }
 
-// outstanding counts the store places that an agent holds or may take.
+// outstanding counts an agent's loads in progress and unused permits.
 func (k *ask) outstanding() int {
 	return k.wish.Loading + int(k.total-k.used)
 }
 
-// NewAllocator returns an allocator for one store. The epoch must differ from
-// that of any earlier allocator the agents may have heard of.
+// NewAllocator returns an allocator for one store. The epoch must differ from that of any
+// earlier allocator that the agents may know.
 func NewAllocator(limit StoreLimit, epoch uint64) *Allocator {
 	return &Allocator{
 		limit: limit,
@@ -65,8 +66,8 @@
 	}
 }
 
-// Wish takes an agent's wish and appends the grants to send to out. The agent
-// itself always gets an answer.
+// Wish applies an agent's permit request and appends the grants to send to out. They always
+// include one for the agent itself.
 func (l *Allocator) Wish(now time.Time, w Wish, out []Grant) []Grant {
 	k := l.ask(w.Upstream)
 	if w.Busy > k.busy && !k.at.IsZero() {
@@ -82,8 +83,8 @@
 	k.wish = w
 	k.at = now
 	if w.Epoch == l.epoch {
-		// An agent that was silent for long is known anew: its count goes on
-		// from what it has used, or it would take new permits for old ones.
+		// An agent that was forgotten after a long silence starts again at the number
+		// it has used. From zero, it would take new permits for old ones.
 		k.total = max(k.total, w.Used)
 		k.used = max(k.used, w.Used)
 	}
@@ -113,7 +114,7 @@
 	return k
 }
 
-// Tick hands out the permits that time has made available.
+// Tick grants the permits that have become available and appends the grants to out.
 func (l *Allocator) Tick(now time.Time, out []Grant) []Grant {
 	l.forget(now)
 	for l.loading() < l.limit.Parallel {
@@ -128,7 +129,8 @@
 	return out
 }
 
-// Next returns when the next permit becomes available if somebody waits.
+// Next returns the time until the next permit becomes available, or false if no agent waits
+// or if only a change at an agent can make one available.
 func (l *Allocator) Next(now time.Time) (time.Duration, bool) {
 	k := l.best()
 	if k == nil || l.loading() >= l.limit.Parallel {
@@ -141,13 +143,13 @@
 	l.bucket.fill(now)
 	missing := max(0, need-l.bucket.tokens)
 	if missing == 0 && !l.affords(now, k) {
-		return 0, false // a place becomes free with the next wish
+		return 0, false // capacity becomes free only with an agent's next request
 	}
 	return time.Duration(missing / l.bucket.rate * float64(time.Second)), true
 }
 
-// affords reports whether the store has room for a wish. Batch work leaves a
-// place and a permit for interactive work that may come.
+// affords reports whether the store has capacity for a request. Batch work leaves permits
+// and parallel loads free for interactive work that may arrive.
 func (l *Allocator) affords(now time.Time, k *ask) bool {
 	if k.wish.Class == wardturn.Interactive {
 		return true
@@ -181,8 +183,8 @@
 	return n
 }
 
-// best returns the agent with the most valuable wish that holds no unused
-// permit.
+// best returns the agent with the most valuable request among those without an unused
+// permit, or nil.
 func (l *Allocator) best() *ask {
 	var best *ask
 	for _, k := range l.asks {
@@ -221,7 +223,7 @@
 	}
 }
 
-// AllocatorOf returns the host whose agent shares the store of a model in a
+// AllocatorOf returns the host whose agent runs the allocator for the store of a model in a
 // region: the first by rendezvous hashing over the live hosts.
 func AllocatorOf(hosts []wardturn.Host, model wardturn.BaseModel, region wardturn.Region) (wardturn.Host, bool) {
 	var live []wardturn.Host
--- a/decide/demand.go
+++ b/decide/demand.go
@@ -9,8 +9,9 @@
 	// demandMemory is the time constant of the long estimate: requests older
 	// than a few times this no longer count.
 	demandMemory = 120 * time.Second
-	// demandPriorTime and demandPriorCount are what is taken to have been seen
-	// of every adapter before anything was: most adapters are rarely asked for.
+	// demandPriorTime and demandPriorCount are the prior: the time and the number of
+	// requests that every adapter is assumed to have been observed with before the first
+	// real one. It is low because most adapters are rarely requested.
 	demandPriorTime  = 60 * time.Second
 	demandPriorCount = 0.2
 	// demandBurst is the time constant of the short estimate.
@@ -18,28 +19,28 @@
 	// demandSurprise is how many standard deviations the short estimate must
 	// exceed the long one before it replaces it.
 	demandSurprise = 2.0
-	// demandSilence is the number of expected but missing requests after which
-	// an adapter is taken to have lost its popularity.
+	// demandSilence is the number of expected requests that may fail to arrive before
+	// the estimate is lowered.
 	demandSilence = 2.0
 )
 
-// Demand estimates the request rate of one adapter. It follows a shift of
-// popularity in both directions: a burst far above the long average replaces
-// it, and a silence far longer than the average gap lowers it.
+// Demand estimates the request rate of one adapter from two exponentially decayed
+// counts with a long and a short time constant. It follows changes of popularity in
+// both directions: a burst far above the long-term average replaces that average, and
+// a gap far longer than the average gap lowers the estimate.
 //
-// The time over which requests are counted starts when the observer starts, not
-// with the adapter's first request: a single request after a long silence means
-// a low rate.
+// The observation period starts when the observer starts, not with the adapter's first
+// request, so that a single request after a long silence yields a low rate.
 type Demand struct {
 	long  float64
 	short float64
-	born  time.Time // start of the counting
+	born  time.Time // start of the observation period
 	last  time.Time // latest request; zero before the first
-	at    time.Time // of the decayed counts
+	at    time.Time // the time to which long and short are decayed
 }
 
-// NewDemand returns the estimate for an adapter that was not asked for since the
-// observer's start.
+// NewDemand returns the estimate for an adapter without any request since start, the
+// time at which its observer started.
 func NewDemand(start time.Time) Demand {
 	return Demand{
 		born: start,
@@ -58,7 +59,7 @@
 	}
 }
 
-// Rate predicts the requests a second over the next minute or so.
+// Rate returns the predicted requests per second over about the next minute.
 func (d *Demand) Rate(now time.Time) float64 {
 	faded := math.Exp(-now.Sub(d.at).Seconds() / demandMemory.Seconds())
 	rate := (d.long*faded + demandPriorCount) / d.window(now)
@@ -69,7 +70,8 @@
 	return rate
 }
 
-// Last returns the time of the latest request, or the start of the counting.
+// Last returns the time of the latest request, or the start of the observation period
+// if there was none.
 func (d *Demand) Last() time.Time {
 	if d.last.IsZero() {
 		return d.born
@@ -87,7 +89,8 @@
 	d.at = now
 }
 
-// window is the time, decayed as the counts are, in which they were collected.
+// window returns the observation period in seconds, decayed in the same way as the
+// counts and including the prior.
 func (d *Demand) window(now time.Time) float64 {
 	memory := demandMemory.Seconds()
 	age := now.Sub(d.born).Seconds()
@@ -99,7 +102,7 @@
 	return d.short > expected+demandSurprise*math.Sqrt(expected+1)
 }
 
-// restart forgets the long average and goes on from the burst.
+// restart replaces the long-term count by the burst.
 func (d *Demand) restart(now time.Time) {
 	d.long = d.short
 	d.born = now.Add(-demandBurst)
--- a/decide/evict.go
+++ b/decide/evict.go
@@ -6,13 +6,13 @@
 	"wardturn"
 )
 
-// MaxFree is the most free places that are told: more make no difference to the
-// choice of a home.
+// MaxFree is the largest number of free slots that is reported. A larger number makes no
+// difference to the choice of an engine for an adapter.
 const MaxFree = 2
 
-// Free counts, up to MaxFree, the places that an adapter could have now: empty
-// ones, and those of adapters that are not in use. Adapters that are wished for
-// and have no place yet take theirs before.
+// Free counts, up to MaxFree, the slots that another adapter could take now: empty ones
+// and those of adapters that may be evicted, less one for each load request that has no
+// slot yet.
 func (p *Places) Free(now time.Time) int {
 	n := p.spec.AdapterSlots - p.occupied()
 	for _, m := range p.state.Models {
@@ -30,13 +30,14 @@
 	return min(max(n, 0), MaxFree)
 }
 
-// mayGo reports whether an adapter that is there could be unloaded.
+// mayGo reports whether a resident adapter may be evicted.
 func (p *Places) mayGo(now time.Time, key wardturn.ModelAdapter) bool {
 	return !p.coming(key) && p.wishes[key] == nil && !p.busy(now, key)
 }
 
-// victim returns the adapter of the least value that may go, if it is worth less
-// than the one that would come. One that was chosen before stays chosen.
+// victim returns the evictable adapter of the least value, if that is less than worth, the
+// value of the adapter to load. An adapter whose eviction was already announced is
+// returned first.
 func (p *Places) victim(now time.Time, worth float64) (wardturn.ModelAdapter, bool) {
 	var best wardturn.ModelAdapter
 	found := false
@@ -60,7 +61,8 @@
 	return best, found
 }
 
-// busy reports whether an adapter is in use, was just now, or has just come.
+// busy reports whether an adapter is in use, was used within idleGuard, or was loaded
+// within freshGuard.
 func (p *Places) busy(now time.Time, key wardturn.ModelAdapter) bool {
 	if at, ok := p.readyAt[key]; ok && now.Sub(at) < freshGuard {
 		return true
@@ -69,8 +71,8 @@
 	return u != nil && (p.runs(key) || now.Sub(u.last) < idleGuard)
 }
 
-// runs reports whether gateways tell of requests under way at an adapter, or one that was
-// lost had told of some.
+// runs reports whether connected gateways report running requests on an adapter, or a
+// disconnected one is assumed to have some.
 func (p *Places) runs(key wardturn.ModelAdapter) bool {
 	if _, lost := p.lost[key]; lost {
 		return true
--- a/decide/holding.go
+++ b/decide/holding.go
@@ -7,23 +7,24 @@
 	"wardturn"
 )
 
-// Holding is what a keeper tells of its engine.
+// Holding is a keeper's report on its engine. A keeper is the process beside an engine
+// that loads and unloads the engine's adapters.
 type Holding struct {
-	Connected bool // a keeper is there
-	Known     bool // and it knows its engine
+	Connected bool // a keeper is connected
+	Known     bool // the keeper knows the engine's state
 	Models    []wardturn.BaseModel
-	Full      bool // Adapters are all; otherwise those that changed
+	Full      bool // Adapters lists all adapters; otherwise only those that changed
 	Adapters  []HeldVersion
-	Gone      []wardturn.ModelAdapter
+	Gone      []wardturn.ModelAdapter // unloaded since the previous report
 	Running   int
 	Queued    int
-	Reading   int // tokens of long prompts that it reads for all gateways
-	Free      int // places that an adapter could have at once, counted up to MaxFree
-	Gateways  int // connected to the keeper
-	// Limit is the requests a second that the engine names; zero: none, which does not say
-	// that its other answers name none.
+	Reading   int // tokens of long prompts in prefill, for all gateways together
+	Free      int // adapter slots that could be used at once, counted up to MaxFree
+	Gateways  int // gateways connected to the keeper
+	// Limit is the rate limit in requests per second that the engine announces. Zero means
+	// that this report carries none; the engine's responses may still announce one.
 	Limit   wardturn.RequestRate
-	Leaving bool // the engine says that it is about to end
+	Leaving bool // the engine announced that it is shutting down
 }
 
 // HeldVersion is an adapter version that an engine holds or loads.
@@ -37,11 +38,11 @@
 	version wardturn.Version
 	ready   bool
 	loading bool
-	since   time.Time // the load was first told of; zero: not known
-	warm    bool      // it comes from the engine's own memory
+	since   time.Time // when the load was first reported; zero if its start was not seen
+	warm    bool      // loaded from the engine's own memory, not from the weight store
 }
 
-// SetHolding takes a keeper's word on its engine.
+// SetHolding applies a keeper's report on its engine.
 func (f *Fleet) SetHolding(now time.Time, id wardturn.UpstreamID, h Holding, out *Moves) {
 	m := f.members[id]
 	if m == nil {
@@ -81,8 +82,8 @@
 	f.pump(now, out)
 }
 
-// heldAs returns what is known of an adapter that a keeper tells of. A load whose
-// start was not seen has no time.
+// heldAs returns the state of a reported adapter, given its state before the report. In
+// a full report the start of a load was not seen, so since stays zero.
 func (m *Member) heldAs(now time.Time, a HeldVersion, before heldAdapter, full bool) heldAdapter {
 	h := heldAdapter{
 		version: a.Adapter.Version,
@@ -103,14 +104,16 @@
 	return h
 }
 
-// loaded takes the time of a load from the weight store that has ended.
+// loaded passes the duration of a finished load from the weight store to the load
+// window.
 func (f *Fleet) loaded(now time.Time, before heldAdapter) {
 	if before.loading && !before.warm && !before.since.IsZero() {
 		f.window.Loaded(now, now.Sub(before.since), f.coming)
 	}
 }
 
-// forget removes what a holding says is no longer there, or is told anew.
+// forget removes the adapters that the report says are unloaded, and those whose state
+// the report replaces.
 func (f *Fleet) forget(m *Member, h Holding) {
 	if h.Full {
 		f.release(m)
@@ -125,7 +128,7 @@
 	}
 }
 
-// remember notes that an engine has held an adapter.
+// remember records that an engine has held an adapter.
 func (f *Fleet) remember(m *Member, key wardturn.ModelAdapter) {
 	if m.everHeld[key] {
 		return
@@ -134,7 +137,7 @@
 	f.heldBefore.add(key, m)
 }
 
-// release forgets what a member holds.
+// release forgets all adapters of a member.
 func (f *Fleet) release(m *Member) {
 	for key := range m.held {
 		f.unhold(m, key)
--- a/decide/permits.go
+++ b/decide/permits.go
@@ -6,69 +6,70 @@
 	"wardturn"
 )
 
-// Wish is an agent's view of the loads that it would start if the weight store
-// had room. It is state, not an event: each wish replaces the one before, so a
-// lost or late one costs only time.
+// Wish is an agent's permit request: the loads that it would start if the weight store
+// had capacity. It carries the full state, and each request replaces the previous one, so
+// a lost or late one only delays a load.
 type Wish struct {
 	Upstream wardturn.UpstreamID `msgpack:"u"`
 	Class    wardturn.Class      `msgpack:"c"`
-	Value    float64             `msgpack:"v"` // of the best load
-	Want     int                 `msgpack:"w"` // loads that wait
-	Loading  int                 `msgpack:"l"` // loads that run
-	Busy     int                 `msgpack:"b"` // refusals of the store since the start
-	Misses   uint64              `msgpack:"m"` // wants that arose since the start, refused ones included
-	Epoch    uint64              `msgpack:"e"` // allocator whose permits are counted
-	Used     uint64              `msgpack:"s"` // permits used or given back, in that epoch
-}
-
-// Grant is the allocator's answer: how many permits an agent has received since
-// the allocator's start. It is repeated while the agent wishes, which also
-// shows that the allocator is there.
+	Value    float64             `msgpack:"v"` // of the most valuable load
+	Want     int                 `msgpack:"w"` // loads waiting for a permit
+	Loading  int                 `msgpack:"l"` // loads in progress
+	Busy     int                 `msgpack:"b"` // loads refused by the store since the start
+	Misses   uint64              `msgpack:"m"` // adapter misses since the start, those of refused requests included
+	Epoch    uint64              `msgpack:"e"` // of the allocator whose permits Used counts
+	Used     uint64              `msgpack:"s"` // permits used or returned in that epoch
+}
+
+// Grant is the allocator's response to a permit request: the total number of permits that
+// the agent has received since the allocator's start. It is repeated while the agent
+// requests permits, and so also serves as a heartbeat of the allocator.
 type Grant struct {
 	Upstream wardturn.UpstreamID `msgpack:"u"`
 	Epoch    uint64              `msgpack:"e"`
 	Total    uint64              `msgpack:"t"`
-	Interval time.Duration       `msgpack:"i"` // present time between two loads
-	Backlog  int                 `msgpack:"b"` // loads that wait at all agents
-	Load     float64             `msgpack:"l"` // wants that arise during one interval
+	Interval time.Duration       `msgpack:"i"` // current time between two loads
+	Backlog  int                 `msgpack:"b"` // loads waiting at all agents
+	Load     float64             `msgpack:"l"` // offered load: adapter misses per interval
 }
 
-// Congestion is the state of the way to the store, as far as an agent knows it.
+// Congestion is the state of the weight store as known to an agent.
 type Congestion struct {
 	Interval time.Duration // between two loads
-	Backlog  int           // loads that wait for the same store
-	Load     float64       // wants that arise during one interval
+	Backlog  int           // loads waiting for the same store
+	Load     float64       // offered load: adapter misses per interval
 }
 
 // Permits decides when an agent may use the shared weight store.
 type Permits interface {
-	// Take asks for a load now. When it returns false the wish is remembered.
+	// Take takes a permit for a load that starts now. If it returns false, the request is
+	// kept as pending.
 	Take(now time.Time, w Wish) bool
-	// Withdraw forgets the wish.
+	// Withdraw cancels the pending request.
 	Withdraw(now time.Time)
-	// Return gives back a permit that was taken and not used.
+	// Return returns a permit that was taken but not used.
 	Return(now time.Time)
-	// Finished reports how a load ended for which a permit was taken.
+	// Finished reports the result of a load for which a permit was taken.
 	Finished(now time.Time, result OrderResult)
-	// Granted takes an allocator's answer.
+	// Granted applies an allocator's response.
 	Granted(now time.Time, g Grant)
-	// Pending returns the wish to send to the allocator, if one is due.
+	// Pending returns the request to send to the allocator, if one is due.
 	Pending(now time.Time) (Wish, bool)
-	// Congestion returns what is known of the store. Own is the agent's own
-	// share of it, for permits that know no other.
+	// Congestion returns the known state of the store. Own is the agent's own
+	// contribution, for implementations that know of no other agents.
 	Congestion(now time.Time, own Congestion) Congestion
 }
 
-// scale sets the interval; until then Load counts wants a second.
+// scale sets the interval and converts Load from misses per second to misses per interval.
 func (c *Congestion) scale(interval time.Duration) {
 	c.Interval = interval
 	c.Load *= interval.Seconds()
 }
 
-// StoreLimit is what the weight store allows all agents together.
+// StoreLimit is the weight store's capacity for all agents together.
 type StoreLimit struct {
-	Rate     float64 // loads a second
-	Parallel int     // loads at full speed
+	Rate     float64 // loads per second
+	Parallel int     // concurrent loads at full speed
 }
 
 func interval(rate float64) time.Duration {
@@ -80,7 +81,7 @@
 
 // bucket is a token bucket in virtual time.
 type bucket struct {
-	rate   float64 // tokens a second
+	rate   float64 // tokens per second
 	burst  float64
 	tokens float64
 	at     time.Time
@@ -112,7 +113,7 @@
 	loading  int
 }
 
-// NewStaticPermits divides a limit evenly between a number of agents.
+// NewStaticPermits returns permits for one agent's even share of a limit.
 func NewStaticPermits(limit StoreLimit, agents int) *StaticPermits {
 	n := max(agents, 1)
 	return &StaticPermits{
@@ -162,9 +163,9 @@
 }
 
 const (
-	adaptiveIncrease = 0.05 // loads a second, added for each finished load
-	adaptiveDecrease = 0.5  // factor on a refusal
-	adaptiveFloor    = 0.05 // loads a second
+	adaptiveIncrease = 0.05 // loads per second, added for each finished load
+	adaptiveDecrease = 0.5  // factor on a refusal by the store
+	adaptiveFloor    = 0.05 // loads per second
 )
 
 // AdaptivePermits finds an agent's share by additive increase while loads
@@ -175,7 +176,7 @@
 	loading int
 }
 
-// NewAdaptivePermits starts at an even share of the limit.
+// NewAdaptivePermits returns permits that start at an even share of the limit.
 func NewAdaptivePermits(limit StoreLimit, agents int) *AdaptivePermits {
 	return &AdaptivePermits{
 		bucket: bucket{
--- a/decide/permits_allocated.go
+++ b/decide/permits_allocated.go
@@ -5,30 +5,30 @@
 )
 
 const (
-	// wishEvery is how often an unchanged wish is repeated.
+	// wishEvery is the interval at which an unchanged permit request is repeated.
 	wishEvery = 250 * time.Millisecond
-	// wishSpacing bounds the rate of changed wishes.
+	// wishSpacing is the least interval between permit requests that differ.
 	wishSpacing = 20 * time.Millisecond
-	// allocatorSilence is the time without a grant after which an agent takes
-	// its allocator to be gone and finds its own share.
+	// allocatorSilence is how long a request may stay unanswered before the agent assumes
+	// that its allocator is down and falls back to AdaptivePermits.
 	allocatorSilence = 1500 * time.Millisecond
-	// permitLifetime is how long an unused permit stays good.
+	// permitLifetime is how long an unused permit stays valid.
 	permitLifetime = time.Second
 )
 
-// AllocatedPermits takes its permits from the allocator. While the allocator is
-// silent it falls back to AdaptivePermits: disagreement about who allocates, or
-// its loss, costs speed and nothing else.
+// AllocatedPermits uses the permits granted by an allocator. While the allocator does not
+// respond it falls back to AdaptivePermits, so losing the allocator or disagreeing about
+// which host it is only slows loads down.
 type AllocatedPermits struct {
 	fallback *AdaptivePermits
 	wish     Wish
 	wishing  bool
 	changed  bool
-	urgent   bool // a place at the store became free
+	urgent   bool // the request is due at once: a load ended, so the store has capacity
 	sentAt   time.Time
-	askedAt  time.Time // first wish without an answer; zero if answered
+	askedAt  time.Time // of the first unanswered request; zero if there is none
 	permitCount
-	before  permitCount // of the allocator heard of before
+	before  permitCount // of the previous allocator
 	gotAt   time.Time
 	pace    time.Duration
 	backlog int
@@ -45,7 +45,8 @@
 	used  uint64
 }
 
-// NewAllocatedPermits returns permits that an allocator hands out.
+// NewAllocatedPermits returns permits that an allocator grants. The limit and the number of
+// agents are for the fallback.
 func NewAllocatedPermits(limit StoreLimit, agents int) *AllocatedPermits {
 	return &AllocatedPermits{
 		fallback: NewAdaptivePermits(limit, agents),
@@ -79,7 +80,7 @@
 	p.wishing = wishing
 }
 
-// differs reports whether a value changed enough to be worth a message.
+// differs reports whether two values differ enough to send a new request.
 func differs(x, y float64) bool {
 	const share = 0.1
 	d := x - y
@@ -148,15 +149,16 @@
 	}
 }
 
-// turnTo counts the permits of another allocator. The count of the one before is kept:
-// hosts that come and go change who allocates, and back, and a late word may do so too.
+// turnTo switches to the permit count of another allocator and keeps that of the previous
+// one: hosts that come and go may change the allocator and change it back, and so may a
+// grant that arrives late.
 func (p *AllocatedPermits) turnTo(epoch uint64) {
 	next := permitCount{
 		epoch: epoch,
 	}
 	if p.before.epoch == epoch {
 		next = p.before
-		next.used = next.total // what was not used then is too old by now
+		next.used = next.total // permits left unused then have expired
 	}
 	p.before = p.permitCount
 	p.permitCount = next
@@ -204,7 +206,7 @@
 		own.scale(p.pace)
 		return own
 	}
-	// What an allocator said a while ago has been worked off since.
+	// Part of the backlog in the latest grant has drained since.
 	drained := int(now.Sub(p.heardAt) / max(p.pace, time.Millisecond))
 	return Congestion{
 		Interval: p.pace,
--- a/decide/places.go
+++ b/decide/places.go
@@ -9,26 +9,32 @@
 )
 
 const (
-	// MaxComing is the number of adapters that may be on their way to an engine
-	// at once; the platform's protocol sets it.
+	// MaxComing is the number of adapters that an engine may load concurrently, as set
+	// by the platform's protocol.
 	MaxComing = 4
-	// wishLife is how long a wish counts without being repeated. Gateways
-	// repeat every wishRepeat.
+	// wishLife is the lifetime of a load request that is not repeated. Gateways repeat
+	// theirs every wishRepeat.
 	wishLife = 700 * time.Millisecond
-	// evictionNotice is the time between telling the gateways that an adapter
-	// goes and the order: a request on its way by then arrives before it.
+	// evictionNotice is the delay between announcing an eviction to the gateways and
+	// ordering it. Requests that are in flight at the announcement arrive before the
+	// order.
 	evictionNotice = 4 * time.Millisecond
-	// freshGuard protects an adapter that was just loaded: the requests that
-	// waited for it are on their way.
+	// freshGuard is how long a newly loaded adapter can't be evicted, since the requests
+	// that waited for it are still in flight.
 	freshGuard = 300 * time.Millisecond
-	// idleGuard protects an adapter just used, whose use may not be reported yet.
+	// idleGuard is how long an adapter can't be evicted after its last use, since further
+	// use may not be reported yet.
 	idleGuard = 250 * time.Millisecond
 )
 
-// Places decides which adapters one engine holds. It sees the engine's own fresh
-// report before every order, and each order names the engine's sequence number
-// as reported: an order that got no answer either shows in the next report or is
-// void once another order is taken, so nothing has to be remembered of it.
+// Places decides which adapters occupy the adapter slots of one engine. Gateways send
+// load requests for the adapters that their requests wait for, and Places returns the
+// load and unload orders.
+//
+// It receives a fresh report of the engine before every order, and each order carries
+// the sequence number of that report. An order without a response is either visible in
+// the next report or rejected as outdated once the engine has accepted another order, so
+// no state is kept for orders in flight.
 type Places struct {
 	policy  wardturn.Policy
 	start   time.Time
@@ -39,18 +45,18 @@
 	uses    map[wardturn.ModelAdapter]*use
 	leaving map[wardturn.ModelAdapter]time.Time
 	readyAt map[wardturn.ModelAdapter]time.Time
-	retryAt time.Time // no order before
-	// lost are the adapters that requests of gateways which were lost may still use, and
-	// until when that is believed.
+	retryAt time.Time // earliest time of the next order
+	// lost holds the adapters that requests of disconnected gateways may still use, and
+	// until when that is assumed.
 	lost       map[wardturn.ModelAdapter]time.Time
 	reportedAt time.Time
 }
 
-// wish is an adapter that gateways want, each for requests of its own.
+// wish is the load request for an adapter, combined over the gateways that need it.
 type wish struct {
 	version wardturn.Version
 	by      map[wardturn.Incarnation]gatewayWish
-	at      time.Time // of the latest word
+	at      time.Time // of the latest message
 }
 
 type gatewayWish struct {
@@ -59,8 +65,8 @@
 	at      time.Time
 }
 
-// waiting returns the requests that wait at all gateways whose word still counts,
-// and how long the oldest has.
+// waiting returns the number of requests that wait at all gateways whose load request
+// has not expired, and the longest wait.
 func (w *wish) waiting(now time.Time) (n int, oldest time.Duration) {
 	for _, g := range w.by {
 		if now.Sub(g.at) > wishLife {
@@ -78,7 +84,7 @@
 	last    time.Time
 }
 
-// NewPlaces returns the decisions for an engine of which nothing is known yet.
+// NewPlaces returns the placement for an engine that has not reported yet.
 func NewPlaces(now time.Time, p wardturn.Policy) *Places {
 	return &Places{
 		policy:  p,
@@ -91,12 +97,12 @@
 	}
 }
 
-// SetSpec takes what the operator says of the engine.
+// SetSpec sets the operator's specification of the engine.
 func (p *Places) SetSpec(spec wardturn.EngineSpec) {
 	p.spec = spec
 }
 
-// Wish takes a gateway's wish for an adapter.
+// Wish records or renews a gateway's load request for an adapter.
 func (p *Places) Wish(now time.Time, gateway wardturn.Incarnation, a wardturn.AdapterVersion, waiting int, oldest time.Duration) {
 	w := p.wishes[a.Key()]
 	if w == nil {
@@ -106,7 +112,7 @@
 		p.wishes[a.Key()] = w
 	}
 	if p.holds(a.Key(), a.Version) {
-		delete(p.leaving, a.Key()) // it is wanted after all
+		delete(p.leaving, a.Key()) // cancels a pending eviction
 		u := p.use(a.Key())
 		u.last = now
 	}
@@ -119,7 +125,8 @@
 	w.at = now
 }
 
-// Use takes a gateway's count of requests to an adapter.
+// Use records a gateway's request counts for an adapter: those started since its previous
+// message, and those running now.
 func (p *Places) Use(now time.Time, gateway wardturn.Incarnation, key wardturn.ModelAdapter, started, running int) {
 	u := p.use(key)
 	for range started {
@@ -146,14 +153,14 @@
 	return u
 }
 
-// lostFor is how long requests of a gateway that was lost may still run: the longest
+// lostFor is how long requests of a disconnected gateway are assumed to run. The longest
 // streams take over 7 s.
 const lostFor = 8 * time.Second
 
-// GatewayLost forgets the requests of a gateway whose connection ended. While the engine
-// runs more than the other gateways tell of, they may still run there: the gateway may
-// only be cut off from here. To unload what they use would keep the engine from all other
-// orders until they end.
+// GatewayLost drops the request counts of a gateway whose connection ended. The gateway
+// may only be partitioned from the keeper, so its requests are assumed to still run while
+// the engine runs more requests than the other gateways report. Unloading an adapter in
+// use would block all other orders of the engine until the requests end.
 func (p *Places) GatewayLost(gateway wardturn.Incarnation) {
 	for key, u := range p.uses {
 		if u.running[gateway] > 0 {
@@ -164,8 +171,8 @@
 	p.forgetLost()
 }
 
-// forgetLost forgets the requests of lost gateways once the engine runs no more than the
-// others tell of.
+// forgetLost drops the assumed requests of disconnected gateways once the engine runs no
+// more requests than the connected ones report.
 func (p *Places) forgetLost() {
 	if len(p.lost) == 0 {
 		return
@@ -181,7 +188,7 @@
 	}
 }
 
-// Defer keeps the next order back until a time.
+// Defer delays the next order until the given time.
 func (p *Places) Defer(until time.Time) {
 	p.retryAt = until
 }
@@ -192,20 +199,21 @@
 	return ok
 }
 
-// PlaceOrder is an order to be given now.
+// PlaceOrder is a load or unload order for an engine. An order without an adapter loads
+// the model.
 type PlaceOrder struct {
 	Unload  bool
 	Target  wardturn.ModelAdapter
 	Version wardturn.Version
 }
 
-// Wanting reports whether orders may be due.
+// Wanting reports whether Next may have an order.
 func (p *Places) Wanting() bool {
 	return len(p.wishes) > 0 || len(p.state.Loading) > 0 || len(p.leaving) > 0 || len(p.state.Models) == 0
 }
 
-// Next returns the order that is due. It reports false if there is none now. A busy
-// engine refuses all orders, so none is given then.
+// Next returns the order to give now, or false if there is none. A busy engine rejects
+// all orders, so none is returned for it.
 func (p *Places) Next(now time.Time) (PlaceOrder, bool) {
 	p.expire(now)
 	if !p.known || p.state.Busy || len(p.spec.Models) == 0 || now.Before(p.retryAt) {
@@ -226,8 +234,8 @@
 	return PlaceOrder{}, false
 }
 
-// expire forgets wishes that were not repeated, and evictions that nobody needs
-// any more.
+// expire drops load requests that are fulfilled or were not repeated, evictions that were
+// announced but not needed any more, and assumed requests of disconnected gateways.
 func (p *Places) expire(now time.Time) {
 	for key, w := range p.wishes {
 		if now.Sub(w.at) > wishLife || p.holds(key, w.version) {
@@ -246,7 +254,7 @@
 	}
 }
 
-// holds reports whether an adapter is there at a version or a newer one.
+// holds reports whether an adapter is resident at version v or newer.
 func (p *Places) holds(key wardturn.ModelAdapter, v wardturn.Version) bool {
 	have, ok := p.resident(key)
 	return ok && have >= v
@@ -278,9 +286,9 @@
 	})
 }
 
-// occupied counts the adapter slots that are taken or promised. An adapter that
-// is being replaced by a newer version takes two: the old copy stays until the new
-// one is there.
+// occupied counts the adapter slots in use or reserved for loads. An adapter that is being
+// replaced by a newer version takes two, since the old version stays until the new one is
+// loaded.
 func (p *Places) occupied() int {
 	n := len(p.state.Loading)
 	for _, m := range p.state.Models {
@@ -289,7 +297,7 @@
 	return n
 }
 
-// replacing counts the adapters that are being replaced.
+// replacing counts the adapters that are being replaced by a newer version.
 func (p *Places) replacing() int {
 	n := 0
 	for _, a := range p.state.Loading {
@@ -300,7 +308,7 @@
 	return n
 }
 
-// ranked returns the wished adapters, the worthiest first.
+// ranked returns the adapters with load requests in descending order of value.
 func (p *Places) ranked(now time.Time) []wardturn.ModelAdapter {
 	type scored struct {
 		key   wardturn.ModelAdapter
@@ -329,7 +337,7 @@
 	return keys
 }
 
-// value asks the policy what a slot is worth to an adapter.
+// value returns the policy's value of a slot for an adapter.
 func (p *Places) value(now time.Time, key wardturn.ModelAdapter) float64 {
 	in := wardturn.SlotInput{
 		Adapter: key.Adapter,
@@ -348,7 +356,7 @@
 	return p.policy.Slot(in)
 }
 
-// towards returns the next order on the way to a wished adapter.
+// towards returns the next order needed to get an adapter loaded, if one can be given now.
 func (p *Places) towards(now time.Time, key wardturn.ModelAdapter) (PlaceOrder, bool) {
 	w := p.wishes[key]
 	if !p.modelLoaded(key.Model) || p.coming(key) {
@@ -359,8 +367,8 @@
 		Version: w.version,
 	}
 	if _, ok := p.resident(key); ok {
-		// Given while the old version runs, the order would keep the engine from all
-		// others until that ends.
+		// While requests run on the old version, the order would block all other orders
+		// of the engine until they end.
 		return load, p.noticed(now, key) && !p.runs(key)
 	}
 	if len(p.state.Loading) >= MaxComing {
@@ -370,7 +378,7 @@
 		return load, true
 	}
 	if p.occupied()-p.replacing() < p.spec.AdapterSlots {
-		return PlaceOrder{}, false // there is room once the replacement is done
+		return PlaceOrder{}, false // a slot becomes free when the replacement is done
 	}
 	victim, ok := p.victim(now, p.value(now, key))
 	if !ok || !p.noticed(now, victim) {
@@ -382,8 +390,8 @@
 	}, true
 }
 
-// noticed marks an adapter as leaving and reports whether the gateways have had
-// time to learn of it.
+// noticed marks an adapter as leaving and reports whether the eviction notice has passed
+// since it was first marked.
 func (p *Places) noticed(now time.Time, key wardturn.ModelAdapter) bool {
 	at, ok := p.leaving[key]
 	if !ok {
--- a/decide/places_report.go
+++ b/decide/places_report.go
@@ -6,7 +6,7 @@
 	"wardturn"
 )
 
-// Report takes a fresh report of the engine.
+// Report applies a fresh report of the engine.
 func (p *Places) Report(now time.Time, st wardturn.EngineState) {
 	p.state = st
 	p.known = true
@@ -29,8 +29,8 @@
 	}
 }
 
-// Restarted forgets what was known of the engine's lifetime before: it is empty, and no
-// request of any gateway runs there.
+// Restarted resets the state after a restart of the engine: it holds no adapters and runs
+// no requests.
 func (p *Places) Restarted() {
 	clear(p.leaving)
 	clear(p.readyAt)
@@ -41,7 +41,7 @@
 	p.known = false
 }
 
-// Lost forgets the report: the engine does not answer.
+// Lost marks the state as unknown because the engine does not respond.
 func (p *Places) Lost() {
 	p.known = false
 }
--- a/decide/plan.go
+++ b/decide/plan.go
@@ -9,15 +9,15 @@
 const (
 	// valueLifetime bounds how long a policy's answer for an adapter is reused.
 	valueLifetime = 100 * time.Millisecond
-	// batchReserve is the share of an engine step that batch work leaves free
-	// for interactive work that may come.
+	// batchReserve is the fraction of an engine's batch capacity that batch work leaves
+	// free for interactive work that may arrive.
 	batchReserve = 0.125
-	// batchStarveFactor times AgentConfig.StarveAfter is the age at which a
-	// batch request may take a slot as interactive work does.
+	// batchStarveFactor times AgentConfig.StarveAfter is the age at which a batch request
+	// may claim a slot like an interactive one.
 	batchStarveFactor = 30
 )
 
-// plan starts what can start and orders what has to be loaded.
+// plan starts the requests that can run and orders the loads that they need.
 func (a *Agent) plan(now time.Time, out *Orders) {
 	a.startReady(now, out)
 	a.planLoads(now, out)
@@ -58,8 +58,8 @@
 	return best
 }
 
-// nextBatch returns the batch item to run now, or nil. Batch work is what the
-// policy may hold, and it leaves room for interactive work.
+// nextBatch returns the batch item to run now, or nil. The policy may hold batch items
+// back, and batch work leaves capacity for interactive work.
 func (a *Agent) nextBatch(now time.Time) *item {
 	room := a.cfg.MaxRunning - int(batchReserve*float64(a.cfg.MaxRunning))
 	if a.running >= room {
@@ -114,8 +114,8 @@
 	return y
 }
 
-// held reports whether the policy holds a batch item back. Near its deadline
-// nothing is held.
+// held reports whether the policy holds a batch item back. An item near its deadline is
+// never held.
 func (a *Agent) held(now time.Time, it *item) bool {
 	in := a.queueInput(now, it)
 	if !it.work.Deadline.IsZero() && in.Deadline < holdMargin*a.serveTime+a.loadTime {
@@ -126,8 +126,8 @@
 	return held
 }
 
-// holdMargin is how many service times before its deadline a held item is let
-// go.
+// holdMargin sets when a held item is released: this many service times plus the time of a
+// load before its deadline.
 const holdMargin = 4
 
 func (a *Agent) start(now time.Time, it *item, out *Orders) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// planLoads turns wants into loads, the most valuable first.
+// planLoads orders loads for the adapters that wait for a slot, the most valuable first.
 func (a *Agent) planLoads(now time.Time, out *Orders) {
 	if len(a.slots) == 0 || !a.informed {
 		return
@@ -199,15 +199,15 @@
 		Want:  max(1, a.urgentWants(now)),
 	}
 	if !a.urgent(now, want) {
-		// Batch loads go where batch work runs already: steps fill on one
-		// engine instead of staying half empty on all.
+		// Batch loads prefer engines that already run batch work, so that the steps of
+		// one engine are full instead of those of all engines being half empty.
 		w.Class = wardturn.Batch
 		w.Value += float64(a.runBatch)
 	}
 	return w
 }
 
-// urgentWants counts the adapters that urgent work waits for.
+// urgentWants counts the adapters without a slot for which urgent work waits.
 func (a *Agent) urgentWants(now time.Time) int {
 	n := 0
 	for _, ad := range a.wanted {
@@ -218,13 +218,14 @@
 	return n
 }
 
-// urgent reports whether an adapter has work waiting that must not be held.
+// urgent reports whether work that must not be held back waits for an adapter: interactive
+// requests, or batch requests past the starvation limit.
 func (a *Agent) urgent(now time.Time, ad *adapter) bool {
 	return ad.interactive.len() > 0 || ad.batch.oldest(now) > batchStarveFactor*a.cfg.StarveAfter
 }
 
-// bestWant returns the adapter to load next: urgent ones before others, then by
-// value. Adapters whose load failed a moment ago wait for their backoff.
+// bestWant returns the adapter to load next, or nil: urgent ones before others, then by
+// value. Adapters in backoff after a failed load are skipped.
 func (a *Agent) bestWant(now time.Time) *adapter {
 	var best *adapter
 	for _, ad := range a.wanted {
@@ -238,7 +239,7 @@
 	return best
 }
 
-// loadable reports whether some request of a want is ready to run.
+// loadable reports whether some request that waits for an adapter is not held back.
 func (a *Agent) loadable(now time.Time, ad *adapter) bool {
 	if ad.interactive.len() > 0 {
 		return true
@@ -260,8 +261,7 @@
 	return x.ref.Adapter < y.ref.Adapter
 }
 
-// value asks the policy what an adapter's slot is worth, or reuses a recent
-// answer.
+// value returns the policy's value of a slot for an adapter, cached for valueLifetime.
 func (a *Agent) value(now time.Time, ad *adapter) float64 {
 	if !ad.valueAt.IsZero() && now.Sub(ad.valueAt) < valueLifetime {
 		return ad.value
@@ -287,8 +287,8 @@
 	}
 }
 
-// victim returns the slot to load a want into: an empty one, a drained one, or
-// the least valuable idle one if the want is worth more.
+// victim returns the slot to load a waiting adapter into: an empty one, a drained one, or
+// the least valuable idle one if the waiting adapter is worth more.
 func (a *Agent) victim(now time.Time, want *adapter) int {
 	best := noSlot
 	for i := range a.slots {
@@ -312,8 +312,8 @@
 	return noSlot
 }
 
-// evictable reports whether a slot may be unloaded: nothing runs on it, now or
-// for an earlier agent, and no interactive work is about to.
+// evictable reports whether a slot may be unloaded: it runs no requests of this agent or an
+// earlier one, and no interactive requests wait for it unless it is draining.
 func (a *Agent) evictable(s *slot) bool {
 	if s.state != SlotReady || s.foreign {
 		return false
@@ -322,7 +322,7 @@
 	return ad.running == 0 && (s.draining || ad.interactive.len() == 0)
 }
 
-// outranks reports whether a want may replace a resident adapter.
+// outranks reports whether a waiting adapter may replace a resident one.
 func (a *Agent) outranks(now time.Time, want, resident *adapter) bool {
 	if want.interactive.oldest(now) > a.cfg.StarveAfter {
 		return true
@@ -330,8 +330,8 @@
 	return a.value(now, want) > a.value(now, resident)
 }
 
-// drainFor stops new requests on the least valuable busy slot, so that a want
-// that has waited long gets a place. One slot drains at a time.
+// drainFor stops new requests on the least valuable busy slot, so that an adapter that has
+// waited long gets a slot. Only one slot drains at a time.
 func (a *Agent) drainFor(now time.Time, want *adapter) {
 	if !a.urgent(now, want) || want.interactive.oldest(now) < a.cfg.DrainAfter {
 		return
@@ -371,7 +371,7 @@
 	}
 }
 
-// bring loads a want into a slot, unloading the slot first if it is taken.
+// bring loads a waiting adapter into a slot, which is unloaded first if it is occupied.
 func (a *Agent) bring(i int, want *adapter, now time.Time, out *Orders) {
 	if a.slots[i].state == SlotEmpty {
 		a.startLoad(i, want, now, out)
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -6,13 +6,13 @@
 	"wardturn"
 )
 
-// item is an attempt that waits or runs.
+// item is an attempt that is queued or running.
 type item struct {
 	work      Work
 	adapter   *adapter // nil for a plain service
 	arrived   time.Time
 	startedAt time.Time
-	stallFrom time.Time // since when it waits for its adapter; zero if it does not
+	stallFrom time.Time // when it began to wait for its adapter; zero if it did not
 	seq       uint64    // order of admission
 	rank      float64
 	running   bool
@@ -23,7 +23,7 @@
 	return !it.work.Deadline.IsZero() && !now.Before(it.work.Deadline)
 }
 
-// adapter is what an agent remembers of one adapter version.
+// adapter is an agent's state for one adapter version.
 type adapter struct {
 	ref         wardturn.AdapterRef
 	demand      Demand
@@ -32,11 +32,11 @@
 	slot        int
 	running     int
 	failures    int
-	retryAt     time.Time // no load before this
-	missingAt   time.Time // when the engine last denied holding it
+	retryAt     time.Time // earliest time of the next load
+	missingAt   time.Time // when the agent last learned that the engine does not hold it
 	value       float64
 	valueAt     time.Time
-	wantIndex   int // place in Agent.wanted, or noWant
+	wantIndex   int // index in Agent.wanted, or noWant
 }
 
 const noWant = -1
@@ -134,7 +134,7 @@
 	a.trackWant(it.adapter)
 }
 
-// enqueueAgain puts back an item that the engine refused.
+// enqueueAgain requeues an item that the engine refused, ahead of all others.
 func (a *Agent) enqueueAgain(it *item) {
 	if it.stallFrom.IsZero() {
 		it.stallFrom = it.startedAt
@@ -161,7 +161,8 @@
 	}
 }
 
-// trackWant keeps the list of adapters that wait without a slot.
+// trackWant updates the adapter's membership in Agent.wanted, the adapters that have
+// waiting requests and no slot.
 func (a *Agent) trackWant(ad *adapter) {
 	if ad == nil {
 		return
@@ -186,7 +187,8 @@
 	ad.wantIndex = noWant
 }
 
-// displace makes room for interactive work by refusing the newest batch item.
+// displace makes room in the queue for interactive work by refusing the newest queued batch
+// item, and reports whether it did.
 func (a *Agent) displace(w Work, out *Orders) bool {
 	if w.Class == wardturn.Batch {
 		return false
@@ -220,7 +222,7 @@
 	return s.state == SlotReady && !s.draining
 }
 
-// queueDelay is the time in which the present queue drains.
+// queueDelay returns the estimated time for the current queue to drain.
 func (a *Agent) queueDelay() time.Duration {
 	if a.cfg.MaxRunning == 0 {
 		return a.serveTime
--- a/decide/slots.go
+++ b/decide/slots.go
@@ -6,20 +6,20 @@
 	"wardturn"
 )
 
-// SlotState is the state of one adapter slot, as its agent knows it.
+// SlotState is the state of one adapter slot as known to its agent.
 type SlotState uint8
 
 const (
-	// SlotEmpty holds nothing.
+	// SlotEmpty means that the slot holds no adapter.
 	SlotEmpty SlotState = iota
-	// SlotLoading has a load order on its way.
+	// SlotLoading means that a load order is in progress.
 	SlotLoading
-	// SlotReady serves its adapter version.
+	// SlotReady means that the slot serves its adapter version.
 	SlotReady
-	// SlotUnloading has an unload order on its way.
+	// SlotUnloading means that an unload order is in progress.
 	SlotUnloading
-	// SlotUncertain lost the reply to an order. It is neither used nor reused
-	// until a report of the engine settles what it holds.
+	// SlotUncertain means that the response to an order was lost. The slot is neither used
+	// nor reused until a report of the engine shows what it holds.
 	SlotUncertain
 )
 
@@ -50,23 +50,24 @@
 	state    SlotState
 	ref      wardturn.AdapterRef
 	order    wardturn.OrderID
-	since    time.Time // of the state
-	draining bool      // takes no further requests
-	foreign  bool      // may run requests of an earlier agent
-	next     wardturn.AdapterRef
+	since    time.Time           // start of the state
+	draining bool                // accepts no further requests
+	foreign  bool                // may run requests of an earlier agent
+	next     wardturn.AdapterRef // to load after the unload
 }
 
-// OrderResult says how an order to the engine ended.
+// OrderResult is the result of an order to the engine.
 type OrderResult uint8
 
 const (
-	// OrderDone was carried out.
+	// OrderDone means that the order was executed.
 	OrderDone OrderResult = iota
-	// OrderRefused was not carried out.
+	// OrderRefused means that the order was not executed.
 	OrderRefused
-	// OrderStoreBusy was not carried out because the store's rate was used up.
+	// OrderStoreBusy means that the order was not executed because the store's rate limit
+	// was reached.
 	OrderStoreBusy
-	// OrderUncertain may have been carried out.
+	// OrderUncertain means that the order may have been executed.
 	OrderUncertain
 )
 
@@ -105,8 +106,8 @@
 	}
 }
 
-// Loaded reports how a load order ended. Results of orders that the slot no
-// longer waits for are ignored.
+// Loaded handles the result of a load order. Results of orders that no slot waits for are
+// ignored.
 func (a *Agent) Loaded(now time.Time, id wardturn.OrderID, result OrderResult, out *Orders) {
 	i := a.slotByOrder(id)
 	if i == noSlot || a.slots[i].state != SlotLoading {
@@ -135,7 +136,7 @@
 	a.plan(now, out)
 }
 
-// release empties a slot and lets its adapter wait again.
+// release empties a slot. Its adapter waits for a slot again if it has requests.
 func (a *Agent) release(s *slot, now time.Time) {
 	ad := a.adapters[s.ref]
 	s.enter(SlotEmpty, now)
@@ -146,7 +147,7 @@
 	}
 }
 
-// Unloaded reports how an unload order ended.
+// Unloaded handles the result of an unload order.
 func (a *Agent) Unloaded(now time.Time, id wardturn.OrderID, result OrderResult, out *Orders) {
 	i := a.slotByOrder(id)
 	if i == noSlot || a.slots[i].state != SlotUnloading {
@@ -171,8 +172,8 @@
 	a.plan(now, out)
 }
 
-// loadAfterUnload starts the load for which a slot was freed, unless nobody
-// waits for that adapter any more.
+// loadAfterUnload starts the load for which a slot was emptied, unless no request waits for
+// that adapter any more.
 func (a *Agent) loadAfterUnload(i int, next *adapter, now time.Time, out *Orders) {
 	if next == nil || next.slot != i || next.waiting() == 0 {
 		a.giveBack(i, next, now)
@@ -181,8 +182,8 @@
 	a.startLoad(i, next, now, out)
 }
 
-// giveBack returns the permit of a load that will not start, and lets its
-// adapter wait again unless another slot turned out to hold it.
+// giveBack returns the permit of a load that will not start. The adapter waits for a slot
+// again unless another slot turned out to hold it.
 func (a *Agent) giveBack(i int, next *adapter, now time.Time) {
 	a.permits.Return(now)
 	if next != nil && next.slot == i {
@@ -217,9 +218,9 @@
 	})
 }
 
-// Report takes the engine's own view. It settles uncertain slots, adopts
-// adapters of an earlier agent and notices an engine that restarted empty. A
-// report says nothing about a slot whose state is younger than the report.
+// Report reconciles the slots with a report of the engine. It resolves uncertain slots,
+// adopts adapters that an earlier agent loaded, and detects that the engine restarted
+// empty. A slot whose state is newer than the report is left unchanged.
 func (a *Agent) Report(now time.Time, rep wardturn.EngineReport, out *Orders) {
 	if rep.At.Before(a.lastReport) {
 		return
@@ -271,15 +272,15 @@
 	a.release(s, now)
 }
 
-// lose empties a slot whose adapter the engine no longer holds. Requests that
-// the engine still owes an answer for end on their own connection.
+// lose empties a slot whose adapter the engine no longer holds. Requests in progress end
+// with their own connections.
 func (a *Agent) lose(s *slot, now time.Time) {
 	a.stats.Lost++
 	a.release(s, now)
 }
 
-// adopt takes over an adapter that the engine holds, or loads, by order of an
-// earlier agent.
+// adopt takes over an adapter that the engine holds or loads on the order of an earlier
+// agent.
 func (a *Agent) adopt(ref wardturn.AdapterRef, state SlotState, at, now time.Time) {
 	if at.Before(a.started) || a.slotOf(ref) != noSlot || a.unloadedSince(ref, at) {
 		return
@@ -299,8 +300,8 @@
 	}
 }
 
-// unloadedSince reports whether an adapter was given up after the report was
-// made, so that the report is out of date about it.
+// unloadedSince reports whether an adapter left its slot after the report was made, so that
+// the report is outdated for it.
 func (a *Agent) unloadedSince(ref wardturn.AdapterRef, at time.Time) bool {
 	ad := a.adapters[ref]
 	return ad != nil && ad.missingAt.After(at)
