--- a/decide/allocator_test.go
+++ b/decide/allocator_test.go
@@ -26,10 +26,10 @@
 		}
 	}
 
-	It("gives a scarce permit to the most valuable wish", func() {
+	It("gives a scarce permit to the most valuable request", func() {
 		l := decide.NewAllocator(limit, 1)
 		for _, id := range []wardturn.UpstreamID{"w", "x", "y", "z"} {
-			l.Wish(start, wish(id, 1), nil) // takes the burst and every place
+			l.Wish(start, wish(id, 1), nil) // takes the burst and all parallel loads
 		}
 		l.Wish(start, wish("low", 2), nil)
 		l.Wish(start, wish("high", 3), nil)
@@ -45,7 +45,7 @@
 		Expect(grants[0].Total).To(Equal(uint64(1)))
 	})
 
-	It("leaves permits and places for interactive work", func() {
+	It("leaves permits and parallel loads for interactive work", func() {
 		l := decide.NewAllocator(limit, 1)
 		first := l.Wish(start, wish("interactive", 1), nil)
 		Expect(first[0].Total).To(Equal(uint64(1)))
@@ -57,7 +57,7 @@
 		Expect(grants[0].Total).To(Equal(uint64(1)))
 	})
 
-	It("counts on for an agent that was silent for long", func() {
+	It("continues the count of an agent that was silent for long", func() {
 		l := decide.NewAllocator(limit, 7)
 		p := decide.NewAllocatedPermits(limit, 1)
 		now := start
@@ -88,7 +88,7 @@
 		Expect(load()).To(BeTrue(), "the first permit after the silence must be usable at once")
 	})
 
-	It("slows down when the store refuses although the limit was kept", func() {
+	It("slows down when the store refuses loads within its limit", func() {
 		l := decide.NewAllocator(limit, 1)
 		w := wish("a", 1)
 		l.Wish(start, w, nil)
@@ -113,14 +113,14 @@
 		return h.Upstream
 	}
 
-	It("is the same host in whatever order the list comes", func() {
+	It("is the same host for any order of the list", func() {
 		hosts := []wardturn.Host{host("a"), host("b"), host("c"), host("d")}
 		first := chosen(hosts)
 		slices.Reverse(hosts)
 		Expect(chosen(hosts)).To(Equal(first))
 	})
 
-	It("passes over hosts of other models and regions and those that are not live", func() {
+	It("skips hosts of other models and regions and hosts that are not live", func() {
 		elsewhere, other, leaving := host("a"), host("b"), host("c")
 		elsewhere.Region = "s"
 		other.Model = "n"
--- a/decide/copies.go
+++ b/decide/copies.go
@@ -5,23 +5,24 @@
 )
 
 const (
-	// spreadLoad is the least number of requests at an engine for which an
-	// adapter gets another one; engines are quick up to there.
+	// spreadLoad is the least number of requests at an engine for which its load can be a
+	// reason for a copy of an adapter elsewhere. Engines run at full speed up to it.
 	spreadLoad = 8
-	// spreadFactor is how many times the mean load that must be.
+	// spreadFactor is the least ratio of that number to the mean over all engines.
 	spreadFactor = 1.4
-	// spreadUse is how many of them must be this gateway's for that adapter.
+	// spreadUse is how many of these requests must be this gateway's for the adapter.
 	spreadUse = 2
-	// spreadRequests is how many requests all gateways must have, by estimate, for an
-	// adapter that gets another engine since streams would pause.
+	// spreadRequests is the least estimated number of requests for an adapter, over all
+	// gateways, for which paused streams can be a reason for a copy.
 	spreadRequests = 16
-	// copyCost is what a copy must save each request, in milliseconds.
+	// copyCost is the least saving per request, in milliseconds, that justifies a copy.
 	copyCost = 10.0
 )
 
-// spread asks for an adapter at one more engine: if the one that serves it is
-// busier than others, if its streams would pause for the request's prompt, or if it is far
-// and as much has been sent there as a load costs.
+// spread requests a copy of an adapter on another engine if m, the engine that serves it, is
+// more loaded than others, if the streams there would pause for the prefill of the request's
+// prompt, or if m is in another failure domain and the traffic sent there exceeds
+// FleetConfig.CrossBytes, the equivalent of a load.
 func (f *Fleet) spread(now time.Time, t *Ticket, m *Member, out *Moves) {
 	near := m.Domain == f.cfg.Domain
 	if !near {
@@ -49,9 +50,10 @@
 	f.ask(now, w, home, out)
 }
 
-// stopsStreams reports whether a request's prompt would have so many streams pause that its
-// adapter needs another engine. Each gateway is taken to have as many requests of the adapter
-// there as this one: an engine for a few of them costs more than it spares.
+// stopsStreams reports whether the prefill of a request's prompt would pause so many streams
+// that its adapter needs another engine. The number of requests is estimated by assuming
+// that each gateway has as many for the adapter there as this one; for only a few requests a
+// copy costs more than it saves.
 func (f *Fleet) stopsStreams(now time.Time, t *Ticket, m *Member) bool {
 	if (m.runningOf(t.Key)+1)*f.Gateways() < spreadRequests {
 		return false
@@ -59,8 +61,8 @@
 	return m.pauseCost(now, t) >= spreadPause
 }
 
-// overbusy reports whether an engine has far more to do than others, and not
-// because of others' requests alone.
+// overbusy reports whether an engine has far more load than others and this gateway's
+// requests for the adapter contribute to it.
 func (f *Fleet) overbusy(t *Ticket, m *Member) bool {
 	if m.load() < spreadLoad || m.runningOf(t.Key) < spreadUse {
 		return false
@@ -73,9 +75,10 @@
 	return float64(m.load()) >= spreadFactor*float64(total)/float64(len(list))
 }
 
-// copyHome returns the engine that should hold a copy of an adapter beside m, or
-// nil. It is the first in the order of homes that costs enough less, so that
-// gateways which want a copy at the same time ask the same engine.
+// copyHome returns the engine that should hold a copy of an adapter in addition to m, or
+// nil. It is the first one in home order that costs sufficiently less, or with near set the
+// first in the gateway's own failure domain. Gateways that need a copy at the same time thus
+// choose the same engine.
 func (f *Fleet) copyHome(now time.Time, t *Ticket, m *Member, near bool) *Member {
 	most := f.costOf(now, t, m) - copyCost
 	for o := range f.homes(now, t.Service, t.Key, near) {
--- a/decide/home.go
+++ b/decide/home.go
@@ -7,25 +7,26 @@
 )
 
 const (
-	// homeChoices is how many engines in the order of homes a cold adapter may go
-	// to. Gateways agree on them, so that an adapter is loaded once. The second one
-	// is there for an engine that reads long prompts.
+	// homeChoices is the number of engines, in home order, among which an adapter without
+	// a home is placed. All gateways compute the same ones, so that an adapter is loaded
+	// only once. The second one is for the case that the first is in a long prefill.
 	homeChoices = 2
-	// noPlaceTime is how long a load waits for a place where none is free: nine streams
-	// of some 2 s end 0.2 s apart.
+	// noPlaceTime is the expected time that a load waits for a slot on an engine without a
+	// free one: nine streams of about 2 s each end 0.2 s apart.
 	noPlaceTime = 200 * time.Millisecond
 )
 
-// homeChoice collects the engines that an adapter may go to, in the order of
-// homes.
+// homeChoice collects the candidate engines for an adapter in home order. The home of an
+// adapter is the engine that is to load it, and the home order of an adapter is the order of
+// all engines by rendezvous score.
 type homeChoice struct {
-	warm []*Member // held it before
-	free []*Member // the first with a place
-	full []*Member // the first without one
+	warm []*Member // held the adapter before
+	free []*Member // the first ones with a free slot
+	full []*Member // the first ones without a free slot
 }
 
-// add takes an engine that did not hold the adapter, and reports whether to go on:
-// enough with a place are not there yet.
+// add adds an engine that has not held the adapter. It reports whether further engines are
+// needed, since there are not enough with a free slot yet.
 func (c *homeChoice) add(m *Member, free bool) bool {
 	switch {
 	case free:
@@ -36,7 +37,7 @@
 	return len(c.free) < homeChoices
 }
 
-// list returns the engines to choose among.
+// list returns the candidates. Engines without a free slot count only if none has one.
 func (c *homeChoice) list() []*Member {
 	list := append(c.warm, c.free...)
 	if len(c.free) == 0 {
@@ -45,8 +46,8 @@
 	return list
 }
 
-// placeFree reports whether an engine has a place for a wanted adapter beside
-// those that this gateway has asked for and that its keeper does not tell of yet.
+// placeFree reports whether an engine has a free slot for an adapter, in addition to those
+// for the loads that this gateway has requested there and the keeper has not reported yet.
 func (m *Member) placeFree(key wardturn.ModelAdapter) bool {
 	taken := 0
 	for asked := range m.asks {
--- a/decide/home_test.go
+++ b/decide/home_test.go
@@ -11,10 +11,10 @@
 	"wardturn/decide"
 )
 
-var _ = Describe("The home of an adapter that is nowhere", func() {
+var _ = Describe("The home of an adapter that no engine holds", func() {
 	var x *fleetRig
-	// tell has an engine's keeper tell its free places and what it reads, with
-	// changes of what it holds.
+	// tell sends a keeper's report with an engine's free slots, its tokens in prefill and
+	// the adapters that it has unloaded.
 	tell := func(id wardturn.UpstreamID, free, reading int, gone ...wardturn.ModelAdapter) {
 		x.f.SetHolding(x.now, id, decide.Holding{
 			Connected: true,
@@ -25,7 +25,7 @@
 			Gone:      gone,
 		}, &x.out)
 	}
-	// homeOf returns the engine that is asked for an adapter, and why.
+	// homeOf returns the engine that is asked to load an adapter.
 	homeOf := func(adapter string) wardturn.UpstreamID {
 		before := len(x.out.Asks)
 		x.admit("for "+adapter, adapter)
@@ -36,7 +36,7 @@
 		x = newFleetRig()
 	})
 
-	It("is the one of two that has less to read", func() {
+	It("is the one of two engines with fewer tokens in prefill", func() {
 		first := homeOf("a")
 		x = newFleetRig()
 		tell(first, decide.MaxFree, 20000)
@@ -49,10 +49,10 @@
 			}
 			tell(m.ID, decide.MaxFree, 20000)
 		}
-		Expect(homeOf("a")).To(BeElementOf(first, second)) // not a third, on which gateways may differ
+		Expect(homeOf("a")).To(BeElementOf(first, second)) // not a third one, on which gateways may disagree
 	})
 
-	It("has a place free if any of the engines has", func() {
+	It("has a free slot if any engine has one", func() {
 		for i := range 8 {
 			x = newFleetRig()
 			spared := fleetMembers()[i%4].ID
@@ -65,7 +65,7 @@
 		}
 	})
 
-	It("does not give one place to two adapters", func() {
+	It("does not assign one slot to two adapters", func() {
 		for n := range 10 {
 			x = newFleetRig()
 			for _, m := range fleetMembers() {
@@ -79,22 +79,22 @@
 		}
 	})
 
-	It("is the engine that held it before, at once and without room in the window", func() {
+	It("is the engine that held it before, even if the load window is full", func() {
 		x.hold("f1", readyAdapter("old", 1))
 		tell("f1", decide.MaxFree, 0, adapterKey("old"))
-		for i := range 4 { // fill the window
+		for i := range 4 { // fills the window
 			homeOf(fmt.Sprint("a", i))
 		}
 		Expect(homeOf("old")).To(BeEquivalentTo("f1"))
 	})
 
-	It("is another than the one that held it if that reads for longer than a load takes", func() {
+	It("is not the engine that held it before if its prefill takes longer than a load", func() {
 		x.hold("f1", readyAdapter("old", 1))
 		tell("f1", decide.MaxFree, 20000, adapterKey("old")) // 500 ms
 		Expect(homeOf("old")).NotTo(BeEquivalentTo("f1"))
 	})
 
-	It("is told with the cause of the load", func() {
+	It("is reported with the cause of the load", func() {
 		causes := func(adapter string, id wardturn.UpstreamID) decide.LoadCause {
 			x.out.Loads = nil
 			x.now = x.now.Add(250 * time.Millisecond)
@@ -104,7 +104,7 @@
 		}
 		Expect(causes("a", homeOf("a"))).To(Equal(decide.LoadFirst))
 		for _, m := range fleetMembers() {
-			x.hold(string(m.ID)) // all have given it up
+			x.hold(string(m.ID)) // all have unloaded it
 		}
 		Expect(causes("a", homeOf("a"))).To(Equal(decide.LoadAgain))
 		for _, m := range fleetMembers() {
--- a/decide/homes.go
+++ b/decide/homes.go
@@ -33,23 +33,24 @@
 	}
 }
 
-// ranked is an engine with its place in the order of homes: the higher goes first.
+// ranked is an engine with its rendezvous score for an adapter. The home order is by
+// descending score.
 type ranked struct {
 	m     *Member
 	score uint64
 }
 
-// firstRanked and rankedGrowth are the sizes of the pieces in which the order of
-// homes is made: a choice looks at two or three engines as a rule, and at all of
-// them when none has a place.
+// firstRanked is the size of the first batch in which the home order is computed, and
+// rankedGrowth the factor by which each batch is larger than the one before. A choice
+// usually looks at two or three engines, but at all of them if none has a free slot.
 const (
 	firstRanked  = 8
 	rankedGrowth = 8
 )
 
-// inOrder returns the engines of a list in the order of homes of an adapter, on
-// which all gateways agree, so that a cold adapter is loaded once. It costs a look
-// at each engine and no sorting of all, which takes longest among thousands.
+// inOrder returns the engines of a list in the home order of an adapter. All gateways
+// compute the same order, so that an adapter without a home is loaded only once. Each batch
+// takes one pass over the list, which is cheaper than sorting thousands of engines.
 func inOrder(key wardturn.ModelAdapter, list []*Member) iter.Seq[*Member] {
 	return func(yield func(*Member) bool) {
 		h := hashString(string(key.Adapter))
@@ -69,8 +70,8 @@
 	}
 }
 
-// highest returns the n highest engines below one, or of all if that is zero, in
-// order.
+// highest returns in home order the first n engines after below, or the first n of all if
+// below is zero.
 func highest(h uint64, list []*Member, below ranked, n int) []ranked {
 	top := make([]ranked, 0, min(n, len(list)))
 	for _, m := range list {
@@ -93,7 +94,7 @@
 	return top
 }
 
-// compare orders the higher score first, and equal ones by id.
+// compare orders by descending score and then by id.
 func (r ranked) compare(o ranked) int {
 	if r.score != o.score {
 		return cmp.Compare(o.score, r.score)
@@ -101,8 +102,8 @@
 	return cmp.Compare(r.m.ID, o.m.ID)
 }
 
-// homes returns the engines that may load an adapter, the first choice first. With
-// near set only engines of the own failure domain count.
+// homes returns the engines that may load an adapter in home order. With near set it
+// returns only engines in the gateway's own failure domain.
 func (f *Fleet) homes(now time.Time, s wardturn.ServiceName, key wardturn.ModelAdapter, near bool) iter.Seq[*Member] {
 	list := f.services[s]
 	if near {
--- a/decide/homes_internal_test.go
+++ b/decide/homes_internal_test.go
@@ -10,10 +10,10 @@
 	"wardturn"
 )
 
-// The order of homes is that of all engines sorted by score, however it is made.
+// The batches of inOrder must give the same order as sorting all engines by score.
 func TestInOrderIsTheSortedOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hashes := rapid.SliceOfN(rapid.Uint64Range(0, 40), 0, 300).Draw(t, "hashes") // some are alike
+		hashes := rapid.SliceOfN(rapid.Uint64Range(0, 40), 0, 300).Draw(t, "hashes") // with some duplicates
 		var list []*Member
 		for i, h := range hashes {
 			list = append(list, &Member{
--- a/decide/locations.go
+++ b/decide/locations.go
@@ -8,9 +8,9 @@
 	"wardturn"
 )
 
-// sticky sends an adapter where this entry sent it before. A new adapter goes to
-// the best of its first rendezvous candidates; one whose homes are all loaded
-// far over the average gets another home.
+// sticky chooses among the homes of an adapter, the upstreams to which this entry sent it
+// before. A new adapter gets the best of its first rendezvous candidates as its home. One
+// whose homes are all loaded far above the average gets an additional home.
 func (r *Router) sticky(now time.Time, p *pool, targets []*target, usable func(*target) bool, ask Ask) *target {
 	loc := r.locations.get(ask.Adapter)
 	loc.forgetIdle(now, r.cfg.LocationLife)
@@ -31,8 +31,8 @@
 	return chosen
 }
 
-// overloaded reports whether a home carries so much that a replica elsewhere is
-// worth a load.
+// overloaded reports whether a home is so loaded that a replica elsewhere is worth the cost
+// of loading the adapter.
 func (r *Router) overloaded(p *pool, t *target) bool {
 	if t.hint.Capacity == 0 || len(p.near) == 0 {
 		return false
@@ -42,18 +42,18 @@
 	return t.load() >= bound
 }
 
-// busyShare is the part of its capacity up to which an upstream is never taken
-// to be overloaded.
+// busyShare is the fraction of its capacity up to which an upstream never counts as
+// overloaded.
 const busyShare = 0.8
 
-// relieves reports whether moving from home to other is a clear gain.
+// relieves reports whether other is clearly less loaded than home.
 func relieves(home, other *target) bool {
 	const share = 0.7
 	return other.load() < share*home.load()
 }
 
-// place chooses among the first rendezvous candidates the one where a load
-// would start soonest, preferring the first when the others are hardly better.
+// place chooses among the first rendezvous candidates that are no home yet the one where a
+// load would start soonest. It keeps the first one if the others are hardly better.
 func place(candidates []scored, loc *location) *target {
 	var best *target
 	var bestCost float64
@@ -71,10 +71,10 @@
 }
 
 const (
-	rankCost  = 0.5 // for each step away from the first candidate
-	wantCost  = 1.0 // for each adapter that already waits for a slot
-	fullCost  = 2.0 // when no slot could be reused
-	queueCost = 4.0 // at full capacity
+	rankCost  = 0.5 // for each position after the first candidate
+	wantCost  = 1.0 // for each adapter that waits for a slot
+	fullCost  = 2.0 // if no slot can be reused
+	queueCost = 4.0 // at full capacity, in proportion below and above
 )
 
 func placeCost(t *target) float64 {
@@ -88,7 +88,7 @@
 	return cost + queueCost*t.load()/float64(t.hint.Capacity)
 }
 
-// location is where an entry sent an adapter lately.
+// location records the upstreams to which an entry recently sent an adapter.
 type location struct {
 	ref   wardturn.AdapterRef
 	homes []home
@@ -119,14 +119,14 @@
 	})
 }
 
-// forgetIdle drops homes that were not used lately or are gone.
+// forgetIdle drops homes that were not used within life or whose host was removed.
 func (l *location) forgetIdle(now time.Time, life time.Duration) {
 	l.homes = slices.DeleteFunc(l.homes, func(h home) bool {
 		return h.t.removed || now.Sub(h.used) > life
 	})
 }
 
-// lightest returns the least loaded home that is usable, or nil.
+// lightest returns the usable home with the least load, or nil.
 func (l *location) lightest(usable func(*target) bool) *target {
 	var best *target
 	for _, h := range l.homes {
@@ -137,7 +137,7 @@
 	return best
 }
 
-// locations is a bounded map that forgets the adapter asked for longest ago.
+// locations is a bounded map of adapter locations with LRU eviction.
 type locations struct {
 	limit int
 	byRef map[wardturn.AdapterRef]*location
--- a/decide/permits_test.go
+++ b/decide/permits_test.go
@@ -18,7 +18,7 @@
 		Upstream: "u",
 		Want:     2,
 	}
-	// taken counts the loads that the permits allow now.
+	// taken takes all available permits and returns their number.
 	taken := func(p *decide.AllocatedPermits, now time.Time) int {
 		n := 0
 		for n < 100 && p.Take(now, want) {
@@ -27,7 +27,7 @@
 		return n
 	}
 
-	It("are not given anew by an allocator that was heard of before another", func() {
+	It("are not counted again when an earlier allocator returns", func() {
 		p := decide.NewAllocatedPermits(limit, 4)
 		now := start
 		for total := range uint64(50) {
@@ -43,7 +43,7 @@
 		})
 		Expect(taken(p, now)).To(Equal(1))
 
-		By("a word of the first one that comes late, or its return")
+		By("a late grant of the first allocator, or its return")
 		p.Granted(now, decide.Grant{
 			Epoch: 1,
 			Total: 50,
@@ -55,7 +55,7 @@
 		})
 		Expect(taken(p, now)).To(Equal(1))
 
-		By("the second one again")
+		By("the second allocator again")
 		p.Granted(now, decide.Grant{
 			Epoch: 2,
 			Total: 2,
--- a/decide/places_test.go
+++ b/decide/places_test.go
@@ -67,10 +67,10 @@
 		now = now.Add(d)
 	}
 
-	It("tells how many places an adapter could have now", func() {
-		Expect(p.Free(now)).To(Equal(decide.MaxFree)) // of three, all empty
+	It("counts the slots that another adapter could take now", func() {
+		Expect(p.Free(now)).To(Equal(decide.MaxFree)) // all three slots are empty
 		report([]string{"c"}, "a", "b")
-		Expect(p.Free(now)).To(BeZero()) // a and b have just come
+		Expect(p.Free(now)).To(BeZero()) // a and b were just loaded
 		pass(time.Second)
 		Expect(p.Free(now)).To(Equal(2)) // a and b are idle
 		p.Use(now, "g1", key("a"), 1, 1)
@@ -78,17 +78,17 @@
 		Expect(p.Free(now)).To(BeZero())
 		p.Use(now, "g1", key("a"), 0, 0)
 		pass(time.Second)
-		Expect(p.Free(now)).To(Equal(1)) // a may go
+		Expect(p.Free(now)).To(Equal(1)) // a may be evicted
 		wish("d", 1)
-		Expect(p.Free(now)).To(BeZero()) // and does, for d
+		Expect(p.Free(now)).To(BeZero()) // its slot is for d
 	})
 
-	It("counts an adapter that is being replaced twice", func() {
+	It("counts two slots for an adapter that is being replaced", func() {
 		report([]string{"a"}, "a", "b")
 		wish("c", 1)
 		none()
 		pass(10 * time.Millisecond)
-		none() // nor is one unloaded for it
+		none() // nothing is evicted for c either
 		report(nil, "a", "b")
 		expect(decide.PlaceOrder{
 			Target:  key("c"),
@@ -96,7 +96,7 @@
 		})
 	})
 
-	It("loads first what most requests wait for at all gateways together", func() {
+	It("first loads the adapter with the most waiting requests over all gateways", func() {
 		report(nil)
 		for _, g := range []wardturn.Incarnation{"g1", "g2", "g3"} {
 			p.Wish(now, g, version("shared", 1), 2, 0)
@@ -126,7 +126,7 @@
 		none()
 	})
 
-	It("loads the model into an empty engine, unless that is under way", func() {
+	It("loads the model into an empty engine, unless the engine is busy", func() {
 		p.Report(now, wardturn.EngineState{})
 		expect(decide.PlaceOrder{
 			Target: wardturn.ModelAdapter{
@@ -139,7 +139,7 @@
 		none()
 	})
 
-	It("loads a wished adapter into a free place", func() {
+	It("loads a requested adapter into a free slot", func() {
 		report(nil, "a")
 		wish("b", 1)
 		expect(decide.PlaceOrder{
@@ -148,19 +148,19 @@
 		})
 	})
 
-	It("counts adapters on their way as taking places", func() {
+	It("counts loading adapters as occupying slots", func() {
 		report([]string{"x", "y"}, "a")
 		pass(time.Second)
 		wish("b", 1)
 		_, ok := next()
-		Expect(ok).To(BeFalse()) // only a notice of an eviction
+		Expect(ok).To(BeFalse()) // the eviction is only announced
 		pass(10 * time.Millisecond)
 		got, ok := next()
 		Expect(ok).To(BeTrue())
 		Expect(got.Unload).To(BeTrue())
 	})
 
-	It("has no more than the allowed number on their way", func() {
+	It("has no more than the allowed number of loads in progress", func() {
 		p.SetSpec(wardturn.EngineSpec{
 			AdapterSlots: 16,
 			Models: []wardturn.ModelSpec{
@@ -174,7 +174,7 @@
 		none()
 	})
 
-	It("unloads the least used adapter, after it told the gateways", func() {
+	It("evicts the least used adapter after announcing it to the gateways", func() {
 		report(nil, "a", "b", "c")
 		for range 10 {
 			p.Use(now, "g", key("a"), 1, 0)
@@ -191,7 +191,7 @@
 		})
 	})
 
-	It("unloads nothing that runs or has just come", func() {
+	It("does not evict adapters that are in use or were just loaded", func() {
 		report(nil, "a", "b", "c")
 		for _, name := range []string{"a", "b", "c"} {
 			p.Use(now, "g", key(name), 1, 1)
@@ -205,11 +205,11 @@
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b")) || p.Leaving(key("c"))).To(BeTrue())
 	})
 
-	// A gateway that is cut off can't tell of its requests any more, so their adapters
-	// looked idle. An engine lets runs end before it unloads what they use, and refuses all
-	// other orders until then: keepers' logs of a day with hosts that were cut off show an
-	// engine that took no orders for up to 2 s.
-	It("unloads nothing that a gateway which was cut off may still run", func() {
+	// A partitioned gateway can't report its requests, so their adapters used to look idle.
+	// An engine that is ordered to unload an adapter in use first waits for the requests to
+	// end and refuses all other orders until then. Keeper logs of a network partition show an
+	// engine that accepted no orders for up to 2 s.
+	It("does not evict adapters that requests of a partitioned gateway may still use", func() {
 		runs := func(n int) {
 			st := p.State()
 			st.Running = n
@@ -223,16 +223,16 @@
 		runs(3)
 		pass(2 * time.Second)
 		p.GatewayLost("g")
-		runs(2) // one of the two has ended
+		runs(2) // one of the lost gateway's two requests has ended
 		wish("d", 1)
 		none()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b"))).To(BeFalse())
-		runs(1) // the other gateway's
+		runs(1) // the remaining request is the other gateway's
 		none()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b"))).To(BeTrue())
 	})
 
-	It("holds no adapter for a gateway that was cut off longer than its requests may take", func() {
+	It("evicts adapters of a gateway that was partitioned for longer than its requests may take", func() {
 		report(nil, "a", "b", "c")
 		for _, name := range []string{"a", "b", "c"} {
 			p.Use(now, "g", key(name), 1, 1)
@@ -247,7 +247,7 @@
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b")) || p.Leaving(key("c"))).To(BeTrue())
 	})
 
-	It("keeps an adapter that is wished for while it is about to leave", func() {
+	It("keeps an adapter that is requested after its eviction was announced", func() {
 		report(nil, "a", "b", "c")
 		p.Use(now, "g", key("a"), 5, 0)
 		p.Use(now, "g", key("b"), 5, 0)
@@ -258,11 +258,11 @@
 		wish("c", 1)
 		Expect(p.Leaving(key("c"))).To(BeFalse())
 		pass(5 * time.Millisecond)
-		none() // another one gets its notice first
+		none() // the eviction of another one is announced first
 		Expect(p.Leaving(key("c"))).To(BeFalse())
 	})
 
-	It("replaces an old version, after it told the gateways", func() {
+	It("replaces an old version after announcing it to the gateways", func() {
 		report(nil, "a")
 		p.Wish(now, "g1", version("a", 2), 1, 0)
 		none()
@@ -274,7 +274,7 @@
 		})
 	})
 
-	It("replaces no version that runs, and loads others meanwhile", func() {
+	It("does not replace a version in use, and loads other adapters meanwhile", func() {
 		report(nil, "a")
 		pass(time.Second)
 		p.Use(now, "g1", key("a"), 1, 1)
@@ -288,7 +288,7 @@
 			pass(300 * time.Millisecond)
 			renew()
 			none()
-			Expect(p.Leaving(key("a"))).To(BeTrue()) // nothing new is sent to it
+			Expect(p.Leaving(key("a"))).To(BeTrue()) // so gateways send no new requests to it
 		}
 		wish("b", 1)
 		expect(decide.PlaceOrder{
@@ -303,7 +303,7 @@
 		})
 	})
 
-	It("gives no order and has nothing leave while the engine says that one is under way", func() {
+	It("gives no order and announces no eviction while the engine is busy with an order", func() {
 		report(nil, "a", "b", "c")
 		st := p.State()
 		st.Busy = true
@@ -324,14 +324,14 @@
 		Expect(got.Unload).To(BeTrue())
 	})
 
-	It("forgets wishes that are not repeated", func() {
+	It("forgets load requests that are not repeated", func() {
 		report(nil)
 		wish("a", 1)
 		pass(time.Second)
 		none()
 	})
 
-	It("never exceeds the places, whatever is wished and reported", func() {
+	It("never exceeds the number of slots, whatever is requested and reported", func() {
 		held := map[string]bool{}
 		coming := map[string]bool{}
 		state := func() {
--- a/decide/room.go
+++ b/decide/room.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// askSettle is how long an ask counts as a load under way before its keeper tells of it: far
-// over an order and its report. An engine without a free place starts the load later, and
-// until then it takes nothing of the store.
+// askSettle is how long a load request counts as a load in flight before its keeper reports
+// the load. It is far longer than an order and its report take. An engine without a free
+// slot starts the load later, and until then the load uses no capacity of the store.
 const askSettle = 100 * time.Millisecond
 
-// drawEvery is the least time between two draws: about what it takes until other
-// gateways see the load that came of one.
+// drawEvery is the least time between two random draws, about the time until other gateways
+// see the load that results from one.
 const drawEvery = 10 * time.Millisecond
 
-// room returns how many loads from the weight store this gateway may ask for now:
-// its share of what the window leaves. Gateways do not see each other's asks at
-// once, so less than one for each of them is taken by chance, in proportion.
+// room returns how many loads from the weight store this gateway may request now: its share
+// of the window's free part. Gateways see each other's requests only after a delay, so a
+// share of less than one load is granted at random, with the share as its probability.
 func (f *Fleet) room(now time.Time) int {
 	share := f.share(now)
 	if share >= 1 {
@@ -32,9 +32,10 @@
 	return 0
 }
 
-// spare reports whether the store has room for a load that nobody waits for: this gateway's
-// share is a whole load, or, by chance, while half of the window is free. Among more gateways
-// than the window has loads none has a whole one, and no adapter would get a second engine.
+// spare reports whether the store has capacity for a load that no request waits for. That
+// is so if this gateway's share is at least one load, or, at random, while more than half of
+// the window is free. With more gateways than the window has loads no share reaches one, and
+// without the random case no adapter would ever get a second engine.
 func (f *Fleet) spare(now time.Time) bool {
 	return f.share(now) >= 1 || 2*f.coming < f.window.Size() && f.room(now) > 0
 }
@@ -44,8 +45,7 @@
 	return left/float64(f.Gateways()) - float64(f.unseen(now))
 }
 
-// unseen counts the loads that were just asked for and that no keeper tells of
-// yet.
+// unseen counts the recently requested loads that no keeper has reported yet.
 func (f *Fleet) unseen(now time.Time) int {
 	n := 0
 	for _, w := range f.wants {
@@ -59,7 +59,7 @@
 	return n
 }
 
-// count brings the number of loads from the store at a member up to date.
+// count updates the number of loads from the weight store at a member and in total.
 func (f *Fleet) count(m *Member) {
 	n := 0
 	for _, h := range m.held {
@@ -71,7 +71,7 @@
 	m.coming = n
 }
 
-// Draw returns a number in [0, 1) by chance.
+// Draw returns a uniformly distributed random number in [0, 1).
 func Draw() float64 {
 	return rand.Float64()
 }
--- a/decide/router.go
+++ b/decide/router.go
@@ -13,13 +13,13 @@
 type RouteMode uint8
 
 const (
-	// RouteSticky is the mode of the product: rendezvous candidates, bounded
-	// load, replicas by demand, and locations learnt from replies.
+	// RouteSticky is the production mode: rendezvous hashing with bounded load, sticky
+	// routing to the upstreams used before, and replicas for adapters in high demand.
 	RouteSticky RouteMode = iota
-	// RouteAffinity sends each adapter to its first rendezvous candidate. It is
-	// kept as a baseline.
+	// RouteAffinity sends each adapter to its first rendezvous candidate. It serves as a
+	// baseline in experiments.
 	RouteAffinity
-	// RouteLeastLoaded ignores adapters. It is kept as a baseline.
+	// RouteLeastLoaded ignores adapters. It serves as a baseline in experiments.
 	RouteLeastLoaded
 )
 
@@ -37,11 +37,11 @@
 	Mode         RouteMode
 	Region       wardturn.Region
 	Domain       wardturn.FailureDomain
-	Candidates   int           // rendezvous candidates of a cold adapter
-	MaxLocations int           // adapters whose place is remembered
-	HintLifetime time.Duration // after which a load hint no longer counts
-	LocationLife time.Duration // idle time after which a place is forgotten
-	BoundFactor  float64       // load over the average at which a replica is added
+	Candidates   int           // rendezvous candidates of an adapter without a location
+	MaxLocations int           // adapters whose locations are remembered
+	HintLifetime time.Duration // age at which a load hint expires
+	LocationLife time.Duration // idle time after which a location is forgotten
+	BoundFactor  float64       // load, relative to the average, at which a replica is added
 }
 
 func (c RouterConfig) withDefaults() RouterConfig {
@@ -53,7 +53,7 @@
 	return c
 }
 
-// Ask is a request as a router sees it.
+// Ask describes a request to be routed.
 type Ask struct {
 	Adapter wardturn.AdapterRef
 	Service wardturn.ServiceName
@@ -61,9 +61,9 @@
 	Tried   []wardturn.UpstreamID // not to be chosen again
 }
 
-// Router chooses upstreams for one entry host. It knows the hosts of its own
-// view of the platform's list, what they hinted, and where it sent the adapters
-// that it saw lately; it holds no map of everything.
+// Router chooses upstreams for the requests of one entry host. It knows the hosts in its
+// own view of the platform's list, their latest load hints, and the locations of recently
+// requested adapters. It holds no global map of adapters.
 type Router struct {
 	cfg       RouterConfig
 	pools     map[poolKey]*pool
@@ -71,7 +71,7 @@
 	locations locations
 }
 
-// poolKey names a set of interchangeable upstreams.
+// poolKey identifies a pool of interchangeable upstreams.
 type poolKey struct {
 	model   wardturn.BaseModel
 	service wardturn.ServiceName
@@ -91,14 +91,14 @@
 	pool     *pool
 	hint     Hint
 	hintAt   time.Time
-	mine     int // requests of this entry under way
-	mineThen int // of them, those that the hint knows
+	mine     int // requests of this entry in flight
+	mineThen int // those of them that the hint includes
 	breaker  Breaker
 	near     bool // in the entry's region
 	removed  bool
 }
 
-// scored is a target with its rendezvous score for an adapter: the highest wins.
+// scored is a target with its rendezvous score for an adapter. The highest score wins.
 type scored struct {
 	t     *target
 	score uint64
@@ -115,8 +115,8 @@
 	}
 }
 
-// SetHosts replaces the router's view of the hosts. What is known of hosts that
-// stay is kept.
+// SetHosts replaces the router's view of the hosts. The state of hosts that stay at the
+// same address is kept.
 func (r *Router) SetHosts(hosts []wardturn.Host) {
 	byID := make(map[wardturn.UpstreamID]*target, len(hosts))
 	pools := make(map[poolKey]*pool)
@@ -164,7 +164,7 @@
 	return strings.Compare(string(x.host.Upstream), string(y.host.Upstream))
 }
 
-// Hint takes a load hint of an upstream.
+// Hint records a load hint of an upstream.
 func (r *Router) Hint(now time.Time, id wardturn.UpstreamID, h Hint) {
 	t := r.byID[id]
 	if t == nil {
@@ -186,8 +186,8 @@
 	}
 }
 
-// Ended records the end of a request that was sent. An upstream that is
-// unreachable or loses requests is left alone for a while.
+// Ended records the end of a request that was sent. Healthy is false if the upstream was
+// unreachable or lost the request, which counts against its circuit breaker.
 func (r *Router) Ended(now time.Time, id wardturn.UpstreamID, healthy bool) {
 	t := r.byID[id]
 	if t == nil {
@@ -204,7 +204,7 @@
 	t.breaker.Fail(now)
 }
 
-// change keeps the pool's sum right while a target's load changes.
+// change applies f, which may change the target's load, and updates the pool's sum.
 func (t *target) change(f func()) {
 	before := t.load()
 	f()
@@ -213,13 +213,13 @@
 	}
 }
 
-// load estimates the requests at a target: what it hinted, and what this entry
-// sent it since.
+// load estimates the number of requests at a target: those in its latest hint and those
+// that this entry has sent since.
 func (t *target) load() float64 {
 	return float64(t.hint.Running + t.hint.Queued + max(0, t.mine-t.mineThen))
 }
 
-// Pick chooses an upstream. It reports false when none may take the request.
+// Pick chooses an upstream for a request. It reports false if no upstream can take it.
 func (r *Router) Pick(now time.Time, ask Ask) (wardturn.UpstreamID, bool) {
 	p := r.pools[poolKey{
 		model:   ask.Model,
@@ -237,9 +237,9 @@
 	return t.host.Upstream, true
 }
 
-// choose prefers the entry's region; another serves only when none of the own
-// does. When every breaker is open they are all tried: a fault that looks the
-// same everywhere is no reason to refuse everything.
+// choose prefers the entry's own region and uses others only if no upstream there can take
+// the request. Upstreams with an open breaker are used if there are no others: a fault that
+// all upstreams show is no reason to refuse every request.
 func (r *Router) choose(now time.Time, p *pool, ask Ask) *target {
 	for _, tryEjected := range []bool{false, true} {
 		for _, targets := range [][]*target{p.near, p.far} {
@@ -273,10 +273,10 @@
 	return t.host.State != wardturn.HostLeaving && !t.hint.Leaving && !slices.Contains(ask.Tried, t.host.Upstream)
 }
 
-// sweepEach is how often the hints of a pool are looked at for their age.
+// sweepEach is the interval at which a pool is checked for expired hints.
 const sweepEach = time.Second
 
-// expireHints forgets loads that are too old to mean anything.
+// expireHints drops the load hints of a pool that are older than the hint lifetime.
 func (r *Router) expireHints(now time.Time, p *pool) {
 	if now.Sub(p.swept) < sweepEach {
 		return
@@ -302,8 +302,8 @@
 	})
 }
 
-// candidates returns the n usable targets of the highest rendezvous scores for
-// an adapter, in descending order. All entry hosts of a region agree on them.
+// candidates returns the n usable targets with the highest rendezvous scores for an
+// adapter, in descending order. All entry hosts of a region compute the same scores.
 func (p *pool) candidates(targets []*target, usable func(*target) bool, ref wardturn.AdapterRef, n int) []scored {
 	key := hashString(string(ref.Adapter))
 	list := p.scratch[:0]
@@ -329,8 +329,8 @@
 	return list
 }
 
-// leastLoaded returns the usable target of the least load; among equal ones,
-// one of the own failure domain.
+// leastLoaded returns the usable target with the least load. Ties go to the entry's own
+// failure domain.
 func (r *Router) leastLoaded(targets []*target, usable func(*target) bool) *target {
 	var best *target
 	for _, t := range targets {
@@ -341,7 +341,8 @@
 	return best
 }
 
-// lighter compares by load; equal loads go to the own failure domain.
+// lighter reports whether x has less load than y. Ties go to the entry's own failure
+// domain.
 func (r *Router) lighter(x, y *target) bool {
 	if x.load() != y.load() {
 		return x.load() < y.load()
--- a/decide/router_test.go
+++ b/decide/router_test.go
@@ -44,7 +44,7 @@
 		return id
 	}
 
-	It("prefers the own region and falls back to another", func() {
+	It("prefers its own region and falls back to another", func() {
 		r := router(append(hosts(3, "near"), hosts(3, "far")...)...)
 		for i := range 50 {
 			Expect(string(pick(r, start, ask(fmt.Sprint("a", i))))).To(HavePrefix("near"))
@@ -57,7 +57,7 @@
 		Expect(string(pick(r, start, ask("a1")))).To(HavePrefix("far"))
 	})
 
-	It("sends an adapter to the same upstream from every entry", func() {
+	It("sends an adapter to the same upstream from every entry host", func() {
 		x, y := router(hosts(9, "near")...), router(hosts(9, "near")...)
 		for i := range 50 {
 			a := ask(fmt.Sprint("a", i))
@@ -65,7 +65,7 @@
 		}
 	})
 
-	It("moves few adapters when a host goes", func() {
+	It("moves few adapters when a host is removed", func() {
 		x, y := router(hosts(10, "near")...), router(hosts(9, "near")...)
 		moved := 0
 		for i := range 1000 {
@@ -77,7 +77,7 @@
 		Expect(moved).To(BeNumerically("~", 100, 50))
 	})
 
-	It("gives nothing to an upstream that hinted that it leaves, or was tried", func() {
+	It("does not pick an upstream that hinted that it is leaving or that was already tried", func() {
 		r := router(hosts(2, "near")...)
 		first := pick(r, start, ask("a"))
 		a := ask("a")
@@ -92,7 +92,7 @@
 		Expect(pick(r, start, ask("a"))).To(Equal(first))
 	})
 
-	It("gives a hot adapter another home, and no home to a cold one", func() {
+	It("gives an adapter whose home is overloaded another home", func() {
 		r := router(hosts(3, "near")...)
 		home := pick(r, start, ask("hot"))
 		for _, h := range hosts(3, "near") {
@@ -109,7 +109,7 @@
 		Expect(pick(r, start, ask("hot"))).NotTo(Equal(home))
 	})
 
-	It("leaves a failing upstream alone and tries it again later", func() {
+	It("avoids a failing upstream and tries it again later", func() {
 		r := router(hosts(2, "near")...)
 		first := pick(r, start, ask("a"))
 		for range 3 {
@@ -117,8 +117,8 @@
 			r.Ended(start, first, false)
 		}
 		Expect(pick(r, start, ask("a"))).NotTo(Equal(first))
-		// The adapter has a second home now; look at the failing one through a
-		// fresh adapter of which it is the first candidate.
+		// The adapter has a second home now, so the failing upstream is tried again only
+		// for a new adapter whose first candidate it is.
 		later := start.Add(time.Minute)
 		tried := false
 		for i := range 50 {
@@ -127,7 +127,7 @@
 		Expect(tried).To(BeTrue())
 	})
 
-	It("tries ejected upstreams when all are", func() {
+	It("tries upstreams with an open breaker if all breakers are open", func() {
 		list := hosts(3, "near")
 		r := router(list...)
 		for _, h := range list {
@@ -141,7 +141,7 @@
 })
 
 var _ = Describe("RetryBudget", func() {
-	It("allows a part of the requests and a few a second", func() {
+	It("allows a fraction of the requests and a few per second", func() {
 		b := decide.NewRetryBudget(0.1, 1, 5)
 		now := start
 		retries := 0
@@ -163,7 +163,7 @@
 })
 
 var _ = Describe("Admission", func() {
-	// congested returns an agent that heard of a backlog at its store.
+	// congested returns an agent that received a grant with a backlog at its store.
 	congested := func(backlog int, load float64) (*decide.Agent, *decide.Orders) {
 		agent := decide.NewAgent(start, decide.AgentConfig{
 			Upstream:   "u",
@@ -202,19 +202,19 @@
 		return len(out.Refuse) == 0
 	}
 
-	It("admits while the store has room", func() {
+	It("admits requests while the store has capacity", func() {
 		a, out := congested(20, 0.5)
 		Expect(admit(a, out, start)).To(BeTrue())
 	})
 
-	It("refuses a load that would cost others more than it gains, and says when to come back", func() {
+	It("refuses a request whose load would cost others more than it gains, with a retry time", func() {
 		a, out := congested(40, 1.5)
 		Expect(admit(a, out, start)).To(BeFalse())
 		Expect(out.Refuse[0].Outcome.Kind).To(Equal(wardturn.NotRun))
 		Expect(out.Refuse[0].Outcome.RetryAfter).To(BeNumerically(">", time.Second))
 	})
 
-	It("takes an old backlog to be worked off", func() {
+	It("assumes that an old backlog has drained", func() {
 		a, out := congested(40, 1.5)
 		Expect(admit(a, out, start.Add(5*time.Second))).To(BeTrue())
 	})
--- a/decide/wait.go
+++ b/decide/wait.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// plainOverfill is how many requests a plain upstream is given at once, in
-	// its slots: a few may queue there.
+	// plainOverfill is the limit of concurrent requests at a plain upstream, relative to
+	// its slots. A few may queue there.
 	plainOverfill = 2.0
-	// engineOverfill is the same for engines: more run slower, and beyond the
-	// batch they queue.
+	// engineOverfill is the same limit for engines, relative to their batch. Larger batches
+	// run slower, and requests beyond the batch queue.
 	engineOverfill = 1.0
-	// shortPause is told to callers refused for want of a free place; places
-	// free up within a few generations.
+	// shortPause is the retry time for requests that are refused because all upstreams are
+	// full. Capacity becomes free within the time of a few generations.
 	shortPause = 300 * time.Millisecond
-	// maxComeBack bounds the time told to callers.
+	// maxComeBack bounds the retry time reported to callers.
 	maxComeBack = 3 * time.Second
 )
 
@@ -26,31 +26,31 @@
 	Key       wardturn.ModelAdapter // zero for a plain service
 	Arrived   time.Time
 	Objective time.Duration
-	Pause     time.Duration // longest between two events of an answer in time; zero: any
+	Pause     time.Duration // longest gap allowed between two events of the response; zero: unlimited
 	Deadline  time.Time
 	Prompt    wardturn.Tokens
-	Body      int // bytes of the request's body
-	Bytes     int // of the request and, by estimate, of its answer
+	Body      int // bytes of the request body
+	Bytes     int // of the request and, estimated, of its response
 	Regions   wardturn.Regions
 	Tried     []wardturn.UpstreamID
 	Assign    func(Assignment) // called once, under the fleet's lock
 
 	want    *want
-	booked  *Member // whose adapter it waits for, and which will read its prompt
-	settled bool    // takes a slow engine rather than wait any longer
+	booked  *Member // the engine whose adapter it waits for and for which its prompt is counted
+	settled bool    // accepts a slow engine instead of waiting longer
 }
 
-// Assignment is the upstream of a request, or the word that there is none.
+// Assignment is the upstream assigned to a request, or a refusal.
 type Assignment struct {
-	Member     wardturn.Member // zero ID: none
+	Member     wardturn.Member // its ID is zero for a refusal
 	Version    wardturn.Version
-	Load       int // requests that were at the member, as far as known
-	Prefill    int // tokens of prompts that it was reading, as far as known
+	Load       int // estimated requests at the member before this one
+	Prefill    int // estimated prompt tokens in prefill at the member
 	Reason     wardturn.Reason
 	RetryAfter time.Duration
 }
 
-// LoadAsk asks the keeper of an engine for an adapter.
+// LoadAsk is a load request: it asks the keeper of an engine to load an adapter.
 type LoadAsk struct {
 	Upstream wardturn.UpstreamID
 	Adapter  wardturn.AdapterVersion
@@ -58,30 +58,30 @@
 	Oldest   time.Duration
 }
 
-// Moves collects what a decision wants done.
+// Moves collects the actions that result from a decision.
 type Moves struct {
 	Asks  []LoadAsk
 	Loads []LoadNote
-	// Ended are versions whose older ones serve no more: a request to such a one that
-	// has not begun has to be broken off.
+	// Ended are versions whose older versions must not serve any more. Requests that were
+	// sent to an older version and have not begun must be cancelled.
 	Ended []wardturn.AdapterVersion
-	// Leaving are upstreams that have just said that they leave.
+	// Leaving are upstreams that have just announced that they are shutting down.
 	Leaving []wardturn.UpstreamID
 }
 
-// LoadNote says that an adapter that was asked for arrived.
+// LoadNote records that a requested adapter has been loaded.
 type LoadNote struct {
 	Adapter  wardturn.AdapterVersion
 	Upstream wardturn.UpstreamID
-	Took     time.Duration // since it was asked for
-	Waited   time.Duration // since the first request waited
-	Warm     bool          // its engine held it before
-	Window   int           // loads that may be under way
-	Under    int           // loads that are under way
+	Took     time.Duration // since the load request
+	Waited   time.Duration // since the first request began to wait
+	Warm     bool          // the engine held it before
+	Window   int           // loads that may be in flight
+	Under    int           // loads in flight
 	Cause    LoadCause
 }
 
-// Admit finds an upstream for a request, lets it wait, or refuses it.
+// Admit assigns an upstream to a request, queues the request, or refuses it.
 func (f *Fleet) Admit(now time.Time, t *Ticket, out *Moves) {
 	if reason, none := f.noneMay(t); none {
 		t.refuse(reason, maxComeBack)
@@ -118,14 +118,16 @@
 	t.refuse(f.emptiness(now, t), shortPause)
 }
 
-// plainMember returns the member of the least cost that is filled less than a limit, or nil.
+// plainMember returns the usable member of the least cost whose fill is below a limit, or
+// nil.
 func (f *Fleet) plainMember(now time.Time, t *Ticket, limit float64) *Member {
 	return f.best(now, f.services[t.Service], func(m *Member) bool {
 		return m.usable(now, t.Tried) && f.inRegions(m, t.Regions) && m.fill() < limit && f.holds(m, t) && f.limits.Allows(now, m.ID)
 	})
 }
 
-// emptiness tells a full service from one without upstreams.
+// emptiness returns the reason for a refusal: the service is full, or it has no usable
+// upstream.
 func (f *Fleet) emptiness(now time.Time, t *Ticket) wardturn.Reason {
 	for _, m := range f.services[t.Service] {
 		if m.usable(now, t.Tried) {
@@ -154,7 +156,7 @@
 	t.Assign(a)
 }
 
-// place gives a request to an engine that is ready for it.
+// place assigns a request to an engine that can run it now, and reports whether it did.
 func (f *Fleet) place(now time.Time, t *Ticket, out *Moves) bool {
 	m := f.engineFor(now, t, f.newest(t.Key), anyMember)
 	if m == nil && f.oldVersionServes(now, t.Key) {
@@ -174,8 +176,8 @@
 	return true
 }
 
-// engineFor returns the engine that takes a request now, at a version or a newer
-// one, among those that match, or nil.
+// engineFor returns the cheapest matching engine that can run a request now and holds its
+// adapter at version least or newer, or nil.
 func (f *Fleet) engineFor(now time.Time, t *Ticket, least wardturn.Version, match func(*Member) bool) *Member {
 	list := f.services[t.Service]
 	if t.Key.Adapter != "" {
@@ -191,8 +193,8 @@
 	})
 }
 
-// serves reports whether an engine holds an adapter at a version or a newer one, or,
-// for a request without one, the model.
+// serves reports whether an engine holds an adapter at version least or newer, or the model
+// if the key names no adapter.
 func (m *Member) serves(now time.Time, key wardturn.ModelAdapter, least wardturn.Version) bool {
 	if key.Adapter == "" {
 		for _, have := range m.holding.Models {
@@ -206,8 +208,7 @@
 	return ok && h.ready && h.version >= least && !now.Before(m.doubts[key])
 }
 
-// wait lets a request wait for its adapter if that can be there in time, and
-// tells it when to come back if not.
+// wait queues a request until its adapter is loaded, and requests the adapter if needed.
 func (f *Fleet) wait(now time.Time, t *Ticket, out *Moves) {
 	w := f.wantOf(now, t.Key, t.Service, t.Regions)
 	t.want = w
@@ -223,8 +224,8 @@
 	f.pump(now, out)
 }
 
-// nowhere reports whether no upstream can get a request that waits, whatever its load, why,
-// and when its caller should come back.
+// nowhere reports whether no upstream may take a waiting request, whatever the upstreams'
+// load. If so, it returns the reason and the retry time for the caller.
 func (f *Fleet) nowhere(now time.Time, t *Ticket) (reason wardturn.Reason, back time.Duration, none bool) {
 	if reason, none := f.noneMay(t); none {
 		return reason, maxComeBack, true
@@ -235,7 +236,7 @@
 	return "", 0, false
 }
 
-// Withdraw ends the wait of a request whose caller left.
+// Withdraw removes a waiting request whose caller has disconnected.
 func (f *Fleet) Withdraw(t *Ticket) {
 	w := t.want
 	if w == nil {
@@ -251,8 +252,8 @@
 	}
 }
 
-// Tick lets time pass: requests that waited as long as they may are told when to
-// come back, and wishes are repeated.
+// Tick performs the work that is due at a time: it refuses requests that can't be served in
+// time any more, repeats load requests and advances rollouts.
 func (f *Fleet) Tick(now time.Time, out *Moves) {
 	f.countGateways(now)
 	for _, w := range f.wants {
@@ -264,8 +265,8 @@
 	f.pump(now, out)
 }
 
-// placeWaiting tries to place the requests of a want: an engine that was full may
-// have room again.
+// placeWaiting tries to assign the requests that wait for an adapter: an engine that was
+// full may have capacity again.
 func (f *Fleet) placeWaiting(now time.Time, w *want, out *Moves) {
 	if len(w.waiting) == 0 || w.key.Adapter != "" && len(f.holders[w.key]) == 0 {
 		return
@@ -284,8 +285,9 @@
 	w.waiting = kept
 }
 
-// expire ends the waits that have become hopeless. A request that waited only for
-// a quicker engine takes the slow one now.
+// expire ends the wait of requests that can't be served in time any more. A request that
+// waited only for a faster engine is assigned to a slow one; the others are refused with a
+// retry time.
 func (f *Fleet) expire(now time.Time, w *want, out *Moves) {
 	kept := w.waiting[:0]
 	for _, t := range w.waiting {
--- a/decide/want.go
+++ b/decide/want.go
@@ -7,31 +7,33 @@
 	"wardturn"
 )
 
-// wishRepeat is how often a wish is told again while requests wait: less than
-// half of wishLife, so that one lost message does not end it.
+// wishRepeat is the interval at which a load request is repeated while requests wait for
+// the adapter. It is less than half of wishLife, so that one lost message doesn't let the
+// load request expire.
 const wishRepeat = 300 * time.Millisecond
 
-// want is an adapter that requests wait for, or that is loaded for those that
-// were told to come back.
+// want is a missing adapter: one that requests wait for, or that is loaded for requests that
+// were refused with a retry time. The engine that is asked to load it is its home.
 type want struct {
 	key     wardturn.ModelAdapter
 	service wardturn.ServiceName
 	regions wardturn.Regions // in which the requests may be served
 	waiting []*Ticket
-	owed    int       // requests that were told to come back
-	owedTo  time.Time // by which they have come back, if they do
-	latest  time.Time // when a request last asked
-	relief  int       // requests at a busy engine that a copy elsewhere relieves
-	first   time.Time // of the present wait
+	owed    int       // requests that were refused with a retry time
+	owedTo  time.Time // by when they are retried, if they are
+	latest  time.Time // arrival of the latest request
+	relief  int       // requests at a busy engine that a copy elsewhere would relieve
+	first   time.Time // start of the wait
 	home    wardturn.UpstreamID
-	failed  wardturn.UpstreamID // a home that took too long
-	askedAt time.Time           // of the first ask; zero: not yet
-	toldAt  time.Time           // of the latest
-	cause   LoadCause           // of the ask
-	warm    bool                // the home held it before: no load from the weight store
+	failed  wardturn.UpstreamID // a previous home that took too long
+	askedAt time.Time           // of the first load request; zero if there is none
+	toldAt  time.Time           // of the latest load request or attempt to send one
+	cause   LoadCause           // of the load request
+	warm    bool                // the home held it before: not loaded from the weight store
 }
 
-// wants are the wants by adapter and by the regions in which their requests may be served.
+// wants are the missing adapters, by adapter and by the regions in which their requests may
+// be served.
 type wants map[wantKey]*want
 
 type wantKey struct {
@@ -49,12 +51,13 @@
 	return k
 }
 
-// anywhere returns the want of an adapter whose requests may be served anywhere, or nil.
+// anywhere returns the entry of an adapter for requests without a region restriction, or
+// nil.
 func (ws wants) anywhere(adapter wardturn.ModelAdapter) *want {
 	return ws[keyOf(adapter, nil)]
 }
 
-// of returns the wants of an adapter.
+// of returns all entries of an adapter.
 func (ws wants) of(adapter wardturn.ModelAdapter) []*want {
 	var list []*want
 	if w := ws.anywhere(adapter); w != nil {
@@ -68,7 +71,8 @@
 	return list
 }
 
-// wantOf returns the want of an adapter.
+// wantOf returns the entry of an adapter for requests that may be served in the regions r,
+// and creates it if there is none.
 func (f *Fleet) wantOf(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, r wardturn.Regions) *want {
 	k := keyOf(key, r)
 	w := f.wants[k]
@@ -84,9 +88,9 @@
 	return w
 }
 
-// askFree asks for a want at once if that costs the weight store nothing: its home
-// held the adapter before and takes it from its own memory, or another gateway
-// has had it loaded there.
+// askFree requests an adapter at once if that causes no load from the weight store: its home
+// held the adapter before and restores it from its own memory, or is already loading it for
+// another gateway.
 func (f *Fleet) askFree(now time.Time, w *want, out *Moves) {
 	home := f.home(now, w)
 	if home != nil && (home.everHeld[w.key] || home.held[w.key].loading) {
@@ -94,11 +98,11 @@
 	}
 }
 
-// home returns the engine that should load an adapter for the requests that wait:
-// one that loads it already, or the cheapest of those that held it before and of
-// the first in the order of homes that have a place for it.
-// Engines that name a limit are asked if there is no other: their room may be used up when
-// the adapter is there.
+// home returns the engine that should load an adapter for the requests that wait, or nil:
+// one that is already loading it, or the cheapest among those that held it before and the
+// first ones in home order that have a free slot. Engines that announce a rate limit are
+// used only if there is no other, since their limit may be used up when the adapter is
+// loaded.
 func (f *Fleet) home(now time.Time, w *want) *Member {
 	unlimited := func(m *Member) bool {
 		return !f.limits.Bounded(now, m.ID)
@@ -111,7 +115,7 @@
 	})
 }
 
-// homeAmong is home among the engines that match.
+// homeAmong is like home but considers only the engines that match.
 func (f *Fleet) homeAmong(now time.Time, w *want, match func(*Member) bool) *Member {
 	newest := f.newest(w.key)
 	fits := func(m *Member) bool {
@@ -119,7 +123,7 @@
 	}
 	for m := range inOrder(w.key, f.loaders[w.key]) {
 		if fits(m) {
-			return m // another gateway asked there: one load serves both
+			return m // requested by another gateway: one load serves both
 		}
 	}
 	var c homeChoice
@@ -152,7 +156,8 @@
 	return n
 }
 
-// pump asks for the worthiest wants while the window has room.
+// pump requests the missing adapters, the most needed first, while the load window has
+// room.
 func (f *Fleet) pump(now time.Time, out *Moves) {
 	for {
 		w := f.nextWant(now)
@@ -161,14 +166,14 @@
 		}
 		home := f.home(now, w)
 		if home == nil {
-			w.toldAt = now // looked at again later
+			w.toldAt = now // try again after wishRepeat
 			continue
 		}
 		f.ask(now, w, home, out)
 	}
 }
 
-// nextWant returns the want to ask for next, or nil.
+// nextWant returns the missing adapter to request next, or nil.
 func (f *Fleet) nextWant(now time.Time) *want {
 	var best *want
 	for _, w := range f.wants {
@@ -182,8 +187,8 @@
 	return best
 }
 
-// backlog returns the requests that a load would still serve: those that wait,
-// and those that were told to come back and may.
+// backlog returns the number of requests that a load would still serve: those that wait and
+// those that were refused with a retry time and may still be retried.
 func (w *want) backlog(now time.Time) int {
 	if now.Before(w.owedTo) {
 		return len(w.waiting) + w.owed
@@ -191,14 +196,15 @@
 	return len(w.waiting)
 }
 
-// abandoned reports whether all requests that a want was for have gone.
+// abandoned reports whether no request waits and the refused ones were not retried in time.
 func (w *want) abandoned(now time.Time) bool {
 	return w.owed > 0 && w.backlog(now) == 0
 }
 
-// before ranks wants: more requests first, then the later one. When loads are
-// behind, the one that has waited longest is refused before its load is there;
-// served first, all would be late.
+// before orders missing adapters: those with more requests first, then those whose latest
+// request arrived later. When loads fall behind, requests for the adapter that has waited
+// longest are refused before its load completes. Loading in order of arrival would make the
+// requests for all adapters late.
 func (w *want) before(now time.Time, o *want) bool {
 	if x, y := w.backlog(now), o.backlog(now); x != y {
 		return x > y
@@ -209,7 +215,8 @@
 	return w.key.Adapter < o.key.Adapter
 }
 
-// ask asks the keeper of an engine for a wanted adapter.
+// ask sends a load request for a missing adapter to the keeper of an engine, which becomes
+// its home.
 func (f *Fleet) ask(now time.Time, w *want, home *Member, out *Moves) {
 	if w.askedAt.IsZero() {
 		w.askedAt = now
@@ -234,8 +241,7 @@
 	})
 }
 
-// arrived hands the requests that wait for an adapter to an engine that holds
-// it now.
+// arrived sends the requests that wait for an adapter to an engine that has loaded it.
 func (f *Fleet) arrived(now time.Time, m *Member, a wardturn.AdapterVersion, out *Moves) {
 	if a.Version < f.newest(a.Key()) {
 		return
@@ -245,7 +251,7 @@
 	}
 }
 
-// arrivedFor is arrived for one want.
+// arrivedFor is arrived for one entry of the adapter.
 func (f *Fleet) arrivedFor(now time.Time, w *want, m *Member, a wardturn.AdapterVersion, out *Moves) {
 	if w.home != m.ID {
 		f.placeWaiting(now, w, out)
@@ -275,14 +281,15 @@
 	}
 }
 
-// drop ends a want.
+// drop removes a missing adapter.
 func (f *Fleet) drop(w *want) {
 	f.unask(w)
 	delete(f.wants, keyOf(w.key, w.regions))
 }
 
-// renew repeats the wish of a load under way, and gives up one that takes far
-// too long: another engine may do better.
+// renew repeats the load request of a load in progress. It gives up a load that takes far
+// too long, so that another engine can be asked, and removes the missing adapter if no
+// request needs it any more.
 func (f *Fleet) renew(now time.Time, w *want, out *Moves) {
 	late := now.Sub(w.askedAt) > loadGiveUp && !f.isComing(w)
 	if w.abandoned(now) || len(w.waiting) == 0 && late && now.Sub(w.first) > maxComeBack {
@@ -308,14 +315,14 @@
 	f.ask(now, w, home, out)
 }
 
-// isComing reports whether the engine that was asked is loading the adapter: giving
-// that up would only begin it once more elsewhere.
+// isComing reports whether the home is loading the adapter. Giving up such a load would only
+// start it again elsewhere.
 func (f *Fleet) isComing(w *want) bool {
 	m := f.members[w.home]
 	return m != nil && m.held[w.key].loading
 }
 
-// unask ends the ask of a want, so that another engine is asked.
+// unask cancels the load request of a missing adapter, so that another engine can be asked.
 func (f *Fleet) unask(w *want) {
 	w.askedAt = time.Time{}
 	w.toldAt = time.Time{}
@@ -323,7 +330,7 @@
 	f.settle(w, nil)
 }
 
-// settle makes an engine the home of a want; nil: none.
+// settle sets the home of a missing adapter; nil removes it.
 func (f *Fleet) settle(w *want, home *Member) {
 	if old := f.members[w.home]; old != nil {
 		delete(old.asks, w.key)
@@ -336,20 +343,21 @@
 	f.bookAll(w, home)
 }
 
-// loadGiveUp is how long a load may take before another engine is asked: four
-// times one without contention.
+// loadGiveUp is how long a load may take before another engine is asked. It is four times
+// the duration of a load without contention.
 const loadGiveUp = time.Second
 
-// Levels are the sizes of a fleet's queues and windows.
+// Levels are the current sizes of a fleet's queues and windows.
 type Levels struct {
-	Waiting int // requests that wait for an adapter
-	Under   int // loads under way from the weight store, for all gateways
-	Window  int // loads that may be under way
-	// Evacuated are this gateway's requests at upstreams of evacuated failure domains.
+	Waiting int // requests waiting for an adapter
+	Under   int // loads from the weight store in flight, for all gateways
+	Window  int // loads that may be in flight
+	// Evacuated is the number of this gateway's requests at upstreams in evacuated failure
+	// domains.
 	Evacuated int
 }
 
-// Levels returns the present sizes.
+// Levels returns the current sizes.
 func (f *Fleet) Levels() Levels {
 	l := Levels{
 		Under:  f.coming,
--- a/decide/window.go
+++ b/decide/window.go
@@ -8,19 +8,18 @@
 
 // WindowConfig holds the limits of a LoadWindow.
 type WindowConfig struct {
-	Start float64 // loads at once, at the start
+	Start float64 // initial number of concurrent loads
 	Least float64
 	Most  float64
 }
 
 // The defaults of WindowConfig.
 const (
-	// DefaultWindowStart is few enough for the smallest weight store that is
-	// known (8 at full speed); where there are many engines the window begins with
-	// windowStartPart.
+	// DefaultWindowStart is what the smallest known weight store serves at full speed.
+	// With many engines the window starts at windowStartPart of their number instead.
 	DefaultWindowStart = 8
 	DefaultWindowLeast = 4
-	// DefaultWindowMost is over ten times the places of the largest known store.
+	// DefaultWindowMost is over ten times the parallel loads of the largest known store.
 	DefaultWindowMost = 1024
 )
 
@@ -32,67 +31,70 @@
 }
 
 const (
-	windowShrink  = 0.85            // factor after slow loads
-	windowUsed    = 0.7             // part of the window that must be in use for it to grow
-	windowSamples = 15              // loads whose median is the typical time: single slow ones tell of their engine
-	slowLoads     = 1.3             // typical time, as a part of the usual one, from which loads count as slow
-	usualMemory   = 5 * time.Minute // time constant with which the usual time follows longer ones
-	windowProbe   = 0.5             // growth for a load before the first slow one: half again with each load time
-	// windowStartPart is the part of engines that may each have a load under way at
-	// the start. A store is built for its engines: the known ones serve 0.33 to 2
-	// loads for each at full speed. From a few the window takes over a second to what a
+	windowShrink  = 0.85            // factor applied after slow loads
+	windowUsed    = 0.7             // fraction of the window that must be in use for it to grow
+	windowSamples = 15              // loads in the median: single slow loads are due to their engine, not the store
+	slowLoads     = 1.3             // ratio of the median to the baseline above which loads count as slow
+	usualMemory   = 5 * time.Minute // time constant with which the baseline follows longer load times
+	windowProbe   = 0.5             // growth per load before the first slow one: by half in each load time
+	// windowStartPart is the initial window as a fraction of the number of engines. Stores
+	// are sized for their engines: the known ones serve 0.33 to 2 concurrent loads per
+	// engine at full speed. From a small window it takes over a second to grow to what a
 	// store for many engines serves, and the requests of that time are late.
 	windowStartPart = 0.5
-	// expectedLoad is the time of a load from a store that is not overloaded, with its
-	// order and report: 250 ms by the platform's description, and 20. Loads count
-	// as slow against this until quicker ones were seen: a window that begins above
-	// what the store serves would take the slowness for usual.
+	// expectedLoad is the initial baseline, the duration of a load from a store that is
+	// not overloaded: 250 ms by the platform's description, and 20 ms for the order and the
+	// report. It holds until shorter loads are observed. Without it, a window that starts
+	// above the store's capacity would take the slow loads for normal.
 	expectedLoad = 270 * time.Millisecond
-	// A store that takes as long when the window is down to unhelpedSize of what it
-	// was, by unhelpedTime, is slow by itself: that time is the usual one.
+	// If loads still take at least unhelpedTime of their earlier duration when the window
+	// has shrunk to unhelpedSize of its earlier size, the window is not what slows them
+	// down, and their duration becomes the baseline.
 	unhelpedSize  = 0.6
 	unhelpedTime  = 0.9
-	unhelpedLoads = 2 * windowSamples // loads since, so that none of before counts
-	// memoryPart is the part of the usual time below which a load was not from the
-	// store: an engine brings back in a tenth of it what it held before, and a
-	// gateway that has just started does not know what that is. Counted as loads
-	// from the store they make all others look slow, and the window falls to its least.
+	unhelpedLoads = 2 * windowSamples // slow loads seen by then, so that the median has none from before
+	// memoryPart is the fraction of the baseline below which a load is assumed not to come
+	// from the store. An engine restores an adapter that it held before in a tenth of the
+	// baseline, and a gateway that has just started does not know which adapters those are.
+	// If they counted as loads from the store, all others would look slow and the window
+	// would shrink to its minimum.
 	memoryPart = 0.35
-	// quickInRow is how many such loads in a row say that the store has become
-	// quicker. One in three was from memory where it mattered.
+	// quickInRow is the number of consecutive such loads after which the store is assumed
+	// to have become faster. In the runs where this mattered, one load in three was from
+	// memory.
 	quickInRow = 30
-	loadGuess  = 300 * time.Millisecond // told to callers before any load was seen
+	loadGuess  = 300 * time.Millisecond // load time reported to callers before any load was observed
 )
 
-// LoadWindow bounds the loads that are under way from the weight store for all
-// gateways together. Every gateway sees all loads, since keepers tell what comes
-// to their engines; so all learn the same window: it widens while loads take
-// their usual time and narrows when they slow down, as congestion control does.
-// Beyond what the store serves at once more loads only take longer, and come
-// when those that waited have left.
+// LoadWindow bounds the number of concurrent loads from the weight store for all gateways
+// together. It works like a delay-based congestion window: it grows while loads take their
+// normal time, the baseline, and shrinks when they slow down. Every gateway observes all
+// loads through the keepers' reports, so all gateways arrive at about the same window.
+// Loads beyond the store's capacity only make each load slower, until the requests that
+// wait for them have given up.
 type LoadWindow struct {
 	cfg       WindowConfig
 	size      float64
 	recent    []time.Duration
-	typical   time.Duration // the median of the recent ones
-	usual     time.Duration // the least typical time seen
-	learned   bool          // a load was seen
-	recalled  float64       // size that was learned by processes before; zero: none
+	typical   time.Duration // median of recent
+	usual     time.Duration // baseline: the least median, rising slowly with longer ones
+	learned   bool          // a load was observed
+	recalled  float64       // size learned by earlier processes; zero if unknown
 	narrowing narrowing
-	quick     int  // loads in a row that seemed to come from memory
-	probing   bool // no load was slow yet
+	quick     int  // consecutive loads that seem to come from memory
+	probing   bool // no slow load yet
 	shrunkAt  time.Time
-	learnedAt time.Time // latest change of the usual time
+	learnedAt time.Time // latest update of the baseline
 }
 
-// narrowing is what a window was when loads became slow.
+// narrowing is the state of a window at the time when loads became slow.
 type narrowing struct {
 	size    float64 // zero: loads are not slow
 	typical time.Duration
-	loads   int // since
+	loads   int // observed since then
 }
 
-// NewLoadWindow returns a window of the start size.
+// NewLoadWindow returns a window of the initial size.
 func NewLoadWindow(cfg WindowConfig) LoadWindow {
 	cfg = cfg.withDefaults()
 	return LoadWindow{
@@ -104,21 +106,21 @@
 	}
 }
 
-// Retune changes the limits; the present size stays within them.
+// Retune changes the limits and clamps the current size to them.
 func (w *LoadWindow) Retune(cfg WindowConfig) {
 	w.cfg = cfg.withDefaults()
 	w.size = min(max(w.size, w.cfg.Least), w.cfg.Most)
 }
 
-// Expect says how many engines there are, which counts until a load was seen.
+// Expect sets the number of engines. It affects the size until a load is observed.
 func (w *LoadWindow) Expect(engines int) {
 	if !w.learned {
 		w.size = min(max(w.cfg.Start, windowStartPart*float64(engines), w.recalled), w.cfg.Most)
 	}
 }
 
-// Recall takes a size that was learned by processes before, from which the window
-// starts if that is more.
+// Recall restores a size that earlier processes learned. The window starts from it if it is
+// larger than the initial size.
 func (w *LoadWindow) Recall(size int) {
 	w.recalled = float64(size)
 	if !w.learned {
@@ -126,23 +128,23 @@
 	}
 }
 
-// Learned returns the size, and whether loads have confirmed it.
+// Learned returns the size and whether it is based on observed loads.
 func (w *LoadWindow) Learned() (size int, ok bool) {
 	return w.Size(), w.learned
 }
 
-// Size returns the loads that may be under way.
+// Size returns the number of loads that may be in flight.
 func (w *LoadWindow) Size() int {
 	return int(w.size)
 }
 
-// Typical returns the usual time of a load at present.
+// Typical returns the median duration of recent loads.
 func (w *LoadWindow) Typical() time.Duration {
 	return w.typical
 }
 
-// Loaded takes the time of a load and how many were under way when it ended,
-// itself among them.
+// Loaded records the duration of a load and the number of loads that were in flight when it
+// ended, including itself.
 func (w *LoadWindow) Loaded(now time.Time, d time.Duration, under int) {
 	if w.fromMemory(d) {
 		return
@@ -167,7 +169,7 @@
 		w.probing = false
 		w.shrink(now)
 	case float64(under) < windowUsed*w.size:
-		// What is not used says nothing of a wider window.
+		// A window that is not used up gives no evidence for a larger one.
 	case w.probing:
 		w.size = min(w.cfg.Most, w.size+windowProbe)
 	default:
@@ -175,7 +177,8 @@
 	}
 }
 
-// fromMemory reports whether a load took too little time for the weight store.
+// fromMemory reports whether a load was too fast to have come from the weight store, unless
+// quickInRow loads in a row were.
 func (w *LoadWindow) fromMemory(d time.Duration) bool {
 	if float64(d) >= memoryPart*float64(w.usual) {
 		w.quick = 0
@@ -185,9 +188,9 @@
 	return w.quick < quickInRow
 }
 
-// learnUsual follows the typical time at once when it falls and slowly when it
-// rises: a store that has become slower for good is not taken to be overloaded for
-// ever.
+// learnUsual updates the baseline. It follows the median at once when that falls and slowly
+// when it rises, so that a store that has become permanently slower does not count as
+// overloaded forever.
 func (w *LoadWindow) learnUsual(now time.Time) {
 	if !w.learned {
 		w.learned = true
@@ -203,8 +206,8 @@
 	w.usual += time.Duration(part * float64(w.typical-w.usual))
 }
 
-// unhelped counts a slow load and reports whether loads are slow whatever the
-// window.
+// unhelped counts a slow load and reports whether loads stayed slow although the window has
+// shrunk.
 func (w *LoadWindow) unhelped() bool {
 	n := &w.narrowing
 	if n.size == 0 {
@@ -215,7 +218,8 @@
 	return n.loads > unhelpedLoads && w.size <= unhelpedSize*n.size && float64(w.typical) >= unhelpedTime*float64(n.typical)
 }
 
-// shrink narrows the window, once for the loads that were under way together.
+// shrink reduces the window, at most once per load time, so that loads that were in flight
+// together reduce it only once.
 func (w *LoadWindow) shrink(now time.Time) {
 	if now.Sub(w.shrunkAt) < w.typical {
 		return
--- a/decide/window_test.go
+++ b/decide/window_test.go
@@ -13,19 +13,19 @@
 
 const usualLoad = 250 * time.Millisecond
 
-// store is a weight store that serves some loads at full speed and is slower in
-// proportion beyond.
+// store simulates a weight store that serves atOnce concurrent loads at full speed. Beyond
+// that, loads take longer in proportion to their number.
 type store struct {
 	atOnce int
 }
 
-// load returns the time of a load while n are under way.
+// load returns the duration of a load while n are in flight.
 func (s store) load(n int) time.Duration {
 	return usualLoad * time.Duration(max(n, s.atOnce)) / time.Duration(s.atOnce)
 }
 
 var _ = Describe("LoadWindow", func() {
-	// use has as many loads under way as the window lets, for a time.
+	// use runs rounds of as many concurrent loads as the window allows.
 	use := func(w *decide.LoadWindow, s store, now time.Time, rounds int) time.Time {
 		for range rounds {
 			n := w.Size()
@@ -38,7 +38,7 @@
 		return now
 	}
 
-	It("starts from what processes before have learned, if that is more, until loads tell otherwise", func() {
+	It("starts from the size that earlier processes learned, if that is larger, until loads are observed", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{})
 		w.Recall(104)
 		w.Expect(47)
@@ -59,7 +59,7 @@
 		Expect(size).To(BeNumerically("<", 104))
 	})
 
-	It("settles near what the store serves at full speed, small or large", func() {
+	It("settles near the store's capacity at full speed, small or large", func() {
 		for _, atOnce := range []int{8, 16, 88, 300} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
 			use(&w, store{atOnce: atOnce}, start, 60)
@@ -68,7 +68,7 @@
 		}
 	})
 
-	It("starts with what so many engines may need, and leaves what the store does not serve", func() {
+	It("starts at a size for the number of engines and shrinks to the store's capacity", func() {
 		for _, tc := range []struct{ engines, atOnce int }{{74, 72}, {48, 16}, {12, 8}, {50, 88}} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
 			w.Expect(tc.engines)
@@ -79,7 +79,7 @@
 		}
 	})
 
-	It("keeps what it has learned when engines come", func() {
+	It("keeps its learned size when engines are added", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{})
 		use(&w, store{atOnce: 8}, start, 20)
 		size := w.Size()
@@ -87,7 +87,7 @@
 		Expect(w.Size()).To(Equal(size))
 	})
 
-	It("follows a store that serves fewer, and one that serves more again", func() {
+	It("follows a store whose capacity falls and rises again", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{})
 		now := use(&w, store{atOnce: 64}, start, 40)
 		now = use(&w, store{atOnce: 16}, now, 40)
@@ -96,7 +96,7 @@
 		Expect(w.Size()).To(BeNumerically(">=", 50))
 	})
 
-	It("narrows while loads are slow and widens while they are quick", func() {
+	It("shrinks while loads are slow and grows while they are fast", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{
 			Start: 10,
 			Most:  12,
@@ -117,7 +117,7 @@
 		Expect(w.Size()).To(Equal(12))
 	})
 
-	It("does not narrow for single slow loads", func() {
+	It("does not shrink for single slow loads", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{
 			Start: 10,
 			Most:  12,
@@ -134,7 +134,7 @@
 		Expect(w.Size()).To(BeNumerically(">=", 10))
 	})
 
-	It("is not misled by loads from an engine's own memory", func() {
+	It("ignores loads from an engine's own memory", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{})
 		now := start
 		for i := range 300 {
@@ -149,7 +149,7 @@
 		Expect(w.Typical()).To(Equal(usualLoad))
 	})
 
-	It("learns of a store that is much quicker or slower than the guess", func() {
+	It("learns the speed of a store that is much faster or slower than expected", func() {
 		for _, d := range []time.Duration{40 * time.Millisecond, 900 * time.Millisecond} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
 			for i := range 60 {
@@ -160,7 +160,7 @@
 		}
 	})
 
-	It("does not widen while it is not used", func() {
+	It("does not grow while it is not used up", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{
 			Start: 10,
 		})
@@ -172,7 +172,7 @@
 })
 
 var _ = Describe("Loads of several gateways", func() {
-	It("stay together within what the store serves, whatever the number of gateways", func() {
+	It("stay within the store's capacity in total, whatever the number of gateways", func() {
 		const engines = 24
 		for _, gateways := range []int{1, 4, 26} {
 			draws := 0
@@ -182,18 +182,18 @@
 			})
 			most := x.play(store{atOnce: 16}, 3*time.Second)
 			Expect(most).To(BeNumerically("<=", 16+16*6/10), fmt.Sprint(gateways))
-			Expect(x.loads).To(BeNumerically(">=", 100), fmt.Sprint(gateways)) // 192 is the most that it can serve
+			Expect(x.loads).To(BeNumerically(">=", 100), fmt.Sprint(gateways)) // of at most 192 that the store can serve
 		}
 	})
 })
 
-// storeRig is some gateways that always want adapters which no engine holds, and
-// engines that load what they are asked for at the pace of one store.
+// storeRig simulates gateways that constantly request adapters which no engine holds, and
+// engines that load them at the speed of one store.
 type storeRig struct {
 	fleets  []*decide.Fleet
 	members []wardturn.Member
 	now     time.Time
-	coming  map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time // begun
+	coming  map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time // start of each load; zero: not started
 	wanted  int
 	loads   int
 }
@@ -246,7 +246,7 @@
 	}
 }
 
-// take begins the loads that were asked for.
+// take records the requested loads, which start at the next step.
 func (x *storeRig) take(out decide.Moves) {
 	for _, a := range out.Asks {
 		if _, ok := x.coming[a.Upstream][a.Adapter.Key()]; !ok {
@@ -255,7 +255,7 @@
 	}
 }
 
-// play lets time pass in steps, and returns the most loads that were under way.
+// play advances the time by d in steps and returns the largest number of loads in flight.
 func (x *storeRig) play(s store, d time.Duration) (most int) {
 	const step = 10 * time.Millisecond
 	for end := x.now.Add(d); x.now.Before(end); {
@@ -286,8 +286,8 @@
 	return most
 }
 
-// advance has a keeper tell of loads that began and of those that took as long as
-// the store takes now.
+// advance starts an engine's requested loads, completes those that have run for the store's
+// current load duration, and reports both to the gateways.
 func (x *storeRig) advance(id wardturn.UpstreamID, takes time.Duration) {
 	var h decide.Holding
 	for key, began := range x.coming[id] {
