--- a/decide/plan.go
+++ b/decide/plan.go
@@ -287,8 +287,8 @@
 	}
 }
 
-// victim returns the slot to load a waiting adapter into: an empty one, a drained one, or
-// the least valuable idle one if the waiting adapter is worth more.
+// victim returns the slot to load a missing adapter into: an empty one, a drained one, or
+// the least valuable idle one if the missing adapter is worth more.
 func (a *Agent) victim(now time.Time, want *adapter) int {
 	best := noSlot
 	for i := range a.slots {
@@ -322,7 +322,7 @@
 	return ad.running == 0 && (s.draining || ad.interactive.len() == 0)
 }
 
-// outranks reports whether a waiting adapter may replace a resident one.
+// outranks reports whether a missing adapter may replace a resident one.
 func (a *Agent) outranks(now time.Time, want, resident *adapter) bool {
 	if want.interactive.oldest(now) > a.cfg.StarveAfter {
 		return true
@@ -371,7 +371,7 @@
 	}
 }
 
-// bring loads a waiting adapter into a slot, which is unloaded first if it is occupied.
+// bring loads a missing adapter into a slot, which is unloaded first if it is occupied.
 func (a *Agent) bring(i int, want *adapter, now time.Time, out *Orders) {
 	if a.slots[i].state == SlotEmpty {
 		a.startLoad(i, want, now, out)
