--- a/decide/allocator.go
+++ b/decide/allocator.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// wishLifetime is the lifetime of a permit request that is not repeated.
-	wishLifetime = 2 * time.Second
+	// permitRequestLifetime is the lifetime of a permit request that is not repeated.
+	permitRequestLifetime = 2 * time.Second
 	// loadingLifetime is how long the loads and permits of an agent that stopped sending
 	// requests still count against the store's parallel limit.
 	loadingLifetime = 5 * time.Second
@@ -19,8 +19,8 @@
 	allocatorDecrease = 0.7
 	allocatorIncrease = 0.02
 	allocatorFloor    = 0.1
-	// batchPlaces is how many of the store's parallel loads batch work leaves free.
-	batchPlaces = 2
+	// batchReservedLoads is how many of the store's parallel loads batch work leaves free.
+	batchReservedLoads = 2
 )
 
 // Allocator shares the rate and the parallel loads of one weight store between the agents
@@ -33,23 +33,23 @@
 	limit  StoreLimit
 	epoch  uint64
 	bucket bucket
-	asks   []*ask // in order of upstream
-	byID   map[wardturn.UpstreamID]*ask
+	agents []*agentPermits // in order of upstream
+	byID   map[wardturn.UpstreamID]*agentPermits
 	misses meter
 }
 
-type ask struct {
-	wish  Wish
-	total uint64 // permits granted in this epoch
-	used  uint64
-	busy  int
-	miss  uint64
-	at    time.Time
+type agentPermits struct {
+	request     Wish
+	total       uint64 // permits granted in this epoch
+	used        uint64
+	busy        int
+	misses      uint64
+	requestedAt time.Time
 }
 
 // outstanding counts an agent's loads in progress and unused permits.
-func (k *ask) outstanding() int {
-	return k.wish.Loading + int(k.total-k.used)
+func (a *agentPermits) outstanding() int {
+	return a.request.Loading + int(a.total-a.used)
 }
 
 // NewAllocator returns an allocator for one store. The epoch must differ from that of any
@@ -62,31 +62,31 @@
 			rate:  limit.Rate,
 			burst: max(2, float64(limit.Parallel)),
 		},
-		byID: make(map[wardturn.UpstreamID]*ask),
+		byID: make(map[wardturn.UpstreamID]*agentPermits),
 	}
 }
 
 // Wish applies an agent's permit request and appends the grants to send to out. They always
 // include one for the agent itself.
 func (l *Allocator) Wish(now time.Time, w Wish, out []Grant) []Grant {
-	k := l.ask(w.Upstream)
-	if w.Busy > k.busy && !k.at.IsZero() {
+	a := l.agent(w.Upstream)
+	if w.Busy > a.busy && !a.requestedAt.IsZero() {
 		l.bucket.rate = max(l.limit.Rate*allocatorFloor, l.bucket.rate*allocatorDecrease)
 	}
-	k.busy = w.Busy
-	if w.Misses > k.miss {
-		if !k.at.IsZero() {
-			l.misses.add(now, float64(w.Misses-k.miss))
+	a.busy = w.Busy
+	if w.Misses > a.misses {
+		if !a.requestedAt.IsZero() {
+			l.misses.add(now, float64(w.Misses-a.misses))
 		}
-		k.miss = w.Misses
+		a.misses = w.Misses
 	}
-	k.wish = w
-	k.at = now
+	a.request = w
+	a.requestedAt = now
 	if w.Epoch == l.epoch {
 		// An agent that was forgotten after a long silence starts again at the number
 		// it has used. From zero, it would take new permits for old ones.
-		k.total = max(k.total, w.Used)
-		k.used = max(k.used, w.Used)
+		a.total = max(a.total, w.Used)
+		a.used = max(a.used, w.Used)
 	}
 	out = l.Tick(now, out)
 	for _, g := range out {
@@ -94,37 +94,37 @@
 			return out
 		}
 	}
-	return append(out, l.grant(now, k))
+	return append(out, l.grant(now, a))
 }
 
-func (l *Allocator) ask(id wardturn.UpstreamID) *ask {
-	if k := l.byID[id]; k != nil {
-		return k
+func (l *Allocator) agent(id wardturn.UpstreamID) *agentPermits {
+	if a := l.byID[id]; a != nil {
+		return a
 	}
-	k := &ask{}
-	l.byID[id] = k
-	at := len(l.asks)
-	for at > 0 && l.asks[at-1].wish.Upstream > id {
+	a := &agentPermits{}
+	l.byID[id] = a
+	at := len(l.agents)
+	for at > 0 && l.agents[at-1].request.Upstream > id {
 		at--
 	}
-	k.wish.Upstream = id
-	l.asks = append(l.asks, nil)
-	copy(l.asks[at+1:], l.asks[at:])
-	l.asks[at] = k
-	return k
+	a.request.Upstream = id
+	l.agents = append(l.agents, nil)
+	copy(l.agents[at+1:], l.agents[at:])
+	l.agents[at] = a
+	return a
 }
 
 // Tick grants the permits that have become available and appends the grants to out.
 func (l *Allocator) Tick(now time.Time, out []Grant) []Grant {
-	l.forget(now)
+	l.expire(now)
 	for l.loading() < l.limit.Parallel {
-		k := l.best()
-		if k == nil || !l.affords(now, k) || !l.bucket.take(now) {
+		a := l.best()
+		if a == nil || !l.hasCapacity(now, a) || !l.bucket.take(now) {
 			break
 		}
 		l.bucket.rate = min(l.limit.Rate, l.bucket.rate*(1+allocatorIncrease))
-		k.total++
-		out = append(out, l.grant(now, k))
+		a.total++
+		out = append(out, l.grant(now, a))
 	}
 	return out
 }
@@ -132,91 +132,91 @@
 // Next returns the time until the next permit becomes available, or false if no agent waits
 // or if only a change at an agent can make one available.
 func (l *Allocator) Next(now time.Time) (time.Duration, bool) {
-	k := l.best()
-	if k == nil || l.loading() >= l.limit.Parallel {
+	a := l.best()
+	if a == nil || l.loading() >= l.limit.Parallel {
 		return 0, false
 	}
 	need := 1.0
-	if k.wish.Class == wardturn.Batch {
+	if a.request.Class == wardturn.Batch {
 		need = l.bucket.burst
 	}
 	l.bucket.fill(now)
 	missing := max(0, need-l.bucket.tokens)
-	if missing == 0 && !l.affords(now, k) {
+	if missing == 0 && !l.hasCapacity(now, a) {
 		return 0, false // capacity becomes free only with an agent's next request
 	}
 	return time.Duration(missing / l.bucket.rate * float64(time.Second)), true
 }
 
-// affords reports whether the store has capacity for a request. Batch work leaves permits
-// and parallel loads free for interactive work that may arrive.
-func (l *Allocator) affords(now time.Time, k *ask) bool {
-	if k.wish.Class == wardturn.Interactive {
+// hasCapacity reports whether the store has capacity for a request. Batch work leaves
+// permits and parallel loads free for interactive work that may arrive.
+func (l *Allocator) hasCapacity(now time.Time, a *agentPermits) bool {
+	if a.request.Class == wardturn.Interactive {
 		return true
 	}
 	l.bucket.fill(now)
-	return l.bucket.tokens >= l.bucket.burst && l.loading() < max(1, l.limit.Parallel-batchPlaces)
+	return l.bucket.tokens >= l.bucket.burst && l.loading() < max(1, l.limit.Parallel-batchReservedLoads)
 }
 
-func (l *Allocator) forget(now time.Time) {
-	kept := l.asks[:0]
-	for _, k := range l.asks {
-		silent := now.Sub(k.at)
+func (l *Allocator) expire(now time.Time) {
+	kept := l.agents[:0]
+	for _, a := range l.agents {
+		silent := now.Sub(a.requestedAt)
 		if silent > loadingLifetime {
-			delete(l.byID, k.wish.Upstream)
+			delete(l.byID, a.request.Upstream)
 			continue
 		}
-		if silent > wishLifetime {
-			k.wish.Want = 0
+		if silent > permitRequestLifetime {
+			a.request.Want = 0
 		}
-		kept = append(kept, k)
+		kept = append(kept, a)
 	}
-	clear(l.asks[len(kept):])
-	l.asks = kept
+	clear(l.agents[len(kept):])
+	l.agents = kept
 }
 
 func (l *Allocator) loading() int {
 	n := 0
-	for _, k := range l.asks {
-		n += k.outstanding()
+	for _, a := range l.agents {
+		n += a.outstanding()
 	}
 	return n
 }
 
 // best returns the agent with the most valuable request among those without an unused
 // permit, or nil.
-func (l *Allocator) best() *ask {
-	var best *ask
-	for _, k := range l.asks {
-		if k.wish.Want == 0 || k.total > k.used {
+func (l *Allocator) best() *agentPermits {
+	var best *agentPermits
+	for _, a := range l.agents {
+		if a.request.Want == 0 || a.total > a.used {
 			continue
 		}
-		if best == nil || better(k.wish, best.wish) {
-			best = k
+		if best == nil || moreValuable(a.request, best.request) {
+			best = a
 		}
 	}
 	return best
 }
 
-func better(x, y Wish) bool {
+func moreValuable(x, y Wish) bool {
 	if x.Class != y.Class {
 		return x.Class == wardturn.Interactive
 	}
 	return x.Value > y.Value
 }
 
-func (l *Allocator) grant(now time.Time, k *ask) Grant {
+func (l *Allocator) grant(now time.Time, a *agentPermits) Grant {
 	pace := interval(l.bucket.rate)
 	backlog := 0
-	for _, other := range l.asks {
-		if other.wish.Class == wardturn.Interactive {
-			backlog += other.wish.Want
+	for _, other := range l.agents {
+		if other.request.Class == wardturn.Interactive {
+			backlog += other.request.Want
 		}
 	}
 	return Grant{
-		Upstream: k.wish.Upstream,
+		Upstream: a.request.Upstream,
 		Epoch:    l.epoch,
-		Total:    k.total,
+		Total:    a.total,
 		Interval: pace,
 		Backlog:  backlog,
 		Load:     l.misses.rate(now) * pace.Seconds(),
--- a/decide/copies.go
+++ b/decide/copies.go
@@ -5,35 +5,37 @@
 )
 
 const (
-	// spreadLoad is the least number of requests at an engine for which its load can be a
+	// copyMinLoad is the least number of requests at an engine for which its load can be a
 	// reason for a copy of an adapter elsewhere. Engines run at full speed up to it.
-	spreadLoad = 8
-	// spreadFactor is the least ratio of that number to the mean over all engines.
-	spreadFactor = 1.4
-	// spreadUse is how many of these requests must be this gateway's for the adapter.
-	spreadUse = 2
-	// spreadRequests is the least estimated number of requests for an adapter, over all
+	copyMinLoad = 8
+	// copyLoadFactor is the least ratio of that number to the mean over all engines.
+	copyLoadFactor = 1.4
+	// copyMinOwnRequests is how many of these requests must be this gateway's for the
+	// adapter.
+	copyMinOwnRequests = 2
+	// copyMinRequests is the least estimated number of requests for an adapter, over all
 	// gateways, for which paused streams can be a reason for a copy.
-	spreadRequests = 16
-	// copyCost is the least saving per request, in milliseconds, that justifies a copy.
-	copyCost = 10.0
+	copyMinRequests = 16
+	// copyMinSaving is the least saving per request, in milliseconds, that justifies a
+	// copy.
+	copyMinSaving = 10.0
 )
 
-// spread requests a copy of an adapter on another engine if m, the engine that serves it, is
-// more loaded than others, if the streams there would pause for the prefill of the request's
-// prompt, or if m is in another failure domain and the traffic sent there exceeds
-// FleetConfig.CrossBytes, the equivalent of a load.
-func (f *Fleet) spread(now time.Time, t *Ticket, m *Member, out *Moves) {
+// considerCopy requests a copy of an adapter on another engine if m, the engine that
+// serves it, is more loaded than others, if the streams there would pause for the prefill
+// of the request's prompt, or if m is in another failure domain and the traffic sent
+// there exceeds FleetConfig.CrossBytes, the equivalent of a load.
+func (f *Fleet) considerCopy(now time.Time, t *Ticket, m *Member, out *Moves) {
 	near := m.Domain == f.cfg.Domain
 	if !near {
 		f.crossed[t.Key] += t.Bytes
 	}
 	costly := !near && f.crossed[t.Key] >= f.cfg.CrossBytes
-	busy := f.overbusy(t, m) || f.stopsStreams(now, t, m)
+	busy := f.overloaded(t, m) || f.pausesStreams(now, t, m)
 	if !costly && !busy {
 		return
 	}
-	if f.wants.anywhere(t.Key) != nil || !f.spare(now) {
+	if f.wants.anywhere(t.Key) != nil || !f.hasSpareCapacity(now) {
 		return
 	}
 	home := f.copyHome(now, t, m, costly)
@@ -44,27 +46,27 @@
 	w := f.wantOf(now, t.Key, t.Service, nil)
 	w.cause = LoadNear
 	if busy {
-		w.relief = 1 + m.runningOf(t.Key)
+		w.relieved = 1 + m.runningOf(t.Key)
 		w.cause = LoadRelief
 	}
 	f.ask(now, w, home, out)
 }
 
-// stopsStreams reports whether the prefill of a request's prompt would pause so many streams
-// that its adapter needs another engine. The number of requests is estimated by assuming
-// that each gateway has as many for the adapter there as this one; for only a few requests a
-// copy costs more than it saves.
-func (f *Fleet) stopsStreams(now time.Time, t *Ticket, m *Member) bool {
-	if (m.runningOf(t.Key)+1)*f.Gateways() < spreadRequests {
+// pausesStreams reports whether the prefill of a request's prompt would pause so many
+// streams that its adapter needs another engine. The number of requests is estimated by
+// assuming that each gateway has as many for the adapter there as this one; for only a
+// few requests a copy costs more than it saves.
+func (f *Fleet) pausesStreams(now time.Time, t *Ticket, m *Member) bool {
+	if (m.runningOf(t.Key)+1)*f.Gateways() < copyMinRequests {
 		return false
 	}
 	return m.pauseCost(now, t) >= spreadPause
 }
 
-// overbusy reports whether an engine has far more load than others and this gateway's
+// overloaded reports whether an engine has far more load than others and this gateway's
 // requests for the adapter contribute to it.
-func (f *Fleet) overbusy(t *Ticket, m *Member) bool {
-	if m.load() < spreadLoad || m.runningOf(t.Key) < spreadUse {
+func (f *Fleet) overloaded(t *Ticket, m *Member) bool {
+	if m.load() < copyMinLoad || m.runningOf(t.Key) < copyMinOwnRequests {
 		return false
 	}
 	total := 0
@@ -72,20 +74,20 @@
 	for _, o := range list {
 		total += o.load()
 	}
-	return float64(m.load()) >= spreadFactor*float64(total)/float64(len(list))
+	return float64(m.load()) >= copyLoadFactor*float64(total)/float64(len(list))
 }
 
 // copyHome returns the engine that should hold a copy of an adapter in addition to m, or
-// nil. It is the first one in home order that costs sufficiently less, or with near set the
-// first in the gateway's own failure domain. Gateways that need a copy at the same time thus
-// choose the same engine.
+// nil. It is the first one in home order that costs sufficiently less, or with near set
+// the first in the gateway's own failure domain. Gateways that need a copy at the same
+// time thus choose the same engine.
 func (f *Fleet) copyHome(now time.Time, t *Ticket, m *Member, near bool) *Member {
-	most := f.costOf(now, t, m) - copyCost
+	maxCost := f.costOf(now, t, m) - copyMinSaving
 	for o := range f.homes(now, t.Service, t.Key, near) {
 		if _, holds := o.held[t.Key]; holds || o.loading() >= MaxComing {
 			continue
 		}
-		if near || f.costOf(now, t, o) <= most {
+		if near || f.costOf(now, t, o) <= maxCost {
 			return o
 		}
 	}
--- a/decide/evict.go
+++ b/decide/evict.go
@@ -17,22 +17,22 @@
 	n := p.spec.AdapterSlots - p.occupied()
 	for _, m := range p.state.Models {
 		for _, a := range m.Adapters {
-			if p.mayGo(now, a.Key()) {
+			if p.evictable(now, a.Key()) {
 				n++
 			}
 		}
 	}
-	for key := range p.wishes {
-		if _, ok := p.resident(key); !ok && !p.coming(key) {
+	for key := range p.pending {
+		if _, ok := p.resident(key); !ok && !p.isLoading(key) {
 			n--
 		}
 	}
 	return min(max(n, 0), MaxFree)
 }
 
-// mayGo reports whether a resident adapter may be evicted.
-func (p *Places) mayGo(now time.Time, key wardturn.ModelAdapter) bool {
-	return !p.coming(key) && p.wishes[key] == nil && !p.busy(now, key)
+// evictable reports whether a resident adapter may be evicted.
+func (p *Places) evictable(now time.Time, key wardturn.ModelAdapter) bool {
+	return !p.isLoading(key) && p.pending[key] == nil && !p.inUse(now, key)
 }
 
 // victim returns the evictable adapter of the least value, if that is less than worth, the
@@ -45,7 +45,7 @@
 	for _, m := range p.state.Models {
 		for _, a := range m.Adapters {
 			key := a.Key()
-			if !p.mayGo(now, key) {
+			if !p.evictable(now, key) {
 				continue
 			}
 			if p.Leaving(key) {
@@ -61,20 +61,20 @@
 	return best, found
 }
 
-// busy reports whether an adapter is in use, was used within idleGuard, or was loaded
-// within freshGuard.
-func (p *Places) busy(now time.Time, key wardturn.ModelAdapter) bool {
-	if at, ok := p.readyAt[key]; ok && now.Sub(at) < freshGuard {
+// inUse reports whether an adapter is in use, was used within minIdleTime, or was loaded
+// within minResidentTime.
+func (p *Places) inUse(now time.Time, key wardturn.ModelAdapter) bool {
+	if at, ok := p.readyAt[key]; ok && now.Sub(at) < minResidentTime {
 		return true
 	}
 	u := p.uses[key]
-	return u != nil && (p.runs(key) || now.Sub(u.last) < idleGuard)
+	return u != nil && (p.hasRunning(key) || now.Sub(u.last) < minIdleTime)
 }
 
-// runs reports whether connected gateways report running requests on an adapter, or a
+// hasRunning reports whether connected gateways report running requests on an adapter, or a
 // disconnected one is assumed to have some.
-func (p *Places) runs(key wardturn.ModelAdapter) bool {
-	if _, lost := p.lost[key]; lost {
+func (p *Places) hasRunning(key wardturn.ModelAdapter) bool {
+	if _, lost := p.orphaned[key]; lost {
 		return true
 	}
 	u := p.uses[key]
--- a/decide/holding.go
+++ b/decide/holding.go
@@ -60,31 +60,31 @@
 	m.atHold = m.running
 	f.setReading(now, m, h)
 	before := maps.Clone(m.held)
-	f.forget(m, h)
+	f.applyRemovals(m, h)
 	for _, a := range h.Adapters {
 		key := a.Adapter.Key()
-		m.held[key] = m.heldAs(now, a, before[key], h.Full)
+		m.held[key] = m.reportedState(now, a, before[key], h.Full)
 		if a.Loading {
 			f.loaders.add(key, m)
 		}
 		if a.Ready {
-			f.loaded(now, before[key])
+			f.observeLoad(now, before[key])
 			f.holders.add(key, m)
-			f.remember(m, key)
+			f.recordHeld(m, key)
 		}
 	}
-	f.count(m)
+	f.countLoads(m)
 	for _, a := range h.Adapters {
 		if a.Ready {
-			f.arrived(now, m, a.Adapter, out)
+			f.adapterLoaded(now, m, a.Adapter, out)
 		}
 	}
 	f.pump(now, out)
 }
 
-// heldAs returns the state of a reported adapter, given its state before the report. In
-// a full report the start of a load was not seen, so since stays zero.
-func (m *Member) heldAs(now time.Time, a HeldVersion, before heldAdapter, full bool) heldAdapter {
+// reportedState returns the state of a reported adapter, given its state before the
+// report. In a full report the start of a load was not seen, so since stays zero.
+func (m *Member) reportedState(now time.Time, a HeldVersion, before heldAdapter, full bool) heldAdapter {
 	h := heldAdapter{
 		version: a.Adapter.Version,
 		ready:   a.Ready,
@@ -104,17 +104,17 @@
 	return h
 }
 
-// loaded passes the duration of a finished load from the weight store to the load
+// observeLoad passes the duration of a finished load from the weight store to the load
 // window.
-func (f *Fleet) loaded(now time.Time, before heldAdapter) {
+func (f *Fleet) observeLoad(now time.Time, before heldAdapter) {
 	if before.loading && !before.warm && !before.since.IsZero() {
 		f.window.Loaded(now, now.Sub(before.since), f.coming)
 	}
 }
 
-// forget removes the adapters that the report says are unloaded, and those whose state
-// the report replaces.
-func (f *Fleet) forget(m *Member, h Holding) {
+// applyRemovals removes the adapters that the report says are unloaded, and those whose
+// state the report replaces.
+func (f *Fleet) applyRemovals(m *Member, h Holding) {
 	if h.Full {
 		f.release(m)
 		return
@@ -124,12 +124,12 @@
 		gone = append(gone, a.Adapter.Key())
 	}
 	for _, key := range gone {
-		f.unhold(m, key)
+		f.removeHeld(m, key)
 	}
 }
 
-// remember records that an engine has held an adapter.
-func (f *Fleet) remember(m *Member, key wardturn.ModelAdapter) {
+// recordHeld records that an engine has held an adapter.
+func (f *Fleet) recordHeld(m *Member, key wardturn.ModelAdapter) {
 	if m.everHeld[key] {
 		return
 	}
@@ -140,12 +140,12 @@
 // release forgets all adapters of a member.
 func (f *Fleet) release(m *Member) {
 	for key := range m.held {
-		f.unhold(m, key)
+		f.removeHeld(m, key)
 	}
-	f.count(m)
+	f.countLoads(m)
 }
 
-func (f *Fleet) unhold(m *Member, key wardturn.ModelAdapter) {
+func (f *Fleet) removeHeld(m *Member, key wardturn.ModelAdapter) {
 	h := m.held[key]
 	if h.ready {
 		f.holders.remove(key, m)
--- a/decide/home.go
+++ b/decide/home.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// homeChoices is the number of engines, in home order, among which an adapter without
-	// a home is placed. All gateways compute the same ones, so that an adapter is loaded
-	// only once. The second one is for the case that the first is in a long prefill.
-	homeChoices = 2
+	// maxHomeCandidates is the number of engines, in home order, among which an adapter
+	// without a home is placed. All gateways compute the same ones, so that an adapter is
+	// loaded only once. The second one is for the case that the first is in a long
+	// prefill.
+	maxHomeCandidates = 2
 	// noPlaceTime is the expected time that a load waits for a slot on an engine without a
 	// free one: nine streams of about 2 s each end 0.2 s apart.
 	noPlaceTime = 200 * time.Millisecond
 )
 
-// homeChoice collects the candidate engines for an adapter in home order. The home of an
-// adapter is the engine that is to load it, and the home order of an adapter is the order of
-// all engines by rendezvous score.
-type homeChoice struct {
+// homeCandidates collects the candidate engines for an adapter in home order. The home of
+// an adapter is the engine that is to load it, and the home order of an adapter is the
+// order of all engines by rendezvous score.
+type homeCandidates struct {
 	warm []*Member // held the adapter before
 	free []*Member // the first ones with a free slot
 	full []*Member // the first ones without a free slot
@@ -27,18 +28,18 @@
 
 // add adds an engine that has not held the adapter. It reports whether further engines are
 // needed, since there are not enough with a free slot yet.
-func (c *homeChoice) add(m *Member, free bool) bool {
+func (c *homeCandidates) add(m *Member, free bool) bool {
 	switch {
 	case free:
 		c.free = append(c.free, m)
-	case len(c.full) < homeChoices:
+	case len(c.full) < maxHomeCandidates:
 		c.full = append(c.full, m)
 	}
-	return len(c.free) < homeChoices
+	return len(c.free) < maxHomeCandidates
 }
 
 // list returns the candidates. Engines without a free slot count only if none has one.
-func (c *homeChoice) list() []*Member {
+func (c *homeCandidates) list() []*Member {
 	list := append(c.warm, c.free...)
 	if len(c.free) == 0 {
 		list = append(list, c.full...)
--- a/decide/home_test.go
+++ b/decide/home_test.go
@@ -13,9 +13,9 @@
 
 var _ = Describe("The home of an adapter that no engine holds", func() {
 	var x *fleetRig
-	// tell sends a keeper's report with an engine's free slots, its tokens in prefill and
+	// report sends a keeper's report with an engine's free slots, its tokens in prefill and
 	// the adapters that it has unloaded.
-	tell := func(id wardturn.UpstreamID, free, reading int, gone ...wardturn.ModelAdapter) {
+	report := func(id wardturn.UpstreamID, free, reading int, gone ...wardturn.ModelAdapter) {
 		x.f.SetHolding(x.now, id, decide.Holding{
 			Connected: true,
 			Known:     true,
@@ -39,7 +39,7 @@
 	It("is the one of two engines with fewer tokens in prefill", func() {
 		first := homeOf("a")
 		x = newFleetRig()
-		tell(first, decide.MaxFree, 20000)
+		report(first, decide.MaxFree, 20000)
 		second := homeOf("a")
 		Expect(second).NotTo(Equal(first))
 		x = newFleetRig()
@@ -47,7 +47,7 @@
 			if m.ID != first && m.ID != second {
 				continue
 			}
-			tell(m.ID, decide.MaxFree, 20000)
+			report(m.ID, decide.MaxFree, 20000)
 		}
 		Expect(homeOf("a")).To(BeElementOf(first, second)) // not a third one, on which gateways may disagree
 	})
@@ -58,7 +58,7 @@
 			spared := fleetMembers()[i%4].ID
 			for _, m := range fleetMembers() {
 				if m.ID != spared {
-					tell(m.ID, 0, 0)
+					report(m.ID, 0, 0)
 				}
 			}
 			Expect(homeOf(fmt.Sprint("a", i))).To(Equal(spared))
@@ -69,7 +69,7 @@
 		for n := range 10 {
 			x = newFleetRig()
 			for _, m := range fleetMembers() {
-				tell(m.ID, 1, 0)
+				report(m.ID, 1, 0)
 			}
 			homes := make(map[wardturn.UpstreamID]bool)
 			for i := range 4 {
@@ -81,7 +81,7 @@
 
 	It("is the engine that held it before, even if the load window is full", func() {
 		x.hold("f1", readyAdapter("old", 1))
-		tell("f1", decide.MaxFree, 0, adapterKey("old"))
+		report("f1", decide.MaxFree, 0, adapterKey("old"))
 		for i := range 4 { // fills the window
 			homeOf(fmt.Sprint("a", i))
 		}
@@ -90,7 +90,7 @@
 
 	It("is not the engine that held it before if its prefill takes longer than a load", func() {
 		x.hold("f1", readyAdapter("old", 1))
-		tell("f1", decide.MaxFree, 20000, adapterKey("old")) // 500 ms
+		report("f1", decide.MaxFree, 20000, adapterKey("old")) // 500 ms
 		Expect(homeOf("old")).NotTo(BeEquivalentTo("f1"))
 	})
 
@@ -111,7 +111,7 @@
 			x.hold(string(m.ID))
 		}
 		held := x.out.Asks[0].Upstream
-		tell(held, 0, 20000)
+		report(held, 0, 20000)
 		Expect(causes("a", homeOf("a"))).To(Equal(decide.LoadMoved))
 	})
 })
--- a/decide/homes.go
+++ b/decide/homes.go
@@ -33,53 +33,53 @@
 	}
 }
 
-// ranked is an engine with its rendezvous score for an adapter. The home order is by
+// rankedEngine is an engine with its rendezvous score for an adapter. The home order is by
 // descending score.
-type ranked struct {
-	m     *Member
-	score uint64
+type rankedEngine struct {
+	engine *Member
+	score  uint64
 }
 
-// firstRanked is the size of the first batch in which the home order is computed, and
-// rankedGrowth the factor by which each batch is larger than the one before. A choice
+// firstBatchSize is the size of the first batch in which the home order is computed, and
+// batchGrowth the factor by which each batch is larger than the one before. A choice
 // usually looks at two or three engines, but at all of them if none has a free slot.
 const (
-	firstRanked  = 8
-	rankedGrowth = 8
+	firstBatchSize = 8
+	batchGrowth    = 8
 )
 
-// inOrder returns the engines of a list in the home order of an adapter. All gateways
+// inHomeOrder returns the engines of a list in the home order of an adapter. All gateways
 // compute the same order, so that an adapter without a home is loaded only once. Each batch
 // takes one pass over the list, which is cheaper than sorting thousands of engines.
-func inOrder(key wardturn.ModelAdapter, list []*Member) iter.Seq[*Member] {
+func inHomeOrder(key wardturn.ModelAdapter, list []*Member) iter.Seq[*Member] {
 	return func(yield func(*Member) bool) {
 		h := hashString(string(key.Adapter))
-		below := ranked{}
-		for n := firstRanked; ; n *= rankedGrowth {
-			piece := highest(h, list, below, n)
-			for _, r := range piece {
-				if !yield(r.m) {
+		below := rankedEngine{}
+		for n := firstBatchSize; ; n *= batchGrowth {
+			batch := topRanked(h, list, below, n)
+			for _, r := range batch {
+				if !yield(r.engine) {
 					return
 				}
 			}
-			if len(piece) < n {
+			if len(batch) < n {
 				return
 			}
-			below = piece[len(piece)-1]
+			below = batch[len(batch)-1]
 		}
 	}
 }
 
-// highest returns in home order the first n engines after below, or the first n of all if
+// topRanked returns in home order the first n engines after below, or the first n of all if
 // below is zero.
-func highest(h uint64, list []*Member, below ranked, n int) []ranked {
-	top := make([]ranked, 0, min(n, len(list)))
+func topRanked(h uint64, list []*Member, below rankedEngine, n int) []rankedEngine {
+	top := make([]rankedEngine, 0, min(n, len(list)))
 	for _, m := range list {
-		r := ranked{
-			m:     m,
-			score: mix(h ^ m.hash),
+		r := rankedEngine{
+			engine: m,
+			score:  mix(h ^ m.hash),
 		}
-		if below.m != nil && r.compare(below) <= 0 {
+		if below.engine != nil && r.compare(below) <= 0 {
 			continue
 		}
 		if len(top) == n {
@@ -88,18 +88,18 @@
 			}
 			top = top[:n-1]
 		}
-		at, _ := slices.BinarySearchFunc(top, r, ranked.compare)
+		at, _ := slices.BinarySearchFunc(top, r, rankedEngine.compare)
 		top = slices.Insert(top, at, r)
 	}
 	return top
 }
 
 // compare orders by descending score and then by id.
-func (r ranked) compare(o ranked) int {
+func (r rankedEngine) compare(o rankedEngine) int {
 	if r.score != o.score {
 		return cmp.Compare(o.score, r.score)
 	}
-	return cmp.Compare(r.m.ID, o.m.ID)
+	return cmp.Compare(r.engine.ID, o.engine.ID)
 }
 
 // homes returns the engines that may load an adapter in home order. With near set it
@@ -110,7 +110,7 @@
 		list = f.near[s]
 	}
 	return func(yield func(*Member) bool) {
-		for m := range inOrder(key, list) {
+		for m := range inHomeOrder(key, list) {
 			if m.loads(now, key.Model) && !f.limits.Bounded(now, m.ID) && !yield(m) {
 				return
 			}
--- a/decide/homes_internal_test.go
+++ b/decide/homes_internal_test.go
@@ -10,7 +10,7 @@
 	"wardturn"
 )
 
-// The batches of inOrder must give the same order as sorting all engines by score.
+// The batches of inHomeOrder must give the same order as sorting all engines by score.
 func TestInOrderIsTheSortedOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hashes := rapid.SliceOfN(rapid.Uint64Range(0, 40), 0, 300).Draw(t, "hashes") // with some duplicates
@@ -29,9 +29,9 @@
 		h := hashString(string(key.Adapter))
 		want := slices.Clone(list)
 		slices.SortFunc(want, func(x, y *Member) int {
-			return ranked{m: x, score: mix(h ^ x.hash)}.compare(ranked{m: y, score: mix(h ^ y.hash)})
+			return rankedEngine{engine: x, score: mix(h ^ x.hash)}.compare(rankedEngine{engine: y, score: mix(h ^ y.hash)})
 		})
-		if got := slices.Collect(inOrder(key, list)); !slices.Equal(got, want) {
+		if got := slices.Collect(inHomeOrder(key, list)); !slices.Equal(got, want) {
 			t.Fatalf("%d engines: not in order", len(list))
 		}
 	})
--- a/decide/locations.go
+++ b/decide/locations.go
@@ -8,20 +8,20 @@
 	"wardturn"
 )
 
-// sticky chooses among the homes of an adapter, the upstreams to which this entry sent it
-// before. A new adapter gets the best of its first rendezvous candidates as its home. One
-// whose homes are all loaded far above the average gets an additional home.
-func (r *Router) sticky(now time.Time, p *pool, targets []*target, usable func(*target) bool, ask Ask) *target {
+// chooseSticky chooses among the homes of an adapter, the upstreams to which this entry
+// sent it before. A new adapter gets the best of its first rendezvous candidates as its
+// home. One whose homes are all loaded far above the average gets an additional home.
+func (r *Router) chooseSticky(now time.Time, p *pool, targets []*target, usable func(*target) bool, ask Ask) *target {
 	loc := r.locations.get(ask.Adapter)
-	loc.forgetIdle(now, r.cfg.LocationLife)
-	home := loc.lightest(usable)
+	loc.dropIdle(now, r.cfg.LocationLife)
+	home := loc.leastLoaded(usable)
 	if home != nil && !r.overloaded(p, home) {
 		loc.use(now, home)
 		return home
 	}
 	list := p.candidates(targets, usable, ask.Adapter, r.cfg.Candidates+len(loc.homes))
-	chosen := place(list, loc)
-	if home != nil && (chosen == nil || !relieves(home, chosen)) {
+	chosen := bestCandidate(list, loc)
+	if home != nil && (chosen == nil || !clearlyLessLoaded(home, chosen)) {
 		chosen = home
 	}
 	if chosen == nil {
@@ -34,36 +34,37 @@
 // overloaded reports whether a home is so loaded that a replica elsewhere is worth the cost
 // of loading the adapter.
 func (r *Router) overloaded(p *pool, t *target) bool {
-	if t.hint.Capacity == 0 || len(p.near) == 0 {
+	if t.hint.Capacity == 0 || len(p.local) == 0 {
 		return false
 	}
-	average := p.load / float64(len(p.near))
-	bound := max(r.cfg.BoundFactor*average, busyShare*float64(t.hint.Capacity))
+	average := p.load / float64(len(p.local))
+	bound := max(r.cfg.BoundFactor*average, overloadMinFill*float64(t.hint.Capacity))
 	return t.load() >= bound
 }
 
-// busyShare is the fraction of its capacity up to which an upstream never counts as
+// overloadMinFill is the fraction of its capacity up to which an upstream never counts as
 // overloaded.
-const busyShare = 0.8
+const overloadMinFill = 0.8
 
-// relieves reports whether other is clearly less loaded than home.
-func relieves(home, other *target) bool {
-	const share = 0.7
-	return other.load() < share*home.load()
+// clearlyLessLoaded reports whether other is clearly less loaded than home.
+func clearlyLessLoaded(home, other *target) bool {
+	const maxLoadRatio = 0.7
+	return other.load() < maxLoadRatio*home.load()
 }
 
-// place chooses among the first rendezvous candidates that are no home yet the one where a
-// load would start soonest. It keeps the first one if the others are hardly better.
-func place(candidates []scored, loc *location) *target {
+// bestCandidate chooses among the first rendezvous candidates that are no home yet the
+// one where a load would start soonest. It keeps the first one if the others are hardly
+// better.
+func bestCandidate(candidates []scoredTarget, loc *location) *target {
 	var best *target
 	var bestCost float64
 	for rank, s := range candidates {
-		if loc.has(s.t) {
+		if loc.has(s.target) {
 			continue
 		}
-		cost := placeCost(s.t) + float64(rank)*rankCost
+		cost := candidateCost(s.target) + float64(rank)*rankCost
 		if best == nil || cost < bestCost {
-			best = s.t
+			best = s.target
 			bestCost = cost
 		}
 	}
@@ -71,14 +72,14 @@
 }
 
 const (
-	rankCost  = 0.5 // for each position after the first candidate
-	wantCost  = 1.0 // for each adapter that waits for a slot
-	fullCost  = 2.0 // if no slot can be reused
-	queueCost = 4.0 // at full capacity, in proportion below and above
+	rankCost    = 0.5 // for each position after the first candidate
+	waitingCost = 1.0 // for each adapter that waits for a slot
+	fullCost    = 2.0 // if no slot can be reused
+	queueCost   = 4.0 // at full capacity, in proportion below and above
 )
 
-func placeCost(t *target) float64 {
-	cost := wantCost * float64(t.hint.Wants)
+func candidateCost(t *target) float64 {
+	cost := waitingCost * float64(t.hint.Wants)
 	if t.hint.Capacity == 0 {
 		return cost
 	}
@@ -119,15 +120,15 @@
 	})
 }
 
-// forgetIdle drops homes that were not used within life or whose host was removed.
-func (l *location) forgetIdle(now time.Time, life time.Duration) {
+// dropIdle drops homes that were not used within maxIdle or whose host was removed.
+func (l *location) dropIdle(now time.Time, maxIdle time.Duration) {
 	l.homes = slices.DeleteFunc(l.homes, func(h home) bool {
-		return h.t.removed || now.Sub(h.used) > life
+		return h.t.removed || now.Sub(h.used) > maxIdle
 	})
 }
 
-// lightest returns the usable home with the least load, or nil.
-func (l *location) lightest(usable func(*target) bool) *target {
+// leastLoaded returns the usable home with the least load, or nil.
+func (l *location) leastLoaded(usable func(*target) bool) *target {
 	var best *target
 	for _, h := range l.homes {
 		if usable(h.t) && (best == nil || h.t.load() < best.load()) {
--- a/decide/permits_allocated.go
+++ b/decide/permits_allocated.go
@@ -5,13 +5,14 @@
 )
 
 const (
-	// wishEvery is the interval at which an unchanged permit request is repeated.
-	wishEvery = 250 * time.Millisecond
-	// wishSpacing is the least interval between permit requests that differ.
-	wishSpacing = 20 * time.Millisecond
-	// allocatorSilence is how long a request may stay unanswered before the agent assumes
+	// permitRequestInterval is the interval at which an unchanged permit request is
+	// repeated.
+	permitRequestInterval = 250 * time.Millisecond
+	// permitRequestSpacing is the least interval between permit requests that differ.
+	permitRequestSpacing = 20 * time.Millisecond
+	// allocatorTimeout is how long a request may stay unanswered before the agent assumes
 	// that its allocator is down and falls back to AdaptivePermits.
-	allocatorSilence = 1500 * time.Millisecond
+	allocatorTimeout = 1500 * time.Millisecond
 	// permitLifetime is how long an unused permit stays valid.
 	permitLifetime = time.Second
 )
@@ -20,22 +21,22 @@
 // respond it falls back to AdaptivePermits, so losing the allocator or disagreeing about
 // which host it is only slows loads down.
 type AllocatedPermits struct {
-	fallback *AdaptivePermits
-	wish     Wish
-	wishing  bool
-	changed  bool
-	urgent   bool // the request is due at once: a load ended, so the store has capacity
-	sentAt   time.Time
-	askedAt  time.Time // of the first unanswered request; zero if there is none
+	fallback        *AdaptivePermits
+	request         Wish
+	requesting      bool
+	changed         bool
+	urgent          bool // the request is due at once: a load ended, so the store has capacity
+	sentAt          time.Time
+	unansweredSince time.Time // of the first unanswered request; zero if there is none
 	permitCount
-	before  permitCount // of the previous allocator
-	gotAt   time.Time
-	pace    time.Duration
-	backlog int
-	load    float64
-	heardAt time.Time
-	loading int
-	busy    int
+	previous    permitCount // of the previous allocator
+	grantedAt   time.Time
+	interval    time.Duration
+	backlog     int
+	offeredLoad float64
+	lastGrantAt time.Time
+	loading     int
+	storeBusy   int
 }
 
 // permitCount counts the permits of one allocator.
@@ -50,7 +51,7 @@
 func NewAllocatedPermits(limit StoreLimit, agents int) *AllocatedPermits {
 	return &AllocatedPermits{
 		fallback: NewAdaptivePermits(limit, agents),
-		pace:     interval(limit.Rate),
+		interval: interval(limit.Rate),
 	}
 }
 
@@ -60,45 +61,45 @@
 	if p.total > p.used {
 		p.used++
 		p.loading++
-		p.setWish(w, w.Want > 1)
+		p.setRequest(w, w.Want > 1)
 		return true
 	}
-	p.setWish(w, true)
-	if p.silent(now) && p.fallback.Take(now, w) {
+	p.setRequest(w, true)
+	if p.allocatorDown(now) && p.fallback.Take(now, w) {
 		p.loading++
-		p.setWish(w, w.Want > 1)
+		p.setRequest(w, w.Want > 1)
 		return true
 	}
 	return false
 }
 
-func (p *AllocatedPermits) setWish(w Wish, wishing bool) {
-	if wishing != p.wishing || w.Class != p.wish.Class || differs(w.Value, p.wish.Value) {
+func (p *AllocatedPermits) setRequest(w Wish, wishing bool) {
+	if wishing != p.requesting || w.Class != p.request.Class || differs(w.Value, p.request.Value) {
 		p.changed = true
 	}
-	p.wish = w
-	p.wishing = wishing
+	p.request = w
+	p.requesting = wishing
 }
 
 // differs reports whether two values differ enough to send a new request.
 func differs(x, y float64) bool {
-	const share = 0.1
+	const minChange = 0.1
 	d := x - y
 	if d < 0 {
 		d = -d
 	}
-	return d > share*max(x, -x, y, -y)
+	return d > minChange*max(x, -x, y, -y)
 }
 
 func (p *AllocatedPermits) expire(now time.Time) {
-	if p.total > p.used && now.Sub(p.gotAt) > permitLifetime {
+	if p.total > p.used && now.Sub(p.grantedAt) > permitLifetime {
 		p.used = p.total
 		p.changed = true
 	}
 }
 
-func (p *AllocatedPermits) silent(now time.Time) bool {
-	return !p.askedAt.IsZero() && now.Sub(p.askedAt) > allocatorSilence
+func (p *AllocatedPermits) allocatorDown(now time.Time) bool {
+	return !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) > allocatorTimeout
 }
 
 // Withdraw implements Permits.
@@ -108,8 +109,8 @@
 		p.used = p.total
 		p.changed = true
 	}
-	if p.wishing {
-		p.wishing = false
+	if p.requesting {
+		p.requesting = false
 		p.changed = true
 	}
 }
@@ -125,7 +126,7 @@
 func (p *AllocatedPermits) Finished(now time.Time, result OrderResult) {
 	p.loading--
 	if result == OrderStoreBusy {
-		p.busy++
+		p.storeBusy++
 	}
 	if p.fallback.loading > 0 {
 		p.fallback.Finished(now, result)
@@ -136,44 +137,44 @@
 // Granted implements Permits.
 func (p *AllocatedPermits) Granted(now time.Time, g Grant) {
 	if g.Epoch != p.epoch {
-		p.turnTo(g.Epoch)
+		p.switchAllocator(g.Epoch)
 	}
-	p.askedAt = time.Time{}
-	p.pace = g.Interval
+	p.unansweredSince = time.Time{}
+	p.interval = g.Interval
 	p.backlog = g.Backlog
-	p.load = g.Load
-	p.heardAt = now
+	p.offeredLoad = g.Load
+	p.lastGrantAt = now
 	if g.Total > p.total {
 		p.total = g.Total
-		p.gotAt = now
+		p.grantedAt = now
 	}
 }
 
-// turnTo switches to the permit count of another allocator and keeps that of the previous
-// one: hosts that come and go may change the allocator and change it back, and so may a
-// grant that arrives late.
-func (p *AllocatedPermits) turnTo(epoch uint64) {
+// switchAllocator switches to the permit count of another allocator and keeps that of the
+// previous one: hosts that come and go may change the allocator and change it back, and
+// so may a grant that arrives late.
+func (p *AllocatedPermits) switchAllocator(epoch uint64) {
 	next := permitCount{
 		epoch: epoch,
 	}
-	if p.before.epoch == epoch {
-		next = p.before
+	if p.previous.epoch == epoch {
+		next = p.previous
 		next.used = next.total // permits left unused then have expired
 	}
-	p.before = p.permitCount
+	p.previous = p.permitCount
 	p.permitCount = next
 }
 
 // Pending implements Permits.
 func (p *AllocatedPermits) Pending(now time.Time) (Wish, bool) {
 	p.expire(now)
-	due := wishEvery
+	due := permitRequestInterval
 	switch {
 	case p.urgent:
 		due = 0
 	case p.changed:
-		due = wishSpacing
-	case !p.wishing && p.loading == 0:
+		due = permitRequestSpacing
+	case !p.requesting && p.loading == 0:
 		return Wish{}, false
 	}
 	if now.Sub(p.sentAt) < due {
@@ -182,19 +183,19 @@
 	p.sentAt = now
 	p.changed = false
 	p.urgent = false
-	if p.askedAt.IsZero() && p.wishing {
-		p.askedAt = now
+	if p.unansweredSince.IsZero() && p.requesting {
+		p.unansweredSince = now
 	}
-	return p.message(), true
+	return p.currentRequest(), true
 }
 
-func (p *AllocatedPermits) message() Wish {
-	w := p.wish
-	if !p.wishing {
+func (p *AllocatedPermits) currentRequest() Wish {
+	w := p.request
+	if !p.requesting {
 		w.Want = 0
 	}
 	w.Loading = p.loading
-	w.Busy = p.busy
+	w.Busy = p.storeBusy
 	w.Epoch = p.epoch
 	w.Used = p.used
 	return w
@@ -203,14 +204,14 @@
 // Congestion implements Permits.
 func (p *AllocatedPermits) Congestion(now time.Time, own Congestion) Congestion {
 	if p.epoch == 0 {
-		own.scale(p.pace)
+		own.scale(p.interval)
 		return own
 	}
 	// Part of the backlog in the latest grant has drained since.
-	drained := int(now.Sub(p.heardAt) / max(p.pace, time.Millisecond))
+	drained := int(now.Sub(p.lastGrantAt) / max(p.interval, time.Millisecond))
 	return Congestion{
-		Interval: p.pace,
+		Interval: p.interval,
 		Backlog:  max(p.backlog-drained, own.Backlog),
-		Load:     p.load,
+		Load:     p.offeredLoad,
 	}
 }
--- a/decide/permits_test.go
+++ b/decide/permits_test.go
@@ -14,14 +14,14 @@
 		Rate:     10,
 		Parallel: 4,
 	}
-	want := decide.Wish{
+	request := decide.Wish{
 		Upstream: "u",
 		Want:     2,
 	}
-	// taken takes all available permits and returns their number.
-	taken := func(p *decide.AllocatedPermits, now time.Time) int {
+	// takeAll takes all available permits and returns their number.
+	takeAll := func(p *decide.AllocatedPermits, now time.Time) int {
 		n := 0
-		for n < 100 && p.Take(now, want) {
+		for n < 100 && p.Take(now, request) {
 			n++
 		}
 		return n
@@ -35,31 +35,31 @@
 				Epoch: 1,
 				Total: total + 1,
 			})
-			Expect(taken(p, now)).To(Equal(1))
+			Expect(takeAll(p, now)).To(Equal(1))
 		}
 		p.Granted(now, decide.Grant{
 			Epoch: 2,
 			Total: 1,
 		})
-		Expect(taken(p, now)).To(Equal(1))
+		Expect(takeAll(p, now)).To(Equal(1))
 
 		By("a late grant of the first allocator, or its return")
 		p.Granted(now, decide.Grant{
 			Epoch: 1,
 			Total: 50,
 		})
-		Expect(taken(p, now)).To(BeZero())
+		Expect(takeAll(p, now)).To(BeZero())
 		p.Granted(now, decide.Grant{
 			Epoch: 1,
 			Total: 51,
 		})
-		Expect(taken(p, now)).To(Equal(1))
+		Expect(takeAll(p, now)).To(Equal(1))
 
 		By("the second allocator again")
 		p.Granted(now, decide.Grant{
 			Epoch: 2,
 			Total: 2,
 		})
-		Expect(taken(p, now)).To(Equal(1))
+		Expect(takeAll(p, now)).To(Equal(1))
 	})
 })
--- a/decide/places.go
+++ b/decide/places.go
@@ -12,19 +12,19 @@
 	// MaxComing is the number of adapters that an engine may load concurrently, as set
 	// by the platform's protocol.
 	MaxComing = 4
-	// wishLife is the lifetime of a load request that is not repeated. Gateways repeat
-	// theirs every wishRepeat.
-	wishLife = 700 * time.Millisecond
+	// loadRequestLifetime is the lifetime of a load request that is not repeated.
+	// Gateways repeat theirs every loadRequestInterval.
+	loadRequestLifetime = 700 * time.Millisecond
 	// evictionNotice is the delay between announcing an eviction to the gateways and
 	// ordering it. Requests that are in flight at the announcement arrive before the
 	// order.
 	evictionNotice = 4 * time.Millisecond
-	// freshGuard is how long a newly loaded adapter can't be evicted, since the requests
-	// that waited for it are still in flight.
-	freshGuard = 300 * time.Millisecond
-	// idleGuard is how long an adapter can't be evicted after its last use, since further
+	// minResidentTime is how long a newly loaded adapter can't be evicted, since the
+	// requests that waited for it are still in flight.
+	minResidentTime = 300 * time.Millisecond
+	// minIdleTime is how long an adapter can't be evicted after its last use, since further
 	// use may not be reported yet.
-	idleGuard = 250 * time.Millisecond
+	minIdleTime = 250 * time.Millisecond
 )
 
 // Places decides which adapters occupy the adapter slots of one engine. Gateways send
@@ -36,40 +36,40 @@
 // the next report or rejected as outdated once the engine has accepted another order, so
 // no state is kept for orders in flight.
 type Places struct {
-	policy  wardturn.Policy
-	start   time.Time
-	spec    wardturn.EngineSpec
-	state   wardturn.EngineState
-	known   bool
-	wishes  map[wardturn.ModelAdapter]*wish
-	uses    map[wardturn.ModelAdapter]*use
-	leaving map[wardturn.ModelAdapter]time.Time
-	readyAt map[wardturn.ModelAdapter]time.Time
-	retryAt time.Time // earliest time of the next order
-	// lost holds the adapters that requests of disconnected gateways may still use, and
+	policy    wardturn.Policy
+	start     time.Time
+	spec      wardturn.EngineSpec
+	state     wardturn.EngineState
+	known     bool
+	pending   map[wardturn.ModelAdapter]*pendingLoad
+	uses      map[wardturn.ModelAdapter]*adapterUse
+	leaving   map[wardturn.ModelAdapter]time.Time
+	readyAt   map[wardturn.ModelAdapter]time.Time
+	notBefore time.Time // earliest time of the next order
+	// orphaned holds the adapters that requests of disconnected gateways may still use, and
 	// until when that is assumed.
-	lost       map[wardturn.ModelAdapter]time.Time
+	orphaned   map[wardturn.ModelAdapter]time.Time
 	reportedAt time.Time
 }
 
-// wish is the load request for an adapter, combined over the gateways that need it.
-type wish struct {
-	version wardturn.Version
-	by      map[wardturn.Incarnation]gatewayWish
-	at      time.Time // of the latest message
+// pendingLoad is the load request for an adapter, combined over the gateways that need it.
+type pendingLoad struct {
+	version   wardturn.Version
+	gateways  map[wardturn.Incarnation]gatewayRequest
+	updatedAt time.Time // of the latest message
 }
 
-type gatewayWish struct {
-	waiting int
-	oldest  time.Duration
-	at      time.Time
+type gatewayRequest struct {
+	waiting   int
+	oldest    time.Duration
+	updatedAt time.Time
 }
 
 // waiting returns the number of requests that wait at all gateways whose load request
 // has not expired, and the longest wait.
-func (w *wish) waiting(now time.Time) (n int, oldest time.Duration) {
-	for _, g := range w.by {
-		if now.Sub(g.at) > wishLife {
+func (w *pendingLoad) waiting(now time.Time) (n int, oldest time.Duration) {
+	for _, g := range w.gateways {
+		if now.Sub(g.updatedAt) > loadRequestLifetime {
 			continue
 		}
 		n += g.waiting
@@ -78,7 +78,7 @@
 	return n, oldest
 }
 
-type use struct {
+type adapterUse struct {
 	demand  Demand
 	running map[wardturn.Incarnation]int // by gateway
 	last    time.Time
@@ -87,13 +87,13 @@
 // NewPlaces returns the placement for an engine that has not reported yet.
 func NewPlaces(now time.Time, p wardturn.Policy) *Places {
 	return &Places{
-		policy:  p,
-		start:   now,
-		wishes:  make(map[wardturn.ModelAdapter]*wish),
-		uses:    make(map[wardturn.ModelAdapter]*use),
-		leaving: make(map[wardturn.ModelAdapter]time.Time),
-		readyAt: make(map[wardturn.ModelAdapter]time.Time),
-		lost:    make(map[wardturn.ModelAdapter]time.Time),
+		policy:   p,
+		start:    now,
+		pending:  make(map[wardturn.ModelAdapter]*pendingLoad),
+		uses:     make(map[wardturn.ModelAdapter]*adapterUse),
+		leaving:  make(map[wardturn.ModelAdapter]time.Time),
+		readyAt:  make(map[wardturn.ModelAdapter]time.Time),
+		orphaned: make(map[wardturn.ModelAdapter]time.Time),
 	}
 }
 
@@ -104,31 +104,31 @@
 
 // Wish records or renews a gateway's load request for an adapter.
 func (p *Places) Wish(now time.Time, gateway wardturn.Incarnation, a wardturn.AdapterVersion, waiting int, oldest time.Duration) {
-	w := p.wishes[a.Key()]
+	w := p.pending[a.Key()]
 	if w == nil {
-		w = &wish{
-			by: make(map[wardturn.Incarnation]gatewayWish),
+		w = &pendingLoad{
+			gateways: make(map[wardturn.Incarnation]gatewayRequest),
 		}
-		p.wishes[a.Key()] = w
+		p.pending[a.Key()] = w
 	}
 	if p.holds(a.Key(), a.Version) {
 		delete(p.leaving, a.Key()) // cancels a pending eviction
-		u := p.use(a.Key())
+		u := p.useOf(a.Key())
 		u.last = now
 	}
 	w.version = max(w.version, a.Version)
-	w.by[gateway] = gatewayWish{
-		waiting: waiting,
-		oldest:  oldest,
-		at:      now,
+	w.gateways[gateway] = gatewayRequest{
+		waiting:   waiting,
+		oldest:    oldest,
+		updatedAt: now,
 	}
-	w.at = now
+	w.updatedAt = now
 }
 
 // Use records a gateway's request counts for an adapter: those started since its previous
 // message, and those running now.
 func (p *Places) Use(now time.Time, gateway wardturn.Incarnation, key wardturn.ModelAdapter, started, running int) {
-	u := p.use(key)
+	u := p.useOf(key)
 	for range started {
 		u.demand.Arrive(now)
 	}
@@ -141,10 +141,10 @@
 	}
 }
 
-func (p *Places) use(key wardturn.ModelAdapter) *use {
+func (p *Places) useOf(key wardturn.ModelAdapter) *adapterUse {
 	u := p.uses[key]
 	if u == nil {
-		u = &use{
+		u = &adapterUse{
 			demand:  NewDemand(p.start),
 			running: make(map[wardturn.Incarnation]int),
 		}
@@ -153,9 +153,9 @@
 	return u
 }
 
-// lostFor is how long requests of a disconnected gateway are assumed to run. The longest
-// streams take over 7 s.
-const lostFor = 8 * time.Second
+// orphanLifetime is how long requests of a disconnected gateway are assumed to run. The
+// longest streams take over 7 s.
+const orphanLifetime = 8 * time.Second
 
 // GatewayLost drops the request counts of a gateway whose connection ended. The gateway
 // may only be partitioned from the keeper, so its requests are assumed to still run while
@@ -164,33 +164,33 @@
 func (p *Places) GatewayLost(gateway wardturn.Incarnation) {
 	for key, u := range p.uses {
 		if u.running[gateway] > 0 {
-			p.lost[key] = p.reportedAt.Add(lostFor)
+			p.orphaned[key] = p.reportedAt.Add(orphanLifetime)
 		}
 		delete(u.running, gateway)
 	}
-	p.forgetLost()
+	p.dropOrphaned()
 }
 
-// forgetLost drops the assumed requests of disconnected gateways once the engine runs no
+// dropOrphaned drops the assumed requests of disconnected gateways once the engine runs no
 // more requests than the connected ones report.
-func (p *Places) forgetLost() {
-	if len(p.lost) == 0 {
+func (p *Places) dropOrphaned() {
+	if len(p.orphaned) == 0 {
 		return
 	}
-	told := 0
+	reported := 0
 	for _, u := range p.uses {
 		for _, n := range u.running {
-			told += n
+			reported += n
 		}
 	}
-	if p.state.Running <= told {
-		clear(p.lost)
+	if p.state.Running <= reported {
+		clear(p.orphaned)
 	}
 }
 
 // Defer delays the next order until the given time.
 func (p *Places) Defer(until time.Time) {
-	p.retryAt = until
+	p.notBefore = until
 }
 
 // Leaving reports whether an adapter is about to be unloaded or replaced.
@@ -209,14 +209,14 @@
 
 // Wanting reports whether Next may have an order.
 func (p *Places) Wanting() bool {
-	return len(p.wishes) > 0 || len(p.state.Loading) > 0 || len(p.leaving) > 0 || len(p.state.Models) == 0
+	return len(p.pending) > 0 || len(p.state.Loading) > 0 || len(p.leaving) > 0 || len(p.state.Models) == 0
 }
 
 // Next returns the order to give now, or false if there is none. A busy engine rejects
 // all orders, so none is returned for it.
 func (p *Places) Next(now time.Time) (PlaceOrder, bool) {
 	p.expire(now)
-	if !p.known || p.state.Busy || len(p.spec.Models) == 0 || now.Before(p.retryAt) {
+	if !p.known || p.state.Busy || len(p.spec.Models) == 0 || now.Before(p.notBefore) {
 		return PlaceOrder{}, false
 	}
 	if len(p.state.Models) == 0 {
@@ -226,8 +226,8 @@
 			},
 		}, true
 	}
-	for _, key := range p.ranked(now) {
-		if o, ok := p.towards(now, key); ok {
+	for _, key := range p.byValue(now) {
+		if o, ok := p.nextOrderFor(now, key); ok {
 			return o, true
 		}
 	}
@@ -237,19 +237,19 @@
 // expire drops load requests that are fulfilled or were not repeated, evictions that were
 // announced but not needed any more, and assumed requests of disconnected gateways.
 func (p *Places) expire(now time.Time) {
-	for key, w := range p.wishes {
-		if now.Sub(w.at) > wishLife || p.holds(key, w.version) {
-			delete(p.wishes, key)
+	for key, w := range p.pending {
+		if now.Sub(w.updatedAt) > loadRequestLifetime || p.holds(key, w.version) {
+			delete(p.pending, key)
 		}
 	}
 	for key, at := range p.leaving {
-		if now.Sub(at) > wishLife {
+		if now.Sub(at) > loadRequestLifetime {
 			delete(p.leaving, key)
 		}
 	}
-	for key, until := range p.lost {
+	for key, until := range p.orphaned {
 		if now.After(until) {
-			delete(p.lost, key)
+			delete(p.orphaned, key)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 	return 0, false
 }
 
-func (p *Places) coming(key wardturn.ModelAdapter) bool {
+func (p *Places) isLoading(key wardturn.ModelAdapter) bool {
 	return slices.ContainsFunc(p.state.Loading, func(a wardturn.AdapterVersion) bool {
 		return a.Key() == key
 	})
@@ -308,14 +308,14 @@
 	return n
 }
 
-// ranked returns the adapters with load requests in descending order of value.
-func (p *Places) ranked(now time.Time) []wardturn.ModelAdapter {
+// byValue returns the adapters with load requests in descending order of value.
+func (p *Places) byValue(now time.Time) []wardturn.ModelAdapter {
 	type scored struct {
 		key   wardturn.ModelAdapter
 		value float64
 	}
-	list := make([]scored, 0, len(p.wishes))
-	for key := range p.wishes {
+	list := make([]scored, 0, len(p.pending))
+	for key := range p.pending {
 		list = append(list, scored{
 			key:   key,
 			value: p.value(now, key),
@@ -349,17 +349,18 @@
 			in.Running += n
 		}
 	}
-	if w := p.wishes[key]; w != nil {
+	if w := p.pending[key]; w != nil {
 		in.Waiting, in.WaitingLong = w.waiting(now)
 	}
 	_, in.Resident = p.resident(key)
 	return p.policy.Slot(in)
 }
 
-// towards returns the next order needed to get an adapter loaded, if one can be given now.
-func (p *Places) towards(now time.Time, key wardturn.ModelAdapter) (PlaceOrder, bool) {
-	w := p.wishes[key]
-	if !p.modelLoaded(key.Model) || p.coming(key) {
+// nextOrderFor returns the next order needed to get an adapter loaded, if one can be
+// given now.
+func (p *Places) nextOrderFor(now time.Time, key wardturn.ModelAdapter) (PlaceOrder, bool) {
+	w := p.pending[key]
+	if !p.modelLoaded(key.Model) || p.isLoading(key) {
 		return PlaceOrder{}, false
 	}
 	load := PlaceOrder{
@@ -369,7 +370,7 @@
 	if _, ok := p.resident(key); ok {
 		// While requests run on the old version, the order would block all other orders
 		// of the engine until they end.
-		return load, p.noticed(now, key) && !p.runs(key)
+		return load, p.announceEviction(now, key) && !p.hasRunning(key)
 	}
 	if len(p.state.Loading) >= MaxComing {
 		return PlaceOrder{}, false
@@ -381,7 +382,7 @@
 		return PlaceOrder{}, false // a slot becomes free when the replacement is done
 	}
 	victim, ok := p.victim(now, p.value(now, key))
-	if !ok || !p.noticed(now, victim) {
+	if !ok || !p.announceEviction(now, victim) {
 		return PlaceOrder{}, false
 	}
 	return PlaceOrder{
@@ -390,9 +391,9 @@
 	}, true
 }
 
-// noticed marks an adapter as leaving and reports whether the eviction notice has passed
-// since it was first marked.
-func (p *Places) noticed(now time.Time, key wardturn.ModelAdapter) bool {
+// announceEviction marks an adapter as leaving and reports whether the eviction notice
+// has passed since it was first marked.
+func (p *Places) announceEviction(now time.Time, key wardturn.ModelAdapter) bool {
 	at, ok := p.leaving[key]
 	if !ok {
 		p.leaving[key] = now
--- a/decide/places_report.go
+++ b/decide/places_report.go
@@ -11,7 +11,7 @@
 	p.state = st
 	p.known = true
 	p.reportedAt = now
-	p.forgetLost()
+	p.dropOrphaned()
 	held := make(map[wardturn.ModelAdapter]bool)
 	for _, m := range st.Models {
 		for _, a := range m.Adapters {
@@ -34,7 +34,7 @@
 func (p *Places) Restarted() {
 	clear(p.leaving)
 	clear(p.readyAt)
-	clear(p.lost)
+	clear(p.orphaned)
 	for _, u := range p.uses {
 		clear(u.running)
 	}
--- a/decide/places_test.go
+++ b/decide/places_test.go
@@ -46,24 +46,24 @@
 		}
 		p.Report(now, st)
 	}
-	wish := func(name string, waiting int) {
+	request := func(name string, waiting int) {
 		p.Wish(now, "g1", version(name, 1), waiting, 0)
 	}
 	next := func() (decide.PlaceOrder, bool) {
 		return p.Next(now)
 	}
-	none := func() {
+	expectNone := func() {
 		GinkgoHelper()
 		_, ok := next()
 		Expect(ok).To(BeFalse())
 	}
-	expect := func(o decide.PlaceOrder) {
+	expectOrder := func(o decide.PlaceOrder) {
 		GinkgoHelper()
 		got, ok := next()
 		Expect(ok).To(BeTrue())
 		Expect(got).To(Equal(o))
 	}
-	pass := func(d time.Duration) {
+	advance := func(d time.Duration) {
 		now = now.Add(d)
 	}
 
@@ -71,26 +71,26 @@
 		Expect(p.Free(now)).To(Equal(decide.MaxFree)) // all three slots are empty
 		report([]string{"c"}, "a", "b")
 		Expect(p.Free(now)).To(BeZero()) // a and b were just loaded
-		pass(time.Second)
+		advance(time.Second)
 		Expect(p.Free(now)).To(Equal(2)) // a and b are idle
 		p.Use(now, "g1", key("a"), 1, 1)
 		p.Use(now, "g1", key("b"), 1, 1)
 		Expect(p.Free(now)).To(BeZero())
 		p.Use(now, "g1", key("a"), 0, 0)
-		pass(time.Second)
+		advance(time.Second)
 		Expect(p.Free(now)).To(Equal(1)) // a may be evicted
-		wish("d", 1)
+		request("d", 1)
 		Expect(p.Free(now)).To(BeZero()) // its slot is for d
 	})
 
 	It("counts two slots for an adapter that is being replaced", func() {
 		report([]string{"a"}, "a", "b")
-		wish("c", 1)
-		none()
-		pass(10 * time.Millisecond)
-		none() // nothing is evicted for c either
+		request("c", 1)
+		expectNone()
+		advance(10 * time.Millisecond)
+		expectNone() // nothing is evicted for c either
 		report(nil, "a", "b")
-		expect(decide.PlaceOrder{
+		expectOrder(decide.PlaceOrder{
 			Target:  key("c"),
 			Version: 1,
 		})
@@ -101,8 +101,8 @@
 		for _, g := range []wardturn.Incarnation{"g1", "g2", "g3"} {
 			p.Wish(now, g, version("shared", 1), 2, 0)
 		}
-		wish("single", 3)
-		expect(decide.PlaceOrder{
+		request("single", 3)
+		expectOrder(decide.PlaceOrder{
 			Target:  key("shared"),
 			Version: 1,
 		})
@@ -122,13 +122,13 @@
 	})
 
 	It("gives no order before the engine has reported", func() {
-		wish("a", 1)
-		none()
+		request("a", 1)
+		expectNone()
 	})
 
 	It("loads the model into an empty engine, unless the engine is busy", func() {
 		p.Report(now, wardturn.EngineState{})
-		expect(decide.PlaceOrder{
+		expectOrder(decide.PlaceOrder{
 			Target: wardturn.ModelAdapter{
 				Model: "m",
 			},
@@ -136,13 +136,13 @@
 		p.Report(now, wardturn.EngineState{
 			Busy: true,
 		})
-		none()
+		expectNone()
 	})
 
 	It("loads a requested adapter into a free slot", func() {
 		report(nil, "a")
-		wish("b", 1)
-		expect(decide.PlaceOrder{
+		request("b", 1)
+		expectOrder(decide.PlaceOrder{
 			Target:  key("b"),
 			Version: 1,
 		})
@@ -150,11 +150,11 @@
 
 	It("counts loading adapters as occupying slots", func() {
 		report([]string{"x", "y"}, "a")
-		pass(time.Second)
-		wish("b", 1)
+		advance(time.Second)
+		request("b", 1)
 		_, ok := next()
 		Expect(ok).To(BeFalse()) // the eviction is only announced
-		pass(10 * time.Millisecond)
+		advance(10 * time.Millisecond)
 		got, ok := next()
 		Expect(ok).To(BeTrue())
 		Expect(got.Unload).To(BeTrue())
@@ -170,8 +170,8 @@
 			},
 		})
 		report([]string{"w", "x", "y", "z"})
-		wish("b", 1)
-		none()
+		request("b", 1)
+		expectNone()
 	})
 
 	It("evicts the least used adapter after announcing it to the gateways", func() {
@@ -180,12 +180,12 @@
 			p.Use(now, "g", key("a"), 1, 0)
 			p.Use(now, "g", key("c"), 1, 0)
 		}
-		pass(2 * time.Second)
-		wish("d", 1)
-		none()
+		advance(2 * time.Second)
+		request("d", 1)
+		expectNone()
 		Expect(p.Leaving(key("b"))).To(BeTrue())
-		pass(5 * time.Millisecond)
-		expect(decide.PlaceOrder{
+		advance(5 * time.Millisecond)
+		expectOrder(decide.PlaceOrder{
 			Unload: true,
 			Target: key("b"),
 		})
@@ -196,19 +196,19 @@
 		for _, name := range []string{"a", "b", "c"} {
 			p.Use(now, "g", key(name), 1, 1)
 		}
-		pass(2 * time.Second)
-		wish("d", 1)
-		none()
+		advance(2 * time.Second)
+		request("d", 1)
+		expectNone()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b")) || p.Leaving(key("c"))).To(BeFalse())
 		p.GatewayLost("g")
-		none()
+		expectNone()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b")) || p.Leaving(key("c"))).To(BeTrue())
 	})
 
-	// A partitioned gateway can't report its requests, so their adapters used to look idle.
-	// An engine that is ordered to unload an adapter in use first waits for the requests to
-	// end and refuses all other orders until then. Keeper logs of a network partition show an
-	// engine that accepted no orders for up to 2 s.
+	// A partitioned gateway can't report its requests, so their adapters used to look
+	// idle. An engine that is ordered to unload an adapter in use first waits for the
+	// requests to end and refuses all other orders until then. Keeper logs of a network
+	// partition show an engine that accepted no orders for up to 2 s.
 	It("does not evict adapters that requests of a partitioned gateway may still use", func() {
 		runs := func(n int) {
 			st := p.State()
@@ -221,14 +221,14 @@
 		}
 		p.Use(now, "other", key("c"), 1, 1)
 		runs(3)
-		pass(2 * time.Second)
+		advance(2 * time.Second)
 		p.GatewayLost("g")
 		runs(2) // one of the lost gateway's two requests has ended
-		wish("d", 1)
-		none()
+		request("d", 1)
+		expectNone()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b"))).To(BeFalse())
 		runs(1) // the remaining request is the other gateway's
-		none()
+		expectNone()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b"))).To(BeTrue())
 	})
 
@@ -241,9 +241,9 @@
 		st.Running = 3
 		p.Report(now, st)
 		p.GatewayLost("g")
-		pass(20 * time.Second)
-		wish("d", 1)
-		none()
+		advance(20 * time.Second)
+		request("d", 1)
+		expectNone()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b")) || p.Leaving(key("c"))).To(BeTrue())
 	})
 
@@ -251,24 +251,24 @@
 		report(nil, "a", "b", "c")
 		p.Use(now, "g", key("a"), 5, 0)
 		p.Use(now, "g", key("b"), 5, 0)
-		pass(2 * time.Second)
-		wish("d", 1)
-		none()
+		advance(2 * time.Second)
+		request("d", 1)
+		expectNone()
 		Expect(p.Leaving(key("c"))).To(BeTrue())
-		wish("c", 1)
+		request("c", 1)
 		Expect(p.Leaving(key("c"))).To(BeFalse())
-		pass(5 * time.Millisecond)
-		none() // the eviction of another one is announced first
+		advance(5 * time.Millisecond)
+		expectNone() // the eviction of another one is announced first
 		Expect(p.Leaving(key("c"))).To(BeFalse())
 	})
 
 	It("replaces an old version after announcing it to the gateways", func() {
 		report(nil, "a")
 		p.Wish(now, "g1", version("a", 2), 1, 0)
-		none()
+		expectNone()
 		Expect(p.Leaving(key("a"))).To(BeTrue())
-		pass(5 * time.Millisecond)
-		expect(decide.PlaceOrder{
+		advance(5 * time.Millisecond)
+		expectOrder(decide.PlaceOrder{
 			Target:  key("a"),
 			Version: 2,
 		})
@@ -276,28 +276,28 @@
 
 	It("does not replace a version in use, and loads other adapters meanwhile", func() {
 		report(nil, "a")
-		pass(time.Second)
+		advance(time.Second)
 		p.Use(now, "g1", key("a"), 1, 1)
 		renew := func() {
 			p.Wish(now, "g1", version("a", 2), 5, 0)
 		}
 		renew()
-		none()
+		expectNone()
 		Expect(p.Leaving(key("a"))).To(BeTrue())
 		for range 10 {
-			pass(300 * time.Millisecond)
+			advance(300 * time.Millisecond)
 			renew()
-			none()
+			expectNone()
 			Expect(p.Leaving(key("a"))).To(BeTrue()) // so gateways send no new requests to it
 		}
-		wish("b", 1)
-		expect(decide.PlaceOrder{
+		request("b", 1)
+		expectOrder(decide.PlaceOrder{
 			Target:  key("b"),
 			Version: 1,
 		})
 		p.Use(now, "g1", key("a"), 0, 0)
 		report([]string{"b"}, "a")
-		expect(decide.PlaceOrder{
+		expectOrder(decide.PlaceOrder{
 			Target:  key("a"),
 			Version: 2,
 		})
@@ -308,17 +308,17 @@
 		st := p.State()
 		st.Busy = true
 		p.Report(now, st)
-		pass(time.Second)
-		wish("d", 1)
-		none()
-		pass(10 * time.Millisecond)
-		none()
+		advance(time.Second)
+		request("d", 1)
+		expectNone()
+		advance(10 * time.Millisecond)
+		expectNone()
 		for _, name := range []string{"a", "b", "c"} {
 			Expect(p.Leaving(key(name))).To(BeFalse())
 		}
 		report(nil, "a", "b", "c")
-		none()
-		pass(10 * time.Millisecond)
+		expectNone()
+		advance(10 * time.Millisecond)
 		got, ok := next()
 		Expect(ok).To(BeTrue())
 		Expect(got.Unload).To(BeTrue())
@@ -326,9 +326,9 @@
 
 	It("forgets load requests that are not repeated", func() {
 		report(nil)
-		wish("a", 1)
-		pass(time.Second)
-		none()
+		request("a", 1)
+		advance(time.Second)
+		expectNone()
 	})
 
 	It("never exceeds the number of slots, whatever is requested and reported", func() {
@@ -345,9 +345,9 @@
 			report(c, h...)
 		}
 		for i := range 2000 {
-			wish(fmt.Sprint("a", i*7%23), 1+i%3)
+			request(fmt.Sprint("a", i*7%23), 1+i%3)
 			state()
-			pass(7 * time.Millisecond)
+			advance(7 * time.Millisecond)
 			if o, ok := next(); ok {
 				if o.Unload {
 					delete(held, string(o.Target.Adapter))
--- a/decide/plan.go
+++ b/decide/plan.go
@@ -49,7 +49,7 @@
 func (a *Agent) nextInteractive(now time.Time) *item {
 	best := a.first(now, &a.plain)
 	for i := range a.slots {
-		ad := a.servingSlot(i)
+		ad := a.servingAdapter(i)
 		if ad == nil {
 			continue
 		}
@@ -68,7 +68,7 @@
 	pinned := a.pinnedSlots()
 	var best *item
 	for i := range a.slots {
-		ad := a.servingSlot(i)
+		ad := a.servingAdapter(i)
 		if ad == nil || ad.batch.len() == 0 {
 			continue
 		}
@@ -76,7 +76,7 @@
 			continue
 		}
 		it := a.first(now, &ad.batch)
-		if a.held(now, it) {
+		if a.heldBack(now, it) {
 			continue
 		}
 		best = a.earlier(now, best, it)
@@ -84,8 +84,8 @@
 	return best
 }
 
-// servingSlot returns the adapter of a slot that may start requests.
-func (a *Agent) servingSlot(i int) *adapter {
+// servingAdapter returns the adapter of a slot that may start requests.
+func (a *Agent) servingAdapter(i int) *adapter {
 	s := &a.slots[i]
 	if s.state != SlotReady || s.draining {
 		return nil
@@ -114,9 +114,9 @@
 	return y
 }
 
-// held reports whether the policy holds a batch item back. An item near its deadline is
+// heldBack reports whether the policy holds a batch item back. An item near its deadline is
 // never held.
-func (a *Agent) held(now time.Time, it *item) bool {
+func (a *Agent) heldBack(now time.Time, it *item) bool {
 	in := a.queueInput(now, it)
 	if !it.work.Deadline.IsZero() && in.Deadline < holdMargin*a.serveTime+a.loadTime {
 		return false
@@ -150,10 +150,10 @@
 
 // stalled returns how long an item waited for its adapter to become ready.
 func (a *Agent) stalled(it *item) time.Duration {
-	if it.stallFrom.IsZero() {
+	if it.stalledSince.IsZero() {
 		return 0
 	}
-	return max(0, a.slots[it.adapter.slot].since.Sub(it.stallFrom))
+	return max(0, a.slots[it.adapter.slot].since.Sub(it.stalledSince))
 }
 
 func (a *Agent) unpin(it *item) {
@@ -172,33 +172,33 @@
 		return
 	}
 	for {
-		want := a.bestWant(now)
-		if want == nil {
+		missing := a.nextLoad(now)
+		if missing == nil {
 			a.stopDraining()
 			a.permits.Withdraw(now)
 			return
 		}
-		i := a.victim(now, want)
+		i := a.victim(now, missing)
 		if i == noSlot {
-			a.drainFor(now, want)
+			a.drainFor(now, missing)
 			a.permits.Withdraw(now)
 			return
 		}
-		if !a.permits.Take(now, a.wish(now, want)) {
+		if !a.permits.Take(now, a.permitRequest(now, missing)) {
 			return
 		}
-		a.shadowLoad(now, want, i)
-		a.bring(i, want, now, out)
+		a.shadowLoad(now, missing, i)
+		a.loadInto(i, missing, now, out)
 	}
 }
 
-func (a *Agent) wish(now time.Time, want *adapter) Wish {
+func (a *Agent) permitRequest(now time.Time, missing *adapter) Wish {
 	w := Wish{
 		Class: wardturn.Interactive,
-		Value: a.value(now, want),
+		Value: a.value(now, missing),
 		Want:  max(1, a.urgentWants(now)),
 	}
-	if !a.urgent(now, want) {
+	if !a.urgent(now, missing) {
 		// Batch loads prefer engines that already run batch work, so that the steps of
 		// one engine are full instead of those of all engines being half empty.
 		w.Class = wardturn.Batch
@@ -224,9 +224,9 @@
 	return ad.interactive.len() > 0 || ad.batch.oldest(now) > batchStarveFactor*a.cfg.StarveAfter
 }
 
-// bestWant returns the adapter to load next, or nil: urgent ones before others, then by
+// nextLoad returns the adapter to load next, or nil: urgent ones before others, then by
 // value. Adapters in backoff after a failed load are skipped.
-func (a *Agent) bestWant(now time.Time) *adapter {
+func (a *Agent) nextLoad(now time.Time) *adapter {
 	var best *adapter
 	for _, ad := range a.wanted {
 		if now.Before(ad.retryAt) || !a.loadable(now, ad) {
@@ -244,7 +244,7 @@
 	if ad.interactive.len() > 0 {
 		return true
 	}
-	return !a.held(now, ad.batch.items[0])
+	return !a.heldBack(now, ad.batch.items[0])
 }
 
 func (a *Agent) worthMore(now time.Time, x, y *adapter) bool {
@@ -289,7 +289,7 @@
 
 // victim returns the slot to load a missing adapter into: an empty one, a drained one, or
 // the least valuable idle one if the missing adapter is worth more.
-func (a *Agent) victim(now time.Time, want *adapter) int {
+func (a *Agent) victim(now time.Time, missing *adapter) int {
 	best := noSlot
 	for i := range a.slots {
 		s := &a.slots[i]
@@ -306,7 +306,7 @@
 			best = i
 		}
 	}
-	if best == noSlot || a.outranks(now, want, a.adapters[a.slots[best].ref]) {
+	if best == noSlot || a.outranks(now, missing, a.adapters[a.slots[best].ref]) {
 		return best
 	}
 	return noSlot
@@ -315,7 +315,7 @@
 // evictable reports whether a slot may be unloaded: it runs no requests of this agent or an
 // earlier one, and no interactive requests wait for it unless it is draining.
 func (a *Agent) evictable(s *slot) bool {
-	if s.state != SlotReady || s.foreign {
+	if s.state != SlotReady || s.inherited {
 		return false
 	}
 	ad := a.adapters[s.ref]
@@ -323,17 +323,17 @@
 }
 
 // outranks reports whether a missing adapter may replace a resident one.
-func (a *Agent) outranks(now time.Time, want, resident *adapter) bool {
-	if want.interactive.oldest(now) > a.cfg.StarveAfter {
+func (a *Agent) outranks(now time.Time, missing, resident *adapter) bool {
+	if missing.interactive.oldest(now) > a.cfg.StarveAfter {
 		return true
 	}
-	return a.value(now, want) > a.value(now, resident)
+	return a.value(now, missing) > a.value(now, resident)
 }
 
 // drainFor stops new requests on the least valuable busy slot, so that an adapter that has
 // waited long gets a slot. Only one slot drains at a time.
-func (a *Agent) drainFor(now time.Time, want *adapter) {
-	if !a.urgent(now, want) || want.interactive.oldest(now) < a.cfg.DrainAfter {
+func (a *Agent) drainFor(now time.Time, missing *adapter) {
+	if !a.urgent(now, missing) || missing.interactive.oldest(now) < a.cfg.DrainAfter {
 		return
 	}
 	best := noSlot
@@ -349,7 +349,7 @@
 			best = i
 		}
 	}
-	if best == noSlot || !a.outranks(now, want, a.adapters[a.slots[best].ref]) {
+	if best == noSlot || !a.outranks(now, missing, a.adapters[a.slots[best].ref]) {
 		return
 	}
 	a.drain(now, best)
@@ -359,8 +359,8 @@
 	a.slots[i].draining = true
 	ad := a.adapters[a.slots[i].ref]
 	for _, it := range ad.interactive.items {
-		if it.stallFrom.IsZero() {
-			it.stallFrom = now
+		if it.stalledSince.IsZero() {
+			it.stalledSince = now
 		}
 	}
 }
@@ -371,13 +371,13 @@
 	}
 }
 
-// bring loads a missing adapter into a slot, which is unloaded first if it is occupied.
-func (a *Agent) bring(i int, want *adapter, now time.Time, out *Orders) {
+// loadInto loads a missing adapter into a slot, which is unloaded first if it is occupied.
+func (a *Agent) loadInto(i int, missing *adapter, now time.Time, out *Orders) {
 	if a.slots[i].state == SlotEmpty {
-		a.startLoad(i, want, now, out)
+		a.startLoad(i, missing, now, out)
 		return
 	}
-	a.startUnload(i, want.ref, now, out)
-	want.slot = i
-	a.trackWant(want)
+	a.startUnload(i, missing.ref, now, out)
+	missing.slot = i
+	a.trackMissing(missing)
 }
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -8,14 +8,14 @@
 
 // item is an attempt that is queued or running.
 type item struct {
-	work      Work
-	adapter   *adapter // nil for a plain service
-	arrived   time.Time
-	startedAt time.Time
-	stallFrom time.Time // when it began to wait for its adapter; zero if it did not
-	seq       uint64    // order of admission
-	rank      float64
-	running   bool
+	work         Work
+	adapter      *adapter // nil for a plain service
+	arrived      time.Time
+	startedAt    time.Time
+	stalledSince time.Time // when it began to wait for its adapter; zero if it did not
+	seq          uint64    // order of admission
+	rank         float64
+	running      bool
 }
 
 // late reports whether an item is past its deadline.
@@ -25,21 +25,21 @@
 
 // adapter is an agent's state for one adapter version.
 type adapter struct {
-	ref         wardturn.AdapterRef
-	demand      Demand
-	interactive queue
-	batch       queue
-	slot        int
-	running     int
-	failures    int
-	retryAt     time.Time // earliest time of the next load
-	missingAt   time.Time // when the agent last learned that the engine does not hold it
-	value       float64
-	valueAt     time.Time
-	wantIndex   int // index in Agent.wanted, or noWant
-}
-
-const noWant = -1
+	ref          wardturn.AdapterRef
+	demand       Demand
+	interactive  queue
+	batch        queue
+	slot         int
+	running      int
+	failures     int
+	retryAt      time.Time // earliest time of the next load
+	missingAt    time.Time // when the agent last learned that the engine does not hold it
+	value        float64
+	valueAt      time.Time
+	missingIndex int // index in Agent.wanted, or notMissing
+}
+
+const notMissing = -1
 
 func (ad *adapter) waiting() int {
 	return ad.interactive.len() + ad.batch.len()
@@ -96,10 +96,10 @@
 	ad := a.adapters[ref]
 	if ad == nil {
 		ad = &adapter{
-			ref:       ref,
-			demand:    NewDemand(a.started),
-			slot:      noSlot,
-			wantIndex: noWant,
+			ref:          ref,
+			demand:       NewDemand(a.started),
+			slot:         noSlot,
+			missingIndex: notMissing,
 		}
 		a.adapters[ref] = ad
 	}
@@ -127,21 +127,21 @@
 		it.rank = a.policy.Order(a.queueInput(now, it))
 	}
 	if !a.ready(it.adapter) {
-		it.stallFrom = now
+		it.stalledSince = now
 	}
 	a.queueOf(it).push(it)
 	a.countQueued(it, 1)
-	a.trackWant(it.adapter)
+	a.trackMissing(it.adapter)
 }
 
 // enqueueAgain requeues an item that the engine refused, ahead of all others.
 func (a *Agent) enqueueAgain(it *item) {
-	if it.stallFrom.IsZero() {
-		it.stallFrom = it.startedAt
+	if it.stalledSince.IsZero() {
+		it.stalledSince = it.startedAt
 	}
 	a.queueOf(it).pushFront(it)
 	a.countQueued(it, 1)
-	a.trackWant(it.adapter)
+	a.trackMissing(it.adapter)
 }
 
 func (a *Agent) dequeue(it *item) {
@@ -150,7 +150,7 @@
 	}
 	if it.adapter != nil {
 		it.adapter.valueAt = time.Time{}
-		a.trackWant(it.adapter)
+		a.trackMissing(it.adapter)
 	}
 }
 
@@ -161,30 +161,30 @@
 	}
 }
 
-// trackWant updates the adapter's membership in Agent.wanted, the adapters that have
+// trackMissing updates the adapter's membership in Agent.wanted, the adapters that have
 // waiting requests and no slot.
-func (a *Agent) trackWant(ad *adapter) {
+func (a *Agent) trackMissing(ad *adapter) {
 	if ad == nil {
 		return
 	}
 	wanted := ad.slot == noSlot && ad.waiting() > 0
 	switch {
-	case wanted && ad.wantIndex == noWant:
-		ad.wantIndex = len(a.wanted)
+	case wanted && ad.missingIndex == notMissing:
+		ad.missingIndex = len(a.wanted)
 		a.wanted = append(a.wanted, ad)
-	case !wanted && ad.wantIndex != noWant:
-		a.dropWant(ad)
+	case !wanted && ad.missingIndex != notMissing:
+		a.removeMissing(ad)
 	}
 }
 
-func (a *Agent) dropWant(ad *adapter) {
+func (a *Agent) removeMissing(ad *adapter) {
 	last := len(a.wanted) - 1
 	moved := a.wanted[last]
-	a.wanted[ad.wantIndex] = moved
-	moved.wantIndex = ad.wantIndex
+	a.wanted[ad.missingIndex] = moved
+	moved.missingIndex = ad.missingIndex
 	a.wanted[last] = nil
 	a.wanted = a.wanted[:last]
-	ad.wantIndex = noWant
+	ad.missingIndex = notMissing
 }
 
 // displace makes room in the queue for interactive work by refusing the newest queued batch
--- a/decide/room.go
+++ b/decide/room.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// askSettle is how long a load request counts as a load in flight before its keeper reports
-// the load. It is far longer than an order and its report take. An engine without a free
-// slot starts the load later, and until then the load uses no capacity of the store.
-const askSettle = 100 * time.Millisecond
+// requestSettleTime is how long a load request counts as a load in flight before its
+// keeper reports the load. It is far longer than an order and its report take. An engine
+// without a free slot starts the load later, and until then the load uses no capacity of
+// the store.
+const requestSettleTime = 100 * time.Millisecond
 
-// drawEvery is the least time between two random draws, about the time until other gateways
-// see the load that results from one.
-const drawEvery = 10 * time.Millisecond
+// drawInterval is the least time between two random draws, about the time until other
+// gateways see the load that results from one.
+const drawInterval = 10 * time.Millisecond
 
-// room returns how many loads from the weight store this gateway may request now: its share
-// of the window's free part. Gateways see each other's requests only after a delay, so a
-// share of less than one load is granted at random, with the share as its probability.
-func (f *Fleet) room(now time.Time) int {
+// availableLoads returns how many loads from the weight store this gateway may request
+// now: its share of the window's free part. Gateways see each other's requests only after
+// a delay, so a share of less than one load is granted at random, with the share as its
+// probability.
+func (f *Fleet) availableLoads(now time.Time) int {
 	share := f.share(now)
 	if share >= 1 {
 		return int(share)
 	}
-	if now.Sub(f.drawnAt) < drawEvery {
+	if now.Sub(f.drawnAt) < drawInterval {
 		return 0
 	}
 	f.drawnAt = now
@@ -32,24 +34,25 @@
 	return 0
 }
 
-// spare reports whether the store has capacity for a load that no request waits for. That
-// is so if this gateway's share is at least one load, or, at random, while more than half of
-// the window is free. With more gateways than the window has loads no share reaches one, and
-// without the random case no adapter would ever get a second engine.
-func (f *Fleet) spare(now time.Time) bool {
-	return f.share(now) >= 1 || 2*f.coming < f.window.Size() && f.room(now) > 0
+// hasSpareCapacity reports whether the store has capacity for a load that no request
+// waits for. That is so if this gateway's share is at least one load, or, at random,
+// while more than half of the window is free. With more gateways than the window has
+// loads no share reaches one, and without the random case no adapter would ever get a
+// second engine.
+func (f *Fleet) hasSpareCapacity(now time.Time) bool {
+	return f.share(now) >= 1 || 2*f.coming < f.window.Size() && f.availableLoads(now) > 0
 }
 
 func (f *Fleet) share(now time.Time) float64 {
 	left := float64(f.window.Size() - f.coming)
-	return left/float64(f.Gateways()) - float64(f.unseen(now))
+	return left/float64(f.Gateways()) - float64(f.unreportedLoads(now))
 }
 
-// unseen counts the recently requested loads that no keeper has reported yet.
-func (f *Fleet) unseen(now time.Time) int {
+// unreportedLoads counts the recently requested loads that no keeper has reported yet.
+func (f *Fleet) unreportedLoads(now time.Time) int {
 	n := 0
 	for _, w := range f.wants {
-		if w.askedAt.IsZero() || w.warm || now.Sub(w.askedAt) > askSettle {
+		if w.askedAt.IsZero() || w.warm || now.Sub(w.askedAt) > requestSettleTime {
 			continue
 		}
 		if m := f.members[w.home]; m == nil || !m.held[w.key].loading {
@@ -59,8 +62,8 @@
 	return n
 }
 
-// count updates the number of loads from the weight store at a member and in total.
-func (f *Fleet) count(m *Member) {
+// countLoads updates the number of loads from the weight store at a member and in total.
+func (f *Fleet) countLoads(m *Member) {
 	n := 0
 	for _, h := range m.held {
 		if h.loading && !h.warm {
--- a/decide/router.go
+++ b/decide/router.go
@@ -78,30 +78,31 @@
 }
 
 type pool struct {
-	near    []*target // of the entry's region, in order of upstream
-	far     []*target
-	load    float64 // sum over the near targets, kept up to date
-	swept   time.Time
-	scratch []scored
+	local          []*target // of the entry's region, in order of upstream
+	remote         []*target
+	load           float64 // sum over the local targets, kept up to date
+	hintsCheckedAt time.Time
+	scratch        []scoredTarget
 }
 
 type target struct {
-	host     wardturn.Host
-	hash     uint64
-	pool     *pool
-	hint     Hint
-	hintAt   time.Time
-	mine     int // requests of this entry in flight
-	mineThen int // those of them that the hint includes
-	breaker  Breaker
-	near     bool // in the entry's region
-	removed  bool
+	host           wardturn.Host
+	hash           uint64
+	pool           *pool
+	hint           Hint
+	hintAt         time.Time
+	inFlight       int // requests of this entry in flight
+	inFlightAtHint int // those of them that the hint includes
+	breaker        Breaker
+	local          bool // in the entry's region
+	removed        bool
 }
 
-// scored is a target with its rendezvous score for an adapter. The highest score wins.
-type scored struct {
-	t     *target
-	score uint64
+// scoredTarget is a target with its rendezvous score for an adapter. The highest score
+// wins.
+type scoredTarget struct {
+	target *target
+	score  uint64
 }
 
 // NewRouter returns a router that knows no hosts yet.
@@ -139,13 +140,13 @@
 			pools[key] = p
 		}
 		t.pool = p
-		t.near = h.Region == r.cfg.Region
-		if t.near {
-			p.near = append(p.near, t)
+		t.local = h.Region == r.cfg.Region
+		if t.local {
+			p.local = append(p.local, t)
 			p.load += t.load()
 			continue
 		}
-		p.far = append(p.far, t)
+		p.remote = append(p.remote, t)
 	}
 	for id, t := range r.byID {
 		if byID[id] != t {
@@ -153,8 +154,8 @@
 		}
 	}
 	for _, p := range pools {
-		slices.SortFunc(p.near, byUpstream)
-		slices.SortFunc(p.far, byUpstream)
+		slices.SortFunc(p.local, byUpstream)
+		slices.SortFunc(p.remote, byUpstream)
 	}
 	r.byID = byID
 	r.pools = pools
@@ -170,18 +171,18 @@
 	if t == nil {
 		return
 	}
-	t.change(func() {
+	t.update(func() {
 		t.hint = h
 		t.hintAt = now
-		t.mineThen = t.mine
+		t.inFlightAtHint = t.inFlight
 	})
 }
 
 // Sent records that a request went to an upstream.
 func (r *Router) Sent(id wardturn.UpstreamID) {
 	if t := r.byID[id]; t != nil {
-		t.change(func() {
-			t.mine++
+		t.update(func() {
+			t.inFlight++
 		})
 	}
 }
@@ -193,9 +194,9 @@
 	if t == nil {
 		return
 	}
-	t.change(func() {
-		t.mine = max(0, t.mine-1)
-		t.mineThen = max(0, t.mineThen-1)
+	t.update(func() {
+		t.inFlight = max(0, t.inFlight-1)
+		t.inFlightAtHint = max(0, t.inFlightAtHint-1)
 	})
 	if healthy {
 		t.breaker.Succeed()
@@ -204,11 +205,11 @@
 	t.breaker.Fail(now)
 }
 
-// change applies f, which may change the target's load, and updates the pool's sum.
-func (t *target) change(f func()) {
+// update applies f, which may change the target's load, and updates the pool's sum.
+func (t *target) update(f func()) {
 	before := t.load()
 	f()
-	if t.near {
+	if t.local {
 		t.pool.load += t.load() - before
 	}
 }
@@ -216,7 +217,7 @@
 // load estimates the number of requests at a target: those in its latest hint and those
 // that this entry has sent since.
 func (t *target) load() float64 {
-	return float64(t.hint.Running + t.hint.Queued + max(0, t.mine-t.mineThen))
+	return float64(t.hint.Running + t.hint.Queued + max(0, t.inFlight-t.inFlightAtHint))
 }
 
 // Pick chooses an upstream for a request. It reports false if no upstream can take it.
@@ -241,9 +242,9 @@
 // the request. Upstreams with an open breaker are used if there are no others: a fault that
 // all upstreams show is no reason to refuse every request.
 func (r *Router) choose(now time.Time, p *pool, ask Ask) *target {
-	for _, tryEjected := range []bool{false, true} {
-		for _, targets := range [][]*target{p.near, p.far} {
-			if t := r.chooseAmong(now, p, targets, ask, tryEjected); t != nil {
+	for _, ignoreBreakers := range []bool{false, true} {
+		for _, targets := range [][]*target{p.local, p.remote} {
+			if t := r.chooseAmong(now, p, targets, ask, ignoreBreakers); t != nil {
 				return t
 			}
 		}
@@ -251,9 +252,9 @@
 	return nil
 }
 
-func (r *Router) chooseAmong(now time.Time, p *pool, targets []*target, ask Ask, tryEjected bool) *target {
+func (r *Router) chooseAmong(now time.Time, p *pool, targets []*target, ask Ask, ignoreBreakers bool) *target {
 	usable := func(t *target) bool {
-		return t.takes(ask) && (tryEjected || t.breaker.Allows(now))
+		return t.accepts(ask) && (ignoreBreakers || t.breaker.Allows(now))
 	}
 	switch {
 	case ask.Adapter.IsZero(), r.cfg.Mode == RouteLeastLoaded:
@@ -263,48 +264,48 @@
 		if len(list) == 0 {
 			return nil
 		}
-		return list[0].t
+		return list[0].target
 	}
-	return r.sticky(now, p, targets, usable, ask)
+	return r.chooseSticky(now, p, targets, usable, ask)
 }
 
-// takes reports whether a target may be given a request.
-func (t *target) takes(ask Ask) bool {
+// accepts reports whether a target may be given a request.
+func (t *target) accepts(ask Ask) bool {
 	return t.host.State != wardturn.HostLeaving && !t.hint.Leaving && !slices.Contains(ask.Tried, t.host.Upstream)
 }
 
-// sweepEach is the interval at which a pool is checked for expired hints.
-const sweepEach = time.Second
+// hintCheckInterval is the interval at which a pool is checked for expired hints.
+const hintCheckInterval = time.Second
 
 // expireHints drops the load hints of a pool that are older than the hint lifetime.
 func (r *Router) expireHints(now time.Time, p *pool) {
-	if now.Sub(p.swept) < sweepEach {
+	if now.Sub(p.hintsCheckedAt) < hintCheckInterval {
 		return
 	}
-	p.swept = now
-	for _, targets := range [][]*target{p.near, p.far} {
+	p.hintsCheckedAt = now
+	for _, targets := range [][]*target{p.local, p.remote} {
 		for _, t := range targets {
 			if !t.hintAt.IsZero() && now.Sub(t.hintAt) > r.cfg.HintLifetime {
-				t.forgetHint()
+				t.clearHint()
 			}
 		}
 	}
 }
 
-func (t *target) forgetHint() {
-	t.change(func() {
+func (t *target) clearHint() {
+	t.update(func() {
 		t.hint = Hint{
 			Capacity: t.hint.Capacity,
 			Leaving:  t.hint.Leaving,
 		}
-		t.mineThen = 0
+		t.inFlightAtHint = 0
 		t.hintAt = time.Time{}
 	})
 }
 
 // candidates returns the n usable targets with the highest rendezvous scores for an
 // adapter, in descending order. All entry hosts of a region compute the same scores.
-func (p *pool) candidates(targets []*target, usable func(*target) bool, ref wardturn.AdapterRef, n int) []scored {
+func (p *pool) candidates(targets []*target, usable func(*target) bool, ref wardturn.AdapterRef, n int) []scoredTarget {
 	key := hashString(string(ref.Adapter))
 	list := p.scratch[:0]
 	for _, t := range targets {
@@ -313,16 +314,16 @@
 			continue
 		}
 		if len(list) < n {
-			list = append(list, scored{})
+			list = append(list, scoredTarget{})
 		}
 		at := len(list) - 1
 		for at > 0 && list[at-1].score < score {
 			list[at] = list[at-1]
 			at--
 		}
-		list[at] = scored{
-			t:     t,
-			score: score,
+		list[at] = scoredTarget{
+			target: t,
+			score:  score,
 		}
 	}
 	p.scratch = list
@@ -334,19 +335,19 @@
 func (r *Router) leastLoaded(targets []*target, usable func(*target) bool) *target {
 	var best *target
 	for _, t := range targets {
-		if usable(t) && (best == nil || r.lighter(t, best)) {
+		if usable(t) && (best == nil || r.lessLoaded(t, best)) {
 			best = t
 		}
 	}
 	return best
 }
 
-// lighter reports whether x has less load than y. Ties go to the entry's own failure
+// lessLoaded reports whether x has less load than y. Ties go to the entry's own failure
 // domain.
-func (r *Router) lighter(x, y *target) bool {
+func (r *Router) lessLoaded(x, y *target) bool {
 	if x.load() != y.load() {
 		return x.load() < y.load()
 	}
-	near := x.host.Domain == r.cfg.Domain
-	return near && y.host.Domain != r.cfg.Domain
+	sameDomain := x.host.Domain == r.cfg.Domain
+	return sameDomain && y.host.Domain != r.cfg.Domain
 }
--- a/decide/slots.go
+++ b/decide/slots.go
@@ -47,13 +47,13 @@
 }
 
 type slot struct {
-	state    SlotState
-	ref      wardturn.AdapterRef
-	order    wardturn.OrderID
-	since    time.Time           // start of the state
-	draining bool                // accepts no further requests
-	foreign  bool                // may run requests of an earlier agent
-	next     wardturn.AdapterRef // to load after the unload
+	state     SlotState
+	ref       wardturn.AdapterRef
+	order     wardturn.OrderID
+	since     time.Time           // start of the state
+	draining  bool                // accepts no further requests
+	inherited bool                // may run requests of an earlier agent
+	loadNext  wardturn.AdapterRef // to load after the unload
 }
 
 // OrderResult is the result of an order to the engine.
@@ -143,7 +143,7 @@
 	if ad != nil {
 		ad.slot = noSlot
 		ad.missingAt = now
-		a.trackWant(ad)
+		a.trackMissing(ad)
 	}
 }
 
@@ -155,18 +155,18 @@
 	}
 	s := &a.slots[i]
 	s.order = 0
-	next := a.adapters[s.next]
-	s.next = wardturn.AdapterRef{}
+	next := a.adapters[s.loadNext]
+	s.loadNext = wardturn.AdapterRef{}
 	switch result {
 	case OrderDone:
 		a.release(s, now)
 		a.loadAfterUnload(i, next, now, out)
 	case OrderUncertain:
-		a.giveBack(i, next, now)
+		a.cancelLoad(i, next, now)
 		s.enter(SlotUncertain, now)
 	default:
-		a.giveBack(i, next, now)
-		s.foreign = true
+		a.cancelLoad(i, next, now)
+		s.inherited = true
 		s.enter(SlotReady, now)
 	}
 	a.plan(now, out)
@@ -176,19 +176,19 @@
 // that adapter any more.
 func (a *Agent) loadAfterUnload(i int, next *adapter, now time.Time, out *Orders) {
 	if next == nil || next.slot != i || next.waiting() == 0 {
-		a.giveBack(i, next, now)
+		a.cancelLoad(i, next, now)
 		return
 	}
 	a.startLoad(i, next, now, out)
 }
 
-// giveBack returns the permit of a load that will not start. The adapter waits for a slot
-// again unless another slot turned out to hold it.
-func (a *Agent) giveBack(i int, next *adapter, now time.Time) {
+// cancelLoad cancels a load that has not started and returns its permit. The adapter
+// waits for a slot again unless another slot turned out to hold it.
+func (a *Agent) cancelLoad(i int, next *adapter, now time.Time) {
 	a.permits.Return(now)
 	if next != nil && next.slot == i {
 		next.slot = noSlot
-		a.trackWant(next)
+		a.trackMissing(next)
 	}
 }
 
@@ -198,7 +198,7 @@
 	s.ref = ad.ref
 	s.order = a.nextOrder()
 	ad.slot = i
-	a.trackWant(ad)
+	a.trackMissing(ad)
 	a.stats.Loads++
 	out.Load = append(out.Load, SlotOrder{
 		ID:      s.order,
@@ -210,7 +210,7 @@
 	s := &a.slots[i]
 	s.enter(SlotUnloading, now)
 	s.order = a.nextOrder()
-	s.next = next
+	s.loadNext = next
 	a.stats.Evictions++
 	out.Unload = append(out.Unload, SlotOrder{
 		ID:      s.order,
@@ -228,7 +228,7 @@
 	a.lastReport = rep.At
 	a.informed = a.informed || !rep.At.Before(a.started)
 	for i := range a.slots {
-		a.settle(&a.slots[i], rep, now)
+		a.reconcile(&a.slots[i], rep, now)
 	}
 	for _, res := range rep.Resident {
 		a.adopt(res.Adapter, SlotReady, rep.At, now)
@@ -239,28 +239,28 @@
 	a.plan(now, out)
 }
 
-func (a *Agent) settle(s *slot, rep wardturn.EngineReport, now time.Time) {
+func (a *Agent) reconcile(s *slot, rep wardturn.EngineReport, now time.Time) {
 	if !rep.At.After(s.since) {
 		return
 	}
 	running, resident := residentIn(rep, s.ref)
 	switch s.state {
 	case SlotUncertain:
-		a.settleUncertain(s, rep, resident, now)
+		a.resolveUncertain(s, rep, resident, now)
 	case SlotReady:
 		if !resident {
 			a.lose(s, now)
 			return
 		}
-		if s.foreign && running == 0 {
-			s.foreign = false
+		if s.inherited && running == 0 {
+			s.inherited = false
 		}
 	}
 }
 
-func (a *Agent) settleUncertain(s *slot, rep wardturn.EngineReport, resident bool, now time.Time) {
+func (a *Agent) resolveUncertain(s *slot, rep wardturn.EngineReport, resident bool, now time.Time) {
 	if resident {
-		s.foreign = true
+		s.inherited = true
 		s.enter(SlotReady, now)
 		return
 	}
@@ -292,10 +292,10 @@
 		}
 		s.enter(state, now)
 		s.ref = ref
-		s.foreign = true
+		s.inherited = true
 		ad := a.adapter(ref)
 		ad.slot = i
-		a.trackWant(ad)
+		a.trackMissing(ad)
 		return
 	}
 }
--- a/decide/wait.go
+++ b/decide/wait.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// plainOverfill is the limit of concurrent requests at a plain upstream, relative to
+	// plainFillLimit is the limit of concurrent requests at a plain upstream, relative to
 	// its slots. A few may queue there.
-	plainOverfill = 2.0
-	// engineOverfill is the same limit for engines, relative to their batch. Larger batches
-	// run slower, and requests beyond the batch queue.
-	engineOverfill = 1.0
-	// shortPause is the retry time for requests that are refused because all upstreams are
-	// full. Capacity becomes free within the time of a few generations.
-	shortPause = 300 * time.Millisecond
+	plainFillLimit = 2.0
+	// engineFillLimit is the same limit for engines, relative to their batch. Larger
+	// batches run slower, and requests beyond the batch queue.
+	engineFillLimit = 1.0
+	// fullRetryAfter is the retry time for requests that are refused because all
+	// upstreams are full. Capacity becomes free within the time of a few generations.
+	fullRetryAfter = 300 * time.Millisecond
 	// maxComeBack bounds the retry time reported to callers.
 	maxComeBack = 3 * time.Second
 )
@@ -35,7 +35,7 @@
 	Tried     []wardturn.UpstreamID
 	Assign    func(Assignment) // called once, under the fleet's lock
 
-	want    *want
+	missing *want
 	booked  *Member // the engine whose adapter it waits for and for which its prompt is counted
 	settled bool    // accepts a slow engine instead of waiting longer
 }
@@ -92,20 +92,20 @@
 		f.admitPlain(now, t)
 		return
 	}
-	if f.place(now, t, out) {
+	if f.tryAssign(now, t, out) {
 		return
 	}
 	if reason, back, none := f.turnedAway(now, t); none {
 		t.refuse(reason, back)
 		return
 	}
-	f.wait(now, t, out)
+	f.enqueue(now, t, out)
 }
 
 func (f *Fleet) admitPlain(now time.Time, t *Ticket) {
 	m := f.plainMember(now, t, 1)
 	if m == nil {
-		m = f.plainMember(now, t, plainOverfill)
+		m = f.plainMember(now, t, plainFillLimit)
 	}
 	if m != nil {
 		f.assign(now, t, m, 0)
@@ -115,7 +115,7 @@
 		t.refuse(reason, back)
 		return
 	}
-	t.refuse(f.emptiness(now, t), shortPause)
+	t.refuse(f.unavailableReason(now, t), fullRetryAfter)
 }
 
 // plainMember returns the usable member of the least cost whose fill is below a limit, or
@@ -126,9 +126,9 @@
 	})
 }
 
-// emptiness returns the reason for a refusal: the service is full, or it has no usable
-// upstream.
-func (f *Fleet) emptiness(now time.Time, t *Ticket) wardturn.Reason {
+// unavailableReason returns the reason for a refusal: the service is full, or it has no
+// usable upstream.
+func (f *Fleet) unavailableReason(now time.Time, t *Ticket) wardturn.Reason {
 	for _, m := range f.services[t.Service] {
 		if m.usable(now, t.Tried) {
 			return wardturn.ReasonQueueFull
@@ -156,8 +156,8 @@
 	t.Assign(a)
 }
 
-// place assigns a request to an engine that can run it now, and reports whether it did.
-func (f *Fleet) place(now time.Time, t *Ticket, out *Moves) bool {
+// tryAssign assigns a request to an engine that can run it now, and reports whether it did.
+func (f *Fleet) tryAssign(now time.Time, t *Ticket, out *Moves) bool {
 	m := f.engineFor(now, t, f.newest(t.Key), anyMember)
 	if m == nil && f.oldVersionServes(now, t.Key) {
 		m = f.engineFor(now, t, 0, func(m *Member) bool {
@@ -170,7 +170,7 @@
 	version := wardturn.Version(0)
 	if t.Key.Adapter != "" {
 		version = m.held[t.Key].version
-		f.spread(now, t, m, out)
+		f.considerCopy(now, t, m, out)
 	}
 	f.assign(now, t, m, version)
 	return true
@@ -184,7 +184,7 @@
 		list = f.holders[t.Key]
 	}
 	return cheapest(list, func(m *Member) bool {
-		if m.Service != t.Service || !m.usable(now, t.Tried) || !f.inRegions(m, t.Regions) || m.fill() >= engineOverfill || !f.holds(m, t) {
+		if m.Service != t.Service || !m.usable(now, t.Tried) || !f.inRegions(m, t.Regions) || m.fill() >= engineFillLimit || !f.holds(m, t) {
 			return false
 		}
 		return m.serves(now, t.Key, least) && match(m) && f.limits.Allows(now, m.ID)
@@ -208,25 +208,25 @@
 	return ok && h.ready && h.version >= least && !now.Before(m.doubts[key])
 }
 
-// wait queues a request until its adapter is loaded, and requests the adapter if needed.
-func (f *Fleet) wait(now time.Time, t *Ticket, out *Moves) {
+// enqueue queues a request until its adapter is loaded, and requests the adapter if needed.
+func (f *Fleet) enqueue(now time.Time, t *Ticket, out *Moves) {
 	w := f.wantOf(now, t.Key, t.Service, t.Regions)
-	t.want = w
+	t.missing = w
 	w.waiting = append(w.waiting, t)
-	w.latest = now
+	w.latestArrival = now
 	f.book(t, f.members[w.home])
 	if !w.askedAt.IsZero() || w.key.Adapter == "" {
 		return
 	}
 	if len(w.waiting) == 1 {
-		f.askFree(now, w, out)
+		f.requestWithoutStore(now, w, out)
 	}
 	f.pump(now, out)
 }
 
-// nowhere reports whether no upstream may take a waiting request, whatever the upstreams'
-// load. If so, it returns the reason and the retry time for the caller.
-func (f *Fleet) nowhere(now time.Time, t *Ticket) (reason wardturn.Reason, back time.Duration, none bool) {
+// unservable reports whether no upstream may take a waiting request, whatever the
+// upstreams' load. If so, it returns the reason and the retry time for the caller.
+func (f *Fleet) unservable(now time.Time, t *Ticket) (reason wardturn.Reason, back time.Duration, none bool) {
 	if reason, none := f.noneMay(t); none {
 		return reason, maxComeBack, true
 	}
@@ -238,11 +238,11 @@
 
 // Withdraw removes a waiting request whose caller has disconnected.
 func (f *Fleet) Withdraw(t *Ticket) {
-	w := t.want
+	w := t.missing
 	if w == nil {
 		return
 	}
-	t.want = nil
+	t.missing = nil
 	f.book(t, nil)
 	for i, o := range w.waiting {
 		if o == t {
@@ -257,29 +257,29 @@
 func (f *Fleet) Tick(now time.Time, out *Moves) {
 	f.countGateways(now)
 	for _, w := range f.wants {
-		f.placeWaiting(now, w, out)
+		f.assignWaiting(now, w, out)
 		f.expire(now, w, out)
-		f.renew(now, w, out)
+		f.renewRequest(now, w, out)
 	}
 	f.advanceRollouts(now, out)
 	f.pump(now, out)
 }
 
-// placeWaiting tries to assign the requests that wait for an adapter: an engine that was
+// assignWaiting tries to assign the requests that wait for an adapter: an engine that was
 // full may have capacity again.
-func (f *Fleet) placeWaiting(now time.Time, w *want, out *Moves) {
+func (f *Fleet) assignWaiting(now time.Time, w *want, out *Moves) {
 	if len(w.waiting) == 0 || w.key.Adapter != "" && len(f.holders[w.key]) == 0 {
 		return
 	}
 	kept := w.waiting[:0]
 	for _, t := range w.waiting {
 		f.book(t, nil)
-		if !f.place(now, t, out) {
+		if !f.tryAssign(now, t, out) {
 			f.book(t, f.members[w.home])
 			kept = append(kept, t)
 			continue
 		}
-		t.want = nil
+		t.missing = nil
 	}
 	clear(w.waiting[len(kept):])
 	w.waiting = kept
@@ -291,19 +291,19 @@
 func (f *Fleet) expire(now time.Time, w *want, out *Moves) {
 	kept := w.waiting[:0]
 	for _, t := range w.waiting {
-		reason, back, none := f.nowhere(now, t)
+		reason, back, none := f.unservable(now, t)
 		if !none && !f.hopeless(now, w, t) {
 			kept = append(kept, t)
 			continue
 		}
-		t.want = nil
+		t.missing = nil
 		f.book(t, nil)
 		if none {
 			t.refuse(reason, back)
 			continue
 		}
 		t.settled = true
-		if f.place(now, t, out) {
+		if f.tryAssign(now, t, out) {
 			continue
 		}
 		back = f.comeBack(now, w)
--- a/decide/want.go
+++ b/decide/want.go
@@ -7,42 +7,42 @@
 	"wardturn"
 )
 
-// wishRepeat is the interval at which a load request is repeated while requests wait for
-// the adapter. It is less than half of wishLife, so that one lost message doesn't let the
-// load request expire.
-const wishRepeat = 300 * time.Millisecond
+// loadRequestInterval is the interval at which a load request is repeated while requests
+// wait for the adapter. It is less than half of loadRequestLifetime, so that one lost
+// message doesn't let the load request expire.
+const loadRequestInterval = 300 * time.Millisecond
 
-// want is a missing adapter: one that requests wait for, or that is loaded for requests that
-// were refused with a retry time. The engine that is asked to load it is its home.
+// want is a missing adapter: one that requests wait for, or that is loaded for requests
+// that were refused with a retry time. The engine that is asked to load it is its home.
 type want struct {
-	key     wardturn.ModelAdapter
-	service wardturn.ServiceName
-	regions wardturn.Regions // in which the requests may be served
-	waiting []*Ticket
-	owed    int       // requests that were refused with a retry time
-	owedTo  time.Time // by when they are retried, if they are
-	latest  time.Time // arrival of the latest request
-	relief  int       // requests at a busy engine that a copy elsewhere would relieve
-	first   time.Time // start of the wait
-	home    wardturn.UpstreamID
-	failed  wardturn.UpstreamID // a previous home that took too long
-	askedAt time.Time           // of the first load request; zero if there is none
-	toldAt  time.Time           // of the latest load request or attempt to send one
-	cause   LoadCause           // of the load request
-	warm    bool                // the home held it before: not loaded from the weight store
+	key           wardturn.ModelAdapter
+	service       wardturn.ServiceName
+	regions       wardturn.Regions // in which the requests may be served
+	waiting       []*Ticket
+	owed          int       // requests that were refused with a retry time
+	owedTo        time.Time // by when they are retried, if they are
+	latestArrival time.Time // arrival of the latest request
+	relieved      int       // requests at a busy engine that a copy elsewhere would relieve
+	waitingSince  time.Time // start of the wait
+	home          wardturn.UpstreamID
+	failedHome    wardturn.UpstreamID // a previous home that took too long
+	askedAt       time.Time           // of the first load request; zero if there is none
+	requestedAt   time.Time           // of the latest load request or attempt to send one
+	cause         LoadCause           // of the load request
+	warm          bool                // the home held it before: not loaded from the weight store
 }
 
 // wants are the missing adapters, by adapter and by the regions in which their requests may
 // be served.
-type wants map[wantKey]*want
+type wants map[missingKey]*want
 
-type wantKey struct {
+type missingKey struct {
 	adapter wardturn.ModelAdapter
 	regions string
 }
 
-func keyOf(adapter wardturn.ModelAdapter, r wardturn.Regions) wantKey {
-	k := wantKey{
+func missingKeyOf(adapter wardturn.ModelAdapter, r wardturn.Regions) missingKey {
+	k := missingKey{
 		adapter: adapter,
 	}
 	if r != nil {
@@ -54,11 +54,11 @@
 // anywhere returns the entry of an adapter for requests without a region restriction, or
 // nil.
 func (ws wants) anywhere(adapter wardturn.ModelAdapter) *want {
-	return ws[keyOf(adapter, nil)]
+	return ws[missingKeyOf(adapter, nil)]
 }
 
-// of returns all entries of an adapter.
-func (ws wants) of(adapter wardturn.ModelAdapter) []*want {
+// all returns all entries of an adapter.
+func (ws wants) all(adapter wardturn.ModelAdapter) []*want {
 	var list []*want
 	if w := ws.anywhere(adapter); w != nil {
 		list = append(list, w)
@@ -74,24 +74,24 @@
 // wantOf returns the entry of an adapter for requests that may be served in the regions r,
 // and creates it if there is none.
 func (f *Fleet) wantOf(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, r wardturn.Regions) *want {
-	k := keyOf(key, r)
+	k := missingKeyOf(key, r)
 	w := f.wants[k]
 	if w == nil {
 		w = &want{
-			key:     key,
-			service: s,
-			regions: r,
-			first:   now,
+			key:          key,
+			service:      s,
+			regions:      r,
+			waitingSince: now,
 		}
 		f.wants[k] = w
 	}
 	return w
 }
 
-// askFree requests an adapter at once if that causes no load from the weight store: its home
-// held the adapter before and restores it from its own memory, or is already loading it for
-// another gateway.
-func (f *Fleet) askFree(now time.Time, w *want, out *Moves) {
+// requestWithoutStore requests an adapter at once if that causes no load from the weight
+// store: its home held the adapter before and restores it from its own memory, or is
+// already loading it for another gateway.
+func (f *Fleet) requestWithoutStore(now time.Time, w *want, out *Moves) {
 	home := f.home(now, w)
 	if home != nil && (home.everHeld[w.key] || home.held[w.key].loading) {
 		f.ask(now, w, home, out)
@@ -119,20 +119,20 @@
 func (f *Fleet) homeAmong(now time.Time, w *want, match func(*Member) bool) *Member {
 	newest := f.newest(w.key)
 	fits := func(m *Member) bool {
-		return m.Service == w.service && f.inRegions(m, w.regions) && m.ID != w.failed && m.loads(now, w.key.Model) && !m.serves(now, w.key, newest) && m.fill() < engineOverfill && match(m)
+		return m.Service == w.service && f.inRegions(m, w.regions) && m.ID != w.failedHome && m.loads(now, w.key.Model) && !m.serves(now, w.key, newest) && m.fill() < engineFillLimit && match(m)
 	}
-	for m := range inOrder(w.key, f.loaders[w.key]) {
+	for m := range inHomeOrder(w.key, f.loaders[w.key]) {
 		if fits(m) {
 			return m // requested by another gateway: one load serves both
 		}
 	}
-	var c homeChoice
-	for m := range inOrder(w.key, f.heldBefore[w.key]) {
+	var c homeCandidates
+	for m := range inHomeOrder(w.key, f.heldBefore[w.key]) {
 		if fits(m) {
 			c.warm = append(c.warm, m)
 		}
 	}
-	for m := range inOrder(w.key, f.services[w.service]) {
+	for m := range inHomeOrder(w.key, f.services[w.service]) {
 		if !m.everHeld[w.key] && fits(m) && !c.add(m, m.placeFree(w.key)) {
 			break
 		}
@@ -160,24 +160,24 @@
 // room.
 func (f *Fleet) pump(now time.Time, out *Moves) {
 	for {
-		w := f.nextWant(now)
-		if w == nil || f.room(now) == 0 {
+		w := f.nextMissing(now)
+		if w == nil || f.availableLoads(now) == 0 {
 			return
 		}
 		home := f.home(now, w)
 		if home == nil {
-			w.toldAt = now // try again after wishRepeat
+			w.requestedAt = now // try again after loadRequestInterval
 			continue
 		}
 		f.ask(now, w, home, out)
 	}
 }
 
-// nextWant returns the missing adapter to request next, or nil.
-func (f *Fleet) nextWant(now time.Time) *want {
+// nextMissing returns the missing adapter to request next, or nil.
+func (f *Fleet) nextMissing(now time.Time) *want {
 	var best *want
 	for _, w := range f.wants {
-		if w.key.Adapter == "" || !w.askedAt.IsZero() || w.backlog(now) == 0 || now.Sub(w.toldAt) < wishRepeat {
+		if w.key.Adapter == "" || !w.askedAt.IsZero() || w.backlog(now) == 0 || now.Sub(w.requestedAt) < loadRequestInterval {
 			continue
 		}
 		if best == nil || w.before(now, best) {
@@ -209,8 +209,8 @@
 	if x, y := w.backlog(now), o.backlog(now); x != y {
 		return x > y
 	}
-	if !w.latest.Equal(o.latest) {
-		return w.latest.After(o.latest)
+	if !w.latestArrival.Equal(o.latestArrival) {
+		return w.latestArrival.After(o.latestArrival)
 	}
 	return w.key.Adapter < o.key.Adapter
 }
@@ -226,9 +226,9 @@
 		}
 	}
 	if w.home != home.ID {
-		f.settle(w, home)
+		f.setHome(w, home)
 	}
-	w.toldAt = now
+	w.requestedAt = now
 	out.Asks = append(out.Asks, LoadAsk{
 		Upstream: home.ID,
 		Adapter: wardturn.AdapterVersion{
@@ -236,25 +236,26 @@
 			Adapter: w.key.Adapter,
 			Version: f.newest(w.key),
 		},
-		Waiting: w.backlog(now) + w.relief,
-		Oldest:  now.Sub(w.first),
+		Waiting: w.backlog(now) + w.relieved,
+		Oldest:  now.Sub(w.waitingSince),
 	})
 }
 
-// arrived sends the requests that wait for an adapter to an engine that has loaded it.
-func (f *Fleet) arrived(now time.Time, m *Member, a wardturn.AdapterVersion, out *Moves) {
+// adapterLoaded sends the requests that wait for an adapter to an engine that has loaded
+// it.
+func (f *Fleet) adapterLoaded(now time.Time, m *Member, a wardturn.AdapterVersion, out *Moves) {
 	if a.Version < f.newest(a.Key()) {
 		return
 	}
-	for _, w := range f.wants.of(a.Key()) {
-		f.arrivedFor(now, w, m, a, out)
+	for _, w := range f.wants.all(a.Key()) {
+		f.adapterLoadedFor(now, w, m, a, out)
 	}
 }
 
-// arrivedFor is arrived for one entry of the adapter.
-func (f *Fleet) arrivedFor(now time.Time, w *want, m *Member, a wardturn.AdapterVersion, out *Moves) {
+// adapterLoadedFor does the work of adapterLoaded for one entry of the adapter.
+func (f *Fleet) adapterLoadedFor(now time.Time, w *want, m *Member, a wardturn.AdapterVersion, out *Moves) {
 	if w.home != m.ID {
-		f.placeWaiting(now, w, out)
+		f.assignWaiting(now, w, out)
 		return
 	}
 	out.Loads = append(out.Loads, LoadNote{
@@ -262,76 +263,77 @@
 		Upstream: m.ID,
 		Took:     now.Sub(w.askedAt),
 		Warm:     w.warm,
-		Waited:   now.Sub(w.first),
+		Waited:   now.Sub(w.waitingSince),
 		Window:   f.window.Size(),
 		Under:    f.coming,
 		Cause:    w.cause,
 	})
 	waiting := w.waiting
-	f.drop(w)
+	f.removeMissing(w)
 	if r := f.rollouts[a.Key()]; r != nil {
 		f.advance(now, a.Key(), r, out)
 	}
 	for _, t := range waiting {
-		t.want = nil
+		t.missing = nil
 		f.book(t, nil)
-		if !f.place(now, t, out) {
-			f.wait(now, t, out)
+		if !f.tryAssign(now, t, out) {
+			f.enqueue(now, t, out)
 		}
 	}
 }
 
-// drop removes a missing adapter.
-func (f *Fleet) drop(w *want) {
-	f.unask(w)
-	delete(f.wants, keyOf(w.key, w.regions))
+// removeMissing removes a missing adapter.
+func (f *Fleet) removeMissing(w *want) {
+	f.cancelRequest(w)
+	delete(f.wants, missingKeyOf(w.key, w.regions))
 }
 
-// renew repeats the load request of a load in progress. It gives up a load that takes far
-// too long, so that another engine can be asked, and removes the missing adapter if no
-// request needs it any more.
-func (f *Fleet) renew(now time.Time, w *want, out *Moves) {
-	late := now.Sub(w.askedAt) > loadGiveUp && !f.isComing(w)
-	if w.abandoned(now) || len(w.waiting) == 0 && late && now.Sub(w.first) > maxComeBack {
-		f.drop(w)
+// renewRequest repeats the load request of a load in progress. It gives up a load that
+// takes far too long, so that another engine can be asked, and removes the missing
+// adapter if no request needs it any more.
+func (f *Fleet) renewRequest(now time.Time, w *want, out *Moves) {
+	late := now.Sub(w.askedAt) > loadTimeout && !f.isComing(w)
+	if w.abandoned(now) || len(w.waiting) == 0 && late && now.Sub(w.waitingSince) > maxComeBack {
+		f.removeMissing(w)
 		return
 	}
 	if w.askedAt.IsZero() {
 		return
 	}
 	if late {
-		w.failed = w.home
-		f.unask(w)
+		w.failedHome = w.home
+		f.cancelRequest(w)
 		return
 	}
-	if now.Sub(w.toldAt) < wishRepeat {
+	if now.Sub(w.requestedAt) < loadRequestInterval {
 		return
 	}
 	home := f.members[w.home]
 	if home == nil || !home.open(now) || !home.holding.Connected {
-		f.unask(w)
+		f.cancelRequest(w)
 		return
 	}
 	f.ask(now, w, home, out)
 }
 
-// isComing reports whether the home is loading the adapter. Giving up such a load would only
-// start it again elsewhere.
+// isComing reports whether the home is loading the adapter. Giving up such a load would
+// only start it again elsewhere.
 func (f *Fleet) isComing(w *want) bool {
 	m := f.members[w.home]
 	return m != nil && m.held[w.key].loading
 }
 
-// unask cancels the load request of a missing adapter, so that another engine can be asked.
-func (f *Fleet) unask(w *want) {
+// cancelRequest cancels the load request of a missing adapter, so that another engine can
+// be asked.
+func (f *Fleet) cancelRequest(w *want) {
 	w.askedAt = time.Time{}
-	w.toldAt = time.Time{}
+	w.requestedAt = time.Time{}
 	w.cause = ""
-	f.settle(w, nil)
+	f.setHome(w, nil)
 }
 
-// settle sets the home of a missing adapter; nil removes it.
-func (f *Fleet) settle(w *want, home *Member) {
+// setHome sets the home of a missing adapter; nil removes it.
+func (f *Fleet) setHome(w *want, home *Member) {
 	if old := f.members[w.home]; old != nil {
 		delete(old.asks, w.key)
 	}
@@ -343,9 +345,9 @@
 	f.bookAll(w, home)
 }
 
-// loadGiveUp is how long a load may take before another engine is asked. It is four times
+// loadTimeout is how long a load may take before another engine is asked. It is four times
 // the duration of a load without contention.
-const loadGiveUp = time.Second
+const loadTimeout = time.Second
 
 // Levels are the current sizes of a fleet's queues and windows.
 type Levels struct {
--- a/decide/window.go
+++ b/decide/window.go
@@ -16,7 +16,7 @@
 // The defaults of WindowConfig.
 const (
 	// DefaultWindowStart is what the smallest known weight store serves at full speed.
-	// With many engines the window starts at windowStartPart of their number instead.
+	// With many engines the window starts at windowStartRatio of their number instead.
 	DefaultWindowStart = 8
 	DefaultWindowLeast = 4
 	// DefaultWindowMost is over ten times the parallel loads of the largest known store.
@@ -31,39 +31,39 @@
 }
 
 const (
-	windowShrink  = 0.85            // factor applied after slow loads
-	windowUsed    = 0.7             // fraction of the window that must be in use for it to grow
-	windowSamples = 15              // loads in the median: single slow loads are due to their engine, not the store
-	slowLoads     = 1.3             // ratio of the median to the baseline above which loads count as slow
-	usualMemory   = 5 * time.Minute // time constant with which the baseline follows longer load times
-	windowProbe   = 0.5             // growth per load before the first slow one: by half in each load time
-	// windowStartPart is the initial window as a fraction of the number of engines. Stores
+	windowShrink   = 0.85            // factor applied after slow loads
+	windowMinUse   = 0.7             // fraction of the window that must be in use for it to grow
+	windowSamples  = 15              // loads in the median: single slow loads are due to their engine, not the store
+	slowLoadRatio  = 1.3             // ratio of the median to the baseline above which loads count as slow
+	baselineMemory = 5 * time.Minute // time constant with which the baseline follows longer load times
+	windowProbe    = 0.5             // growth per load before the first slow one: by half in each load time
+	// windowStartRatio is the initial window as a fraction of the number of engines. Stores
 	// are sized for their engines: the known ones serve 0.33 to 2 concurrent loads per
 	// engine at full speed. From a small window it takes over a second to grow to what a
 	// store for many engines serves, and the requests of that time are late.
-	windowStartPart = 0.5
-	// expectedLoad is the initial baseline, the duration of a load from a store that is
+	windowStartRatio = 0.5
+	// initialBaseline is the initial baseline, the duration of a load from a store that is
 	// not overloaded: 250 ms by the platform's description, and 20 ms for the order and the
 	// report. It holds until shorter loads are observed. Without it, a window that starts
 	// above the store's capacity would take the slow loads for normal.
-	expectedLoad = 270 * time.Millisecond
-	// If loads still take at least unhelpedTime of their earlier duration when the window
-	// has shrunk to unhelpedSize of its earlier size, the window is not what slows them
-	// down, and their duration becomes the baseline.
-	unhelpedSize  = 0.6
-	unhelpedTime  = 0.9
-	unhelpedLoads = 2 * windowSamples // slow loads seen by then, so that the median has none from before
-	// memoryPart is the fraction of the baseline below which a load is assumed not to come
-	// from the store. An engine restores an adapter that it held before in a tenth of the
-	// baseline, and a gateway that has just started does not know which adapters those are.
-	// If they counted as loads from the store, all others would look slow and the window
-	// would shrink to its minimum.
-	memoryPart = 0.35
-	// quickInRow is the number of consecutive such loads after which the store is assumed
-	// to have become faster. In the runs where this mattered, one load in three was from
-	// memory.
-	quickInRow = 30
-	loadGuess  = 300 * time.Millisecond // load time reported to callers before any load was observed
+	initialBaseline = 270 * time.Millisecond
+	// If loads still take at least ineffectiveTime of their earlier duration when the
+	// window has shrunk to ineffectiveSize of its earlier size, the window is not what
+	// slows them down, and their duration becomes the baseline.
+	ineffectiveSize  = 0.6
+	ineffectiveTime  = 0.9
+	ineffectiveLoads = 2 * windowSamples // slow loads seen by then, so that the median has none from before
+	// memoryLoadRatio is the fraction of the baseline below which a load is assumed not
+	// to come from the store. An engine restores an adapter that it held before in a
+	// tenth of the baseline, and a gateway that has just started does not know which
+	// adapters those are. If they counted as loads from the store, all others would look
+	// slow and the window would shrink to its minimum.
+	memoryLoadRatio = 0.35
+	// fastLoadsInRow is the number of consecutive such loads after which the store is
+	// assumed to have become faster. In the runs where this mattered, one load in three
+	// was from memory.
+	fastLoadsInRow  = 30
+	initialLoadTime = 300 * time.Millisecond // load time reported to callers before any load was observed
 )
 
 // LoadWindow bounds the number of concurrent loads from the weight store for all gateways
@@ -73,36 +73,36 @@
 // Loads beyond the store's capacity only make each load slower, until the requests that
 // wait for them have given up.
 type LoadWindow struct {
-	cfg       WindowConfig
-	size      float64
-	recent    []time.Duration
-	typical   time.Duration // median of recent
-	usual     time.Duration // baseline: the least median, rising slowly with longer ones
-	learned   bool          // a load was observed
-	recalled  float64       // size learned by earlier processes; zero if unknown
-	narrowing narrowing
-	quick     int  // consecutive loads that seem to come from memory
-	probing   bool // no slow load yet
-	shrunkAt  time.Time
-	learnedAt time.Time // latest update of the baseline
-}
-
-// narrowing is the state of a window at the time when loads became slow.
-type narrowing struct {
-	size    float64 // zero: loads are not slow
-	typical time.Duration
-	loads   int // observed since then
+	cfg        WindowConfig
+	size       float64
+	recent     []time.Duration
+	median     time.Duration // median of recent
+	baseline   time.Duration // baseline: the least median, rising slowly with longer ones
+	learned    bool          // a load was observed
+	restored   float64       // size learned by earlier processes; zero if unknown
+	slowPhase  slowPhase
+	fastLoads  int  // consecutive loads that seem to come from memory
+	probing    bool // no slow load yet
+	shrunkAt   time.Time
+	baselineAt time.Time // latest update of the baseline
+}
+
+// slowPhase is the state of a window at the time when loads became slow.
+type slowPhase struct {
+	size   float64 // zero: loads are not slow
+	median time.Duration
+	loads  int // observed since then
 }
 
 // NewLoadWindow returns a window of the initial size.
 func NewLoadWindow(cfg WindowConfig) LoadWindow {
 	cfg = cfg.withDefaults()
 	return LoadWindow{
-		cfg:     cfg,
-		size:    cfg.Start,
-		typical: loadGuess,
-		usual:   expectedLoad,
-		probing: true,
+		cfg:      cfg,
+		size:     cfg.Start,
+		median:   initialLoadTime,
+		baseline: initialBaseline,
+		probing:  true,
 	}
 }
 
@@ -115,16 +115,16 @@
 // Expect sets the number of engines. It affects the size until a load is observed.
 func (w *LoadWindow) Expect(engines int) {
 	if !w.learned {
-		w.size = min(max(w.cfg.Start, windowStartPart*float64(engines), w.recalled), w.cfg.Most)
+		w.size = min(max(w.cfg.Start, windowStartRatio*float64(engines), w.restored), w.cfg.Most)
 	}
 }
 
 // Recall restores a size that earlier processes learned. The window starts from it if it is
 // larger than the initial size.
 func (w *LoadWindow) Recall(size int) {
-	w.recalled = float64(size)
+	w.restored = float64(size)
 	if !w.learned {
-		w.size = min(max(w.size, w.recalled), w.cfg.Most)
+		w.size = min(max(w.size, w.restored), w.cfg.Most)
 	}
 }
 
@@ -140,7 +140,7 @@
 
 // Typical returns the median duration of recent loads.
 func (w *LoadWindow) Typical() time.Duration {
-	return w.typical
+	return w.median
 }
 
 // Loaded records the duration of a load and the number of loads that were in flight when it
@@ -154,21 +154,21 @@
 		w.recent = w.recent[1:]
 	}
 	sorted := slices.Sorted(slices.Values(w.recent))
-	w.typical = sorted[len(sorted)/2]
-	w.learnUsual(now)
-	slow := float64(w.typical) > slowLoads*float64(w.usual)
+	w.median = sorted[len(sorted)/2]
+	w.updateBaseline(now)
+	slow := float64(w.median) > slowLoadRatio*float64(w.baseline)
 	if !slow {
-		w.narrowing = narrowing{}
+		w.slowPhase = slowPhase{}
 	}
 	switch {
-	case slow && w.unhelped():
-		w.usual = w.typical
+	case slow && w.ineffective():
+		w.baseline = w.median
 		w.probing = true
-		w.narrowing = narrowing{}
+		w.slowPhase = slowPhase{}
 	case slow:
 		w.probing = false
 		w.shrink(now)
-	case float64(under) < windowUsed*w.size:
+	case float64(under) < windowMinUse*w.size:
 		// A window that is not used up gives no evidence for a larger one.
 	case w.probing:
 		w.size = min(w.cfg.Most, w.size+windowProbe)
@@ -178,50 +178,50 @@
 }
 
 // fromMemory reports whether a load was too fast to have come from the weight store, unless
-// quickInRow loads in a row were.
+// fastLoadsInRow loads in a row were.
 func (w *LoadWindow) fromMemory(d time.Duration) bool {
-	if float64(d) >= memoryPart*float64(w.usual) {
-		w.quick = 0
+	if float64(d) >= memoryLoadRatio*float64(w.baseline) {
+		w.fastLoads = 0
 		return false
 	}
-	w.quick++
-	return w.quick < quickInRow
+	w.fastLoads++
+	return w.fastLoads < fastLoadsInRow
 }
 
-// learnUsual updates the baseline. It follows the median at once when that falls and slowly
-// when it rises, so that a store that has become permanently slower does not count as
-// overloaded forever.
-func (w *LoadWindow) learnUsual(now time.Time) {
+// updateBaseline updates the baseline. It follows the median at once when that falls and
+// slowly when it rises, so that a store that has become permanently slower does not count
+// as overloaded forever.
+func (w *LoadWindow) updateBaseline(now time.Time) {
 	if !w.learned {
 		w.learned = true
-		w.learnedAt = now
+		w.baselineAt = now
 	}
-	since := now.Sub(w.learnedAt)
-	w.learnedAt = now
-	if w.typical < w.usual {
-		w.usual = w.typical
+	since := now.Sub(w.baselineAt)
+	w.baselineAt = now
+	if w.median < w.baseline {
+		w.baseline = w.median
 		return
 	}
-	part := min(1, since.Seconds()/usualMemory.Seconds())
-	w.usual += time.Duration(part * float64(w.typical-w.usual))
+	part := min(1, since.Seconds()/baselineMemory.Seconds())
+	w.baseline += time.Duration(part * float64(w.median-w.baseline))
 }
 
-// unhelped counts a slow load and reports whether loads stayed slow although the window has
-// shrunk.
-func (w *LoadWindow) unhelped() bool {
-	n := &w.narrowing
+// ineffective counts a slow load and reports whether loads stayed slow although the
+// window has shrunk.
+func (w *LoadWindow) ineffective() bool {
+	n := &w.slowPhase
 	if n.size == 0 {
 		n.size = w.size
-		n.typical = w.typical
+		n.median = w.median
 	}
 	n.loads++
-	return n.loads > unhelpedLoads && w.size <= unhelpedSize*n.size && float64(w.typical) >= unhelpedTime*float64(n.typical)
+	return n.loads > ineffectiveLoads && w.size <= ineffectiveSize*n.size && float64(w.median) >= ineffectiveTime*float64(n.median)
 }
 
 // shrink reduces the window, at most once per load time, so that loads that were in flight
 // together reduce it only once.
 func (w *LoadWindow) shrink(now time.Time) {
-	if now.Sub(w.shrunkAt) < w.typical {
+	if now.Sub(w.shrunkAt) < w.median {
 		return
 	}
 	w.shrunkAt = now
--- a/decide/window_test.go
+++ b/decide/window_test.go
@@ -16,12 +16,12 @@
 // store simulates a weight store that serves atOnce concurrent loads at full speed. Beyond
 // that, loads take longer in proportion to their number.
 type store struct {
-	atOnce int
+	parallel int
 }
 
 // load returns the duration of a load while n are in flight.
 func (s store) load(n int) time.Duration {
-	return usualLoad * time.Duration(max(n, s.atOnce)) / time.Duration(s.atOnce)
+	return usualLoad * time.Duration(max(n, s.parallel)) / time.Duration(s.parallel)
 }
 
 var _ = Describe("LoadWindow", func() {
@@ -62,7 +62,7 @@
 	It("settles near the store's capacity at full speed, small or large", func() {
 		for _, atOnce := range []int{8, 16, 88, 300} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
-			use(&w, store{atOnce: atOnce}, start, 60)
+			use(&w, store{parallel: atOnce}, start, 60)
 			Expect(w.Size()).To(BeNumerically(">=", atOnce*8/10), fmt.Sprint(atOnce))
 			Expect(w.Size()).To(BeNumerically("<=", atOnce*16/10), fmt.Sprint(atOnce))
 		}
@@ -72,16 +72,16 @@
 		for _, tc := range []struct{ engines, atOnce int }{{74, 72}, {48, 16}, {12, 8}, {50, 88}} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
 			w.Expect(tc.engines)
-			now := use(&w, store{atOnce: tc.atOnce}, start, 2)
+			now := use(&w, store{parallel: tc.atOnce}, start, 2)
 			Expect(w.Size()).To(BeNumerically(">=", min(tc.engines, tc.atOnce)*9/10), fmt.Sprint(tc))
-			use(&w, store{atOnce: tc.atOnce}, now, 20)
+			use(&w, store{parallel: tc.atOnce}, now, 20)
 			Expect(w.Size()).To(BeNumerically("<=", tc.atOnce*16/10), fmt.Sprint(tc))
 		}
 	})
 
 	It("keeps its learned size when engines are added", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{})
-		use(&w, store{atOnce: 8}, start, 20)
+		use(&w, store{parallel: 8}, start, 20)
 		size := w.Size()
 		w.Expect(100)
 		Expect(w.Size()).To(Equal(size))
@@ -89,10 +89,10 @@
 
 	It("follows a store whose capacity falls and rises again", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{})
-		now := use(&w, store{atOnce: 64}, start, 40)
-		now = use(&w, store{atOnce: 16}, now, 40)
+		now := use(&w, store{parallel: 64}, start, 40)
+		now = use(&w, store{parallel: 16}, now, 40)
 		Expect(w.Size()).To(BeNumerically("<=", 24))
-		use(&w, store{atOnce: 64}, now, 200)
+		use(&w, store{parallel: 64}, now, 200)
 		Expect(w.Size()).To(BeNumerically(">=", 50))
 	})
 
@@ -180,7 +180,7 @@
 				draws++
 				return float64(draws*37%100) / 100
 			})
-			most := x.play(store{atOnce: 16}, 3*time.Second)
+			most := x.run(store{parallel: 16}, 3*time.Second)
 			Expect(most).To(BeNumerically("<=", 16+16*6/10), fmt.Sprint(gateways))
 			Expect(x.loads).To(BeNumerically(">=", 100), fmt.Sprint(gateways)) // of at most 192 that the store can serve
 		}
@@ -190,18 +190,18 @@
 // storeRig simulates gateways that constantly request adapters which no engine holds, and
 // engines that load them at the speed of one store.
 type storeRig struct {
-	fleets  []*decide.Fleet
-	members []wardturn.Member
-	now     time.Time
-	coming  map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time // start of each load; zero: not started
-	wanted  int
-	loads   int
+	fleets    []*decide.Fleet
+	members   []wardturn.Member
+	now       time.Time
+	loading   map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time // start of each load; zero: not started
+	requested int
+	loads     int
 }
 
 func newStoreRig(gateways, engines int, draw func() float64) *storeRig {
 	x := &storeRig{
-		now:    start,
-		coming: make(map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time),
+		now:     start,
+		loading: make(map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time),
 	}
 	for i := range engines {
 		id := wardturn.UpstreamID(fmt.Sprint("e", i))
@@ -212,7 +212,7 @@
 			Domain:  "d",
 			Slots:   64,
 		})
-		x.coming[id] = make(map[wardturn.ModelAdapter]time.Time)
+		x.loading[id] = make(map[wardturn.ModelAdapter]time.Time)
 	}
 	for range gateways {
 		f := decide.NewFleet(decide.FleetConfig{
@@ -227,14 +227,14 @@
 		x.fleets = append(x.fleets, f)
 	}
 	for _, m := range x.members {
-		x.tell(m.ID, decide.Holding{
+		x.report(m.ID, decide.Holding{
 			Full: true,
 		})
 	}
 	return x
 }
 
-func (x *storeRig) tell(id wardturn.UpstreamID, h decide.Holding) {
+func (x *storeRig) report(id wardturn.UpstreamID, h decide.Holding) {
 	h.Connected = true
 	h.Known = true
 	h.Models = []wardturn.BaseModel{"m"}
@@ -242,40 +242,40 @@
 	for _, f := range x.fleets {
 		var out decide.Moves
 		f.SetHolding(x.now, id, h, &out)
-		x.take(out)
+		x.recordRequests(out)
 	}
 }
 
-// take records the requested loads, which start at the next step.
-func (x *storeRig) take(out decide.Moves) {
+// recordRequests records the requested loads, which start at the next step.
+func (x *storeRig) recordRequests(out decide.Moves) {
 	for _, a := range out.Asks {
-		if _, ok := x.coming[a.Upstream][a.Adapter.Key()]; !ok {
-			x.coming[a.Upstream][a.Adapter.Key()] = time.Time{}
+		if _, ok := x.loading[a.Upstream][a.Adapter.Key()]; !ok {
+			x.loading[a.Upstream][a.Adapter.Key()] = time.Time{}
 		}
 	}
 }
 
-// play advances the time by d in steps and returns the largest number of loads in flight.
-func (x *storeRig) play(s store, d time.Duration) (most int) {
+// run advances the time by d in steps and returns the largest number of loads in flight.
+func (x *storeRig) run(s store, d time.Duration) (most int) {
 	const step = 10 * time.Millisecond
 	for end := x.now.Add(d); x.now.Before(end); {
 		x.now = x.now.Add(step)
 		for _, f := range x.fleets {
 			var out decide.Moves
-			x.wanted++
+			x.requested++
 			f.Admit(x.now, &decide.Ticket{
 				Service:   fleetService,
-				Key:       adapterKey(fmt.Sprint("a", x.wanted)),
+				Key:       adapterKey(fmt.Sprint("a", x.requested)),
 				Arrived:   x.now,
 				Objective: 10 * time.Second,
 				Deadline:  x.now.Add(time.Minute),
 				Assign:    func(decide.Assignment) {},
 			}, &out)
 			f.Tick(x.now, &out)
-			x.take(out)
+			x.recordRequests(out)
 		}
 		n := 0
-		for _, list := range x.coming {
+		for _, list := range x.loading {
 			n += len(list)
 		}
 		most = max(most, n)
@@ -290,16 +290,16 @@
 // current load duration, and reports both to the gateways.
 func (x *storeRig) advance(id wardturn.UpstreamID, takes time.Duration) {
 	var h decide.Holding
-	for key, began := range x.coming[id] {
+	for key, began := range x.loading[id] {
 		v := decide.HeldVersion{
 			Adapter: adapterVersion(string(key.Adapter), 1),
 		}
 		switch {
 		case began.IsZero():
-			x.coming[id][key] = x.now
+			x.loading[id][key] = x.now
 			v.Loading = true
 		case x.now.Sub(began) >= takes:
-			delete(x.coming[id], key)
+			delete(x.loading[id], key)
 			v.Ready = true
 			x.loads++
 		default:
@@ -308,6 +308,6 @@
 		h.Adapters = append(h.Adapters, v)
 	}
 	if len(h.Adapters) > 0 {
-		x.tell(id, h)
+		x.report(id, h)
 	}
 }
