--- a/decide/window.go
+++ b/decide/window.go
@@ -42,8 +42,8 @@
 	// engine at full speed. From a small window it takes over a second to grow to what a
 	// store for many engines serves, and the requests of that time are late.
 	windowStartRatio = 0.5
-	// initialBaseline is the initial baseline, the duration of a load from a store that is
-	// not overloaded: 250 ms by the platform's description, and 20 ms for the order and the
+	// initialBaseline is the baseline at the start, the duration of a load from a store that
+	// is not overloaded: 250 ms by the platform's description, and 20 ms for the order and the
 	// report. It holds until shorter loads are observed. Without it, a window that starts
 	// above the store's capacity would take the slow loads for normal.
 	initialBaseline = 270 * time.Millisecond
@@ -60,8 +60,8 @@
 	// slow and the window would shrink to its minimum.
 	memoryLoadRatio = 0.35
 	// fastLoadsInRow is the number of consecutive such loads after which the store is
-	// assumed to have become faster. In the runs where this mattered, one load in three
-	// was from memory.
+	// assumed to have become faster. Where this mattered, one load in three was from
+	// memory.
 	fastLoadsInRow  = 30
 	initialLoadTime = 300 * time.Millisecond // load time reported to callers before any load was observed
 )
@@ -76,8 +76,8 @@
 	cfg        WindowConfig
 	size       float64
 	recent     []time.Duration
-	median     time.Duration // median of recent
-	baseline   time.Duration // baseline: the least median, rising slowly with longer ones
+	median     time.Duration // of recent
+	baseline   time.Duration // normal load time: the least median, rising slowly with longer ones
 	learned    bool          // a load was observed
 	restored   float64       // size learned by earlier processes; zero if unknown
 	slowPhase  slowPhase
