--- a/decide/permits_allocated.go
+++ b/decide/permits_allocated.go
@@ -73,12 +73,12 @@
 	return false
 }
 
-func (p *AllocatedPermits) setRequest(w Wish, wishing bool) {
-	if wishing != p.requesting || w.Class != p.request.Class || differs(w.Value, p.request.Value) {
+func (p *AllocatedPermits) setRequest(w Wish, requesting bool) {
+	if requesting != p.requesting || w.Class != p.request.Class || differs(w.Value, p.request.Value) {
 		p.changed = true
 	}
 	p.request = w
-	p.requesting = wishing
+	p.requesting = requesting
 }
 
 // differs reports whether two values differ enough to send a new request.
