--- a/decide/holding.go
+++ b/decide/holding.go
@@ -7,23 +7,24 @@
 	"wardturn"
 )
 
-// Holding is what a keeper tells of its engine.
+// Holding is a keeper's report on its engine. A keeper is the process beside an engine
+// that loads and unloads the engine's adapters.
 type Holding struct {
-	Connected bool // a keeper is there
-	Known     bool // and it knows its engine
+	Connected bool // a keeper is connected
+	Known     bool // the keeper knows the engine's state
 	Models    []wardturn.BaseModel
-	Full      bool // Adapters are all; otherwise those that changed
+	Full      bool // Adapters lists all adapters; otherwise only those that changed
 	Adapters  []HeldVersion
-	Gone      []wardturn.ModelAdapter
+	Gone      []wardturn.ModelAdapter // unloaded since the previous report
 	Running   int
 	Queued    int
-	Reading   int // tokens of long prompts that it reads for all gateways
-	Free      int // places that an adapter could have at once, counted up to MaxFree
-	Gateways  int // connected to the keeper
-	// Limit is the requests a second that the engine names; zero: none, which does not say
-	// that its other answers name none.
+	Reading   int // tokens of long prompts in prefill, for all gateways together
+	Free      int // adapter slots that could be used at once, counted up to MaxFree
+	Gateways  int // gateways connected to the keeper
+	// Limit is the rate limit in requests per second that the engine announces. Zero means
+	// that this report carries none; the engine's responses may still announce one.
 	Limit   wardturn.RequestRate
-	Leaving bool // the engine says that it is about to end
+	Leaving bool // the engine announced that it is shutting down
 }
 
 // HeldVersion is an adapter version that an engine holds or loads.
@@ -37,11 +38,11 @@
 	version wardturn.Version
 	ready   bool
 	loading bool
-	since   time.Time // the load was first told of; zero: not known
-	warm    bool      // it comes from the engine's own memory
+	since   time.Time // when the load was first reported; zero if its start was not seen
+	warm    bool      // loaded from the engine's own memory, not from the weight store
 }
 
-// SetHolding takes a keeper's word on its engine.
+// SetHolding applies a keeper's report on its engine.
 func (f *Fleet) SetHolding(now time.Time, id wardturn.UpstreamID, h Holding, out *Moves) {
 	m := f.members[id]
 	if m == nil {
@@ -59,31 +60,31 @@
 	m.atHold = m.running
 	f.setReading(now, m, h)
 	before := maps.Clone(m.held)
-	f.forget(m, h)
+	f.applyRemovals(m, h)
 	for _, a := range h.Adapters {
 		key := a.Adapter.Key()
-		m.held[key] = m.heldAs(now, a, before[key], h.Full)
+		m.held[key] = m.reportedState(now, a, before[key], h.Full)
 		if a.Loading {
 			f.loaders.add(key, m)
 		}
 		if a.Ready {
-			f.loaded(now, before[key])
+			f.observeLoad(now, before[key])
 			f.holders.add(key, m)
-			f.remember(m, key)
+			f.recordHeld(m, key)
 		}
 	}
-	f.count(m)
+	f.countLoads(m)
 	for _, a := range h.Adapters {
 		if a.Ready {
-			f.arrived(now, m, a.Adapter, out)
+			f.adapterLoaded(now, m, a.Adapter, out)
 		}
 	}
 	f.pump(now, out)
 }
 
-// heldAs returns what is known of an adapter that a keeper tells of. A load whose
-// start was not seen has no time.
-func (m *Member) heldAs(now time.Time, a HeldVersion, before heldAdapter, full bool) heldAdapter {
+// reportedState returns the state of a reported adapter, given its state before the
+// report. In a full report the start of a load was not seen, so since stays zero.
+func (m *Member) reportedState(now time.Time, a HeldVersion, before heldAdapter, full bool) heldAdapter {
 	h := heldAdapter{
 		version: a.Adapter.Version,
 		ready:   a.Ready,
@@ -103,15 +104,17 @@
 	return h
 }
 
-// loaded takes the time of a load from the weight store that has ended.
-func (f *Fleet) loaded(now time.Time, before heldAdapter) {
+// observeLoad passes the duration of a finished load from the weight store to the load
+// window.
+func (f *Fleet) observeLoad(now time.Time, before heldAdapter) {
 	if before.loading && !before.warm && !before.since.IsZero() {
 		f.window.Loaded(now, now.Sub(before.since), f.coming)
 	}
 }
 
-// forget removes what a holding says is no longer there, or is told anew.
-func (f *Fleet) forget(m *Member, h Holding) {
+// applyRemovals removes the adapters that the report says are unloaded, and those whose
+// state the report replaces.
+func (f *Fleet) applyRemovals(m *Member, h Holding) {
 	if h.Full {
 		f.release(m)
 		return
@@ -121,12 +124,12 @@
 		gone = append(gone, a.Adapter.Key())
 	}
 	for _, key := range gone {
-		f.unhold(m, key)
+		f.removeHeld(m, key)
 	}
 }
 
-// remember notes that an engine has held an adapter.
-func (f *Fleet) remember(m *Member, key wardturn.ModelAdapter) {
+// recordHeld records that an engine has held an adapter.
+func (f *Fleet) recordHeld(m *Member, key wardturn.ModelAdapter) {
 	if m.everHeld[key] {
 		return
 	}
@@ -134,15 +137,15 @@
 	f.heldBefore.add(key, m)
 }
 
-// release forgets what a member holds.
+// release forgets all adapters of a member.
 func (f *Fleet) release(m *Member) {
 	for key := range m.held {
-		f.unhold(m, key)
+		f.removeHeld(m, key)
 	}
-	f.count(m)
+	f.countLoads(m)
 }
 
-func (f *Fleet) unhold(m *Member, key wardturn.ModelAdapter) {
+func (f *Fleet) removeHeld(m *Member, key wardturn.ModelAdapter) {
 	h := m.held[key]
 	if h.ready {
 		f.holders.remove(key, m)
--- a/decide/homes.go
+++ b/decide/homes.go
@@ -33,52 +33,53 @@
 	}
 }
 
-// ranked is an engine with its place in the order of homes: the higher goes first.
-type ranked struct {
-	m     *Member
-	score uint64
+// rankedEngine is an engine with its rendezvous score for an adapter. The home order is by
+// descending score.
+type rankedEngine struct {
+	engine *Member
+	score  uint64
 }
 
-// firstRanked and rankedGrowth are the sizes of the pieces in which the order of
-// homes is made: a choice looks at two or three engines as a rule, and at all of
-// them when none has a place.
+// firstBatchSize is the size of the first batch in which the home order is computed, and
+// batchGrowth the factor by which each batch is larger than the one before. A choice
+// usually looks at two or three engines, but at all of them if none has a free slot.
 const (
-	firstRanked  = 8
-	rankedGrowth = 8
+	firstBatchSize = 8
+	batchGrowth    = 8
 )
 
-// inOrder returns the engines of a list in the order of homes of an adapter, on
-// which all gateways agree, so that a cold adapter is loaded once. It costs a look
-// at each engine and no sorting of all, which takes longest among thousands.
-func inOrder(key wardturn.ModelAdapter, list []*Member) iter.Seq[*Member] {
+// inHomeOrder returns the engines of a list in the home order of an adapter. All gateways
+// compute the same order, so that an adapter without a home is loaded only once. Each batch
+// takes one pass over the list, which is cheaper than sorting thousands of engines.
+func inHomeOrder(key wardturn.ModelAdapter, list []*Member) iter.Seq[*Member] {
 	return func(yield func(*Member) bool) {
 		h := hashString(string(key.Adapter))
-		below := ranked{}
-		for n := firstRanked; ; n *= rankedGrowth {
-			piece := highest(h, list, below, n)
-			for _, r := range piece {
-				if !yield(r.m) {
+		below := rankedEngine{}
+		for n := firstBatchSize; ; n *= batchGrowth {
+			batch := topRanked(h, list, below, n)
+			for _, r := range batch {
+				if !yield(r.engine) {
 					return
 				}
 			}
-			if len(piece) < n {
+			if len(batch) < n {
 				return
 			}
-			below = piece[len(piece)-1]
+			below = batch[len(batch)-1]
 		}
 	}
 }
 
-// highest returns the n highest engines below one, or of all if that is zero, in
-// order.
-func highest(h uint64, list []*Member, below ranked, n int) []ranked {
-	top := make([]ranked, 0, min(n, len(list)))
+// topRanked returns in home order the first n engines after below, or the first n of all if
+// below is zero.
+func topRanked(h uint64, list []*Member, below rankedEngine, n int) []rankedEngine {
+	top := make([]rankedEngine, 0, min(n, len(list)))
 	for _, m := range list {
-		r := ranked{
-			m:     m,
-			score: mix(h ^ m.hash),
+		r := rankedEngine{
+			engine: m,
+			score:  mix(h ^ m.hash),
 		}
-		if below.m != nil && r.compare(below) <= 0 {
+		if below.engine != nil && r.compare(below) <= 0 {
 			continue
 		}
 		if len(top) == n {
@@ -87,29 +88,29 @@
 			}
 			top = top[:n-1]
 		}
-		at, _ := slices.BinarySearchFunc(top, r, ranked.compare)
+		at, _ := slices.BinarySearchFunc(top, r, rankedEngine.compare)
 		top = slices.Insert(top, at, r)
 	}
 	return top
 }
 
-// compare orders the higher score first, and equal ones by id.
-func (r ranked) compare(o ranked) int {
+// compare orders by descending score and then by id.
+func (r rankedEngine) compare(o rankedEngine) int {
 	if r.score != o.score {
 		return cmp.Compare(o.score, r.score)
 	}
-	return cmp.Compare(r.m.ID, o.m.ID)
+	return cmp.Compare(r.engine.ID, o.engine.ID)
 }
 
-// homes returns the engines that may load an adapter, the first choice first. With
-// near set only engines of the own failure domain count.
+// homes returns the engines that may load an adapter in home order. With near set it
+// returns only engines in the gateway's own failure domain.
 func (f *Fleet) homes(now time.Time, s wardturn.ServiceName, key wardturn.ModelAdapter, near bool) iter.Seq[*Member] {
 	list := f.services[s]
 	if near {
 		list = f.near[s]
 	}
 	return func(yield func(*Member) bool) {
-		for m := range inOrder(key, list) {
+		for m := range inHomeOrder(key, list) {
 			if m.loads(now, key.Model) && !f.limits.Bounded(now, m.ID) && !yield(m) {
 				return
 			}
--- a/decide/permits_test.go
+++ b/decide/permits_test.go
@@ -14,20 +14,20 @@
 		Rate:     10,
 		Parallel: 4,
 	}
-	want := decide.Wish{
+	request := decide.Wish{
 		Upstream: "u",
 		Want:     2,
 	}
-	// taken counts the loads that the permits allow now.
-	taken := func(p *decide.AllocatedPermits, now time.Time) int {
+	// takeAll takes all available permits and returns their number.
+	takeAll := func(p *decide.AllocatedPermits, now time.Time) int {
 		n := 0
-		for n < 100 && p.Take(now, want) {
+		for n < 100 && p.Take(now, request) {
 			n++
 		}
 		return n
 	}
 
-	It("are not given anew by an allocator that was heard of before another", func() {
+	It("are not counted again when an earlier allocator returns", func() {
 		p := decide.NewAllocatedPermits(limit, 4)
 		now := start
 		for total := range uint64(50) {
@@ -35,31 +35,31 @@
 				Epoch: 1,
 				Total: total + 1,
 			})
-			Expect(taken(p, now)).To(Equal(1))
+			Expect(takeAll(p, now)).To(Equal(1))
 		}
 		p.Granted(now, decide.Grant{
 			Epoch: 2,
 			Total: 1,
 		})
-		Expect(taken(p, now)).To(Equal(1))
+		Expect(takeAll(p, now)).To(Equal(1))
 
-		By("a word of the first one that comes late, or its return")
+		By("a late grant of the first allocator, or its return")
 		p.Granted(now, decide.Grant{
 			Epoch: 1,
 			Total: 50,
 		})
-		Expect(taken(p, now)).To(BeZero())
+		Expect(takeAll(p, now)).To(BeZero())
 		p.Granted(now, decide.Grant{
 			Epoch: 1,
 			Total: 51,
 		})
-		Expect(taken(p, now)).To(Equal(1))
+		Expect(takeAll(p, now)).To(Equal(1))
 
-		By("the second one again")
+		By("the second allocator again")
 		p.Granted(now, decide.Grant{
 			Epoch: 2,
 			Total: 2,
 		})
-		Expect(taken(p, now)).To(Equal(1))
+		Expect(takeAll(p, now)).To(Equal(1))
 	})
 })
--- a/decide/places.go
+++ b/decide/places.go
@@ -9,61 +9,67 @@
 )
 
 const (
-	// MaxComing is the number of adapters that may be on their way to an engine
-	// at once; the platform's protocol sets it.
+	// MaxComing is the number of adapters that an engine may load concurrently, as set
+	// by the platform's protocol.
 	MaxComing = 4
-	// wishLife is how long a wish counts without being repeated. Gateways
-	// repeat every wishRepeat.
-	wishLife = 700 * time.Millisecond
-	// evictionNotice is the time between telling the gateways that an adapter
-	// goes and the order: a request on its way by then arrives before it.
+	// loadRequestLifetime is the lifetime of a load request that is not repeated.
+	// Gateways repeat theirs every loadRequestInterval.
+	loadRequestLifetime = 700 * time.Millisecond
+	// evictionNotice is the delay between announcing an eviction to the gateways and
+	// ordering it. Requests that are in flight at the announcement arrive before the
+	// order.
 	evictionNotice = 4 * time.Millisecond
-	// freshGuard protects an adapter that was just loaded: the requests that
-	// waited for it are on their way.
-	freshGuard = 300 * time.Millisecond
-	// idleGuard protects an adapter just used, whose use may not be reported yet.
-	idleGuard = 250 * time.Millisecond
+	// minResidentTime is how long a newly loaded adapter can't be evicted, since the
+	// requests that waited for it are still in flight.
+	minResidentTime = 300 * time.Millisecond
+	// minIdleTime is how long an adapter can't be evicted after its last use, since further
+	// use may not be reported yet.
+	minIdleTime = 250 * time.Millisecond
 )
 
-// Places decides which adapters one engine holds. It sees the engine's own fresh
-// report before every order, and each order names the engine's sequence number
-// as reported: an order that got no answer either shows in the next report or is
-// void once another order is taken, so nothing has to be remembered of it.
+// Places decides which adapters occupy the adapter slots of one engine. Gateways send
+// load requests for the adapters that their requests wait for, and Places returns the
+// load and unload orders.
+//
+// It receives a fresh report of the engine before every order, and each order carries
+// the sequence number of that report. An order without a response is either visible in
+// the next report or rejected as outdated once the engine has accepted another order, so
+// no state is kept for orders in flight.
 type Places struct {
-	policy  wardturn.Policy
-	start   time.Time
-	spec    wardturn.EngineSpec
-	state   wardturn.EngineState
-	known   bool
-	wishes  map[wardturn.ModelAdapter]*wish
-	uses    map[wardturn.ModelAdapter]*use
-	leaving map[wardturn.ModelAdapter]time.Time
-	readyAt map[wardturn.ModelAdapter]time.Time
-	retryAt time.Time // no order before
-	// lost are the adapters that requests of gateways which were lost may still use, and
-	// until when that is believed.
-	lost       map[wardturn.ModelAdapter]time.Time
+	policy    wardturn.Policy
+	start     time.Time
+	spec      wardturn.EngineSpec
+	state     wardturn.EngineState
+	known     bool
+	pending   map[wardturn.ModelAdapter]*pendingLoad
+	uses      map[wardturn.ModelAdapter]*adapterUse
+	leaving   map[wardturn.ModelAdapter]time.Time
+	readyAt   map[wardturn.ModelAdapter]time.Time
+	notBefore time.Time // earliest time of the next order
+	// orphaned holds the adapters that requests of disconnected gateways may still use, and
+	// until when that is assumed.
+	orphaned   map[wardturn.ModelAdapter]time.Time
 	reportedAt time.Time
 }
 
-// wish is an adapter that gateways want, each for requests of its own.
-type wish struct {
-	version wardturn.Version
-	by      map[wardturn.Incarnation]gatewayWish
-	at      time.Time // of the latest word
+// pendingLoad is the load request for an adapter, combined over the gateways that need it.
+type pendingLoad struct {
+	version   wardturn.Version
+	gateways  map[wardturn.Incarnation]gatewayRequest
+	updatedAt time.Time // of the latest message
 }
 
-type gatewayWish struct {
-	waiting int
-	oldest  time.Duration
-	at      time.Time
+type gatewayRequest struct {
+	waiting   int
+	oldest    time.Duration
+	updatedAt time.Time
 }
 
-// waiting returns the requests that wait at all gateways whose word still counts,
-// and how long the oldest has.
-func (w *wish) waiting(now time.Time) (n int, oldest time.Duration) {
-	for _, g := range w.by {
-		if now.Sub(g.at) > wishLife {
+// waiting returns the number of requests that wait at all gateways whose load request
+// has not expired, and the longest wait.
+func (w *pendingLoad) waiting(now time.Time) (n int, oldest time.Duration) {
+	for _, g := range w.gateways {
+		if now.Sub(g.updatedAt) > loadRequestLifetime {
 			continue
 		}
 		n += g.waiting
@@ -72,56 +78,57 @@
 	return n, oldest
 }
 
-type use struct {
+type adapterUse struct {
 	demand  Demand
 	running map[wardturn.Incarnation]int // by gateway
 	last    time.Time
 }
 
-// NewPlaces returns the decisions for an engine of which nothing is known yet.
+// NewPlaces returns the placement for an engine that has not reported yet.
 func NewPlaces(now time.Time, p wardturn.Policy) *Places {
 	return &Places{
-		policy:  p,
-		start:   now,
-		wishes:  make(map[wardturn.ModelAdapter]*wish),
-		uses:    make(map[wardturn.ModelAdapter]*use),
-		leaving: make(map[wardturn.ModelAdapter]time.Time),
-		readyAt: make(map[wardturn.ModelAdapter]time.Time),
-		lost:    make(map[wardturn.ModelAdapter]time.Time),
+		policy:   p,
+		start:    now,
+		pending:  make(map[wardturn.ModelAdapter]*pendingLoad),
+		uses:     make(map[wardturn.ModelAdapter]*adapterUse),
+		leaving:  make(map[wardturn.ModelAdapter]time.Time),
+		readyAt:  make(map[wardturn.ModelAdapter]time.Time),
+		orphaned: make(map[wardturn.ModelAdapter]time.Time),
 	}
 }
 
-// SetSpec takes what the operator says of the engine.
+// SetSpec sets the operator's specification of the engine.
 func (p *Places) SetSpec(spec wardturn.EngineSpec) {
 	p.spec = spec
 }
 
-// Wish takes a gateway's wish for an adapter.
+// Wish records or renews a gateway's load request for an adapter.
 func (p *Places) Wish(now time.Time, gateway wardturn.Incarnation, a wardturn.AdapterVersion, waiting int, oldest time.Duration) {
-	w := p.wishes[a.Key()]
+	w := p.pending[a.Key()]
 	if w == nil {
-		w = &wish{
-			by: make(map[wardturn.Incarnation]gatewayWish),
+		w = &pendingLoad{
+			gateways: make(map[wardturn.Incarnation]gatewayRequest),
 		}
-		p.wishes[a.Key()] = w
+		p.pending[a.Key()] = w
 	}
 	if p.holds(a.Key(), a.Version) {
-		delete(p.leaving, a.Key()) // it is wanted after all
-		u := p.use(a.Key())
+		delete(p.leaving, a.Key()) // cancels a pending eviction
+		u := p.useOf(a.Key())
 		u.last = now
 	}
 	w.version = max(w.version, a.Version)
-	w.by[gateway] = gatewayWish{
-		waiting: waiting,
-		oldest:  oldest,
-		at:      now,
+	w.gateways[gateway] = gatewayRequest{
+		waiting:   waiting,
+		oldest:    oldest,
+		updatedAt: now,
 	}
-	w.at = now
+	w.updatedAt = now
 }
 
-// Use takes a gateway's count of requests to an adapter.
+// Use records a gateway's request counts for an adapter: those started since its previous
+// message, and those running now.
 func (p *Places) Use(now time.Time, gateway wardturn.Incarnation, key wardturn.ModelAdapter, started, running int) {
-	u := p.use(key)
+	u := p.useOf(key)
 	for range started {
 		u.demand.Arrive(now)
 	}
@@ -134,10 +141,10 @@
 	}
 }
 
-func (p *Places) use(key wardturn.ModelAdapter) *use {
+func (p *Places) useOf(key wardturn.ModelAdapter) *adapterUse {
 	u := p.uses[key]
 	if u == nil {
-		u = &use{
+		u = &adapterUse{
 			demand:  NewDemand(p.start),
 			running: make(map[wardturn.Incarnation]int),
 		}
@@ -146,44 +153,44 @@
 	return u
 }
 
-// lostFor is how long requests of a gateway that was lost may still run: the longest
-// streams take over 7 s.
-const lostFor = 8 * time.Second
+// orphanLifetime is how long requests of a disconnected gateway are assumed to run. The
+// longest streams take over 7 s.
+const orphanLifetime = 8 * time.Second
 
-// GatewayLost forgets the requests of a gateway whose connection ended. While the engine
-// runs more than the other gateways tell of, they may still run there: the gateway may
-// only be cut off from here. To unload what they use would keep the engine from all other
-// orders until they end.
+// GatewayLost drops the request counts of a gateway whose connection ended. The gateway
+// may only be partitioned from the keeper, so its requests are assumed to still run while
+// the engine runs more requests than the other gateways report. Unloading an adapter in
+// use would block all other orders of the engine until the requests end.
 func (p *Places) GatewayLost(gateway wardturn.Incarnation) {
 	for key, u := range p.uses {
 		if u.running[gateway] > 0 {
-			p.lost[key] = p.reportedAt.Add(lostFor)
+			p.orphaned[key] = p.reportedAt.Add(orphanLifetime)
 		}
 		delete(u.running, gateway)
 	}
-	p.forgetLost()
+	p.dropOrphaned()
 }
 
-// forgetLost forgets the requests of lost gateways once the engine runs no more than the
-// others tell of.
-func (p *Places) forgetLost() {
-	if len(p.lost) == 0 {
+// dropOrphaned drops the assumed requests of disconnected gateways once the engine runs no
+// more requests than the connected ones report.
+func (p *Places) dropOrphaned() {
+	if len(p.orphaned) == 0 {
 		return
 	}
-	told := 0
+	reported := 0
 	for _, u := range p.uses {
 		for _, n := range u.running {
-			told += n
+			reported += n
 		}
 	}
-	if p.state.Running <= told {
-		clear(p.lost)
+	if p.state.Running <= reported {
+		clear(p.orphaned)
 	}
 }
 
-// Defer keeps the next order back until a time.
+// Defer delays the next order until the given time.
 func (p *Places) Defer(until time.Time) {
-	p.retryAt = until
+	p.notBefore = until
 }
 
 // Leaving reports whether an adapter is about to be unloaded or replaced.
@@ -192,23 +199,24 @@
 	return ok
 }
 
-// PlaceOrder is an order to be given now.
+// PlaceOrder is a load or unload order for an engine. An order without an adapter loads
+// the model.
 type PlaceOrder struct {
 	Unload  bool
 	Target  wardturn.ModelAdapter
 	Version wardturn.Version
 }
 
-// Wanting reports whether orders may be due.
+// Wanting reports whether Next may have an order.
 func (p *Places) Wanting() bool {
-	return len(p.wishes) > 0 || len(p.state.Loading) > 0 || len(p.leaving) > 0 || len(p.state.Models) == 0
+	return len(p.pending) > 0 || len(p.state.Loading) > 0 || len(p.leaving) > 0 || len(p.state.Models) == 0
 }
 
-// Next returns the order that is due. It reports false if there is none now. A busy
-// engine refuses all orders, so none is given then.
+// Next returns the order to give now, or false if there is none. A busy engine rejects
+// all orders, so none is returned for it.
 func (p *Places) Next(now time.Time) (PlaceOrder, bool) {
 	p.expire(now)
-	if !p.known || p.state.Busy || len(p.spec.Models) == 0 || now.Before(p.retryAt) {
+	if !p.known || p.state.Busy || len(p.spec.Models) == 0 || now.Before(p.notBefore) {
 		return PlaceOrder{}, false
 	}
 	if len(p.state.Models) == 0 {
@@ -218,35 +226,35 @@
 			},
 		}, true
 	}
-	for _, key := range p.ranked(now) {
-		if o, ok := p.towards(now, key); ok {
+	for _, key := range p.byValue(now) {
+		if o, ok := p.nextOrderFor(now, key); ok {
 			return o, true
 		}
 	}
 	return PlaceOrder{}, false
 }
 
-// expire forgets wishes that were not repeated, and evictions that nobody needs
-// any more.
+// expire drops load requests that are fulfilled or were not repeated, evictions that were
+// announced but not needed any more, and assumed requests of disconnected gateways.
 func (p *Places) expire(now time.Time) {
-	for key, w := range p.wishes {
-		if now.Sub(w.at) > wishLife || p.holds(key, w.version) {
-			delete(p.wishes, key)
+	for key, w := range p.pending {
+		if now.Sub(w.updatedAt) > loadRequestLifetime || p.holds(key, w.version) {
+			delete(p.pending, key)
 		}
 	}
 	for key, at := range p.leaving {
-		if now.Sub(at) > wishLife {
+		if now.Sub(at) > loadRequestLifetime {
 			delete(p.leaving, key)
 		}
 	}
-	for key, until := range p.lost {
+	for key, until := range p.orphaned {
 		if now.After(until) {
-			delete(p.lost, key)
+			delete(p.orphaned, key)
 		}
 	}
 }
 
-// holds reports whether an adapter is there at a version or a newer one.
+// holds reports whether an adapter is resident at version v or newer.
 func (p *Places) holds(key wardturn.ModelAdapter, v wardturn.Version) bool {
 	have, ok := p.resident(key)
 	return ok && have >= v
@@ -266,7 +274,7 @@
 	return 0, false
 }
 
-func (p *Places) coming(key wardturn.ModelAdapter) bool {
+func (p *Places) isLoading(key wardturn.ModelAdapter) bool {
 	return slices.ContainsFunc(p.state.Loading, func(a wardturn.AdapterVersion) bool {
 		return a.Key() == key
 	})
@@ -278,9 +286,9 @@
 	})
 }
 
-// occupied counts the adapter slots that are taken or promised. An adapter that
-// is being replaced by a newer version takes two: the old copy stays until the new
-// one is there.
+// occupied counts the adapter slots in use or reserved for loads. An adapter that is being
+// replaced by a newer version takes two, since the old version stays until the new one is
+// loaded.
 func (p *Places) occupied() int {
 	n := len(p.state.Loading)
 	for _, m := range p.state.Models {
@@ -289,7 +297,7 @@
 	return n
 }
 
-// replacing counts the adapters that are being replaced.
+// replacing counts the adapters that are being replaced by a newer version.
 func (p *Places) replacing() int {
 	n := 0
 	for _, a := range p.state.Loading {
@@ -300,14 +308,14 @@
 	return n
 }
 
-// ranked returns the wished adapters, the worthiest first.
-func (p *Places) ranked(now time.Time) []wardturn.ModelAdapter {
+// byValue returns the adapters with load requests in descending order of value.
+func (p *Places) byValue(now time.Time) []wardturn.ModelAdapter {
 	type scored struct {
 		key   wardturn.ModelAdapter
 		value float64
 	}
-	list := make([]scored, 0, len(p.wishes))
-	for key := range p.wishes {
+	list := make([]scored, 0, len(p.pending))
+	for key := range p.pending {
 		list = append(list, scored{
 			key:   key,
 			value: p.value(now, key),
@@ -329,7 +337,7 @@
 	return keys
 }
 
-// value asks the policy what a slot is worth to an adapter.
+// value returns the policy's value of a slot for an adapter.
 func (p *Places) value(now time.Time, key wardturn.ModelAdapter) float64 {
 	in := wardturn.SlotInput{
 		Adapter: key.Adapter,
@@ -341,17 +349,18 @@
 			in.Running += n
 		}
 	}
-	if w := p.wishes[key]; w != nil {
+	if w := p.pending[key]; w != nil {
 		in.Waiting, in.WaitingLong = w.waiting(now)
 	}
 	_, in.Resident = p.resident(key)
 	return p.policy.Slot(in)
 }
 
-// towards returns the next order on the way to a wished adapter.
-func (p *Places) towards(now time.Time, key wardturn.ModelAdapter) (PlaceOrder, bool) {
-	w := p.wishes[key]
-	if !p.modelLoaded(key.Model) || p.coming(key) {
+// nextOrderFor returns the next order needed to get an adapter loaded, if one can be
+// given now.
+func (p *Places) nextOrderFor(now time.Time, key wardturn.ModelAdapter) (PlaceOrder, bool) {
+	w := p.pending[key]
+	if !p.modelLoaded(key.Model) || p.isLoading(key) {
 		return PlaceOrder{}, false
 	}
 	load := PlaceOrder{
@@ -359,9 +368,9 @@
 		Version: w.version,
 	}
 	if _, ok := p.resident(key); ok {
-		// Given while the old version runs, the order would keep the engine from all
-		// others until that ends.
-		return load, p.noticed(now, key) && !p.runs(key)
+		// While requests run on the old version, the order would block all other orders
+		// of the engine until they end.
+		return load, p.announceEviction(now, key) && !p.hasRunning(key)
 	}
 	if len(p.state.Loading) >= MaxComing {
 		return PlaceOrder{}, false
@@ -370,10 +379,10 @@
 		return load, true
 	}
 	if p.occupied()-p.replacing() < p.spec.AdapterSlots {
-		return PlaceOrder{}, false // there is room once the replacement is done
+		return PlaceOrder{}, false // a slot becomes free when the replacement is done
 	}
 	victim, ok := p.victim(now, p.value(now, key))
-	if !ok || !p.noticed(now, victim) {
+	if !ok || !p.announceEviction(now, victim) {
 		return PlaceOrder{}, false
 	}
 	return PlaceOrder{
@@ -382,9 +391,9 @@
 	}, true
 }
 
-// noticed marks an adapter as leaving and reports whether the gateways have had
-// time to learn of it.
-func (p *Places) noticed(now time.Time, key wardturn.ModelAdapter) bool {
+// announceEviction marks an adapter as leaving and reports whether the eviction notice
+// has passed since it was first marked.
+func (p *Places) announceEviction(now time.Time, key wardturn.ModelAdapter) bool {
 	at, ok := p.leaving[key]
 	if !ok {
 		p.leaving[key] = now
--- a/decide/places_report.go
+++ b/decide/places_report.go
@@ -6,12 +6,12 @@
 	"wardturn"
 )
 
-// Report takes a fresh report of the engine.
+// Report applies a fresh report of the engine.
 func (p *Places) Report(now time.Time, st wardturn.EngineState) {
 	p.state = st
 	p.known = true
 	p.reportedAt = now
-	p.forgetLost()
+	p.dropOrphaned()
 	held := make(map[wardturn.ModelAdapter]bool)
 	for _, m := range st.Models {
 		for _, a := range m.Adapters {
@@ -29,19 +29,19 @@
 	}
 }
 
-// Restarted forgets what was known of the engine's lifetime before: it is empty, and no
-// request of any gateway runs there.
+// Restarted resets the state after a restart of the engine: it holds no adapters and runs
+// no requests.
 func (p *Places) Restarted() {
 	clear(p.leaving)
 	clear(p.readyAt)
-	clear(p.lost)
+	clear(p.orphaned)
 	for _, u := range p.uses {
 		clear(u.running)
 	}
 	p.known = false
 }
 
-// Lost forgets the report: the engine does not answer.
+// Lost marks the state as unknown because the engine does not respond.
 func (p *Places) Lost() {
 	p.known = false
 }
--- a/decide/places_test.go
+++ b/decide/places_test.go
@@ -46,63 +46,63 @@
 		}
 		p.Report(now, st)
 	}
-	wish := func(name string, waiting int) {
+	request := func(name string, waiting int) {
 		p.Wish(now, "g1", version(name, 1), waiting, 0)
 	}
 	next := func() (decide.PlaceOrder, bool) {
 		return p.Next(now)
 	}
-	none := func() {
+	expectNone := func() {
 		GinkgoHelper()
 		_, ok := next()
 		Expect(ok).To(BeFalse())
 	}
-	expect := func(o decide.PlaceOrder) {
+	expectOrder := func(o decide.PlaceOrder) {
 		GinkgoHelper()
 		got, ok := next()
 		Expect(ok).To(BeTrue())
 		Expect(got).To(Equal(o))
 	}
-	pass := func(d time.Duration) {
+	advance := func(d time.Duration) {
 		now = now.Add(d)
 	}
 
-	It("tells how many places an adapter could have now", func() {
-		Expect(p.Free(now)).To(Equal(decide.MaxFree)) // of three, all empty
+	It("counts the slots that another adapter could take now", func() {
+		Expect(p.Free(now)).To(Equal(decide.MaxFree)) // all three slots are empty
 		report([]string{"c"}, "a", "b")
-		Expect(p.Free(now)).To(BeZero()) // a and b have just come
-		pass(time.Second)
+		Expect(p.Free(now)).To(BeZero()) // a and b were just loaded
+		advance(time.Second)
 		Expect(p.Free(now)).To(Equal(2)) // a and b are idle
 		p.Use(now, "g1", key("a"), 1, 1)
 		p.Use(now, "g1", key("b"), 1, 1)
 		Expect(p.Free(now)).To(BeZero())
 		p.Use(now, "g1", key("a"), 0, 0)
-		pass(time.Second)
-		Expect(p.Free(now)).To(Equal(1)) // a may go
-		wish("d", 1)
-		Expect(p.Free(now)).To(BeZero()) // and does, for d
+		advance(time.Second)
+		Expect(p.Free(now)).To(Equal(1)) // a may be evicted
+		request("d", 1)
+		Expect(p.Free(now)).To(BeZero()) // its slot is for d
 	})
 
-	It("counts an adapter that is being replaced twice", func() {
+	It("counts two slots for an adapter that is being replaced", func() {
 		report([]string{"a"}, "a", "b")
-		wish("c", 1)
-		none()
-		pass(10 * time.Millisecond)
-		none() // nor is one unloaded for it
+		request("c", 1)
+		expectNone()
+		advance(10 * time.Millisecond)
+		expectNone() // nothing is evicted for c either
 		report(nil, "a", "b")
-		expect(decide.PlaceOrder{
+		expectOrder(decide.PlaceOrder{
 			Target:  key("c"),
 			Version: 1,
 		})
 	})
 
-	It("loads first what most requests wait for at all gateways together", func() {
+	It("first loads the adapter with the most waiting requests over all gateways", func() {
 		report(nil)
 		for _, g := range []wardturn.Incarnation{"g1", "g2", "g3"} {
 			p.Wish(now, g, version("shared", 1), 2, 0)
 		}
-		wish("single", 3)
-		expect(decide.PlaceOrder{
+		request("single", 3)
+		expectOrder(decide.PlaceOrder{
 			Target:  key("shared"),
 			Version: 1,
 		})
@@ -122,13 +122,13 @@
 	})
 
 	It("gives no order before the engine has reported", func() {
-		wish("a", 1)
-		none()
+		request("a", 1)
+		expectNone()
 	})
 
-	It("loads the model into an empty engine, unless that is under way", func() {
+	It("loads the model into an empty engine, unless the engine is busy", func() {
 		p.Report(now, wardturn.EngineState{})
-		expect(decide.PlaceOrder{
+		expectOrder(decide.PlaceOrder{
 			Target: wardturn.ModelAdapter{
 				Model: "m",
 			},
@@ -136,31 +136,31 @@
 		p.Report(now, wardturn.EngineState{
 			Busy: true,
 		})
-		none()
+		expectNone()
 	})
 
-	It("loads a wished adapter into a free place", func() {
+	It("loads a requested adapter into a free slot", func() {
 		report(nil, "a")
-		wish("b", 1)
-		expect(decide.PlaceOrder{
+		request("b", 1)
+		expectOrder(decide.PlaceOrder{
 			Target:  key("b"),
 			Version: 1,
 		})
 	})
 
-	It("counts adapters on their way as taking places", func() {
+	It("counts loading adapters as occupying slots", func() {
 		report([]string{"x", "y"}, "a")
-		pass(time.Second)
-		wish("b", 1)
+		advance(time.Second)
+		request("b", 1)
 		_, ok := next()
-		Expect(ok).To(BeFalse()) // only a notice of an eviction
-		pass(10 * time.Millisecond)
+		Expect(ok).To(BeFalse()) // the eviction is only announced
+		advance(10 * time.Millisecond)
 		got, ok := next()
 		Expect(ok).To(BeTrue())
 		Expect(got.Unload).To(BeTrue())
 	})
 
-	It("has no more than the allowed number on their way", func() {
+	It("has no more than the allowed number of loads in progress", func() {
 		p.SetSpec(wardturn.EngineSpec{
 			AdapterSlots: 16,
 			Models: []wardturn.ModelSpec{
@@ -170,46 +170,46 @@
 			},
 		})
 		report([]string{"w", "x", "y", "z"})
-		wish("b", 1)
-		none()
+		request("b", 1)
+		expectNone()
 	})
 
-	It("unloads the least used adapter, after it told the gateways", func() {
+	It("evicts the least used adapter after announcing it to the gateways", func() {
 		report(nil, "a", "b", "c")
 		for range 10 {
 			p.Use(now, "g", key("a"), 1, 0)
 			p.Use(now, "g", key("c"), 1, 0)
 		}
-		pass(2 * time.Second)
-		wish("d", 1)
-		none()
+		advance(2 * time.Second)
+		request("d", 1)
+		expectNone()
 		Expect(p.Leaving(key("b"))).To(BeTrue())
-		pass(5 * time.Millisecond)
-		expect(decide.PlaceOrder{
+		advance(5 * time.Millisecond)
+		expectOrder(decide.PlaceOrder{
 			Unload: true,
 			Target: key("b"),
 		})
 	})
 
-	It("unloads nothing that runs or has just come", func() {
+	It("does not evict adapters that are in use or were just loaded", func() {
 		report(nil, "a", "b", "c")
 		for _, name := range []string{"a", "b", "c"} {
 			p.Use(now, "g", key(name), 1, 1)
 		}
-		pass(2 * time.Second)
-		wish("d", 1)
-		none()
+		advance(2 * time.Second)
+		request("d", 1)
+		expectNone()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b")) || p.Leaving(key("c"))).To(BeFalse())
 		p.GatewayLost("g")
-		none()
+		expectNone()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b")) || p.Leaving(key("c"))).To(BeTrue())
 	})
 
-	// A gateway that is cut off can't tell of its requests any more, so their adapters
-	// looked idle. An engine lets runs end before it unloads what they use, and refuses all
-	// other orders until then: keepers' logs of a day with hosts that were cut off show an
-	// engine that took no orders for up to 2 s.
-	It("unloads nothing that a gateway which was cut off may still run", func() {
+	// A partitioned gateway can't report its requests, so their adapters used to look
+	// idle. An engine that is ordered to unload an adapter in use first waits for the
+	// requests to end and refuses all other orders until then. Keeper logs of a network
+	// partition show an engine that accepted no orders for up to 2 s.
+	It("does not evict adapters that requests of a partitioned gateway may still use", func() {
 		runs := func(n int) {
 			st := p.State()
 			st.Running = n
@@ -221,18 +221,18 @@
 		}
 		p.Use(now, "other", key("c"), 1, 1)
 		runs(3)
-		pass(2 * time.Second)
+		advance(2 * time.Second)
 		p.GatewayLost("g")
-		runs(2) // one of the two has ended
-		wish("d", 1)
-		none()
+		runs(2) // one of the lost gateway's two requests has ended
+		request("d", 1)
+		expectNone()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b"))).To(BeFalse())
-		runs(1) // the other gateway's
-		none()
+		runs(1) // the remaining request is the other gateway's
+		expectNone()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b"))).To(BeTrue())
 	})
 
-	It("holds no adapter for a gateway that was cut off longer than its requests may take", func() {
+	It("evicts adapters of a gateway that was partitioned for longer than its requests may take", func() {
 		report(nil, "a", "b", "c")
 		for _, name := range []string{"a", "b", "c"} {
 			p.Use(now, "g", key(name), 1, 1)
@@ -241,97 +241,97 @@
 		st.Running = 3
 		p.Report(now, st)
 		p.GatewayLost("g")
-		pass(20 * time.Second)
-		wish("d", 1)
-		none()
+		advance(20 * time.Second)
+		request("d", 1)
+		expectNone()
 		Expect(p.Leaving(key("a")) || p.Leaving(key("b")) || p.Leaving(key("c"))).To(BeTrue())
 	})
 
-	It("keeps an adapter that is wished for while it is about to leave", func() {
+	It("keeps an adapter that is requested after its eviction was announced", func() {
 		report(nil, "a", "b", "c")
 		p.Use(now, "g", key("a"), 5, 0)
 		p.Use(now, "g", key("b"), 5, 0)
-		pass(2 * time.Second)
-		wish("d", 1)
-		none()
+		advance(2 * time.Second)
+		request("d", 1)
+		expectNone()
 		Expect(p.Leaving(key("c"))).To(BeTrue())
-		wish("c", 1)
+		request("c", 1)
 		Expect(p.Leaving(key("c"))).To(BeFalse())
-		pass(5 * time.Millisecond)
-		none() // another one gets its notice first
+		advance(5 * time.Millisecond)
+		expectNone() // the eviction of another one is announced first
 		Expect(p.Leaving(key("c"))).To(BeFalse())
 	})
 
-	It("replaces an old version, after it told the gateways", func() {
+	It("replaces an old version after announcing it to the gateways", func() {
 		report(nil, "a")
 		p.Wish(now, "g1", version("a", 2), 1, 0)
-		none()
+		expectNone()
 		Expect(p.Leaving(key("a"))).To(BeTrue())
-		pass(5 * time.Millisecond)
-		expect(decide.PlaceOrder{
+		advance(5 * time.Millisecond)
+		expectOrder(decide.PlaceOrder{
 			Target:  key("a"),
 			Version: 2,
 		})
 	})
 
-	It("replaces no version that runs, and loads others meanwhile", func() {
+	It("does not replace a version in use, and loads other adapters meanwhile", func() {
 		report(nil, "a")
-		pass(time.Second)
+		advance(time.Second)
 		p.Use(now, "g1", key("a"), 1, 1)
 		renew := func() {
 			p.Wish(now, "g1", version("a", 2), 5, 0)
 		}
 		renew()
-		none()
+		expectNone()
 		Expect(p.Leaving(key("a"))).To(BeTrue())
 		for range 10 {
-			pass(300 * time.Millisecond)
+			advance(300 * time.Millisecond)
 			renew()
-			none()
-			Expect(p.Leaving(key("a"))).To(BeTrue()) // nothing new is sent to it
+			expectNone()
+			Expect(p.Leaving(key("a"))).To(BeTrue()) // so gateways send no new requests to it
 		}
-		wish("b", 1)
-		expect(decide.PlaceOrder{
+		request("b", 1)
+		expectOrder(decide.PlaceOrder{
 			Target:  key("b"),
 			Version: 1,
 		})
 		p.Use(now, "g1", key("a"), 0, 0)
 		report([]string{"b"}, "a")
-		expect(decide.PlaceOrder{
+		expectOrder(decide.PlaceOrder{
 			Target:  key("a"),
 			Version: 2,
 		})
 	})
 
-	It("gives no order and has nothing leave while the engine says that one is under way", func() {
+	It("gives no order and announces no eviction while the engine is busy with an order", func() {
 		report(nil, "a", "b", "c")
 		st := p.State()
 		st.Busy = true
 		p.Report(now, st)
-		pass(time.Second)
-		wish("d", 1)
-		none()
-		pass(10 * time.Millisecond)
-		none()
+		advance(time.Second)
+		request("d", 1)
+		expectNone()
+		advance(10 * time.Millisecond)
+		expectNone()
 		for _, name := range []string{"a", "b", "c"} {
 			Expect(p.Leaving(key(name))).To(BeFalse())
 		}
 		report(nil, "a", "b", "c")
-		none()
-		pass(10 * time.Millisecond)
+		expectNone()
+		advance(10 * time.Millisecond)
 		got, ok := next()
 		Expect(ok).To(BeTrue())
 		Expect(got.Unload).To(BeTrue())
 	})
 
-	It("forgets wishes that are not repeated", func() {
+	It("forgets load requests that are not repeated", func() {
 		report(nil)
-		wish("a", 1)
-		pass(time.Second)
-		none()
+		request("a", 1)
+		advance(time.Second)
+		expectNone()
 	})
 
-	It("never exceeds the places, whatever is wished and reported", func() {
+	It("never exceeds the number of slots, whatever is requested and reported", func() {
 		held := map[string]bool{}
 		coming := map[string]bool{}
 		state := func() {
@@ -345,9 +345,9 @@
 			report(c, h...)
 		}
 		for i := range 2000 {
-			wish(fmt.Sprint("a", i*7%23), 1+i%3)
+			request(fmt.Sprint("a", i*7%23), 1+i%3)
 			state()
-			pass(7 * time.Millisecond)
+			advance(7 * time.Millisecond)
 			if o, ok := next(); ok {
 				if o.Unload {
 					delete(held, string(o.Target.Adapter))
--- a/decide/plan.go
+++ b/decide/plan.go
@@ -9,15 +9,15 @@
 const (
 	// valueLifetime bounds how long a policy's answer for an adapter is reused.
 	valueLifetime = 100 * time.Millisecond
-	// batchReserve is the share of an engine step that batch work leaves free
-	// for interactive work that may come.
+	// batchReserve is the fraction of an engine's batch capacity that batch work leaves
+	// free for interactive work that may arrive.
 	batchReserve = 0.125
-	// batchStarveFactor times AgentConfig.StarveAfter is the age at which a
-	// batch request may take a slot as interactive work does.
+	// batchStarveFactor times AgentConfig.StarveAfter is the age at which a batch request
+	// may claim a slot like an interactive one.
 	batchStarveFactor = 30
 )
 
-// plan starts what can start and orders what has to be loaded.
+// plan starts the requests that can run and orders the loads that they need.
 func (a *Agent) plan(now time.Time, out *Orders) {
 	a.startReady(now, out)
 	a.planLoads(now, out)
@@ -49,7 +49,7 @@
 func (a *Agent) nextInteractive(now time.Time) *item {
 	best := a.first(now, &a.plain)
 	for i := range a.slots {
-		ad := a.servingSlot(i)
+		ad := a.servingAdapter(i)
 		if ad == nil {
 			continue
 		}
@@ -58,8 +58,8 @@
 	return best
 }
 
-// nextBatch returns the batch item to run now, or nil. Batch work is what the
-// policy may hold, and it leaves room for interactive work.
+// nextBatch returns the batch item to run now, or nil. The policy may hold batch items
+// back, and batch work leaves capacity for interactive work.
 func (a *Agent) nextBatch(now time.Time) *item {
 	room := a.cfg.MaxRunning - int(batchReserve*float64(a.cfg.MaxRunning))
 	if a.running >= room {
@@ -68,7 +68,7 @@
 	pinned := a.pinnedSlots()
 	var best *item
 	for i := range a.slots {
-		ad := a.servingSlot(i)
+		ad := a.servingAdapter(i)
 		if ad == nil || ad.batch.len() == 0 {
 			continue
 		}
@@ -76,7 +76,7 @@
 			continue
 		}
 		it := a.first(now, &ad.batch)
-		if a.held(now, it) {
+		if a.heldBack(now, it) {
 			continue
 		}
 		best = a.earlier(now, best, it)
@@ -84,8 +84,8 @@
 	return best
 }
 
-// servingSlot returns the adapter of a slot that may start requests.
-func (a *Agent) servingSlot(i int) *adapter {
+// servingAdapter returns the adapter of a slot that may start requests.
+func (a *Agent) servingAdapter(i int) *adapter {
 	s := &a.slots[i]
 	if s.state != SlotReady || s.draining {
 		return nil
@@ -114,9 +114,9 @@
 	return y
 }
 
-// held reports whether the policy holds a batch item back. Near its deadline
-// nothing is held.
-func (a *Agent) held(now time.Time, it *item) bool {
+// heldBack reports whether the policy holds a batch item back. An item near its deadline is
+// never held.
+func (a *Agent) heldBack(now time.Time, it *item) bool {
 	in := a.queueInput(now, it)
 	if !it.work.Deadline.IsZero() && in.Deadline < holdMargin*a.serveTime+a.loadTime {
 		return false
@@ -126,8 +126,8 @@
 	return held
 }
 
-// holdMargin is how many service times before its deadline a held item is let
-// go.
+// holdMargin sets when a held item is released: this many service times plus the time of a
+// load before its deadline.
 const holdMargin = 4
 
 func (a *Agent) start(now time.Time, it *item, out *Orders) {
@@ -150,10 +150,10 @@
 
 // stalled returns how long an item waited for its adapter to become ready.
 func (a *Agent) stalled(it *item) time.Duration {
-	if it.stallFrom.IsZero() {
+	if it.stalledSince.IsZero() {
 		return 0
 	}
-	return max(0, a.slots[it.adapter.slot].since.Sub(it.stallFrom))
+	return max(0, a.slots[it.adapter.slot].since.Sub(it.stalledSince))
 }
 
 func (a *Agent) unpin(it *item) {
@@ -166,48 +166,48 @@
 	}
 }
 
-// planLoads turns wants into loads, the most valuable first.
+// planLoads orders loads for the adapters that wait for a slot, the most valuable first.
 func (a *Agent) planLoads(now time.Time, out *Orders) {
 	if len(a.slots) == 0 || !a.informed {
 		return
 	}
 	for {
-		want := a.bestWant(now)
-		if want == nil {
+		missing := a.nextLoad(now)
+		if missing == nil {
 			a.stopDraining()
 			a.permits.Withdraw(now)
 			return
 		}
-		i := a.victim(now, want)
+		i := a.victim(now, missing)
 		if i == noSlot {
-			a.drainFor(now, want)
+			a.drainFor(now, missing)
 			a.permits.Withdraw(now)
 			return
 		}
-		if !a.permits.Take(now, a.wish(now, want)) {
+		if !a.permits.Take(now, a.permitRequest(now, missing)) {
 			return
 		}
-		a.shadowLoad(now, want, i)
-		a.bring(i, want, now, out)
+		a.shadowLoad(now, missing, i)
+		a.loadInto(i, missing, now, out)
 	}
 }
 
-func (a *Agent) wish(now time.Time, want *adapter) Wish {
+func (a *Agent) permitRequest(now time.Time, missing *adapter) Wish {
 	w := Wish{
 		Class: wardturn.Interactive,
-		Value: a.value(now, want),
+		Value: a.value(now, missing),
 		Want:  max(1, a.urgentWants(now)),
 	}
-	if !a.urgent(now, want) {
-		// Batch loads go where batch work runs already: steps fill on one
-		// engine instead of staying half empty on all.
+	if !a.urgent(now, missing) {
+		// Batch loads prefer engines that already run batch work, so that the steps of
+		// one engine are full instead of those of all engines being half empty.
 		w.Class = wardturn.Batch
 		w.Value += float64(a.runBatch)
 	}
 	return w
 }
 
-// urgentWants counts the adapters that urgent work waits for.
+// urgentWants counts the adapters without a slot for which urgent work waits.
 func (a *Agent) urgentWants(now time.Time) int {
 	n := 0
 	for _, ad := range a.wanted {
@@ -218,14 +218,15 @@
 	return n
 }
 
-// urgent reports whether an adapter has work waiting that must not be held.
+// urgent reports whether work that must not be held back waits for an adapter: interactive
+// requests, or batch requests past the starvation limit.
 func (a *Agent) urgent(now time.Time, ad *adapter) bool {
 	return ad.interactive.len() > 0 || ad.batch.oldest(now) > batchStarveFactor*a.cfg.StarveAfter
 }
 
-// bestWant returns the adapter to load next: urgent ones before others, then by
-// value. Adapters whose load failed a moment ago wait for their backoff.
-func (a *Agent) bestWant(now time.Time) *adapter {
+// nextLoad returns the adapter to load next, or nil: urgent ones before others, then by
+// value. Adapters in backoff after a failed load are skipped.
+func (a *Agent) nextLoad(now time.Time) *adapter {
 	var best *adapter
 	for _, ad := range a.wanted {
 		if now.Before(ad.retryAt) || !a.loadable(now, ad) {
@@ -238,12 +239,12 @@
 	return best
 }
 
-// loadable reports whether some request of a want is ready to run.
+// loadable reports whether some request that waits for an adapter is not held back.
 func (a *Agent) loadable(now time.Time, ad *adapter) bool {
 	if ad.interactive.len() > 0 {
 		return true
 	}
-	return !a.held(now, ad.batch.items[0])
+	return !a.heldBack(now, ad.batch.items[0])
 }
 
 func (a *Agent) worthMore(now time.Time, x, y *adapter) bool {
@@ -260,8 +261,7 @@
 	return x.ref.Adapter < y.ref.Adapter
 }
 
-// value asks the policy what an adapter's slot is worth, or reuses a recent
-// answer.
+// value returns the policy's value of a slot for an adapter, cached for valueLifetime.
 func (a *Agent) value(now time.Time, ad *adapter) float64 {
 	if !ad.valueAt.IsZero() && now.Sub(ad.valueAt) < valueLifetime {
 		return ad.value
@@ -287,9 +287,9 @@
 	}
 }
 
-// victim returns the slot to load a want into: an empty one, a drained one, or
-// the least valuable idle one if the want is worth more.
-func (a *Agent) victim(now time.Time, want *adapter) int {
+// victim returns the slot to load a missing adapter into: an empty one, a drained one, or
+// the least valuable idle one if the missing adapter is worth more.
+func (a *Agent) victim(now time.Time, missing *adapter) int {
 	best := noSlot
 	for i := range a.slots {
 		s := &a.slots[i]
@@ -306,34 +306,34 @@
 			best = i
 		}
 	}
-	if best == noSlot || a.outranks(now, want, a.adapters[a.slots[best].ref]) {
+	if best == noSlot || a.outranks(now, missing, a.adapters[a.slots[best].ref]) {
 		return best
 	}
 	return noSlot
 }
 
-// evictable reports whether a slot may be unloaded: nothing runs on it, now or
-// for an earlier agent, and no interactive work is about to.
+// evictable reports whether a slot may be unloaded: it runs no requests of this agent or an
+// earlier one, and no interactive requests wait for it unless it is draining.
 func (a *Agent) evictable(s *slot) bool {
-	if s.state != SlotReady || s.foreign {
+	if s.state != SlotReady || s.inherited {
 		return false
 	}
 	ad := a.adapters[s.ref]
 	return ad.running == 0 && (s.draining || ad.interactive.len() == 0)
 }
 
-// outranks reports whether a want may replace a resident adapter.
-func (a *Agent) outranks(now time.Time, want, resident *adapter) bool {
-	if want.interactive.oldest(now) > a.cfg.StarveAfter {
+// outranks reports whether a missing adapter may replace a resident one.
+func (a *Agent) outranks(now time.Time, missing, resident *adapter) bool {
+	if missing.interactive.oldest(now) > a.cfg.StarveAfter {
 		return true
 	}
-	return a.value(now, want) > a.value(now, resident)
+	return a.value(now, missing) > a.value(now, resident)
 }
 
-// drainFor stops new requests on the least valuable busy slot, so that a want
-// that has waited long gets a place. One slot drains at a time.
-func (a *Agent) drainFor(now time.Time, want *adapter) {
-	if !a.urgent(now, want) || want.interactive.oldest(now) < a.cfg.DrainAfter {
+// drainFor stops new requests on the least valuable busy slot, so that an adapter that has
+// waited long gets a slot. Only one slot drains at a time.
+func (a *Agent) drainFor(now time.Time, missing *adapter) {
+	if !a.urgent(now, missing) || missing.interactive.oldest(now) < a.cfg.DrainAfter {
 		return
 	}
 	best := noSlot
@@ -349,7 +349,7 @@
 			best = i
 		}
 	}
-	if best == noSlot || !a.outranks(now, want, a.adapters[a.slots[best].ref]) {
+	if best == noSlot || !a.outranks(now, missing, a.adapters[a.slots[best].ref]) {
 		return
 	}
 	a.drain(now, best)
@@ -359,8 +359,8 @@
 	a.slots[i].draining = true
 	ad := a.adapters[a.slots[i].ref]
 	for _, it := range ad.interactive.items {
-		if it.stallFrom.IsZero() {
-			it.stallFrom = now
+		if it.stalledSince.IsZero() {
+			it.stalledSince = now
 		}
 	}
 }
@@ -371,13 +371,13 @@
 	}
 }
 
-// bring loads a want into a slot, unloading the slot first if it is taken.
-func (a *Agent) bring(i int, want *adapter, now time.Time, out *Orders) {
+// loadInto loads a missing adapter into a slot, which is unloaded first if it is occupied.
+func (a *Agent) loadInto(i int, missing *adapter, now time.Time, out *Orders) {
 	if a.slots[i].state == SlotEmpty {
-		a.startLoad(i, want, now, out)
+		a.startLoad(i, missing, now, out)
 		return
 	}
-	a.startUnload(i, want.ref, now, out)
-	want.slot = i
-	a.trackWant(want)
+	a.startUnload(i, missing.ref, now, out)
+	missing.slot = i
+	a.trackMissing(missing)
 }
--- a/decide/router.go
+++ b/decide/router.go
@@ -13,13 +13,13 @@
 type RouteMode uint8
 
 const (
-	// RouteSticky is the mode of the product: rendezvous candidates, bounded
-	// load, replicas by demand, and locations learnt from replies.
+	// RouteSticky is the production mode: rendezvous hashing with bounded load, sticky
+	// routing to the upstreams used before, and replicas for adapters in high demand.
 	RouteSticky RouteMode = iota
-	// RouteAffinity sends each adapter to its first rendezvous candidate. It is
-	// kept as a baseline.
+	// RouteAffinity sends each adapter to its first rendezvous candidate. It serves as a
+	// baseline in experiments.
 	RouteAffinity
-	// RouteLeastLoaded ignores adapters. It is kept as a baseline.
+	// RouteLeastLoaded ignores adapters. It serves as a baseline in experiments.
 	RouteLeastLoaded
 )
 
@@ -37,11 +37,11 @@
 	Mode         RouteMode
 	Region       wardturn.Region
 	Domain       wardturn.FailureDomain
-	Candidates   int           // rendezvous candidates of a cold adapter
-	MaxLocations int           // adapters whose place is remembered
-	HintLifetime time.Duration // after which a load hint no longer counts
-	LocationLife time.Duration // idle time after which a place is forgotten
-	BoundFactor  float64       // load over the average at which a replica is added
+	Candidates   int           // rendezvous candidates of an adapter without a location
+	MaxLocations int           // adapters whose locations are remembered
+	HintLifetime time.Duration // age at which a load hint expires
+	LocationLife time.Duration // idle time after which a location is forgotten
+	BoundFactor  float64       // load, relative to the average, at which a replica is added
 }
 
 func (c RouterConfig) withDefaults() RouterConfig {
@@ -53,7 +53,7 @@
 	return c
 }
 
-// Ask is a request as a router sees it.
+// Ask describes a request to be routed.
 type Ask struct {
 	Adapter wardturn.AdapterRef
 	Service wardturn.ServiceName
@@ -61,9 +61,9 @@
 	Tried   []wardturn.UpstreamID // not to be chosen again
 }
 
-// Router chooses upstreams for one entry host. It knows the hosts of its own
-// view of the platform's list, what they hinted, and where it sent the adapters
-// that it saw lately; it holds no map of everything.
+// Router chooses upstreams for the requests of one entry host. It knows the hosts in its
+// own view of the platform's list, their latest load hints, and the locations of recently
+// requested adapters. It holds no global map of adapters.
 type Router struct {
 	cfg       RouterConfig
 	pools     map[poolKey]*pool
@@ -71,37 +71,38 @@
 	locations locations
 }
 
-// poolKey names a set of interchangeable upstreams.
+// poolKey identifies a pool of interchangeable upstreams.
 type poolKey struct {
 	model   wardturn.BaseModel
 	service wardturn.ServiceName
 }
 
 type pool struct {
-	near    []*target // of the entry's region, in order of upstream
-	far     []*target
-	load    float64 // sum over the near targets, kept up to date
-	swept   time.Time
-	scratch []scored
+	local          []*target // of the entry's region, in order of upstream
+	remote         []*target
+	load           float64 // sum over the local targets, kept up to date
+	hintsCheckedAt time.Time
+	scratch        []scoredTarget
 }
 
 type target struct {
-	host     wardturn.Host
-	hash     uint64
-	pool     *pool
-	hint     Hint
-	hintAt   time.Time
-	mine     int // requests of this entry under way
-	mineThen int // of them, those that the hint knows
-	breaker  Breaker
-	near     bool // in the entry's region
-	removed  bool
+	host           wardturn.Host
+	hash           uint64
+	pool           *pool
+	hint           Hint
+	hintAt         time.Time
+	inFlight       int // requests of this entry in flight
+	inFlightAtHint int // those of them that the hint includes
+	breaker        Breaker
+	local          bool // in the entry's region
+	removed        bool
 }
 
-// scored is a target with its rendezvous score for an adapter: the highest wins.
-type scored struct {
-	t     *target
-	score uint64
+// scoredTarget is a target with its rendezvous score for an adapter. The highest score
+// wins.
+type scoredTarget struct {
+	target *target
+	score  uint64
 }
 
 // NewRouter returns a router that knows no hosts yet.
@@ -115,8 +116,8 @@
 	}
 }
 
-// SetHosts replaces the router's view of the hosts. What is known of hosts that
-// stay is kept.
+// SetHosts replaces the router's view of the hosts. The state of hosts that stay at the
+// same address is kept.
 func (r *Router) SetHosts(hosts []wardturn.Host) {
 	byID := make(map[wardturn.UpstreamID]*target, len(hosts))
 	pools := make(map[poolKey]*pool)
@@ -139,13 +140,13 @@
 			pools[key] = p
 		}
 		t.pool = p
-		t.near = h.Region == r.cfg.Region
-		if t.near {
-			p.near = append(p.near, t)
+		t.local = h.Region == r.cfg.Region
+		if t.local {
+			p.local = append(p.local, t)
 			p.load += t.load()
 			continue
 		}
-		p.far = append(p.far, t)
+		p.remote = append(p.remote, t)
 	}
 	for id, t := range r.byID {
 		if byID[id] != t {
@@ -153,8 +154,8 @@
 		}
 	}
 	for _, p := range pools {
-		slices.SortFunc(p.near, byUpstream)
-		slices.SortFunc(p.far, byUpstream)
+		slices.SortFunc(p.local, byUpstream)
+		slices.SortFunc(p.remote, byUpstream)
 	}
 	r.byID = byID
 	r.pools = pools
@@ -164,38 +165,38 @@
 	return strings.Compare(string(x.host.Upstream), string(y.host.Upstream))
 }
 
-// Hint takes a load hint of an upstream.
+// Hint records a load hint of an upstream.
 func (r *Router) Hint(now time.Time, id wardturn.UpstreamID, h Hint) {
 	t := r.byID[id]
 	if t == nil {
 		return
 	}
-	t.change(func() {
+	t.update(func() {
 		t.hint = h
 		t.hintAt = now
-		t.mineThen = t.mine
+		t.inFlightAtHint = t.inFlight
 	})
 }
 
 // Sent records that a request went to an upstream.
 func (r *Router) Sent(id wardturn.UpstreamID) {
 	if t := r.byID[id]; t != nil {
-		t.change(func() {
-			t.mine++
+		t.update(func() {
+			t.inFlight++
 		})
 	}
 }
 
-// Ended records the end of a request that was sent. An upstream that is
-// unreachable or loses requests is left alone for a while.
+// Ended records the end of a request that was sent. Healthy is false if the upstream was
+// unreachable or lost the request, which counts against its circuit breaker.
 func (r *Router) Ended(now time.Time, id wardturn.UpstreamID, healthy bool) {
 	t := r.byID[id]
 	if t == nil {
 		return
 	}
-	t.change(func() {
-		t.mine = max(0, t.mine-1)
-		t.mineThen = max(0, t.mineThen-1)
+	t.update(func() {
+		t.inFlight = max(0, t.inFlight-1)
+		t.inFlightAtHint = max(0, t.inFlightAtHint-1)
 	})
 	if healthy {
 		t.breaker.Succeed()
@@ -204,22 +205,22 @@
 	t.breaker.Fail(now)
 }
 
-// change keeps the pool's sum right while a target's load changes.
-func (t *target) change(f func()) {
+// update applies f, which may change the target's load, and updates the pool's sum.
+func (t *target) update(f func()) {
 	before := t.load()
 	f()
-	if t.near {
+	if t.local {
 		t.pool.load += t.load() - before
 	}
 }
 
-// load estimates the requests at a target: what it hinted, and what this entry
-// sent it since.
+// load estimates the number of requests at a target: those in its latest hint and those
+// that this entry has sent since.
 func (t *target) load() float64 {
-	return float64(t.hint.Running + t.hint.Queued + max(0, t.mine-t.mineThen))
+	return float64(t.hint.Running + t.hint.Queued + max(0, t.inFlight-t.inFlightAtHint))
 }
 
-// Pick chooses an upstream. It reports false when none may take the request.
+// Pick chooses an upstream for a request. It reports false if no upstream can take it.
 func (r *Router) Pick(now time.Time, ask Ask) (wardturn.UpstreamID, bool) {
 	p := r.pools[poolKey{
 		model:   ask.Model,
@@ -237,13 +238,13 @@
 	return t.host.Upstream, true
 }
 
-// choose prefers the entry's region; another serves only when none of the own
-// does. When every breaker is open they are all tried: a fault that looks the
-// same everywhere is no reason to refuse everything.
+// choose prefers the entry's own region and uses others only if no upstream there can take
+// the request. Upstreams with an open breaker are used if there are no others: a fault that
+// all upstreams show is no reason to refuse every request.
 func (r *Router) choose(now time.Time, p *pool, ask Ask) *target {
-	for _, tryEjected := range []bool{false, true} {
-		for _, targets := range [][]*target{p.near, p.far} {
-			if t := r.chooseAmong(now, p, targets, ask, tryEjected); t != nil {
+	for _, ignoreBreakers := range []bool{false, true} {
+		for _, targets := range [][]*target{p.local, p.remote} {
+			if t := r.chooseAmong(now, p, targets, ask, ignoreBreakers); t != nil {
 				return t
 			}
 		}
@@ -251,9 +252,9 @@
 	return nil
 }
 
-func (r *Router) chooseAmong(now time.Time, p *pool, targets []*target, ask Ask, tryEjected bool) *target {
+func (r *Router) chooseAmong(now time.Time, p *pool, targets []*target, ask Ask, ignoreBreakers bool) *target {
 	usable := func(t *target) bool {
-		return t.takes(ask) && (tryEjected || t.breaker.Allows(now))
+		return t.accepts(ask) && (ignoreBreakers || t.breaker.Allows(now))
 	}
 	switch {
 	case ask.Adapter.IsZero(), r.cfg.Mode == RouteLeastLoaded:
@@ -263,48 +264,48 @@
 		if len(list) == 0 {
 			return nil
 		}
-		return list[0].t
+		return list[0].target
 	}
-	return r.sticky(now, p, targets, usable, ask)
+	return r.chooseSticky(now, p, targets, usable, ask)
 }
 
-// takes reports whether a target may be given a request.
-func (t *target) takes(ask Ask) bool {
+// accepts reports whether a target may be given a request.
+func (t *target) accepts(ask Ask) bool {
 	return t.host.State != wardturn.HostLeaving && !t.hint.Leaving && !slices.Contains(ask.Tried, t.host.Upstream)
 }
 
-// sweepEach is how often the hints of a pool are looked at for their age.
-const sweepEach = time.Second
+// hintCheckInterval is the interval at which a pool is checked for expired hints.
+const hintCheckInterval = time.Second
 
-// expireHints forgets loads that are too old to mean anything.
+// expireHints drops the load hints of a pool that are older than the hint lifetime.
 func (r *Router) expireHints(now time.Time, p *pool) {
-	if now.Sub(p.swept) < sweepEach {
+	if now.Sub(p.hintsCheckedAt) < hintCheckInterval {
 		return
 	}
-	p.swept = now
-	for _, targets := range [][]*target{p.near, p.far} {
+	p.hintsCheckedAt = now
+	for _, targets := range [][]*target{p.local, p.remote} {
 		for _, t := range targets {
 			if !t.hintAt.IsZero() && now.Sub(t.hintAt) > r.cfg.HintLifetime {
-				t.forgetHint()
+				t.clearHint()
 			}
 		}
 	}
 }
 
-func (t *target) forgetHint() {
-	t.change(func() {
+func (t *target) clearHint() {
+	t.update(func() {
 		t.hint = Hint{
 			Capacity: t.hint.Capacity,
 			Leaving:  t.hint.Leaving,
 		}
-		t.mineThen = 0
+		t.inFlightAtHint = 0
 		t.hintAt = time.Time{}
 	})
 }
 
-// candidates returns the n usable targets of the highest rendezvous scores for
-// an adapter, in descending order. All entry hosts of a region agree on them.
-func (p *pool) candidates(targets []*target, usable func(*target) bool, ref wardturn.AdapterRef, n int) []scored {
+// candidates returns the n usable targets with the highest rendezvous scores for an
+// adapter, in descending order. All entry hosts of a region compute the same scores.
+func (p *pool) candidates(targets []*target, usable func(*target) bool, ref wardturn.AdapterRef, n int) []scoredTarget {
 	key := hashString(string(ref.Adapter))
 	list := p.scratch[:0]
 	for _, t := range targets {
@@ -313,39 +314,40 @@
 			continue
 		}
 		if len(list) < n {
-			list = append(list, scored{})
+			list = append(list, scoredTarget{})
 		}
 		at := len(list) - 1
 		for at > 0 && list[at-1].score < score {
 			list[at] = list[at-1]
 			at--
 		}
-		list[at] = scored{
-			t:     t,
-			score: score,
+		list[at] = scoredTarget{
+			target: t,
+			score:  score,
 		}
 	}
 	p.scratch = list
 	return list
 }
 
-// leastLoaded returns the usable target of the least load; among equal ones,
-// one of the own failure domain.
+// leastLoaded returns the usable target with the least load. Ties go to the entry's own
+// failure domain.
 func (r *Router) leastLoaded(targets []*target, usable func(*target) bool) *target {
 	var best *target
 	for _, t := range targets {
-		if usable(t) && (best == nil || r.lighter(t, best)) {
+		if usable(t) && (best == nil || r.lessLoaded(t, best)) {
 			best = t
 		}
 	}
 	return best
 }
 
-// lighter compares by load; equal loads go to the own failure domain.
-func (r *Router) lighter(x, y *target) bool {
+// lessLoaded reports whether x has less load than y. Ties go to the entry's own failure
+// domain.
+func (r *Router) lessLoaded(x, y *target) bool {
 	if x.load() != y.load() {
 		return x.load() < y.load()
 	}
-	near := x.host.Domain == r.cfg.Domain
-	return near && y.host.Domain != r.cfg.Domain
+	sameDomain := x.host.Domain == r.cfg.Domain
+	return sameDomain && y.host.Domain != r.cfg.Domain
 }
--- a/decide/wait.go
+++ b/decide/wait.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// plainOverfill is how many requests a plain upstream is given at once, in
-	// its slots: a few may queue there.
-	plainOverfill = 2.0
-	// engineOverfill is the same for engines: more run slower, and beyond the
-	// batch they queue.
-	engineOverfill = 1.0
-	// shortPause is told to callers refused for want of a free place; places
-	// free up within a few generations.
-	shortPause = 300 * time.Millisecond
-	// maxComeBack bounds the time told to callers.
+	// plainFillLimit is the limit of concurrent requests at a plain upstream, relative to
+	// its slots. A few may queue there.
+	plainFillLimit = 2.0
+	// engineFillLimit is the same limit for engines, relative to their batch. Larger
+	// batches run slower, and requests beyond the batch queue.
+	engineFillLimit = 1.0
+	// fullRetryAfter is the retry time for requests that are refused because all
+	// upstreams are full. Capacity becomes free within the time of a few generations.
+	fullRetryAfter = 300 * time.Millisecond
+	// maxComeBack bounds the retry time reported to callers.
 	maxComeBack = 3 * time.Second
 )
 
@@ -26,31 +26,31 @@
 	Key       wardturn.ModelAdapter // zero for a plain service
 	Arrived   time.Time
 	Objective time.Duration
-	Pause     time.Duration // longest between two events of an answer in time; zero: any
+	Pause     time.Duration // longest gap allowed between two events of the response; zero: unlimited
 	Deadline  time.Time
 	Prompt    wardturn.Tokens
-	Body      int // bytes of the request's body
-	Bytes     int // of the request and, by estimate, of its answer
+	Body      int // bytes of the request body
+	Bytes     int // of the request and, estimated, of its response
 	Regions   wardturn.Regions
 	Tried     []wardturn.UpstreamID
 	Assign    func(Assignment) // called once, under the fleet's lock
 
-	want    *want
-	booked  *Member // whose adapter it waits for, and which will read its prompt
-	settled bool    // takes a slow engine rather than wait any longer
+	missing *want
+	booked  *Member // the engine whose adapter it waits for and for which its prompt is counted
+	settled bool    // accepts a slow engine instead of waiting longer
 }
 
-// Assignment is the upstream of a request, or the word that there is none.
+// Assignment is the upstream assigned to a request, or a refusal.
 type Assignment struct {
-	Member     wardturn.Member // zero ID: none
+	Member     wardturn.Member // its ID is zero for a refusal
 	Version    wardturn.Version
-	Load       int // requests that were at the member, as far as known
-	Prefill    int // tokens of prompts that it was reading, as far as known
+	Load       int // estimated requests at the member before this one
+	Prefill    int // estimated prompt tokens in prefill at the member
 	Reason     wardturn.Reason
 	RetryAfter time.Duration
 }
 
-// LoadAsk asks the keeper of an engine for an adapter.
+// LoadAsk is a load request: it asks the keeper of an engine to load an adapter.
 type LoadAsk struct {
 	Upstream wardturn.UpstreamID
 	Adapter  wardturn.AdapterVersion
@@ -58,30 +58,30 @@
 	Oldest   time.Duration
 }
 
-// Moves collects what a decision wants done.
+// Moves collects the actions that result from a decision.
 type Moves struct {
 	Asks  []LoadAsk
 	Loads []LoadNote
-	// Ended are versions whose older ones serve no more: a request to such a one that
-	// has not begun has to be broken off.
+	// Ended are versions whose older versions must not serve any more. Requests that were
+	// sent to an older version and have not begun must be cancelled.
 	Ended []wardturn.AdapterVersion
-	// Leaving are upstreams that have just said that they leave.
+	// Leaving are upstreams that have just announced that they are shutting down.
 	Leaving []wardturn.UpstreamID
 }
 
-// LoadNote says that an adapter that was asked for arrived.
+// LoadNote records that a requested adapter has been loaded.
 type LoadNote struct {
 	Adapter  wardturn.AdapterVersion
 	Upstream wardturn.UpstreamID
-	Took     time.Duration // since it was asked for
-	Waited   time.Duration // since the first request waited
-	Warm     bool          // its engine held it before
-	Window   int           // loads that may be under way
-	Under    int           // loads that are under way
+	Took     time.Duration // since the load request
+	Waited   time.Duration // since the first request began to wait
+	Warm     bool          // the engine held it before
+	Window   int           // loads that may be in flight
+	Under    int           // loads in flight
 	Cause    LoadCause
 }
 
-// Admit finds an upstream for a request, lets it wait, or refuses it.
+// Admit assigns an upstream to a request, queues the request, or refuses it.
 func (f *Fleet) Admit(now time.Time, t *Ticket, out *Moves) {
 	if reason, none := f.noneMay(t); none {
 		t.refuse(reason, maxComeBack)
@@ -92,20 +92,20 @@
 		f.admitPlain(now, t)
 		return
 	}
-	if f.place(now, t, out) {
+	if f.tryAssign(now, t, out) {
 		return
 	}
 	if reason, back, none := f.turnedAway(now, t); none {
 		t.refuse(reason, back)
 		return
 	}
-	f.wait(now, t, out)
+	f.enqueue(now, t, out)
 }
 
 func (f *Fleet) admitPlain(now time.Time, t *Ticket) {
 	m := f.plainMember(now, t, 1)
 	if m == nil {
-		m = f.plainMember(now, t, plainOverfill)
+		m = f.plainMember(now, t, plainFillLimit)
 	}
 	if m != nil {
 		f.assign(now, t, m, 0)
@@ -115,18 +115,20 @@
 		t.refuse(reason, back)
 		return
 	}
-	t.refuse(f.emptiness(now, t), shortPause)
+	t.refuse(f.unavailableReason(now, t), fullRetryAfter)
 }
 
-// plainMember returns the member of the least cost that is filled less than a limit, or nil.
+// plainMember returns the usable member of the least cost whose fill is below a limit, or
+// nil.
 func (f *Fleet) plainMember(now time.Time, t *Ticket, limit float64) *Member {
 	return f.best(now, f.services[t.Service], func(m *Member) bool {
 		return m.usable(now, t.Tried) && f.inRegions(m, t.Regions) && m.fill() < limit && f.holds(m, t) && f.limits.Allows(now, m.ID)
 	})
 }
 
-// emptiness tells a full service from one without upstreams.
-func (f *Fleet) emptiness(now time.Time, t *Ticket) wardturn.Reason {
+// unavailableReason returns the reason for a refusal: the service is full, or it has no
+// usable upstream.
+func (f *Fleet) unavailableReason(now time.Time, t *Ticket) wardturn.Reason {
 	for _, m := range f.services[t.Service] {
 		if m.usable(now, t.Tried) {
 			return wardturn.ReasonQueueFull
@@ -154,8 +156,8 @@
 	t.Assign(a)
 }
 
-// place gives a request to an engine that is ready for it.
-func (f *Fleet) place(now time.Time, t *Ticket, out *Moves) bool {
+// tryAssign assigns a request to an engine that can run it now, and reports whether it did.
+func (f *Fleet) tryAssign(now time.Time, t *Ticket, out *Moves) bool {
 	m := f.engineFor(now, t, f.newest(t.Key), anyMember)
 	if m == nil && f.oldVersionServes(now, t.Key) {
 		m = f.engineFor(now, t, 0, func(m *Member) bool {
@@ -168,21 +170,21 @@
 	version := wardturn.Version(0)
 	if t.Key.Adapter != "" {
 		version = m.held[t.Key].version
-		f.spread(now, t, m, out)
+		f.considerCopy(now, t, m, out)
 	}
 	f.assign(now, t, m, version)
 	return true
 }
 
-// engineFor returns the engine that takes a request now, at a version or a newer
-// one, among those that match, or nil.
+// engineFor returns the cheapest matching engine that can run a request now and holds its
+// adapter at version least or newer, or nil.
 func (f *Fleet) engineFor(now time.Time, t *Ticket, least wardturn.Version, match func(*Member) bool) *Member {
 	list := f.services[t.Service]
 	if t.Key.Adapter != "" {
 		list = f.holders[t.Key]
 	}
 	return cheapest(list, func(m *Member) bool {
-		if m.Service != t.Service || !m.usable(now, t.Tried) || !f.inRegions(m, t.Regions) || m.fill() >= engineOverfill || !f.holds(m, t) {
+		if m.Service != t.Service || !m.usable(now, t.Tried) || !f.inRegions(m, t.Regions) || m.fill() >= engineFillLimit || !f.holds(m, t) {
 			return false
 		}
 		return m.serves(now, t.Key, least) && match(m) && f.limits.Allows(now, m.ID)
@@ -191,8 +193,8 @@
 	})
 }
 
-// serves reports whether an engine holds an adapter at a version or a newer one, or,
-// for a request without one, the model.
+// serves reports whether an engine holds an adapter at version least or newer, or the model
+// if the key names no adapter.
 func (m *Member) serves(now time.Time, key wardturn.ModelAdapter, least wardturn.Version) bool {
 	if key.Adapter == "" {
 		for _, have := range m.holding.Models {
@@ -206,26 +208,25 @@
 	return ok && h.ready && h.version >= least && !now.Before(m.doubts[key])
 }
 
-// wait lets a request wait for its adapter if that can be there in time, and
-// tells it when to come back if not.
-func (f *Fleet) wait(now time.Time, t *Ticket, out *Moves) {
+// enqueue queues a request until its adapter is loaded, and requests the adapter if needed.
+func (f *Fleet) enqueue(now time.Time, t *Ticket, out *Moves) {
 	w := f.wantOf(now, t.Key, t.Service, t.Regions)
-	t.want = w
+	t.missing = w
 	w.waiting = append(w.waiting, t)
-	w.latest = now
+	w.latestArrival = now
 	f.book(t, f.members[w.home])
 	if !w.askedAt.IsZero() || w.key.Adapter == "" {
 		return
 	}
 	if len(w.waiting) == 1 {
-		f.askFree(now, w, out)
+		f.requestWithoutStore(now, w, out)
 	}
 	f.pump(now, out)
 }
 
-// nowhere reports whether no upstream can get a request that waits, whatever its load, why,
-// and when its caller should come back.
-func (f *Fleet) nowhere(now time.Time, t *Ticket) (reason wardturn.Reason, back time.Duration, none bool) {
+// unservable reports whether no upstream may take a waiting request, whatever the
+// upstreams' load. If so, it returns the reason and the retry time for the caller.
+func (f *Fleet) unservable(now time.Time, t *Ticket) (reason wardturn.Reason, back time.Duration, none bool) {
 	if reason, none := f.noneMay(t); none {
 		return reason, maxComeBack, true
 	}
@@ -235,13 +236,13 @@
 	return "", 0, false
 }
 
-// Withdraw ends the wait of a request whose caller left.
+// Withdraw removes a waiting request whose caller has disconnected.
 func (f *Fleet) Withdraw(t *Ticket) {
-	w := t.want
+	w := t.missing
 	if w == nil {
 		return
 	}
-	t.want = nil
+	t.missing = nil
 	f.book(t, nil)
 	for i, o := range w.waiting {
 		if o == t {
@@ -251,57 +252,58 @@
 	}
 }
 
-// Tick lets time pass: requests that waited as long as they may are told when to
-// come back, and wishes are repeated.
+// Tick performs the work that is due at a time: it refuses requests that can't be served in
+// time any more, repeats load requests and advances rollouts.
 func (f *Fleet) Tick(now time.Time, out *Moves) {
 	f.countGateways(now)
 	for _, w := range f.wants {
-		f.placeWaiting(now, w, out)
+		f.assignWaiting(now, w, out)
 		f.expire(now, w, out)
-		f.renew(now, w, out)
+		f.renewRequest(now, w, out)
 	}
 	f.advanceRollouts(now, out)
 	f.pump(now, out)
 }
 
-// placeWaiting tries to place the requests of a want: an engine that was full may
-// have room again.
-func (f *Fleet) placeWaiting(now time.Time, w *want, out *Moves) {
+// assignWaiting tries to assign the requests that wait for an adapter: an engine that was
+// full may have capacity again.
+func (f *Fleet) assignWaiting(now time.Time, w *want, out *Moves) {
 	if len(w.waiting) == 0 || w.key.Adapter != "" && len(f.holders[w.key]) == 0 {
 		return
 	}
 	kept := w.waiting[:0]
 	for _, t := range w.waiting {
 		f.book(t, nil)
-		if !f.place(now, t, out) {
+		if !f.tryAssign(now, t, out) {
 			f.book(t, f.members[w.home])
 			kept = append(kept, t)
 			continue
 		}
-		t.want = nil
+		t.missing = nil
 	}
 	clear(w.waiting[len(kept):])
 	w.waiting = kept
 }
 
-// expire ends the waits that have become hopeless. A request that waited only for
-// a quicker engine takes the slow one now.
+// expire ends the wait of requests that can't be served in time any more. A request that
+// waited only for a faster engine is assigned to a slow one; the others are refused with a
+// retry time.
 func (f *Fleet) expire(now time.Time, w *want, out *Moves) {
 	kept := w.waiting[:0]
 	for _, t := range w.waiting {
-		reason, back, none := f.nowhere(now, t)
+		reason, back, none := f.unservable(now, t)
 		if !none && !f.hopeless(now, w, t) {
 			kept = append(kept, t)
 			continue
 		}
-		t.want = nil
+		t.missing = nil
 		f.book(t, nil)
 		if none {
 			t.refuse(reason, back)
 			continue
 		}
 		t.settled = true
-		if f.place(now, t, out) {
+		if f.tryAssign(now, t, out) {
 			continue
 		}
 		back = f.comeBack(now, w)
--- a/decide/window.go
+++ b/decide/window.go
@@ -8,19 +8,18 @@
 
 // WindowConfig holds the limits of a LoadWindow.
 type WindowConfig struct {
-	Start float64 // loads at once, at the start
+	Start float64 // initial number of concurrent loads
 	Least float64
 	Most  float64
 }
 
 // The defaults of WindowConfig.
 const (
-	// DefaultWindowStart is few enough for the smallest weight store that is
-	// known (8 at full speed); where there are many engines the window begins with
-	// windowStartPart.
+	// DefaultWindowStart is what the smallest known weight store serves at full speed.
+	// With many engines the window starts at windowStartRatio of their number instead.
 	DefaultWindowStart = 8
 	DefaultWindowLeast = 4
-	// DefaultWindowMost is over ten times the places of the largest known store.
+	// DefaultWindowMost is over ten times the parallel loads of the largest known store.
 	DefaultWindowMost = 1024
 )
 
@@ -32,117 +31,120 @@
 }
 
 const (
-	windowShrink  = 0.85            // factor after slow loads
-	windowUsed    = 0.7             // part of the window that must be in use for it to grow
-	windowSamples = 15              // loads whose median is the typical time: single slow ones tell of their engine
-	slowLoads     = 1.3             // typical time, as a part of the usual one, from which loads count as slow
-	usualMemory   = 5 * time.Minute // time constant with which the usual time follows longer ones
-	windowProbe   = 0.5             // growth for a load before the first slow one: half again with each load time
-	// windowStartPart is the part of engines that may each have a load under way at
-	// the start. A store is built for its engines: the known ones serve 0.33 to 2
-	// loads for each at full speed. From a few the window takes over a second to what a
+	windowShrink   = 0.85            // factor applied after slow loads
+	windowMinUse   = 0.7             // fraction of the window that must be in use for it to grow
+	windowSamples  = 15              // loads in the median: single slow loads are due to their engine, not the store
+	slowLoadRatio  = 1.3             // ratio of the median to the baseline above which loads count as slow
+	baselineMemory = 5 * time.Minute // time constant with which the baseline follows longer load times
+	windowProbe    = 0.5             // growth per load before the first slow one: by half in each load time
+	// windowStartRatio is the initial window as a fraction of the number of engines. Stores
+	// are sized for their engines: the known ones serve 0.33 to 2 concurrent loads per
+	// engine at full speed. From a small window it takes over a second to grow to what a
 	// store for many engines serves, and the requests of that time are late.
-	windowStartPart = 0.5
-	// expectedLoad is the time of a load from a store that is not overloaded, with its
-	// order and report: 250 ms by the platform's description, and 20. Loads count
-	// as slow against this until quicker ones were seen: a window that begins above
-	// what the store serves would take the slowness for usual.
-	expectedLoad = 270 * time.Millisecond
-	// A store that takes as long when the window is down to unhelpedSize of what it
-	// was, by unhelpedTime, is slow by itself: that time is the usual one.
-	unhelpedSize  = 0.6
-	unhelpedTime  = 0.9
-	unhelpedLoads = 2 * windowSamples // loads since, so that none of before counts
-	// memoryPart is the part of the usual time below which a load was not from the
-	// store: an engine brings back in a tenth of it what it held before, and a
-	// gateway that has just started does not know what that is. Counted as loads
-	// from the store they make all others look slow, and the window falls to its least.
-	memoryPart = 0.35
-	// quickInRow is how many such loads in a row say that the store has become
-	// quicker. One in three was from memory where it mattered.
-	quickInRow = 30
-	loadGuess  = 300 * time.Millisecond // told to callers before any load was seen
+	windowStartRatio = 0.5
+	// initialBaseline is the baseline at the start, the duration of a load from a store that
+	// is not overloaded: 250 ms by the platform's description, and 20 ms for the order and the
+	// report. It holds until shorter loads are observed. Without it, a window that starts
+	// above the store's capacity would take the slow loads for normal.
+	initialBaseline = 270 * time.Millisecond
+	// If loads still take at least ineffectiveTime of their earlier duration when the
+	// window has shrunk to ineffectiveSize of its earlier size, the window is not what
+	// slows them down, and their duration becomes the baseline.
+	ineffectiveSize  = 0.6
+	ineffectiveTime  = 0.9
+	ineffectiveLoads = 2 * windowSamples // slow loads seen by then, so that the median has none from before
+	// memoryLoadRatio is the fraction of the baseline below which a load is assumed not
+	// to come from the store. An engine restores an adapter that it held before in a
+	// tenth of the baseline, and a gateway that has just started does not know which
+	// adapters those are. If they counted as loads from the store, all others would look
+	// slow and the window would shrink to its minimum.
+	memoryLoadRatio = 0.35
+	// fastLoadsInRow is the number of consecutive such loads after which the store is
+	// assumed to have become faster. Where this mattered, one load in three was from
+	// memory.
+	fastLoadsInRow  = 30
+	initialLoadTime = 300 * time.Millisecond // load time reported to callers before any load was observed
 )
 
-// LoadWindow bounds the loads that are under way from the weight store for all
-// gateways together. Every gateway sees all loads, since keepers tell what comes
-// to their engines; so all learn the same window: it widens while loads take
-// their usual time and narrows when they slow down, as congestion control does.
-// Beyond what the store serves at once more loads only take longer, and come
-// when those that waited have left.
+// LoadWindow bounds the number of concurrent loads from the weight store for all gateways
+// together. It works like a delay-based congestion window: it grows while loads take their
+// normal time, the baseline, and shrinks when they slow down. Every gateway observes all
+// loads through the keepers' reports, so all gateways arrive at about the same window.
+// Loads beyond the store's capacity only make each load slower, until the requests that
+// wait for them have given up.
 type LoadWindow struct {
-	cfg       WindowConfig
-	size      float64
-	recent    []time.Duration
-	typical   time.Duration // the median of the recent ones
-	usual     time.Duration // the least typical time seen
-	learned   bool          // a load was seen
-	recalled  float64       // size that was learned by processes before; zero: none
-	narrowing narrowing
-	quick     int  // loads in a row that seemed to come from memory
-	probing   bool // no load was slow yet
-	shrunkAt  time.Time
-	learnedAt time.Time // latest change of the usual time
-}
-
-// narrowing is what a window was when loads became slow.
-type narrowing struct {
-	size    float64 // zero: loads are not slow
-	typical time.Duration
-	loads   int // since
-}
-
-// NewLoadWindow returns a window of the start size.
+	cfg        WindowConfig
+	size       float64
+	recent     []time.Duration
+	median     time.Duration // of recent
+	baseline   time.Duration // normal load time: the least median, rising slowly with longer ones
+	learned    bool          // a load was observed
+	restored   float64       // size learned by earlier processes; zero if unknown
+	slowPhase  slowPhase
+	fastLoads  int  // consecutive loads that seem to come from memory
+	probing    bool // no slow load yet
+	shrunkAt   time.Time
+	baselineAt time.Time // latest update of the baseline
+}
+
+// slowPhase is the state of a window at the time when loads became slow.
+type slowPhase struct {
+	size   float64 // zero: loads are not slow
+	median time.Duration
+	loads  int // observed since then
+}
+
+// NewLoadWindow returns a window of the initial size.
 func NewLoadWindow(cfg WindowConfig) LoadWindow {
 	cfg = cfg.withDefaults()
 	return LoadWindow{
-		cfg:     cfg,
-		size:    cfg.Start,
-		typical: loadGuess,
-		usual:   expectedLoad,
-		probing: true,
+		cfg:      cfg,
+		size:     cfg.Start,
+		median:   initialLoadTime,
+		baseline: initialBaseline,
+		probing:  true,
 	}
 }
 
-// Retune changes the limits; the present size stays within them.
+// Retune changes the limits and clamps the current size to them.
 func (w *LoadWindow) Retune(cfg WindowConfig) {
 	w.cfg = cfg.withDefaults()
 	w.size = min(max(w.size, w.cfg.Least), w.cfg.Most)
 }
 
-// Expect says how many engines there are, which counts until a load was seen.
+// Expect sets the number of engines. It affects the size until a load is observed.
 func (w *LoadWindow) Expect(engines int) {
 	if !w.learned {
-		w.size = min(max(w.cfg.Start, windowStartPart*float64(engines), w.recalled), w.cfg.Most)
+		w.size = min(max(w.cfg.Start, windowStartRatio*float64(engines), w.restored), w.cfg.Most)
 	}
 }
 
-// Recall takes a size that was learned by processes before, from which the window
-// starts if that is more.
+// Recall restores a size that earlier processes learned. The window starts from it if it is
+// larger than the initial size.
 func (w *LoadWindow) Recall(size int) {
-	w.recalled = float64(size)
+	w.restored = float64(size)
 	if !w.learned {
-		w.size = min(max(w.size, w.recalled), w.cfg.Most)
+		w.size = min(max(w.size, w.restored), w.cfg.Most)
 	}
 }
 
-// Learned returns the size, and whether loads have confirmed it.
+// Learned returns the size and whether it is based on observed loads.
 func (w *LoadWindow) Learned() (size int, ok bool) {
 	return w.Size(), w.learned
 }
 
-// Size returns the loads that may be under way.
+// Size returns the number of loads that may be in flight.
 func (w *LoadWindow) Size() int {
 	return int(w.size)
 }
 
-// Typical returns the usual time of a load at present.
+// Typical returns the median duration of recent loads.
 func (w *LoadWindow) Typical() time.Duration {
-	return w.typical
+	return w.median
 }
 
-// Loaded takes the time of a load and how many were under way when it ended,
-// itself among them.
+// Loaded records the duration of a load and the number of loads that were in flight when it
+// ended, including itself.
 func (w *LoadWindow) Loaded(now time.Time, d time.Duration, under int) {
 	if w.fromMemory(d) {
 		return
@@ -152,22 +154,22 @@
 		w.recent = w.recent[1:]
 	}
 	sorted := slices.Sorted(slices.Values(w.recent))
-	w.typical = sorted[len(sorted)/2]
-	w.learnUsual(now)
-	slow := float64(w.typical) > slowLoads*float64(w.usual)
+	w.median = sorted[len(sorted)/2]
+	w.updateBaseline(now)
+	slow := float64(w.median) > slowLoadRatio*float64(w.baseline)
 	if !slow {
-		w.narrowing = narrowing{}
+		w.slowPhase = slowPhase{}
 	}
 	switch {
-	case slow && w.unhelped():
-		w.usual = w.typical
+	case slow && w.ineffective():
+		w.baseline = w.median
 		w.probing = true
-		w.narrowing = narrowing{}
+		w.slowPhase = slowPhase{}
 	case slow:
 		w.probing = false
 		w.shrink(now)
-	case float64(under) < windowUsed*w.size:
-		// What is not used says nothing of a wider window.
+	case float64(under) < windowMinUse*w.size:
+		// A window that is not used up gives no evidence for a larger one.
 	case w.probing:
 		w.size = min(w.cfg.Most, w.size+windowProbe)
 	default:
@@ -175,49 +177,51 @@
 	}
 }
 
-// fromMemory reports whether a load took too little time for the weight store.
+// fromMemory reports whether a load was too fast to have come from the weight store, unless
+// fastLoadsInRow loads in a row were.
 func (w *LoadWindow) fromMemory(d time.Duration) bool {
-	if float64(d) >= memoryPart*float64(w.usual) {
-		w.quick = 0
+	if float64(d) >= memoryLoadRatio*float64(w.baseline) {
+		w.fastLoads = 0
 		return false
 	}
-	w.quick++
-	return w.quick < quickInRow
+	w.fastLoads++
+	return w.fastLoads < fastLoadsInRow
 }
 
-// learnUsual follows the typical time at once when it falls and slowly when it
-// rises: a store that has become slower for good is not taken to be overloaded for
-// ever.
-func (w *LoadWindow) learnUsual(now time.Time) {
+// updateBaseline updates the baseline. It follows the median at once when that falls and
+// slowly when it rises, so that a store that has become permanently slower does not count
+// as overloaded forever.
+func (w *LoadWindow) updateBaseline(now time.Time) {
 	if !w.learned {
 		w.learned = true
-		w.learnedAt = now
+		w.baselineAt = now
 	}
-	since := now.Sub(w.learnedAt)
-	w.learnedAt = now
-	if w.typical < w.usual {
-		w.usual = w.typical
+	since := now.Sub(w.baselineAt)
+	w.baselineAt = now
+	if w.median < w.baseline {
+		w.baseline = w.median
 		return
 	}
-	part := min(1, since.Seconds()/usualMemory.Seconds())
-	w.usual += time.Duration(part * float64(w.typical-w.usual))
+	part := min(1, since.Seconds()/baselineMemory.Seconds())
+	w.baseline += time.Duration(part * float64(w.median-w.baseline))
 }
 
-// unhelped counts a slow load and reports whether loads are slow whatever the
-// window.
-func (w *LoadWindow) unhelped() bool {
-	n := &w.narrowing
+// ineffective counts a slow load and reports whether loads stayed slow although the
+// window has shrunk.
+func (w *LoadWindow) ineffective() bool {
+	n := &w.slowPhase
 	if n.size == 0 {
 		n.size = w.size
-		n.typical = w.typical
+		n.median = w.median
 	}
 	n.loads++
-	return n.loads > unhelpedLoads && w.size <= unhelpedSize*n.size && float64(w.typical) >= unhelpedTime*float64(n.typical)
+	return n.loads > ineffectiveLoads && w.size <= ineffectiveSize*n.size && float64(w.median) >= ineffectiveTime*float64(n.median)
 }
 
-// shrink narrows the window, once for the loads that were under way together.
+// shrink reduces the window, at most once per load time, so that loads that were in flight
+// together reduce it only once.
 func (w *LoadWindow) shrink(now time.Time) {
-	if now.Sub(w.shrunkAt) < w.typical {
+	if now.Sub(w.shrunkAt) < w.median {
 		return
 	}
 	w.shrunkAt = now
