--- a/decide/cause.go
+++ b/decide/cause.go
@@ -4,22 +4,22 @@
 	"wardturn"
 )
 
-// LoadCause says why an adapter was asked for at an engine.
+// LoadCause says why this gateway asked an engine to load an adapter.
 type LoadCause string
 
-// The causes of a load.
+// Causes of a load.
 const (
 	LoadFirst   LoadCause = "first"   // no engine held it, as far as this gateway knows
 	LoadAgain   LoadCause = "again"   // the engine held it before
-	LoadMoved   LoadCause = "moved"   // another engine held it before and does no more
-	LoadSecond  LoadCause = "second"  // others hold it, but are full or would stall
-	LoadNear    LoadCause = "near"    // it is held in other failure domains only, and much was sent there
+	LoadMoved   LoadCause = "moved"   // another engine held it before but no longer does
+	LoadSecond  LoadCause = "second"  // other engines hold it, but are full or would answer too late
+	LoadNear    LoadCause = "near"    // only engines in other failure domains hold it, and many bytes were sent there
 	LoadRelief  LoadCause = "relief"  // the engine that holds it is busier than others
-	LoadVersion LoadCause = "version" // a newer version was named
+	LoadVersion LoadCause = "version" // a newer version was announced
 )
 
-// causeOf returns why a wanted adapter is asked for at an engine, if nothing else
-// was said of it.
+// causeOf returns why an engine is asked for a wanted adapter, for wants without a cause
+// set elsewhere.
 func (f *Fleet) causeOf(w *want, home *Member) LoadCause {
 	if home.everHeld[w.key] {
 		return LoadAgain
--- a/decide/hint.go
+++ b/decide/hint.go
@@ -8,14 +8,14 @@
 	"wardturn"
 )
 
-// Hint is an agent's load as it rides on replies. It is out of date when it
-// arrives and expires soon after.
+// Hint is an agent's load as reported with its replies. It is already out of date on
+// arrival and expires soon after.
 type Hint struct {
 	Running  int  `msgpack:"r" json:"running"`
 	Queued   int  `msgpack:"q" json:"queued"`
 	Capacity int  `msgpack:"c" json:"capacity"`         // requests that can run at once
-	Wants    int  `msgpack:"w" json:"waiting_adapters"` // that wait for a slot
-	Spare    int  `msgpack:"s" json:"spare_slots"`      // that could be reused at once
+	Wants    int  `msgpack:"w" json:"waiting_adapters"` // adapters that wait for a slot
+	Spare    int  `msgpack:"s" json:"spare_slots"`      // slots that are empty or can be reused at once
 	Leaving  bool `msgpack:"l" json:"leaving"`
 }
 
@@ -37,7 +37,7 @@
 	return h
 }
 
-// TargetView is a copy of what a router knows of an upstream.
+// TargetView is a copy of a router's state of an upstream.
 type TargetView struct {
 	Host    wardturn.Host
 	Hint    Hint
@@ -45,7 +45,7 @@
 	Ejected bool
 }
 
-// Targets returns what the router knows, in order of upstream.
+// Targets returns the router's state of all upstreams, sorted by upstream ID.
 func (r *Router) Targets(now time.Time) []TargetView {
 	list := make([]TargetView, 0, len(r.byID))
 	for _, t := range r.byID {
--- a/decide/lags.go
+++ b/decide/lags.go
@@ -6,16 +6,17 @@
 	"wardturn"
 )
 
-// leastLags holds, for each other process, the least difference of the time here and the
-// stamp of a word of it: what a word takes beyond that it was held up on its way.
+// leastLags holds, for each other process, the smallest observed difference between the
+// local arrival time of a message and its timestamp. Subtracting it from the difference
+// of a later message leaves the extra delay of that message.
 type leastLags map[wardturn.Incarnation]time.Duration
 
-// maxReaders bounds the processes that are remembered; those that have ended are
-// forgotten with the rest.
+// maxReaders bounds the number of remembered processes. When it is exceeded all entries
+// are dropped, and with them those of processes that have ended.
 const maxReaders = 1024
 
-// note takes the lag of a word and returns the least so far. It reports whether there was
-// an earlier word to measure it by.
+// note records the lag of a message from a process and returns the smallest lag so far.
+// It reports whether there was an earlier message to compare with.
 func (l leastLags) note(from wardturn.Incarnation, lag time.Duration) (least time.Duration, measured bool) {
 	least, measured = l[from]
 	if !measured || lag < least {
--- a/decide/member.go
+++ b/decide/member.go
@@ -8,53 +8,53 @@
 	"wardturn"
 )
 
-// Member is an upstream with what this gateway knows of it.
+// Member is an upstream together with the state that this gateway keeps of it.
 type Member struct {
 	wardturn.Member
 	hash         uint64
 	breaker      Breaker
-	failing      float64   // share of its requests that failed lately
-	latency      float64   // of its answers, in milliseconds; of plain services only
-	timedAt      time.Time // of the latest of them
-	running      int       // requests of this gateway under way
-	bodies       int       // bytes of their bodies
-	prefill      int       // tokens of prompts of those that have no byte of an answer yet
-	reading      reading   // of long prompts, of all gateways
-	rate         *readRate // of the engines of its service
+	failing      float64   // moving average of the share of its requests that failed
+	latency      float64   // moving average of its response time, in milliseconds; plain services only
+	timedAt      time.Time // when latency was last updated
+	running      int       // requests of this gateway in flight
+	bodies       int       // total size of their bodies, in bytes
+	prefill      int       // prompt tokens of those without a byte of response yet
+	reading      reading   // long prompts being prefilled, of all gateways
+	rate         *readRate // prefill rate of the engines of its service
 	holding      Holding
-	heldAt       time.Time // of the holding
-	atHold       int       // running when the holding arrived
+	heldAt       time.Time // when the holding was received
+	atHold       int       // value of running when the holding was received
 	held         map[wardturn.ModelAdapter]heldAdapter
-	coming       int // of them, on their way from the weight store
+	coming       int // adapters of held being loaded from the weight store
 	everHeld     map[wardturn.ModelAdapter]bool
 	asks         map[wardturn.ModelAdapter]bool // adapters that this gateway has asked it for
 	uses         map[wardturn.ModelAdapter]*AdapterCount
-	doubts       map[wardturn.ModelAdapter]time.Time // adapters that it refused, until when that counts
-	ended        bool                                // its address answers as another lifetime
-	refusedUntil time.Time                           // after it refused a connection
-	rest         *rest                               // that it asked for; nil: none
-	coldUntil    time.Time                           // as its entry and its answers say
-	coldSeen     wardturn.Position                   // position of that entry; negative: there is none
-	watchUntil   time.Time                           // it may have turned cold unseen
-	evacuated    bool                                // its failure domain is
+	doubts       map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides the holding
+	ended        bool                                // another incarnation answers at its address
+	refusedUntil time.Time                           // set when it refuses a connection
+	rest         *rest                               // a pause that it asked for, or nil
+	coldUntil    time.Time                           // according to its entry and its responses
+	coldSeen     wardturn.Position                   // position of the entry behind coldUntil; negative if none
+	watchUntil   time.Time                           // until when it may be cold without having reported it
+	evacuated    bool                                // its failure domain is being evacuated
 }
 
-// The costs of a choice, in milliseconds that a request is expected to lose.
+// Terms of the cost of sending a request to a member, in milliseconds of expected delay.
 const (
-	// farCost stands for the price of traffic between failure domains, some
-	// thirtieth of a request's worth.
+	// farCost stands for the price of traffic between failure domains, about one
+	// thirtieth of the value of a request.
 	farCost = 20.0
-	// runCost is what each request at an engine costs another: its prompt is
-	// read and its tokens are made in the same steps.
+	// runCost is the delay that each request at an engine adds to another one: prefill
+	// and decoding of all requests share the same engine steps.
 	runCost = 3.0
-	// failCost is what a request loses that has to be sent once more, or cannot.
+	// failCost is the expected loss of a request that has to be sent again or cannot be.
 	failCost = 500.0
-	// failWeight is the weight of one request in the share that fails: some ten
-	// requests show a fault.
+	// failWeight is the weight of one request in the average failure share; about ten
+	// failed requests reveal a fault.
 	failWeight = 0.1
 )
 
-// best returns the member of the least cost among those that match.
+// best returns the member of the lowest cost among those that match, or nil.
 func (f *Fleet) best(now time.Time, list []*Member, match func(*Member) bool) *Member {
 	return cheapest(list, match, func(m *Member) float64 {
 		return f.cost(now, m)
@@ -76,8 +76,8 @@
 	return best
 }
 
-// cost returns what a request loses at a member, and what those that run there lose
-// by it.
+// cost returns the expected delay of a request at a member plus the delay that it causes
+// to the requests running there.
 func (f *Fleet) cost(now time.Time, m *Member) float64 {
 	c := m.busyCost(now)
 	if m.Domain != f.cfg.Domain {
@@ -86,30 +86,30 @@
 	return c
 }
 
-// busyCost is cost to a gateway of any failure domain.
+// busyCost is cost without the part that depends on this gateway's failure domain.
 func (m *Member) busyCost(now time.Time) float64 {
 	c := m.rate.cost(m.toRead(now)) + runCost*float64(m.load())
 	return c + failCost*m.failing + m.slowness(now)
 }
 
 const (
-	// latencyWeight is the weight of one answer in the usual time of answers.
+	// latencyWeight is the weight of one response in the average response time.
 	latencyWeight = 0.2
-	// latencyFade is the time constant with which that is forgotten: an upstream
+	// latencyFade is the time constant with which the average decays, so that an upstream
 	// that was slow is tried again after a few seconds.
 	latencyFade = 2 * time.Second
-	// fullLatency stands for a refusal for want of a place, in milliseconds: the
-	// request has to be sent once more.
+	// fullLatency is the response time, in milliseconds, recorded for a refusal for lack
+	// of capacity: the request has to be sent again.
 	fullLatency = 100.0
 )
 
-// Timed records how long a plain upstream took to answer.
+// Timed records the response time of a plain upstream.
 func (f *Fleet) Timed(now time.Time, id wardturn.UpstreamID, took time.Duration) {
 	f.timed(now, id, float64(took)/float64(time.Millisecond))
 }
 
-// Full records that a plain upstream refused a request for want of a place. Other
-// gateways fill it, whose requests nobody here sees.
+// Full records that a plain upstream refused a request for lack of capacity. Requests of
+// other gateways, which this gateway does not see, may fill it.
 func (f *Fleet) Full(now time.Time, id wardturn.UpstreamID) {
 	f.timed(now, id, fullLatency)
 }
@@ -124,7 +124,7 @@
 	m.timedAt = now
 }
 
-// slowness returns the usual time of answers, as far as it is still believed.
+// slowness returns the average response time, decayed by its age.
 func (m *Member) slowness(now time.Time) float64 {
 	if m.latency == 0 {
 		return 0
@@ -132,28 +132,30 @@
 	return m.latency * math.Exp(-now.Sub(m.timedAt).Seconds()/latencyFade.Seconds())
 }
 
-// fill is the load as a part of what the member works on at once.
+// fill returns the load as a fraction of the member's slots.
 func (m *Member) fill() float64 {
 	return float64(m.load()) / float64(max(m.Slots, 1))
 }
 
-// usable reports whether a member may be given a request.
+// usable reports whether a request may be sent to a member now.
 func (m *Member) usable(now time.Time, tried []wardturn.UpstreamID) bool {
 	return m.available(now) && m.rest.over(now) && !slices.Contains(tried, m.ID)
 }
 
-// open reports whether a member is to be reckoned with: it is usable, or about to be.
+// open reports whether a member is usable now or will be shortly.
 func (m *Member) open(now time.Time) bool {
 	return m.available(now) && !m.rest.inForce(now)
 }
 
-// available is usable but for a rest and what a request has tried.
+// available is usable without regard to a requested pause and to the members that a
+// request has already tried.
 func (m *Member) available(now time.Time) bool {
 	return !m.Draining && !m.evacuated && !m.ended && !now.Before(m.refusedUntil) && m.breaker.Allows(now)
 }
 
-// load estimates the requests at a member: what its keeper saw there and what
-// this gateway has sent since. Without a keeper only the own ones are known.
+// load estimates the number of requests at a member: those that its keeper reported plus
+// those that this gateway has sent since. Without a keeper only this gateway's requests
+// are known.
 func (m *Member) load() int {
 	if !m.holding.Known {
 		return m.running
@@ -161,24 +163,25 @@
 	return max(m.running, m.holding.Running+m.holding.Queued+m.running-m.atHold)
 }
 
-// loads reports whether an engine can be asked for adapters of a model.
+// loads reports whether an engine can be asked to load adapters of a model.
 func (m *Member) loads(now time.Time, model wardturn.BaseModel) bool {
 	return m.open(now) && m.holding.Connected && m.holding.Known && slices.Contains(m.holding.Models, model)
 }
 
-// Misplaced records that an upstream's address answers as another lifetime: this
-// one has ended, whatever the list says.
+// Misplaced records that another incarnation answers at an upstream's address: this one
+// has ended, even if it is still listed.
 func (f *Fleet) Misplaced(id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
 		m.ended = true
 	}
 }
 
-// refusedFor is how long an upstream that refused a connection gets no requests.
-// It may be starting again, and is cold then, or a link in trouble may have answered for it.
+// refusedFor is how long an upstream that refused a connection receives no requests. It
+// may be restarting, and is cold then, or a faulty network link may have refused the
+// connection in its place.
 const refusedFor = 400 * time.Millisecond
 
-// Refused records that nothing listens at an upstream's address.
+// Refused records that a connection to an upstream's address was refused.
 func (f *Fleet) Refused(now time.Time, id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
 		m.refusedUntil = now.Add(refusedFor)
--- a/decide/naming.go
+++ b/decide/naming.go
@@ -6,15 +6,15 @@
 	"wardturn"
 )
 
-// naming is the word that a version of an adapter is the newest.
+// naming records that a version of an adapter was announced as the newest.
 type naming struct {
 	version wardturn.Version
 	heard   time.Time
-	end     time.Time // after which the versions before it serve no more
+	end     time.Time // when versions before this one stop serving
 }
 
-// named remembers the name of a version. Of the names whose end has passed only the
-// latest still matters: no version before it serves.
+// named appends the announcement of a version. Of the announcements whose end has passed,
+// only the latest is kept: no version before it serves.
 func (f *Fleet) named(v wardturn.AdapterVersion, heard, end time.Time) naming {
 	key := v.Key()
 	list := f.namings[key]
@@ -30,7 +30,7 @@
 	return n
 }
 
-// newest returns the newest version of an adapter; zero if none was named.
+// newest returns the newest announced version of an adapter, or zero if there is none.
 func (f *Fleet) newest(key wardturn.ModelAdapter) wardturn.Version {
 	list := f.namings[key]
 	if len(list) == 0 {
@@ -39,7 +39,7 @@
 	return list[len(list)-1].version
 }
 
-// replacedBy returns the first name that is newer than a version, or nil.
+// replacedBy returns the first announcement of a version newer than v, or nil.
 func (f *Fleet) replacedBy(key wardturn.ModelAdapter, v wardturn.Version) *naming {
 	list := f.namings[key]
 	for i := range list {
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Superseded returns the first version of an adapter that is newer than another
-// and when that was named. It reports false while there is none.
+// Superseded returns the first announced version of an adapter that is newer than v and
+// when this gateway learned of it. It reports false while there is none.
 func (f *Fleet) Superseded(key wardturn.ModelAdapter, v wardturn.Version) (newer wardturn.Version, named time.Time, ok bool) {
 	n := f.replacedBy(key, v)
 	if n == nil {
@@ -60,24 +60,25 @@
 	return n.version, n.heard, true
 }
 
-// VersionServes reports whether requests may begin on a version of an adapter: on the
-// newest they may, and on each older one until the end that came with the first newer
-// name. One end for all old versions would move with each name, and versions that are named
-// in quick succession would never end.
+// VersionServes reports whether requests may start on a version of an adapter. The newest
+// version always serves. Each older version serves until the end set when the first newer
+// version was announced. With a single end for all old versions, each announcement would
+// postpone it, and under announcements in quick succession old versions would never stop
+// serving.
 func (f *Fleet) VersionServes(now time.Time, key wardturn.ModelAdapter, v wardturn.Version) bool {
 	n := f.replacedBy(key, v)
 	return n == nil || now.Before(n.end)
 }
 
-// oldVersionServes reports whether requests may begin on some old version of an
+// oldVersionServes reports whether requests may still start on some old version of an
 // adapter.
 func (f *Fleet) oldVersionServes(now time.Time, key wardturn.ModelAdapter) bool {
 	list := f.namings[key]
 	return len(list) > 0 && now.Before(list[len(list)-1].end)
 }
 
-// beginsInTime reports whether a request that is sent to a member now should begin on
-// the version there before that serves no more.
+// beginsInTime reports whether a request sent to a member now is expected to start on the
+// version held there before that version stops serving.
 func (f *Fleet) beginsInTime(now time.Time, m *Member, t *Ticket) bool {
 	read := m.rate.time(m.toRead(now) + int(t.Prompt))
 	return f.VersionServes(now.Add(beginWithin+read), t.Key, m.held[t.Key].version)
--- a/decide/reading.go
+++ b/decide/reading.go
@@ -6,40 +6,40 @@
 	"wardturn"
 )
 
-// readingLife is how long the word on prompts that an engine reads for other gateways is
-// believed: over the time of the longest, and short enough that a keeper which hangs does
-// not keep requests from its engine.
+// readingLife is how long a keeper's report of the prompts its engine is prefilling for
+// other gateways stays valid. It exceeds the prefill time of the longest prompt, and is
+// short enough that a hung keeper does not keep requests away from its engine.
 const readingLife = 1500 * time.Millisecond
 
 const (
-	// longPrompt is the least prompt, in tokens, for which a request waits for an engine
-	// that has it begin in time.
+	// longPrompt is the shortest prompt, in tokens, for which a request waits for an
+	// engine that can prefill it within the objective.
 	longPrompt wardturn.Tokens = 4096
-	// toldPrompt is the least prompt that gateways tell keepers of: shorter ones are read
-	// within some steps of the engine.
+	// toldPrompt is the shortest prompt that gateways report to keepers. Shorter prompts
+	// are prefilled within a few engine steps.
 	toldPrompt wardturn.Tokens = 1024
 )
 
-// reading is what is known of the long prompts that an engine reads. Requests
-// sent there meanwhile wait for their end, so gateways tell each other of them
-// through the keeper.
+// reading tracks the long prompts that an engine is prefilling. Requests sent to the
+// engine meanwhile wait for them, so gateways share their counts through the engine's
+// keeper.
 type reading struct {
-	own      int       // tokens of this gateway's
-	told     int       // of them, as its keeper was last told
-	others   int       // tokens of other gateways'
-	othersAt time.Time // of that word
-	changed  bool      // own has to be told
+	own      int       // tokens of this gateway's prompts
+	told     int       // the value of own last sent to the keeper
+	others   int       // tokens of other gateways' prompts
+	othersAt time.Time // when others was last reported
+	changed  bool      // own has to be sent to the keeper
 }
 
-// ReadingNote tells a keeper how many tokens of long prompts of this gateway its
-// engine is reading.
+// ReadingNote tells a keeper how many tokens of this gateway's long prompts its engine is
+// prefilling.
 type ReadingNote struct {
 	Upstream wardturn.UpstreamID
 	Tokens   int
 }
 
-// reads adds the tokens of a prompt that an engine begins, or with a negative
-// number ends, to read.
+// reads adds the tokens of a prompt whose prefill starts at an engine. A negative number
+// removes a prompt whose prefill has finished.
 func (f *Fleet) reads(m *Member, tokens wardturn.Tokens) {
 	m.prefill = max(0, m.prefill+int(tokens))
 	if tokens < toldPrompt && tokens > -toldPrompt {
@@ -49,9 +49,10 @@
 	f.tellReading(m)
 }
 
-// book counts the prompt of a waiting request at the engine that loads its adapter,
-// as if that read it already; nil ends that. Otherwise an engine that loads for
-// several long prompts looks idle until they all arrive there together.
+// book counts the prompt of a waiting request at the engine that loads its adapter as if
+// the engine were already prefilling it. A nil member removes the prompt from the count.
+// Without this, an engine that loads adapters for several long prompts looks idle until
+// all of them arrive there at once.
 func (f *Fleet) book(t *Ticket, m *Member) {
 	if t.booked == m {
 		return
@@ -79,7 +80,8 @@
 	f.readers = append(f.readers, m)
 }
 
-// Readings returns what keepers have to be told, once.
+// Readings returns the counts that changed since they were last sent to the keepers, and
+// marks them as sent.
 func (f *Fleet) Readings() []ReadingNote {
 	var notes []ReadingNote
 	for _, m := range f.readers {
@@ -97,9 +99,9 @@
 	return notes
 }
 
-// setReading takes a keeper's word on all long prompts that its engine reads.
+// setReading records a keeper's report of all long prompts that its engine is prefilling.
 func (f *Fleet) setReading(now time.Time, m *Member, h Holding) {
-	if h.Full { // the connection is new: the keeper knows nothing of this gateway
+	if h.Full { // new connection: the keeper has no counts of this gateway
 		m.reading.told = 0
 		if m.reading.own > 0 {
 			f.tellReading(m)
@@ -109,8 +111,8 @@
 	m.reading.othersAt = now
 }
 
-// toRead returns the tokens of prompts that an engine reads before another, as
-// far as known.
+// toRead returns the known number of prompt tokens that an engine has to prefill before a
+// new prompt.
 func (m *Member) toRead(now time.Time) int {
 	if now.Sub(m.reading.othersAt) > readingLife {
 		return m.prefill
--- a/decide/readrate.go
+++ b/decide/readrate.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// usualReadRate is how many tokens of prompts an engine is taken to read in a
-	// millisecond until some were seen to be read.
+	// usualReadRate is the assumed prefill rate of an engine, in tokens per millisecond,
+	// before any prefill was measured.
 	usualReadRate = 40.0
-	// usualReadTokens is how many read tokens that counts for.
+	// usualReadTokens is the weight of that assumption, as a number of measured tokens.
 	usualReadTokens = 16000.0
-	// leastReadSample is the least number of tokens that tells of the rate: fewer are read
-	// within a step that the engine takes anyway.
+	// leastReadSample is the smallest prompt, in tokens, that is used as a sample: a
+	// shorter one is prefilled within an engine step that runs anyway.
 	leastReadSample = 1000
-	// readKeep is what remains of the weight of older prompts after each new one.
+	// readKeep is the factor by which each new sample reduces the weight of older ones.
 	readKeep = 1 - 1.0/64
-	// mostReadTime bounds, in times that are expected, what one prompt tells: an engine
-	// that hangs reads at its usual rate afterwards.
+	// mostReadTime bounds a sample to a multiple of its expected time, since an engine
+	// that hung prefills at its usual rate afterwards.
 	mostReadTime = 4.0
 )
 
-// readRate estimates how fast the engines of a service read prompts, from the time
-// until the first tokens of answers. It so contains what prompts wait for that this gateway
+// readRate estimates the prefill rate of the engines of a service from the time to first
+// token. The estimate so includes the waiting time caused by prompts that this gateway
 // does not know of.
 type readRate struct {
-	tokens float64 // read lately
-	took   float64 // milliseconds
+	tokens float64 // decayed sum of prefilled tokens
+	took   float64 // decayed sum of prefill times, in milliseconds
 }
 
 func newReadRate() *readRate {
@@ -37,7 +37,7 @@
 	}
 }
 
-// add takes the time in which tokens were read.
+// add records the time in which a number of tokens was prefilled.
 func (r *readRate) add(tokens int, took time.Duration) {
 	if tokens < leastReadSample || took <= 0 {
 		return
@@ -47,17 +47,17 @@
 	r.took = readKeep*r.took + ms
 }
 
-// cost returns the milliseconds in which tokens are read.
+// cost returns the expected prefill time of a number of tokens, in milliseconds.
 func (r *readRate) cost(tokens int) float64 {
 	return float64(tokens) * r.took / r.tokens
 }
 
-// time returns the time in which tokens are read.
+// time returns the expected prefill time of a number of tokens.
 func (r *readRate) time(tokens int) time.Duration {
 	return time.Duration(r.cost(tokens) * float64(time.Millisecond))
 }
 
-// rateOf returns the rate of the engines of a service.
+// rateOf returns the prefill rate estimate for the engines of a service.
 func (f *Fleet) rateOf(s wardturn.ServiceName) *readRate {
 	r := f.rates[s]
 	if r == nil {
@@ -67,9 +67,9 @@
 	return r
 }
 
-// Read records how long an engine took from a request to the first token of its answer,
-// with the tokens that it had to read: of the prompt, and of those before it as far as
-// known.
+// Read records the time from sending a request to an engine to the first token of its
+// answer, with the number of tokens the engine had to prefill in that time: those of the
+// prompt and those known to be queued before it.
 func (f *Fleet) Read(s wardturn.ServiceName, tokens int, took time.Duration) {
 	f.rateOf(s).add(tokens, took)
 }
--- a/decide/rendezvous.go
+++ b/decide/rendezvous.go
@@ -1,8 +1,8 @@
 package decide
 
-// First returns the first of a list for a key by rendezvous hashing: whoever knows
-// the same list chooses the same, and when one leaves, only its keys move. It
-// reports false for an empty list.
+// First returns the element of a list with the highest score for a key by rendezvous
+// hashing. Callers with the same list choose the same element, and when an element is
+// removed only its keys move. It reports false for an empty list.
 func First[T any](key string, list []T, name func(T) string) (first T, ok bool) {
 	h := hashString(key)
 	best := uint64(0)
@@ -17,8 +17,8 @@
 	return first, ok
 }
 
-// FirstTwo returns the first two of a list for a key, in the order of First, or all
-// of a shorter list.
+// FirstTwo returns the two elements of a list with the highest scores for a key, the
+// highest first, or all elements of a shorter list.
 func FirstTwo[T any](key string, list []T, name func(T) string) []T {
 	h := hashString(key)
 	var two []T
@@ -37,7 +37,7 @@
 	return two
 }
 
-// hashString is FNV-1a over the string's bytes, then mixed.
+// hashString returns the FNV-1a hash of s, passed through mix.
 func hashString(s string) uint64 {
 	const (
 		offset = 14695981039346656037
@@ -51,8 +51,7 @@
 	return mix(h)
 }
 
-// mix spreads every input bit over the whole word (the finalizer of
-// splitmix64).
+// mix spreads every input bit over all 64 output bits. It is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/decide/screen.go
+++ b/decide/screen.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// minHeadroom is the spare part of the store's rate that is assumed at
-	// least: beyond saturation a backlog would never clear.
+	// minHeadroom is the least spare fraction of the store's rate that is assumed: beyond
+	// saturation the estimated time to clear a backlog would be infinite.
 	minHeadroom = 0.1
-	// keepBusy is the backlog, in time, below which no load is refused for the
-	// sake of others: the store must not run idle.
+	// keepBusy is the backlog, as a time, below which no load is refused for its cost to
+	// other requests, so that the store does not run idle.
 	keepBusy = 300 * time.Millisecond
-	// residence is the time for which a loaded adapter is expected to stay, and
-	// so to serve its further requests without another load.
+	// residence is how long a loaded adapter is expected to stay in its slot, and thus to
+	// serve further requests without another load.
 	residence = 20 * time.Second
-	// maxRetryAfter bounds what a refused caller is told.
+	// maxRetryAfter bounds the retry time returned to refused callers.
 	maxRetryAfter = 30 * time.Second
 )
 
-// screenDeadline refuses a request that cannot make its deadline, and one whose
-// load would cost the others more than it gains.
+// screenDeadline refuses a request that cannot meet its deadline, and one whose load
+// would cost other requests more waiting than it saves.
 //
-// A load that joins a backlog delays every load after it, until the backlog is
-// gone, by one interval of the store. While the store has room that is little.
-// Near saturation the backlog hardly clears, and one more load costs more
-// waiting than a refusal: to refuse early keeps the stalls of all that are
-// served short, and the store as busy as before.
+// A load that joins a backlog delays every later load by one interval of the store until
+// the backlog has cleared. While the store has spare capacity this cost is small. Near
+// saturation the backlog hardly clears, and one more load costs more waiting than a
+// refusal. Refusing early keeps the stalls of the served requests short and the store
+// equally busy.
 func (a *Agent) screenDeadline(now time.Time, w Work) (Refusal, bool) {
 	left := w.Deadline.Sub(now)
 	queued := a.runDelay()
@@ -42,7 +42,7 @@
 	}
 	ad := a.adapters[w.Adapter]
 	if ad != nil && (ad.slot != noSlot || ad.interactive.len() > 0) {
-		return Refusal{}, false // it adds no load
+		return Refusal{}, false // needs no additional load
 	}
 	return a.screenLoad(now, w, ad, left)
 }
@@ -62,7 +62,7 @@
 	return refuse(w, wardturn.ReasonDeadline, min(max(own, clears), maxRetryAfter)), true
 }
 
-// clears is the time until the backlog is gone.
+// clears returns the time until the backlog has cleared.
 func (c Congestion) clears() time.Duration {
 	headroom := max(1-c.Load, minHeadroom)
 	return time.Duration(float64(c.Backlog) * float64(c.Interval) / headroom)
@@ -82,13 +82,13 @@
 	return ad.demand.Rate(now)
 }
 
-// miss counts a want that arose.
+// miss counts an adapter that is requested and has no slot.
 func (a *Agent) miss(now time.Time) {
 	a.misses++
 	a.missRate.add(now, 1)
 }
 
-// runDelay estimates the wait for a place in the engine's batch.
+// runDelay estimates the wait for a free position in the engine's batch.
 func (a *Agent) runDelay() time.Duration {
 	if a.running < a.cfg.MaxRunning {
 		return 0
--- a/decide/shadow.go
+++ b/decide/shadow.go
@@ -6,23 +6,24 @@
 	"wardturn"
 )
 
-// ShadowStats counts where a shadow policy would have decided differently.
+// ShadowStats counts the decisions of the active policy that a shadow policy would have
+// made differently.
 type ShadowStats struct {
 	Loads   int // loads that the active policy started
-	Wants   int // of them, those for which the shadow would have loaded another adapter
-	Victims int // of them, those for which the shadow would have unloaded another adapter
-	Holds   int // decisions to hold a batch request or not
-	Held    int // of them, those that the shadow would have decided otherwise
+	Wants   int // of Loads, those for which the shadow would have loaded another adapter
+	Victims int // of Loads, those for which the shadow would have unloaded another adapter
+	Holds   int // decisions whether to hold a batch request
+	Held    int // of Holds, those that the shadow would have made differently
 }
 
-// shadow is a policy that sees the same traffic and decides nothing.
+// shadow is a policy that is evaluated on the same traffic without affecting it.
 type shadow struct {
 	policy wardturn.Policy
 	stats  ShadowStats
 }
 
-// SetShadow runs a policy beside the active one, or none if p is nil. Counting
-// starts anew.
+// SetShadow evaluates a policy beside the active one, or none if p is nil. The counters
+// start at zero.
 func (a *Agent) SetShadow(p wardturn.Policy) {
 	a.shadow = nil
 	if p != nil {
@@ -32,8 +33,7 @@
 	}
 }
 
-// Shadow returns what the shadow policy would have decided otherwise, and false
-// without one.
+// Shadow returns the counters of the shadow policy. It reports false if there is none.
 func (a *Agent) Shadow() (ShadowStats, bool) {
 	if a.shadow == nil {
 		return ShadowStats{}, false
@@ -41,7 +41,7 @@
 	return a.shadow.stats, true
 }
 
-// shadowLoad compares a load that is about to start with the shadow's choice.
+// shadowLoad compares a load that is about to start with the shadow policy's choice.
 func (a *Agent) shadowLoad(now time.Time, want *adapter, slot int) {
 	if a.shadow == nil {
 		return
@@ -101,7 +101,7 @@
 	return best
 }
 
-// shadowHold compares a decision to hold with the shadow's.
+// shadowHold compares a decision to hold a request with the shadow policy's decision.
 func (a *Agent) shadowHold(in wardturn.QueueInput, held bool) {
 	if a.shadow == nil {
 		return
--- a/decide/versions.go
+++ b/decide/versions.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// versionSlack is how long before the bound on old versions their end is: for the
-	// way of the word that breaks off what has not begun, far over a way between failure
-	// domains and a step of a slow host.
+	// versionSlack is how long before the bound old versions stop serving. In that time
+	// the message that cancels requests which have not started has to arrive; 500 ms is
+	// far more than the delay between failure domains plus a scheduling delay of a slow
+	// host.
 	versionSlack = 500 * time.Millisecond
-	// beginWithin is how long before its end an old version gets its last request,
-	// beside the time that prompts take. The few requests that take longer to begin, on
-	// hosts that freeze, are broken off.
+	// beginWithin is how long before its end, in addition to the prefill time, an old
+	// version receives its last request. The few requests that take longer to start, on
+	// hosts that freeze, are cancelled.
 	beginWithin = time.Second
-	// versionRepeat is how often the replacement of old versions is looked at.
+	// versionRepeat is the interval at which the progress of a rollout is checked.
 	versionRepeat = 300 * time.Millisecond
 )
 
-// rollout is the way from an old version of an adapter to the newest: another
-// engine loads the newest while the old one serves, and only then are the
-// copies of the old version replaced, with no requests left on them.
+// rollout replaces the old versions of an adapter by the newest. First another engine
+// loads the newest version while the old one serves; the copies of the old version are
+// replaced only then, when requests no longer go to them.
 type rollout struct {
-	nextAt time.Time // of the next look
-	ends   []naming  // that are still to come, the earliest first
+	nextAt time.Time // when the rollout is checked next
+	ends   []naming  // announcements whose end is still to come, earliest first
 }
 
-// SetVersion records the newest version of an adapter. At the time known it had not
-// been named yet, so its bound runs from then at the latest; counted from when it was
-// heard of, late words would move it. Zero means that nothing was known before: then
-// no older version serves.
+// SetVersion records the newest version of an adapter. The version was not yet announced
+// at the time known, so the bound on older versions runs from then. If it ran from the
+// time of receipt, late messages would postpone it. A zero known means that this gateway
+// had no earlier knowledge; then no older version serves.
 func (f *Fleet) SetVersion(now time.Time, v wardturn.AdapterVersion, known time.Time, out *Moves) {
 	key := v.Key()
 	if v.Version <= f.newest(key) {
@@ -47,15 +48,15 @@
 	}
 	n := f.named(v, now, end)
 	if end.After(now) {
-		// Else this gateway was away, and the version may have been named just now:
-		// what was sent before would be lost without need.
+		// Otherwise this gateway was cut off, and the version may have been announced
+		// just now: cancelling the requests sent before would lose them without need.
 		r.ends = append(r.ends, n)
 	}
 	f.advance(now, key, r, out)
 }
 
-// advanceRollouts goes on with the replacement of old versions, and ends those whose
-// time is over.
+// advanceRollouts ends old versions whose time is over and continues the rollouts that
+// are due.
 func (f *Fleet) advanceRollouts(now time.Time, out *Moves) {
 	for key, r := range f.rollouts {
 		for len(r.ends) > 0 && !now.Before(r.ends[0].end) {
@@ -73,8 +74,8 @@
 	}
 }
 
-// advance asks for the newest version where it is due: in the place of an old one
-// that serves no more, and of the others once another engine has the newest.
+// advance asks engines for the newest version: those whose old version no longer serves
+// at once, the others as soon as another engine has the newest.
 func (f *Fleet) advance(now time.Time, key wardturn.ModelAdapter, r *rollout, out *Moves) {
 	r.nextAt = now.Add(versionRepeat)
 	var serving, spent []*Member
@@ -100,8 +101,8 @@
 	}
 }
 
-// loadBeside asks an engine that does not hold an adapter for its newest
-// version, and reports whether there is one.
+// loadBeside asks an engine that does not hold an adapter to load its newest version. It
+// reports whether a load is under way or was asked for.
 func (f *Fleet) loadBeside(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, out *Moves) bool {
 	if w := f.wants.anywhere(key); w != nil && !w.askedAt.IsZero() {
 		return true
@@ -118,8 +119,8 @@
 	return false
 }
 
-// replace asks the engines of the own failure domain that hold an old version
-// for the newest.
+// replace asks the engines in this gateway's failure domain that hold an old version to
+// load the newest.
 func (f *Fleet) replace(key wardturn.ModelAdapter, old []*Member, out *Moves) {
 	for _, m := range old {
 		if m.Domain != f.cfg.Domain || m.Draining {
