--- a/decide/agent.go
+++ b/decide/agent.go
@@ -10,7 +10,7 @@
 
 const noSlot = -1
 
-// The defaults of AgentConfig.
+// Defaults of AgentConfig.
 const (
 	DefaultMaxQueue     = 1024
 	DefaultLoadTime     = 400 * time.Millisecond
@@ -32,15 +32,15 @@
 type AgentConfig struct {
 	Upstream     wardturn.UpstreamID
 	Slots        int           // zero for a plain service
-	MaxRunning   int           // requests that run at once
-	MaxQueue     int           // requests that wait at most
-	ReserveSlots int           // slots that batch work leaves free
-	LoadTime     time.Duration // first guess
-	ServiceTime  time.Duration // first guess
-	ForgetAfter  time.Duration // idle time after which an adapter's history goes
-	StarveAfter  time.Duration // waiting time after which age alone decides
+	MaxRunning   int           // maximum number of running requests
+	MaxQueue     int           // maximum number of waiting requests
+	ReserveSlots int           // slots that batch requests may not occupy
+	LoadTime     time.Duration // initial estimate
+	ServiceTime  time.Duration // initial estimate
+	ForgetAfter  time.Duration // idle time after which the history of an adapter is dropped
+	StarveAfter  time.Duration // waiting time after which age takes precedence over value
 	DrainAfter   time.Duration // waiting time after which a busy slot is drained
-	AdmitAll     bool          // refuse nothing before its deadline, as a plain system would
+	AdmitAll     bool          // refuse nothing before its deadline, like a system without admission control
 }
 
 func (c AgentConfig) withDefaults() AgentConfig {
@@ -54,15 +54,15 @@
 	return c
 }
 
-// Work is one attempt as the agent core sees it.
+// Work is one attempt as seen by the Agent.
 type Work struct {
 	Attempt  wardturn.AttemptID
 	Adapter  wardturn.AdapterRef // zero for a plain service
 	Class    wardturn.Class
-	Team     wardturn.TeamID // that the caller belongs to
+	Team     wardturn.TeamID // team of the caller
 	Prompt   wardturn.Tokens
 	Output   wardturn.Tokens
-	Deadline time.Time // zero: none
+	Deadline time.Time // zero if there is none
 }
 
 // SlotOrder asks the driver to load or unload one adapter.
@@ -74,7 +74,7 @@
 // Start asks the driver to run an attempt now.
 type Start struct {
 	Attempt wardturn.AttemptID
-	Stalled time.Duration // time that the attempt waited for its adapter
+	Stalled time.Duration // time the attempt waited for its adapter
 }
 
 // Refusal tells the driver that an attempt will not run.
@@ -83,14 +83,14 @@
 	Outcome wardturn.Outcome
 }
 
-// Orders collects what the driver has to do after an event. Reset it between
-// events to reuse its memory.
+// Orders collects what the driver has to do after an event. Reset it between events to
+// reuse its memory.
 type Orders struct {
 	Run    []Start
 	Load   []SlotOrder
 	Unload []SlotOrder
 	Refuse []Refusal
-	Wish   []Wish // for the allocator of the store's rate; at most one
+	Wish   []Wish // request to the allocator of the store's rate; at most one
 }
 
 // Reset empties the orders and keeps their memory.
@@ -102,14 +102,15 @@
 	o.Wish = o.Wish[:0]
 }
 
-// AgentStats counts what an Agent did since its start.
+// AgentStats counts the actions of an Agent since its start.
 type AgentStats struct {
 	Loads     int
 	Evictions int
-	Lost      int // adapters that the engine dropped by itself
+	Lost      int // adapters that the engine dropped without an order
 }
 
-// Agent decides for one upstream.
+// Agent is the scheduler of one upstream: it queues requests, starts them, and assigns
+// the adapter slots of the engine.
 type Agent struct {
 	cfg         AgentConfig
 	policy      wardturn.Policy
@@ -119,7 +120,7 @@
 	adapters    map[wardturn.AdapterRef]*adapter
 	work        map[wardturn.AttemptID]*item
 	plain       queue      // requests to a plain service
-	wanted      []*adapter // adapters that wait without a slot
+	wanted      []*adapter // adapters with waiting requests and no slot
 	scratch     []*item
 	lastSeq     uint64
 	misses      uint64
@@ -130,7 +131,7 @@
 	queued      int
 	queuedBatch int
 	leaving     bool
-	informed    bool // a report newer than the start has come
+	informed    bool // an engine report made after the start has arrived
 	lastOrder   wardturn.OrderID
 	loadTime    time.Duration
 	serveTime   time.Duration
@@ -140,9 +141,8 @@
 	stats       AgentStats
 }
 
-// NewAgent returns the decision core of one upstream. A fresh agent does not know
-// what its engine holds: it orders no loads before the first report that is
-// newer than its start.
+// NewAgent returns the Agent of one upstream. A new agent does not know what its engine
+// holds, so it orders no loads before the first engine report made after its start.
 func NewAgent(now time.Time, cfg AgentConfig, policy wardturn.Policy, permits Permits) *Agent {
 	cfg = cfg.withDefaults()
 	a := &Agent{
@@ -161,8 +161,8 @@
 	return a
 }
 
-// SetPolicy replaces the policy. Waiting requests keep their places until they
-// are next compared.
+// SetPolicy replaces the policy. The order of requests that are already waiting stays the
+// same.
 func (a *Agent) SetPolicy(p wardturn.Policy) {
 	a.policy = p
 	for _, ad := range a.adapters {
@@ -170,12 +170,12 @@
 	}
 }
 
-// PolicyName returns the name of the policy in force.
+// PolicyName returns the name of the active policy.
 func (a *Agent) PolicyName() string {
 	return a.policy.Name()
 }
 
-// Admit takes a new attempt. It is run, queued, or refused in out.
+// Admit adds a new attempt. It is started or refused in out, or queued.
 func (a *Agent) Admit(now time.Time, w Work, out *Orders) {
 	if refusal, refused := a.screen(now, w, out); refused {
 		out.Refuse = append(out.Refuse, refusal)
@@ -192,7 +192,7 @@
 	a.plan(now, out)
 }
 
-// screen refuses what cannot be served in time.
+// screen refuses an attempt that cannot be served in time.
 func (a *Agent) screen(now time.Time, w Work, out *Orders) (Refusal, bool) {
 	switch {
 	case a.leaving:
@@ -214,8 +214,8 @@
 	}
 }
 
-// Cancel withdraws a queued attempt and reports whether it was still queued.
-// A running one has to be ended by the driver.
+// Cancel withdraws a queued attempt and reports whether it was still queued. The driver
+// has to end a running one itself.
 func (a *Agent) Cancel(now time.Time, id wardturn.AttemptID, out *Orders) bool {
 	it := a.work[id]
 	if it == nil || it.running {
@@ -227,7 +227,7 @@
 	return true
 }
 
-// Finished reports that a running attempt ended, however it ended.
+// Finished records that a running attempt ended, with any outcome.
 func (a *Agent) Finished(now time.Time, id wardturn.AttemptID, out *Orders) {
 	it := a.work[id]
 	if it == nil || !it.running {
@@ -240,9 +240,9 @@
 	a.plan(now, out)
 }
 
-// NotLoaded reports that the engine refused a running attempt because it does
-// not hold the adapter version. The attempt did not run; it waits again, and
-// the slot is taken to be empty.
+// NotLoaded records that the engine refused a running attempt because it does not hold
+// the adapter version. The attempt did not run and is queued again, and its slot is
+// considered empty.
 func (a *Agent) NotLoaded(now time.Time, id wardturn.AttemptID, out *Orders) {
 	it := a.work[id]
 	if it == nil || !it.running {
@@ -260,8 +260,8 @@
 	a.plan(now, out)
 }
 
-// Leave stops the admission of new work and hands queued work back as not run.
-// Running work goes on.
+// Leave refuses new attempts from now on, and refuses the queued ones as not run. Running
+// attempts continue.
 func (a *Agent) Leave(_ time.Time, out *Orders) {
 	a.leaving = true
 	everything := func(*item) bool {
@@ -275,7 +275,7 @@
 	return a.leaving
 }
 
-// refuseWaiting refuses the waiting items that match, in order of admission.
+// refuseWaiting refuses the matching queued items, in order of admission.
 func (a *Agent) refuseWaiting(match func(*item) bool, reason wardturn.Reason, retryAfter time.Duration, out *Orders) {
 	items := a.scratch[:0]
 	for _, it := range a.work {
@@ -297,14 +297,14 @@
 	return cmp.Compare(x.seq, y.seq)
 }
 
-// Granted reports a permit of the store's allocator.
+// Granted records a permit from the store's allocator.
 func (a *Agent) Granted(now time.Time, g Grant, out *Orders) {
 	a.permits.Granted(now, g)
 	a.plan(now, out)
 }
 
-// Tick lets time pass: it expires deadlines, ends holds and retries loads. Call
-// it a few times a second.
+// Tick expires deadlines, releases held requests and retries loads. Call it a few times a
+// second.
 func (a *Agent) Tick(now time.Time, out *Orders) {
 	a.expire(now, out)
 	if now.Sub(a.lastSweep) >= sweepEvery {
@@ -325,15 +325,15 @@
 	a.refuseWaiting(late, wardturn.ReasonDeadline, a.queueDelay(), out)
 }
 
-// refuseLate refuses a waiting item that would begin past its deadline. The tick
-// that finds such items may come later than the event that lets one begin.
+// refuseLate refuses a queued item that would start after its deadline. An event may make
+// the item startable before the next tick expires it.
 func (a *Agent) refuseLate(it *item, out *Orders) {
 	a.dequeue(it)
 	delete(a.work, it.work.Attempt)
 	out.Refuse = append(out.Refuse, refuse(it.work, wardturn.ReasonDeadline, a.queueDelay()))
 }
 
-// sweep forgets adapters that nobody asked for in a long time.
+// sweep drops adapters that have not been requested for long.
 func (a *Agent) sweep(now time.Time) {
 	for ref, ad := range a.adapters {
 		idle := now.Sub(ad.demand.Last())
@@ -343,7 +343,7 @@
 	}
 }
 
-// Idle reports whether nothing runs and nothing waits.
+// Idle reports whether no attempt is running or waiting.
 func (a *Agent) Idle() bool {
 	return len(a.work) == 0
 }
@@ -371,7 +371,8 @@
 	return views
 }
 
-// observe* keep moving averages with the weight of a new observation.
+// observeWeight is the weight of a new observation in the moving averages of load and
+// service times.
 const observeWeight = 0.1
 
 func (a *Agent) observeLoad(d time.Duration) {
--- a/decide/crashes.go
+++ b/decide/crashes.go
@@ -9,34 +9,36 @@
 	"wardturn"
 )
 
-// Crashes decides which requests are refused because upstreams end under them. A request
-// is known by its content, whichever attempt brings it: after some upstreams have ended
-// under one content it is refused, until it has been left alone for a long time.
-// All gateways tell each other of crashes, and each counts for itself.
+// Crashes decides which requests are refused because they crash upstreams. A request is
+// identified by its content, across all of its attempts. Once a number of upstreams have
+// ended while they served the same content, the content is refused until it has caused no
+// crash for a long time. Gateways report crashes to each other, and each does its own
+// counting.
 //
-// Upstreams end for other reasons too, and whatever was there then is suspected with the
-// content that did it. What tells them apart is an answer: a content that was answered
-// well crashes nobody, so that clears it, and for a while it is not suspected again.
+// Upstreams also end for other reasons, and every request they were serving becomes
+// suspect along with the one that caused the crash. A successful response tells them
+// apart: content that was answered successfully does not crash upstreams, so its crashes
+// are cleared, and for a while it does not become suspect again.
 type Crashes struct {
 	cfg      CrashConfig
 	contents map[wardturn.ContentID]*suspect
-	proven   map[wardturn.ContentID]time.Time  // answered well, when
-	broken   map[wardturn.Crash]time.Time      // sends whose upstream may have ended under them
-	ended    map[wardturn.UpstreamID]time.Time // upstreams that ended without notice
-	takeBack map[wardturn.Crash]bool           // records that no longer hold
+	proven   map[wardturn.ContentID]time.Time  // when each was last answered successfully
+	broken   map[wardturn.Crash]time.Time      // requests that broke off, whose upstream may have ended
+	ended    map[wardturn.UpstreamID]time.Time // when each upstream ended without notice
+	takeBack map[wardturn.Crash]bool           // records to be deleted from the store
 }
 
-// suspect is a content under which upstreams ended.
+// suspect is a content that was being served by upstreams when they ended.
 type suspect struct {
 	upstreams map[wardturn.UpstreamID]*suspicion
 	latest    time.Time
 }
 
-// suspicion is what is known of one crash.
+// suspicion is the state of one crash.
 type suspicion struct {
-	own      bool // this gateway saw it and has to record it
+	own      bool // observed by this gateway, which has to record it
 	recorded bool
-	since    time.Time // when it became known here
+	since    time.Time // when this gateway learned of it
 }
 
 func crashOf(content wardturn.ContentID, id wardturn.UpstreamID) wardturn.Crash {
@@ -47,33 +49,34 @@
 }
 
 const (
-	// recordFrom is how many of them make a content worth a record in the store: most
-	// requests that an end has cut never meet a second one.
+	// recordFrom is the number of crashes from which a content is recorded in the store.
+	// Most requests cut off by the end of an upstream never see a second one.
 	recordFrom = 2
-	// adoptAfter is how long a crash that another gateway saw may lack a record before this
-	// one records it: gateways that are killed while the store is silent take what they
-	// have seen with them.
+	// adoptAfter is how long a crash observed by another gateway may lack a record before
+	// this gateway writes it. Gateways that are killed while the store is unavailable
+	// lose the crashes that they have not recorded.
 	adoptAfter = 3 * time.Second
-	// provenFor is how long a good answer keeps a content from being suspected: over the
-	// time between two answers of what many send alike, and short against the 3 s in
-	// which a content has to be refused once it has begun to crash upstreams.
+	// provenFor is how long a successful response keeps a content from becoming suspect.
+	// It exceeds the time between two responses to a content sent by many callers, and is
+	// below the 3 s within which a content has to be refused once it has started to crash
+	// upstreams.
 	provenFor = 2 * time.Second
-	// endLife is how long the end of an upstream is put together with the sends that
-	// broke off there: until its entry has lapsed and been read, also by a gateway that
-	// was frozen meanwhile.
+	// endLife is the longest time between the end of an upstream and a request that broke
+	// off there for the two to be related. It covers the time until the upstream's entry
+	// has expired and been read, also by a gateway that was frozen meanwhile.
 	endLife = 12 * time.Second
-	// mostContents bounds the contents that are remembered; those with the fewest and
-	// oldest crashes are dropped first, so that many contents do not fill the process.
+	// mostContents bounds the number of remembered contents, and so their memory. Those
+	// with the fewest and oldest crashes are dropped first.
 	mostContents = 1 << 15
 )
 
 // CrashConfig holds the limits of Crashes.
 type CrashConfig struct {
-	Limit  int           // upstreams that end under a content before it is refused
+	Limit  int           // upstreams that end while serving a content before it is refused
 	Memory time.Duration // how long crashes count after the latest one
 }
 
-// NewCrashes returns a memory without crashes.
+// NewCrashes returns a Crashes without any recorded crash.
 func NewCrashes(cfg CrashConfig) *Crashes {
 	return &Crashes{
 		cfg:      cfg,
@@ -85,7 +88,7 @@
 	}
 }
 
-// Refuses reports whether a content is refused, and for how long yet.
+// Refuses reports whether a content is refused, and for how much longer.
 func (c *Crashes) Refuses(now time.Time, content wardturn.ContentID) (time.Duration, bool) {
 	s := c.contents[content]
 	if s == nil || len(s.upstreams) < c.cfg.Limit {
@@ -95,8 +98,8 @@
 	return left, left > 0
 }
 
-// Broke records that a send got no whole answer. It returns the crash if the upstream is
-// known to have ended.
+// Broke records that a request got no complete response from an upstream. It returns the
+// crash if the upstream is known to have ended and the crash is new.
 func (c *Crashes) Broke(now time.Time, content wardturn.ContentID, id wardturn.UpstreamID) []wardturn.Crash {
 	at, ended := c.ended[id]
 	if ended && now.Sub(at) < endLife {
@@ -106,8 +109,8 @@
 	return nil
 }
 
-// Ended records that an upstream has ended without notice. It returns the crashes that
-// this shows.
+// Ended records that an upstream has ended without notice. It returns the new crashes
+// that follow from this.
 func (c *Crashes) Ended(now time.Time, id wardturn.UpstreamID) []wardturn.Crash {
 	c.ended[id] = now
 	var list []wardturn.Crash
@@ -123,8 +126,7 @@
 	return c.saw(now, list)
 }
 
-// saw takes crashes that this gateway has seen, and returns those that count and were
-// not known.
+// saw records crashes observed by this gateway, and returns those that count and are new.
 func (c *Crashes) saw(now time.Time, list []wardturn.Crash) []wardturn.Crash {
 	fresh := c.Heard(now, list)
 	for _, crash := range fresh {
@@ -138,8 +140,8 @@
 	return cmp.Or(cmp.Compare(x.Content, y.Content), cmp.Compare(x.Upstream, y.Upstream))
 }
 
-// Heard takes crashes that another gateway has seen, and returns those that count and
-// were not known.
+// Heard records crashes observed by another gateway, and returns those that count and are
+// new.
 func (c *Crashes) Heard(now time.Time, list []wardturn.Crash) (fresh []wardturn.Crash) {
 	for _, crash := range list {
 		if c.add(now, now, crash) {
@@ -149,13 +151,13 @@
 	return fresh
 }
 
-// Recorded takes crashes that lie in the store, with the times at which they were
-// recorded, and returns those that count and were not known.
+// Recorded records crashes that were read from the store, with the times at which they
+// were written, and returns those that count and are new.
 func (c *Crashes) Recorded(now time.Time, list []wardturn.RecordedCrash) (fresh []wardturn.Crash) {
 	for _, r := range list {
 		at := r.At
 		if at.After(now) {
-			at = now // by the clock of another host
+			at = now // the clock of the host that wrote it is ahead
 		}
 		if now.Sub(at) >= c.cfg.Memory {
 			continue
@@ -170,9 +172,10 @@
 	return fresh
 }
 
-// RecordsLost records that the store may have lost records: it has come back from an older
-// copy. Call Recorded with those that it still has after this. The gateways that saw a
-// crash record it again; the others only if they do not.
+// RecordsLost records that the store may have lost records because it was restored from
+// an older copy. Call Recorded with the remaining records afterwards. The gateways that
+// observed a crash write its record again; other gateways do so only if that fails to
+// happen.
 func (c *Crashes) RecordsLost(now time.Time) {
 	for _, s := range c.contents {
 		for _, known := range s.upstreams {
@@ -182,7 +185,7 @@
 	}
 }
 
-// known returns what is known of a crash, or nil.
+// known returns the state of a crash, or nil.
 func (c *Crashes) known(crash wardturn.Crash) *suspicion {
 	s := c.contents[crash.Content]
 	if s == nil {
@@ -191,7 +194,7 @@
 	return s.upstreams[crash.Upstream]
 }
 
-// add counts a crash of some time, and reports whether it counts and was not known.
+// add counts a crash that occurred at a time, and reports whether it counts and is new.
 func (c *Crashes) add(now, at time.Time, crash wardturn.Crash) bool {
 	if proven, ok := c.proven[crash.Content]; ok && at.Sub(proven) < provenFor {
 		return false
@@ -214,8 +217,8 @@
 	return true
 }
 
-// Answered records that a content was answered well, and reports whether crashes had been
-// counted for it. Records of them in the store are to be taken back.
+// Answered records that a content was answered successfully, and reports whether crashes
+// had been counted for it. Their records in the store are scheduled for deletion.
 func (c *Crashes) Answered(now time.Time, content wardturn.ContentID) (suspected bool) {
 	c.proven[content] = now
 	s := c.contents[content]
@@ -231,15 +234,15 @@
 	return true
 }
 
-// Cleared takes the word that contents were answered well at another gateway, which
-// takes the records back.
+// Cleared removes contents that were answered successfully at another gateway, which
+// deletes their records.
 func (c *Crashes) Cleared(contents []wardturn.ContentID) {
 	for _, content := range contents {
 		delete(c.contents, content)
 	}
 }
 
-// TakenBack takes crashes whose records were taken back in the store.
+// TakenBack removes crashes whose records were deleted from the store.
 func (c *Crashes) TakenBack(list []wardturn.Crash) {
 	for _, crash := range list {
 		s := c.contents[crash.Content]
@@ -253,9 +256,9 @@
 	}
 }
 
-// Due returns what this gateway has to write to the store: the crashes that it saw itself,
-// and those that lack a record for long, of contents that are worth it or with all of all
-// contents; and the records to be taken back.
+// Due returns the pending writes of this gateway to the store: the crashes to record and
+// the records to delete. Crashes are due if this gateway observed them or if they have
+// lacked a record for long, and if their content has enough of them or all is set.
 func (c *Crashes) Due(now time.Time, all bool) (crashes, takeBack []wardturn.Crash) {
 	for content, s := range c.contents {
 		if !all && len(s.upstreams) < min(recordFrom, c.cfg.Limit) {
@@ -274,13 +277,13 @@
 	return crashes, takeBack
 }
 
-// Written notes that what was due lies in the store.
+// Written records that the store holds the result of pending writes.
 func (c *Crashes) Written(crashes, takeBack []wardturn.Crash) {
 	for _, crash := range crashes {
 		if known := c.known(crash); known != nil {
 			known.recorded = true
 		} else {
-			c.takeBack[crash] = true // answered well meanwhile
+			c.takeBack[crash] = true // answered successfully meanwhile
 		}
 	}
 	for _, crash := range takeBack {
@@ -288,8 +291,8 @@
 	}
 }
 
-// Sweep forgets what no longer counts. The gateway that recorded a crash takes its record
-// back.
+// Sweep forgets what no longer counts. The gateway that observed a crash deletes its
+// record.
 func (c *Crashes) Sweep(now time.Time) {
 	dropOld(now, c.proven, provenFor)
 	dropOld(now, c.broken, endLife)
@@ -307,14 +310,15 @@
 	}
 }
 
-// dropOld drops what is older than its life.
+// dropOld deletes the entries older than life.
 func dropOld[K comparable](now time.Time, m map[K]time.Time, life time.Duration) {
 	maps.DeleteFunc(m, func(_ K, at time.Time) bool {
 		return now.Sub(at) >= life
 	})
 }
 
-// roomStep is the part of the contents that is dropped at once when there are too many.
+// roomStep is the divisor for the share of contents dropped at once when there are too
+// many.
 const roomStep = 8
 
 // makeRoom drops the contents with the fewest and oldest crashes if there are too many.
--- a/decide/finish.go
+++ b/decide/finish.go
@@ -4,22 +4,23 @@
 	"time"
 )
 
-// queueTime estimates how long an engine reads prompts before another.
+// queueTime estimates how long an engine takes to prefill the prompts that precede a new
+// one.
 func queueTime(now time.Time, m *Member) time.Duration {
 	return m.rate.time(m.toRead(now))
 }
 
-// inTime reports whether a request has its first token within its objective at an
-// engine that can begin with it after a while.
+// inTime reports whether a request would have its first token within its objective at an
+// engine where its prefill can start after a delay.
 func inTime(now time.Time, t *Ticket, m *Member, after time.Duration) bool {
 	begin := max(after, queueTime(now, m))
 	return !now.Add(begin + m.rate.time(int(t.Prompt))).After(t.Arrived.Add(t.Objective))
 }
 
 // waitsForQuicker reports whether a request with a long prompt should wait for its
-// adapter at another engine than m, the best of those that hold it: m would have
-// it late and the other would not. An adapter so gets as many copies as its prompts need,
-// and none for being popular alone.
+// adapter to be loaded at another engine than m, the best of those that hold it, because
+// m would miss its objective and the other engine would meet it. An adapter thus gets as
+// many copies as its prompts need, and none merely for being popular.
 func (f *Fleet) waitsForQuicker(now time.Time, t *Ticket, m *Member) bool {
 	if t.settled || t.Key.Adapter == "" || t.Prompt < longPrompt {
 		return false
@@ -30,8 +31,8 @@
 	w := f.wantOf(now, t.Key, t.Service, t.Regions)
 	home := f.members[w.home]
 	if w.askedAt.IsZero() {
-		// Any room will do: where many gateways each wait for a share of their own,
-		// copies come too late.
+		// Any space in the window is enough for a copy. Where many gateways each wait for
+		// a share of the window of their own, copies come too late.
 		if f.coming >= f.window.Size() {
 			return false
 		}
@@ -40,7 +41,7 @@
 	return home != nil && inTime(now, t, home, f.bringTime(now, w, home))
 }
 
-// bringTime estimates how long a wanted adapter takes until it is at an engine.
+// bringTime estimates how long it takes until a wanted adapter is available at an engine.
 func (f *Fleet) bringTime(now time.Time, w *want, m *Member) time.Duration {
 	d := f.window.Typical()
 	if m.everHeld[w.key] {
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -8,58 +8,58 @@
 	"wardturn"
 )
 
-// Fleet is a gateway's view of the upstreams and the requests that wait for
-// them: it chooses the upstream of each request, and asks for adapters to be
-// loaded for requests that find theirs nowhere. It holds what the platform's
-// list, the keepers beside the engines and the answers to requests have told;
-// nothing of it outlives the process.
+// Fleet is a gateway's view of the upstreams and of the requests that wait for them. It
+// chooses the upstream of each request, and asks engines to load adapters that no
+// available engine holds. Its state comes from the platform's list of upstreams, from the
+// keepers beside the engines and from responses to requests. It is not persisted.
 type Fleet struct {
 	cfg        FleetConfig
 	table      *wardturn.RouteTable
-	namings    map[wardturn.ModelAdapter][]naming // of each adapter the latest, the oldest first
+	namings    map[wardturn.ModelAdapter][]naming // announced versions of each adapter, oldest first
 	rollouts   map[wardturn.ModelAdapter]*rollout
 	members    map[wardturn.UpstreamID]*Member
-	services   map[wardturn.ServiceName][]*Member // in order of id
-	near       map[wardturn.ServiceName][]*Member // of them, in the own failure domain
-	leaving    map[wardturn.UpstreamID]time.Time  // upstreams that were seen leaving, when the list last had them
+	services   map[wardturn.ServiceName][]*Member // sorted by ID
+	near       map[wardturn.ServiceName][]*Member // those of services in this gateway's failure domain
+	leaving    map[wardturn.UpstreamID]time.Time  // upstreams that announced that they are leaving, and when the list last had them
 	holders    engineIndex                        // engines that hold an adapter ready
-	loaders    engineIndex                        // engines to which it is on its way
-	heldBefore engineIndex                        // engines that held it in their lifetime
+	loaders    engineIndex                        // engines that are loading it
+	heldBefore engineIndex                        // engines that have held it since they started
 	wants      wants
-	gateways   int       // as keepers tell
-	gatewaysAt time.Time // of the latest look through all words
+	gateways   int       // as reported by keepers
+	gatewaysAt time.Time // when gateways was last updated
 	window     LoadWindow
-	refilled   map[wardturn.ServiceName]time.Time // by when engines that were all empty hold adapters again
-	readers    []*Member                          // whose keepers have to be told of long prompts
-	coming     int                                // loads under way from the weight store, for all gateways
-	drawnAt    time.Time                          // latest draw for a share of the window below one
+	refilled   map[wardturn.ServiceName]time.Time // when services whose engines were all empty are expected to hold adapters again
+	readers    []*Member                          // members whose keepers have to be sent changed prefill counts
+	coming     int                                // loads under way from the weight store, of all gateways
+	drawnAt    time.Time                          // latest random draw for a share of the window below one
 	crossed    map[wardturn.ModelAdapter]int      // bytes sent to other failure domains
 	limits     *Limits
-	rates      map[wardturn.ServiceName]*readRate // at which engines read prompts
+	rates      map[wardturn.ServiceName]*readRate // prefill rates of engines
 	evacuated  wardturn.Evacuations
-	rests      map[string]*rest // that upstreams asked for, by instance
+	rests      map[string]*rest // pauses requested by upstreams, by instance
 }
 
 // FleetConfig holds the limits of a Fleet.
 type FleetConfig struct {
 	Domain  wardturn.FailureDomain
 	Regions map[wardturn.FailureDomain]wardturn.Region
-	// CrossBytes is how much may be sent to an adapter in another failure domain
-	// before it is loaded in the own one as well.
+	// CrossBytes is how many bytes may be sent for an adapter to other failure domains
+	// before it is also loaded in this one.
 	CrossBytes int
-	// MostBodies is how many bytes of requests an upstream is given by all gateways
-	// together: it falls over when they outgrow its memory. Zero: there is no bound.
+	// MostBodies bounds the total size in bytes of the request bodies that all gateways
+	// together may have at one upstream, which crashes when they outgrow its memory. Zero
+	// means no bound.
 	MostBodies int
 	Window     WindowConfig
-	// VersionBound is how long after the store's word of a newer version of an adapter
-	// requests may begin on an older one.
+	// VersionBound is how long requests may start on an older version of an adapter after
+	// the store announced a newer one.
 	VersionBound time.Duration
-	Limits       *Limits // that upstreams name; nil: none
+	Limits       *Limits // request rate limits stated by upstreams; nil if none
 	Cold         ColdConfig
-	Draw         func() float64 // in [0, 1), by chance; nil: Draw
+	Draw         func() float64 // returns a random number in [0, 1); nil means the function Draw
 }
 
-// NewFleet returns a view without upstreams.
+// NewFleet returns a Fleet without upstreams.
 func NewFleet(cfg FleetConfig) *Fleet {
 	if cfg.Draw == nil {
 		cfg.Draw = Draw
@@ -88,7 +88,7 @@
 	}
 }
 
-// Retune changes the limits. The failure domain stays.
+// Retune changes the limits. The failure domain stays the same.
 func (f *Fleet) Retune(cfg FleetConfig) {
 	f.cfg.CrossBytes = cfg.CrossBytes
 	f.cfg.MostBodies = cfg.MostBodies
@@ -97,7 +97,7 @@
 	f.limits.SetColdConfig(cfg.Cold)
 }
 
-// SetTable puts a configuration in force.
+// SetTable replaces the routing configuration.
 func (f *Fleet) SetTable(t *wardturn.RouteTable) {
 	f.table = t
 	f.expectLoads()
@@ -112,9 +112,8 @@
 	return addrs
 }
 
-// present leaves out entries of earlier lifetimes: an upstream that restarted
-// stands in the list twice until its old entry lapses. The entry written last is
-// the one that lives.
+// present removes entries of earlier incarnations. An upstream that restarted is listed
+// twice until its old entry expires; the entry written last is the current one.
 func present(list []wardturn.Member) []wardturn.Member {
 	latest := make(map[string]wardturn.Position, len(list))
 	for _, e := range list {
@@ -125,8 +124,8 @@
 	})
 }
 
-// SetMembers replaces the list of upstreams and keeps what is known of those
-// that stay. It returns those that are gone and had not told that they leave.
+// SetMembers replaces the list of upstreams. It keeps the state of those that remain, and
+// returns those that are gone without having announced that they were leaving.
 func (f *Fleet) SetMembers(now time.Time, list []wardturn.Member) (lost []wardturn.UpstreamID) {
 	members := make(map[wardturn.UpstreamID]*Member, len(list))
 	services := make(map[wardturn.ServiceName][]*Member)
@@ -177,7 +176,7 @@
 	return lost
 }
 
-// listed returns whether an instance is in a list of upstreams.
+// listed returns a function that reports whether an instance is in a list of upstreams.
 func listed(list []wardturn.Member) func(instance string) bool {
 	instances := make(map[string]bool, len(list))
 	for _, e := range list {
@@ -188,7 +187,7 @@
 	}
 }
 
-// nearby returns the members in a failure domain.
+// nearby returns, for each service, the members in a failure domain.
 func nearby(services map[wardturn.ServiceName][]*Member, d wardturn.FailureDomain) map[wardturn.ServiceName][]*Member {
 	near := make(map[wardturn.ServiceName][]*Member, len(services))
 	for s, list := range services {
@@ -199,7 +198,7 @@
 	return near
 }
 
-// expectLoads tells the window how many engines there are.
+// expectLoads updates the number of engines in the load window.
 func (f *Fleet) expectLoads() {
 	engines := 0
 	for s, list := range f.services {
@@ -210,13 +209,13 @@
 	f.window.Expect(engines)
 }
 
-// RecallWindow takes the window of loads that gateways had learned before all of them
-// ended.
+// RecallWindow sets the size of the load window that gateways had learned before all of
+// them ended.
 func (f *Fleet) RecallWindow(size int) {
 	f.window.Recall(size)
 }
 
-// LearnedWindow returns the window of loads, and whether loads have confirmed it.
+// LearnedWindow returns the size of the load window, and whether loads have confirmed it.
 func (f *Fleet) LearnedWindow() (size int, ok bool) {
 	return f.window.Learned()
 }
@@ -226,22 +225,22 @@
 	return f.services[s]
 }
 
-// Gateways returns how many gateways there are, as far as keepers tell; at least
-// one.
+// Gateways returns the number of gateways reported by keepers, at least one.
 func (f *Fleet) Gateways() int {
 	return max(f.gateways, 1)
 }
 
-// CountedGateways returns how many gateways keepers tell of; zero: no keeper is heard.
+// CountedGateways returns the number of gateways reported by keepers, or zero if no
+// keeper is connected.
 func (f *Fleet) CountedGateways() int {
 	return f.gateways
 }
 
-// gatewaysEvery is how often keepers' words on the number of gateways are looked
-// through.
+// gatewaysEvery is the interval at which the number of gateways is recomputed from the
+// keepers' reports.
 const gatewaysEvery = 100 * time.Millisecond
 
-// countGateways brings the number of gateways up to date.
+// countGateways updates the number of gateways.
 func (f *Fleet) countGateways(now time.Time) {
 	if now.Sub(f.gatewaysAt) < gatewaysEvery {
 		return
@@ -263,20 +262,20 @@
 	return f.table.Services[s].Engine
 }
 
-// KeeperLost records that the keeper beside an engine cannot be reached: nothing
-// can be loaded there for now.
+// KeeperLost records that the keeper beside an engine is unreachable: no adapter can be
+// loaded there for now.
 func (f *Fleet) KeeperLost(id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
 		m.holding.Connected = false
 	}
 }
 
-// doubtFor is how long an engine's refusal counts against what its keeper told:
-// the keeper's next word is on its way.
+// doubtFor is how long an engine's refusal takes precedence over its keeper's report,
+// until the keeper's next report has arrived.
 const doubtFor = 300 * time.Millisecond
 
-// NotHeld records that an engine refused a request because it does not hold the
-// adapter version.
+// NotHeld records that an engine refused a request because it does not hold the adapter
+// version.
 func (f *Fleet) NotHeld(now time.Time, id wardturn.UpstreamID, key wardturn.ModelAdapter) {
 	m := f.members[id]
 	if m == nil {
--- a/decide/ledger.go
+++ b/decide/ledger.go
@@ -7,34 +7,34 @@
 	"wardturn"
 )
 
-// AttemptState is what an agent knows of an attempt.
+// AttemptState is what an agent knows about an attempt.
 type AttemptState uint8
 
 const (
-	// AttemptNew was never seen before; it is now remembered as waiting.
+	// AttemptNew was never seen before. The ledger now records it as waiting.
 	AttemptNew AttemptState = iota
-	// AttemptWaiting has not been given to the upstream.
+	// AttemptWaiting has not been sent to the upstream.
 	AttemptWaiting
 	// AttemptSent may have reached the upstream.
 	AttemptSent
 	// AttemptEnded has an outcome.
 	AttemptEnded
-	// AttemptForgotten may have been seen; it is too old to tell.
+	// AttemptForgotten is too old to tell whether it was seen before.
 	AttemptForgotten
 )
 
-// Ledger remembers the attempts of one agent, so that a delayed copy never runs
-// and a lost connection never decides an outcome.
+// Ledger records the attempts of one agent, so that a delayed duplicate is never run and
+// a lost connection does not decide an outcome.
 //
-// Ended attempts are remembered for a time and up to a number. Beyond that only
-// the highest forgotten sequence number of each entry process is kept: an
-// attempt at or below it that is not in the ledger is AttemptForgotten, which a
-// caller is told as Unknown. Late copies are thus recognized without a clock.
+// Ended attempts are kept for a limited time and up to a limited number. Of older ones
+// only the highest sequence number of each entry process is kept: an attempt at or below
+// it that is not in the ledger is AttemptForgotten, and its caller receives the outcome
+// Unknown. Late duplicates are thus recognized without a clock.
 type Ledger struct {
 	limit    int
 	remember time.Duration
 	attempts map[wardturn.AttemptID]*entry
-	ended    *list.List // of *entry, in order of their end
+	ended    *list.List // of *entry, in the order in which they ended
 	marks    map[wardturn.Incarnation]*mark
 }
 
@@ -45,20 +45,20 @@
 	endedAt time.Time
 }
 
-// mark is the highest sequence number forgotten of one entry process.
+// mark is the highest sequence number of the forgotten attempts of one entry process.
 type mark struct {
 	seq  uint64
 	live int // attempts still in the ledger
 	at   time.Time
 }
 
-// marksKept is how long the mark of a silent entry process is kept. It must
-// exceed the time for which a frame can be delayed: connections do not outlive
-// their idle limit, which is far shorter.
+// marksKept is how long the mark of a silent entry process is kept. It must exceed the
+// longest delay of a frame, which is bounded by the far shorter idle timeout of
+// connections.
 const marksKept = time.Hour
 
-// NewLedger returns a ledger that remembers ended attempts for a time and up to
-// a number.
+// NewLedger returns a ledger that keeps up to limit ended attempts, each for the given
+// time.
 func NewLedger(limit int, remember time.Duration) *Ledger {
 	return &Ledger{
 		limit:    limit,
@@ -69,8 +69,8 @@
 	}
 }
 
-// Submit records an attempt that arrives to be run. Only AttemptNew may run;
-// with AttemptEnded the earlier outcome is returned.
+// Submit records an attempt that is submitted to run. Only AttemptNew may run; for
+// AttemptEnded it also returns the earlier outcome.
 func (l *Ledger) Submit(now time.Time, id wardturn.AttemptID) (AttemptState, wardturn.Outcome) {
 	state, outcome := l.lookup(id)
 	if state != AttemptNew {
@@ -80,8 +80,9 @@
 	return AttemptNew, wardturn.Outcome{}
 }
 
-// Attach answers an entry that asks for an attempt after a lost connection. An
-// attempt never seen is marked as not run: a copy that arrives later is refused.
+// Attach looks up an attempt that an entry asks for after a lost connection. An attempt
+// that was never seen is recorded as not run, so that a duplicate that arrives later is
+// refused.
 func (l *Ledger) Attach(now time.Time, id wardturn.AttemptID) (AttemptState, wardturn.Outcome) {
 	state, outcome := l.lookup(id)
 	if state != AttemptNew {
@@ -117,8 +118,8 @@
 	m.at = now
 }
 
-// Send records that the attempt is about to reach the upstream, and reports
-// whether it may: an attempt that has ended meanwhile may not.
+// Send records that the attempt is about to be sent to the upstream. It reports whether
+// it may be sent: an attempt that has already been sent or has ended may not.
 func (l *Ledger) Send(id wardturn.AttemptID) bool {
 	e := l.attempts[id]
 	if e == nil || e.state != AttemptWaiting {
@@ -128,15 +129,16 @@
 	return true
 }
 
-// Unsend records that the upstream refused the attempt without running it, so
-// that it waits again.
+// Unsend records that the upstream refused the attempt without running it, so that it is
+// waiting again.
 func (l *Ledger) Unsend(id wardturn.AttemptID) {
 	if e := l.attempts[id]; e != nil && e.state == AttemptSent {
 		e.state = AttemptWaiting
 	}
 }
 
-// End records an outcome and reports whether it stands: the first one does.
+// End records an outcome. It reports false if the attempt already has one, which then
+// stands.
 func (l *Ledger) End(now time.Time, id wardturn.AttemptID, outcome wardturn.Outcome) bool {
 	e := l.attempts[id]
 	if e == nil || e.state == AttemptEnded {
@@ -150,8 +152,7 @@
 	return true
 }
 
-// Sweep forgets attempts that ended long ago or are too many, and returns
-// nothing: what is forgotten stays covered by the marks.
+// Sweep forgets ended attempts that are too old or too many. The marks still cover them.
 func (l *Ledger) Sweep(now time.Time) {
 	for l.ended.Len() > 0 {
 		e := l.ended.Front().Value.(*entry)
@@ -170,7 +171,7 @@
 	m.seq = max(m.seq, id.Seq)
 }
 
-// SweepMarks forgets entry processes that were silent for very long.
+// SweepMarks forgets the marks of entry processes that have been silent for long.
 func (l *Ledger) SweepMarks(now time.Time) {
 	for entry, m := range l.marks {
 		if m.live == 0 && now.Sub(m.at) > marksKept {
--- a/decide/turn.go
+++ b/decide/turn.go
@@ -6,56 +6,56 @@
 	"wardturn"
 )
 
-// ReadTurn decides when a process reads a record of the platform's store itself
-// and when it relies on what another process has read. Processes that follow the
-// same record tell each other of their readings; usually the one with the lowest
-// id reads for all. Nothing is agreed for that: each process keeps its own bound
-// on how old its knowledge is, and reads when the others' words stay out.
+// ReadTurn decides when a process reads a record of the platform's store itself and when
+// it relies on the reads of another process. Processes that follow the same record report
+// their reads to each other, and usually only the process with the lowest ID, the leader,
+// reads. There is no agreement protocol: each process bounds the age of its own copy, and
+// reads itself when the reports of others fail to arrive.
 type ReadTurn struct {
 	cfg       ReadTurnConfig
 	self      wardturn.Incarnation
-	start     time.Time // stamps count from here
-	part      float64   // of the spread that is this process's, 0 to 1
-	asOf      time.Time // what is known was true then, or later
-	own       bool      // by a reading of this process
-	sure      time.Time // as asOf, without words whose time on the way is not known
-	doubtAt   time.Time // something contradicted it then
-	leaderAt  time.Time // when a process with a lower id was last heard
-	notBefore time.Time // no reading of its own before
-	askedAt   time.Time // when the latest reading began that something asked for
-	failing   bool      // the latest reading had no answer
+	start     time.Time // origin of the timestamps sent to other processes
+	part      float64   // position of this process in the spread of read times, from 0 to 1
+	asOf      time.Time // time of the latest known read of the record
+	own       bool      // asOf is from a read of this process
+	sure      time.Time // as asOf, but without reports whose transit time is not known
+	doubtAt   time.Time // when the copy was last found to be out of date
+	leaderAt  time.Time // when a process with a lower ID last sent a message
+	notBefore time.Time // earliest time of this process's next read
+	askedAt   time.Time // when the latest read caused by a contradiction started
+	failing   bool      // the latest read failed
 	lags      leastLags
 }
 
-// ReadTurnConfig holds the times of a ReadTurn.
+// ReadTurnConfig holds the intervals of a ReadTurn.
 type ReadTurnConfig struct {
-	// Every is how old knowledge may be before it is read again.
+	// Every is the age at which the copy is read again.
 	Every time.Duration
-	// Pause is the time between the readings of the process that reads for all.
+	// Pause is the time between two reads of the leader.
 	Pause time.Duration
-	// Least is the time between two readings of one process.
+	// Least is the minimum time between two reads of one process.
 	Least time.Duration
-	// Gather is the least time between two readings that others' words ask for: changes
-	// that follow each other closely are read together.
+	// Gather is the minimum time between two reads caused by contradictions, so that
+	// changes in quick succession are read together.
 	Gather time.Duration
 }
 
 const (
-	// turnSlack and turnSpread are how much later than Every a process reads that
-	// relies on others, as parts of it: the slack lets the usual word arrive, the
-	// spread keeps all from reading at once when it does not. When the process
-	// with the lowest id is gone, the others step in within the slack.
+	// turnSlack and turnSpread delay the reads of a process that relies on others, as
+	// fractions of Every. The slack lets the regular report arrive; the spread keeps the
+	// processes from reading all at once when it does not. When the leader is gone, the
+	// others take over within the slack.
 	turnSlack  = 0.15
 	turnSpread = 0.25
-	// leaderLife is how long a process with a lower id counts after its last
-	// word, in Every.
+	// leaderLife is how long a process with a lower ID counts as alive after its last
+	// message, as a multiple of Every.
 	leaderLife = 2
-	// doubtSpread keeps processes from reading at the same moment when an event
-	// makes all of them doubt: the first one's word serves the rest.
+	// doubtSpread spreads the reads of processes that find their copies out of date
+	// through the same event: the report of the first one serves the others.
 	doubtSpread = 100 * time.Millisecond
 )
 
-// NewReadTurn returns a turn that is due at once.
+// NewReadTurn returns a ReadTurn whose first read is due at once.
 func NewReadTurn(now time.Time, self wardturn.Incarnation, cfg ReadTurnConfig) *ReadTurn {
 	return &ReadTurn{
 		cfg:   cfg,
@@ -66,16 +66,16 @@
 	}
 }
 
-// ReadCause is why a process reads a record itself.
+// ReadCause says why a process reads a record itself.
 type ReadCause string
 
-// Causes of readings.
+// Causes of a read.
 const (
-	ReadFirst   ReadCause = "first"   // nothing was known
-	ReadForAll  ReadCause = "for_all" // it reads for the others
-	ReadStepIn  ReadCause = "step_in" // the words of the others stayed out
-	ReadDoubted ReadCause = "doubted" // something contradicted what was known
-	ReadAgain   ReadCause = "again"   // the reading before it failed
+	ReadFirst   ReadCause = "first"   // there was no copy
+	ReadForAll  ReadCause = "for_all" // this process is the leader
+	ReadStepIn  ReadCause = "step_in" // the reports of other processes failed to arrive
+	ReadDoubted ReadCause = "doubted" // something contradicted the copy
+	ReadAgain   ReadCause = "again"   // the previous read failed
 )
 
 // ReadCauses lists all causes.
@@ -83,7 +83,7 @@
 	return []ReadCause{ReadFirst, ReadForAll, ReadStepIn, ReadDoubted, ReadAgain}
 }
 
-// Cause returns why this process reads now.
+// Cause returns why this process would read now.
 func (t *ReadTurn) Cause(now time.Time) ReadCause {
 	switch {
 	case t.failing:
@@ -98,7 +98,7 @@
 	return ReadStepIn
 }
 
-// DueAt returns when this process has to read.
+// DueAt returns when this process has to read the record.
 func (t *ReadTurn) DueAt(now time.Time) time.Time {
 	due := t.usualAt(now)
 	if t.doubtAt.After(t.asOf) {
@@ -113,7 +113,7 @@
 	return due
 }
 
-// usualAt returns when this process has to read by the age of what is known alone.
+// usualAt returns when this process has to read judging by the age of its copy alone.
 func (t *ReadTurn) usualAt(now time.Time) time.Time {
 	due := t.asOf
 	switch {
@@ -130,9 +130,10 @@
 	return due
 }
 
-// AsOf returns a time at which all that is known was true; zero before the first
-// reading. A word that was long on its way would make an old version of an adapter serve
-// as much longer, so only those count that can be compared with an earlier one.
+// AsOf returns a time at which the copy was up to date, or zero before the first read. It
+// counts a report of another process only if its transit time can be compared with that
+// of an earlier one: a delayed report taken for a recent one would let an old version of
+// an adapter serve longer by the delay.
 func (t *ReadTurn) AsOf() time.Time {
 	return t.sure
 }
@@ -144,7 +145,7 @@
 	return y
 }
 
-// Age returns how old the knowledge is; zero before the first reading.
+// Age returns the age of the copy, or zero before the first read.
 func (t *ReadTurn) Age(now time.Time) time.Duration {
 	if t.asOf.IsZero() {
 		return 0
@@ -152,13 +153,13 @@
 	return max(0, now.Sub(t.asOf))
 }
 
-// Reads reports whether this process reads for the others: none with a lower id was
-// heard lately.
+// Reads reports whether this process is the leader: no process with a lower ID has sent a
+// message lately.
 func (t *ReadTurn) Reads(now time.Time) bool {
 	return t.leaderAt.IsZero() || now.Sub(t.leaderAt) > leaderLife*t.cfg.Every
 }
 
-// Began records that a reading of this process begins.
+// Began records the start of a read by this process.
 func (t *ReadTurn) Began(now time.Time) {
 	if t.Cause(now) == ReadDoubted {
 		t.askedAt = now
@@ -166,17 +167,17 @@
 	t.notBefore = now.Add(t.cfg.Least)
 }
 
-// Failed records that a reading of this process had no answer. It reads again after the
-// least time between two, unless another tells of a later reading. Pauses that double serve
-// callers no better, and save few calls.
+// Failed records that a read of this process failed. It is retried after the minimum time
+// between reads unless another process reports a later read. Exponential backoff was no
+// better for callers and saved few reads.
 func (t *ReadTurn) Failed(now time.Time) {
 	t.failing = true
 	t.notBefore = now.Add(t.cfg.Least)
 	t.Doubt(now)
 }
 
-// Read records a reading of this process: all that was true at a time is known.
-// It returns the stamp for the word to the others.
+// Read records a successful read of the record as it was at the time asOf. It returns the
+// timestamp to send to the other processes.
 func (t *ReadTurn) Read(asOf time.Time) time.Duration {
 	t.failing = false
 	t.renew(asOf, true)
@@ -184,16 +185,17 @@
 	return asOf.Sub(t.start)
 }
 
-// Doubt records that something contradicts what is known.
+// Doubt records that something contradicts the copy.
 func (t *ReadTurn) Doubt(now time.Time) {
 	t.doubtAt = now
 }
 
-// Heard records the word of another process that it had read the record. The
-// stamp is that process's own time of its reading. The least difference to the
-// time of arrival tells how its clock differs; a word that was held up on the way
-// is thereby known to be old. A first word has none before it to be measured by, so it
-// does not count for AsOf. It returns the time of the reading, or zero for such a word.
+// Heard records the report of another process that it has read the record. The stamp is
+// the time of the read by that process's clock. The clock offset is estimated by the
+// smallest difference between arrival time and stamp, which makes a delayed report
+// recognizable as old. The first report of a process has nothing to be compared with, so
+// it does not count for AsOf. Heard returns the time of the read, or zero for a first
+// report.
 func (t *ReadTurn) Heard(now time.Time, from wardturn.Incarnation, stamp time.Duration) (asOf time.Time) {
 	least, known := t.lags.note(from, now.Sub(t.start)-stamp)
 	t.renew(t.start.Add(stamp+least), false)
@@ -205,7 +207,7 @@
 	return asOf
 }
 
-// Present records that another process is there, without what it has read.
+// Present records a message of another process that says nothing about its reads.
 func (t *ReadTurn) Present(now time.Time, from wardturn.Incarnation) {
 	if from < t.self {
 		t.leaderAt = now
