--- a/decide/agent.go
+++ b/decide/agent.go
@@ -38,7 +38,7 @@
 	LoadTime     time.Duration // initial estimate
 	ServiceTime  time.Duration // initial estimate
 	ForgetAfter  time.Duration // idle time after which the history of an adapter is dropped
-	StarveAfter  time.Duration // waiting time after which age takes precedence over value
+	StarveAfter  time.Duration // waiting time after which requests are served by age alone
 	DrainAfter   time.Duration // waiting time after which a busy slot is drained
 	AdmitAll     bool          // refuse nothing before its deadline, like a system without admission control
 }
@@ -161,8 +161,8 @@
 	return a
 }
 
-// SetPolicy replaces the policy. The order of requests that are already waiting stays the
-// same.
+// SetPolicy replaces the policy. Requests that are already waiting keep the rank that the
+// previous policy gave them.
 func (a *Agent) SetPolicy(p wardturn.Policy) {
 	a.policy = p
 	for _, ad := range a.adapters {
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -1,94 +1,92 @@
-// Package decide is the decision core of wardturn: which upstream a request
-// goes to, which adapters hold the slots of an engine, which request runs next
-// and which load the shared weight store is spent on.
+// Package decide implements the scheduling decisions of wardturn: which upstream a
+// request is sent to, which adapters occupy the slots of an engine, which request runs
+// next, and which adapter loads may use the shared weight store.
 //
-// The package is pure. Events and the current time come in through method
-// calls, orders come out as values, and nothing in it reads a clock, starts a
-// goroutine or performs I/O. The daemons, the experiment tool and the model
-// checking tests all drive the same code, so what is measured in an experiment
-// is what serves traffic.
+// The package is pure. Events and the current time are passed to method calls, actions
+// are returned as values, and nothing in the package reads a clock, starts a goroutine or
+// performs I/O. The daemons, the experiment tool and the model-based tests run the same
+// code, so experiments measure the code that serves traffic.
 //
-// None of the types are safe for concurrent use; a driver guards each with its
-// own lock.
+// None of the types are safe for concurrent use. Each driver guards them with its own
+// lock.
 //
-// # Two families
+// # Two systems
 //
-// Two systems are decided here, and no type of one uses a type of the other. In
-// the embedded system, driven by packages entry and agent, an agent holds the
-// queue of its upstream: Router decides for one entry host, Agent for one
-// upstream, Allocator shares the store between agents, and Ledger remembers how
-// attempts ended. On the users' platform, driven by packages gateway and keeper,
-// requests wait at their gateway: Fleet decides for one gateway, Places for one
-// engine, and each gateway bounds its own loads by a LoadWindow.
+// The package serves two systems, and no type of one uses a type of the other. In the
+// embedded system, driven by packages entry and agent, the agent beside an upstream holds
+// its queue: Router decides for one entry host, Agent for one upstream, Allocator divides
+// the capacity of the weight store between agents, and Ledger records the outcomes of
+// attempts. On the users' platform, driven by packages gateway and keeper, requests wait
+// at their gateway: Fleet decides for one gateway, Places for one engine, and each
+// gateway bounds its own loads by a LoadWindow.
 //
 // The embedded system, entry:
 //
-//	router.go             Router: the upstream of a request
-//	locations.go          where an adapter was sent before, and its next home
-//	quota.go              Quota: what one caller may send
+//	router.go             Router: selects the upstream of a request
+//	locations.go          where an adapter was served before, and its next location
+//	quota.go              Quota: rate limit of one caller
 //
 // The embedded system, agent:
 //
-//	agent.go              Agent: what comes in, and the orders that come out
-//	queue.go              the requests that wait, by adapter
-//	plan.go               what starts next, and which adapter is loaded
-//	slots.go              the adapter slots of the engine
-//	screen.go             which requests are refused at once
-//	share.go              turns of teams by what they have used
-//	shadow.go             how another policy would have decided
-//	hint.go               Hint: an agent's load as routers see it
-//	ledger.go             Ledger: attempts that ended, so that none runs twice
+//	agent.go              Agent: its events and the orders that they cause
+//	queue.go              queues of waiting requests, by adapter
+//	plan.go               which request starts next, and which adapter is loaded
+//	slots.go              adapter slots of the engine
+//	screen.go             admission control: which requests are refused at once
+//	share.go              fair sharing between teams by recent usage
+//	shadow.go             evaluation of a second policy without effect
+//	hint.go               Hint: an agent's load as reported to routers
+//	ledger.go             Ledger: outcomes of attempts, so that none runs twice
 //	permits.go            Permits: when an agent may use the weight store
-//	permits_allocated.go  permits that an allocator grants
-//	allocator.go          Allocator: grants of all agents of a store
-//	meter.go              the rate of events
+//	permits_allocated.go  permits granted by an allocator
+//	allocator.go          Allocator: grants permits to all agents of a store
+//	meter.go              rate of events
 //
 // The users' platform, gateway:
 //
-//	fleet.go              Fleet: the upstreams and the requests that wait
-//	wait.go               Ticket: a request that waits, and what it is given
-//	want.go               an adapter that is missing, and whom to ask for it
-//	member.go             Member: an upstream, and what a request costs there
-//	usage.go              what was sent to an upstream and how it ended
-//	reading.go            the prompts that engines still have to read
-//	finish.go             whether a request would be in time
-//	patience.go           how long a request waits, and when to come back
-//	home.go, homes.go     the engines on which gateways agree for an adapter
-//	copies.go             further copies of an adapter
-//	holding.go            Holding: what a keeper tells of its engine
-//	versions.go           from one version of an adapter to the next
-//	naming.go             when a version was named the newest
-//	crashes.go            Crashes: requests under which upstreams end
-//	teamcaps.go           TeamCaps: usage caps of teams over all gateways
-//	teamwords.go          what gateways tell each other of what they have taken
-//	leaving.go            upstreams that were seen leaving
+//	fleet.go              Fleet: the upstreams and the requests that wait for them
+//	wait.go               Ticket: a waiting request and its assignment
+//	want.go               adapters that are missing, and which engine to ask for them
+//	member.go             Member: an upstream, and the cost of a request there
+//	usage.go              requests sent to an upstream and how they ended
+//	reading.go            prompts waiting for prefill at engines
+//	finish.go             whether a request would meet its objective
+//	patience.go           how long a request waits, and when its caller should retry
+//	home.go, homes.go     engines preferred for an adapter, equal at all gateways
+//	copies.go             additional copies of an adapter
+//	holding.go            Holding: a keeper's report on its engine
+//	versions.go           rollout of a new adapter version
+//	naming.go             announcements of adapter versions
+//	crashes.go            Crashes: requests that crash upstreams
+//	teamcaps.go           TeamCaps: usage caps of teams across all gateways
+//	teamwords.go          usage reports between gateways
+//	leaving.go            upstreams that announced that they are leaving
 //	cause.go              LoadCause: why an adapter was asked for
-//	window.go             LoadWindow: how many loads the store bears
-//	room.go               the share of the window that is left to a gateway
+//	window.go             LoadWindow: how many concurrent loads the store can serve
+//	room.go               a gateway's share of the free load window
 //	turn.go               ReadTurn: which gateway reads the store for all
-//	trust.go              Trust: a way that failed is left alone for a while
+//	trust.go              Trust: avoids a path for a while after it failed
 //
 // The users' platform, keeper:
 //
-//	places.go             Places: the adapters of an engine
-//	evict.go              which adapter leaves, and the places told as free
+//	places.go             Places: adapters of an engine
+//	evict.go              which adapter is evicted, and which slots are reported free
 //
 // Used by both:
 //
-//	breaker.go            Breaker: an upstream that fails is left alone
-//	demand.go             Demand: how often an adapter is asked for
+//	breaker.go            Breaker: circuit breaker of an upstream
+//	demand.go             Demand: request rate of an adapter
 //	rendezvous.go         rendezvous hashing
 //	retry.go              RetryBudget: retries as a share of requests
 //
-// # Words
+// # Terms
 //
-// Of the embedded system: a slot is a place for one adapter version in an engine.
-// A request pins the slot that it runs on; a pinned slot is never unloaded. An
-// adapter with waiting requests and no slot becomes a load when it is worth more
-// than the least valuable idle slot and when Permits says that the weight store
-// can carry another load.
+// In the embedded system, a slot holds one adapter version in an engine. A request pins
+// the slot that it runs on, and a pinned slot is never unloaded. An adapter with waiting
+// requests and no slot is loaded when it is worth more than the least valuable idle slot
+// and Permits says that the weight store can serve another load.
 //
-// On the users' platform: an adapter that requests wait for is a want. The
-// gateway asks one engine's keeper for it, which is a wish there, and the keeper
-// loads it into a place, which is one of the engine's adapter slots.
+// On the users' platform, a want is an adapter that requests wait for. The gateway sends
+// a wish for it to the keeper of one engine, and the keeper has the engine load it into a
+// place, which is one of the engine's adapter slots.
 package decide
