--- a/decide/crashes.go
+++ b/decide/crashes.go
@@ -20,25 +20,25 @@
 // apart: content that was answered successfully does not crash upstreams, so its crashes
 // are cleared, and for a while it does not become suspect again.
 type Crashes struct {
-	cfg      CrashConfig
-	contents map[wardturn.ContentID]*suspect
-	proven   map[wardturn.ContentID]time.Time  // when each was last answered successfully
-	broken   map[wardturn.Crash]time.Time      // requests that broke off, whose upstream may have ended
-	ended    map[wardturn.UpstreamID]time.Time // when each upstream ended without notice
-	takeBack map[wardturn.Crash]bool           // records to be deleted from the store
+	cfg            CrashConfig
+	contents       map[wardturn.ContentID]*suspectContent
+	answered       map[wardturn.ContentID]time.Time  // when each was last answered successfully
+	brokenRequests map[wardturn.Crash]time.Time      // requests that broke off, whose upstream may have ended
+	ended          map[wardturn.UpstreamID]time.Time // when each upstream ended without notice
+	pendingDeletes map[wardturn.Crash]bool           // records to be deleted from the store
 }
 
-// suspect is a content that was being served by upstreams when they ended.
-type suspect struct {
-	upstreams map[wardturn.UpstreamID]*suspicion
-	latest    time.Time
+// suspectContent is a content that was being served by upstreams when they ended.
+type suspectContent struct {
+	crashes map[wardturn.UpstreamID]*crashState
+	latest  time.Time
 }
 
-// suspicion is the state of one crash.
-type suspicion struct {
-	own      bool // observed by this gateway, which has to record it
-	recorded bool
-	since    time.Time // when this gateway learned of it
+// crashState is the state of one crash.
+type crashState struct {
+	observedHere bool // observed by this gateway, which has to record it
+	recorded     bool
+	learnedAt    time.Time // when this gateway learned of it
 }
 
 func crashOf(content wardturn.ContentID, id wardturn.UpstreamID) wardturn.Crash {
@@ -49,25 +49,26 @@
 }
 
 const (
-	// recordFrom is the number of crashes from which a content is recorded in the store.
-	// Most requests cut off by the end of an upstream never see a second one.
-	recordFrom = 2
-	// adoptAfter is how long a crash observed by another gateway may lack a record before
+	// minRecordedCrashes is the number of crashes from which a content is recorded in the
+	// store. Most requests cut off by the end of an upstream never see a second one.
+	minRecordedCrashes = 2
+	// adoptDelay is how long a crash observed by another gateway may lack a record before
 	// this gateway writes it. Gateways that are killed while the store is unavailable
 	// lose the crashes that they have not recorded.
-	adoptAfter = 3 * time.Second
-	// provenFor is how long a successful response keeps a content from becoming suspect.
-	// It exceeds the time between two responses to a content sent by many callers, and is
-	// below the 3 s within which a content has to be refused once it has started to crash
-	// upstreams.
-	provenFor = 2 * time.Second
-	// endLife is the longest time between the end of an upstream and a request that broke
-	// off there for the two to be related. It covers the time until the upstream's entry
-	// has expired and been read, also by a gateway that was frozen meanwhile.
-	endLife = 12 * time.Second
-	// mostContents bounds the number of remembered contents, and so their memory. Those
+	adoptDelay = 3 * time.Second
+	// answeredGrace is how long a successful response keeps a content from becoming
+	// suspect. It exceeds the time between two responses to a content sent by many
+	// callers, and is below the 3 s within which a content has to be refused once it has
+	// started to crash upstreams.
+	answeredGrace = 2 * time.Second
+	// endCorrelationWindow is the longest time between the end of an upstream and a
+	// request that broke off there for the two to be related. It covers the time until
+	// the upstream's entry has expired and been read, also by a gateway that was frozen
+	// meanwhile.
+	endCorrelationWindow = 12 * time.Second
+	// maxContents bounds the number of remembered contents, and so their memory. Those
 	// with the fewest and oldest crashes are dropped first.
-	mostContents = 1 << 15
+	maxContents = 1 << 15
 )
 
 // CrashConfig holds the limits of Crashes.
@@ -79,19 +80,19 @@
 // NewCrashes returns a Crashes without any recorded crash.
 func NewCrashes(cfg CrashConfig) *Crashes {
 	return &Crashes{
-		cfg:      cfg,
-		contents: make(map[wardturn.ContentID]*suspect),
-		proven:   make(map[wardturn.ContentID]time.Time),
-		broken:   make(map[wardturn.Crash]time.Time),
-		ended:    make(map[wardturn.UpstreamID]time.Time),
-		takeBack: make(map[wardturn.Crash]bool),
+		cfg:            cfg,
+		contents:       make(map[wardturn.ContentID]*suspectContent),
+		answered:       make(map[wardturn.ContentID]time.Time),
+		brokenRequests: make(map[wardturn.Crash]time.Time),
+		ended:          make(map[wardturn.UpstreamID]time.Time),
+		pendingDeletes: make(map[wardturn.Crash]bool),
 	}
 }
 
 // Refuses reports whether a content is refused, and for how much longer.
 func (c *Crashes) Refuses(now time.Time, content wardturn.ContentID) (time.Duration, bool) {
 	s := c.contents[content]
-	if s == nil || len(s.upstreams) < c.cfg.Limit {
+	if s == nil || len(s.crashes) < c.cfg.Limit {
 		return 0, false
 	}
 	left := s.latest.Add(c.cfg.Memory).Sub(now)
@@ -102,10 +103,10 @@
 // crash if the upstream is known to have ended and the crash is new.
 func (c *Crashes) Broke(now time.Time, content wardturn.ContentID, id wardturn.UpstreamID) []wardturn.Crash {
 	at, ended := c.ended[id]
-	if ended && now.Sub(at) < endLife {
-		return c.saw(now, []wardturn.Crash{crashOf(content, id)})
+	if ended && now.Sub(at) < endCorrelationWindow {
+		return c.observed(now, []wardturn.Crash{crashOf(content, id)})
 	}
-	c.broken[crashOf(content, id)] = now
+	c.brokenRequests[crashOf(content, id)] = now
 	return nil
 }
 
@@ -114,23 +115,24 @@
 func (c *Crashes) Ended(now time.Time, id wardturn.UpstreamID) []wardturn.Crash {
 	c.ended[id] = now
 	var list []wardturn.Crash
-	for b, at := range c.broken {
+	for b, at := range c.brokenRequests {
 		if b.Upstream != id {
 			continue
 		}
-		delete(c.broken, b)
-		if now.Sub(at) < endLife {
+		delete(c.brokenRequests, b)
+		if now.Sub(at) < endCorrelationWindow {
 			list = append(list, b)
 		}
 	}
-	return c.saw(now, list)
+	return c.observed(now, list)
 }
 
-// saw records crashes observed by this gateway, and returns those that count and are new.
-func (c *Crashes) saw(now time.Time, list []wardturn.Crash) []wardturn.Crash {
+// observed records crashes observed by this gateway, and returns those that count and are
+// new.
+func (c *Crashes) observed(now time.Time, list []wardturn.Crash) []wardturn.Crash {
 	fresh := c.Heard(now, list)
 	for _, crash := range fresh {
-		c.known(crash).own = true
+		c.state(crash).observedHere = true
 	}
 	slices.SortFunc(fresh, compareCrashes)
 	return fresh
@@ -165,7 +167,7 @@
 		if c.add(now, at, r.Crash) {
 			fresh = append(fresh, r.Crash)
 		}
-		if known := c.known(r.Crash); known != nil {
+		if known := c.state(r.Crash); known != nil {
 			known.recorded = true
 		}
 	}
@@ -178,41 +180,41 @@
 // happen.
 func (c *Crashes) RecordsLost(now time.Time) {
 	for _, s := range c.contents {
-		for _, known := range s.upstreams {
+		for _, known := range s.crashes {
 			known.recorded = false
-			known.since = now
+			known.learnedAt = now
 		}
 	}
 }
 
-// known returns the state of a crash, or nil.
-func (c *Crashes) known(crash wardturn.Crash) *suspicion {
+// state returns the state of a crash, or nil.
+func (c *Crashes) state(crash wardturn.Crash) *crashState {
 	s := c.contents[crash.Content]
 	if s == nil {
 		return nil
 	}
-	return s.upstreams[crash.Upstream]
+	return s.crashes[crash.Upstream]
 }
 
 // add counts a crash that occurred at a time, and reports whether it counts and is new.
 func (c *Crashes) add(now, at time.Time, crash wardturn.Crash) bool {
-	if proven, ok := c.proven[crash.Content]; ok && at.Sub(proven) < provenFor {
+	if proven, ok := c.answered[crash.Content]; ok && at.Sub(proven) < answeredGrace {
 		return false
 	}
 	s := c.contents[crash.Content]
 	if s == nil {
-		c.makeRoom()
-		s = &suspect{
-			upstreams: make(map[wardturn.UpstreamID]*suspicion),
+		c.evictContents()
+		s = &suspectContent{
+			crashes: make(map[wardturn.UpstreamID]*crashState),
 		}
 		c.contents[crash.Content] = s
 	}
-	if s.upstreams[crash.Upstream] != nil {
+	if s.crashes[crash.Upstream] != nil {
 		return false
 	}
 	s.latest = latest(s.latest, at)
-	s.upstreams[crash.Upstream] = &suspicion{
-		since: now,
+	s.crashes[crash.Upstream] = &crashState{
+		learnedAt: now,
 	}
 	return true
 }
@@ -220,14 +222,14 @@
 // Answered records that a content was answered successfully, and reports whether crashes
 // had been counted for it. Their records in the store are scheduled for deletion.
 func (c *Crashes) Answered(now time.Time, content wardturn.ContentID) (suspected bool) {
-	c.proven[content] = now
+	c.answered[content] = now
 	s := c.contents[content]
 	if s == nil {
 		return false
 	}
-	for id, known := range s.upstreams {
+	for id, known := range s.crashes {
 		if known.recorded {
-			c.takeBack[crashOf(content, id)] = true
+			c.pendingDeletes[crashOf(content, id)] = true
 		}
 	}
 	delete(c.contents, content)
@@ -249,8 +251,8 @@
 		if s == nil {
 			continue
 		}
-		delete(s.upstreams, crash.Upstream)
-		if len(s.upstreams) == 0 {
+		delete(s.crashes, crash.Upstream)
+		if len(s.crashes) == 0 {
 			delete(c.contents, crash.Content)
 		}
 	}
@@ -261,17 +263,17 @@
 // lacked a record for long, and if their content has enough of them or all is set.
 func (c *Crashes) Due(now time.Time, all bool) (crashes, takeBack []wardturn.Crash) {
 	for content, s := range c.contents {
-		if !all && len(s.upstreams) < min(recordFrom, c.cfg.Limit) {
+		if !all && len(s.crashes) < min(minRecordedCrashes, c.cfg.Limit) {
 			continue
 		}
-		for id, known := range s.upstreams {
-			mine := known.own || now.Sub(known.since) >= adoptAfter
+		for id, known := range s.crashes {
+			mine := known.observedHere || now.Sub(known.learnedAt) >= adoptDelay
 			if mine && !known.recorded {
 				crashes = append(crashes, crashOf(content, id))
 			}
 		}
 	}
-	takeBack = slices.Collect(maps.Keys(c.takeBack))
+	takeBack = slices.Collect(maps.Keys(c.pendingDeletes))
 	slices.SortFunc(crashes, compareCrashes)
 	slices.SortFunc(takeBack, compareCrashes)
 	return crashes, takeBack
@@ -280,58 +282,59 @@
 // Written records that the store holds the result of pending writes.
 func (c *Crashes) Written(crashes, takeBack []wardturn.Crash) {
 	for _, crash := range crashes {
-		if known := c.known(crash); known != nil {
+		if known := c.state(crash); known != nil {
 			known.recorded = true
 		} else {
-			c.takeBack[crash] = true // answered successfully meanwhile
+			c.pendingDeletes[crash] = true // answered successfully meanwhile
 		}
 	}
 	for _, crash := range takeBack {
-		delete(c.takeBack, crash)
+		delete(c.pendingDeletes, crash)
 	}
 }
 
 // Sweep forgets what no longer counts. The gateway that observed a crash deletes its
 // record.
 func (c *Crashes) Sweep(now time.Time) {
-	dropOld(now, c.proven, provenFor)
-	dropOld(now, c.broken, endLife)
-	dropOld(now, c.ended, endLife)
+	deleteOlder(now, c.answered, answeredGrace)
+	deleteOlder(now, c.brokenRequests, endCorrelationWindow)
+	deleteOlder(now, c.ended, endCorrelationWindow)
 	for content, s := range c.contents {
 		if now.Sub(s.latest) < c.cfg.Memory {
 			continue
 		}
-		for id, known := range s.upstreams {
-			if known.own && known.recorded {
-				c.takeBack[crashOf(content, id)] = true
+		for id, known := range s.crashes {
+			if known.observedHere && known.recorded {
+				c.pendingDeletes[crashOf(content, id)] = true
 			}
 		}
 		delete(c.contents, content)
 	}
 }
 
-// dropOld deletes the entries older than life.
-func dropOld[K comparable](now time.Time, m map[K]time.Time, life time.Duration) {
+// deleteOlder deletes the entries older than life.
+func deleteOlder[K comparable](now time.Time, m map[K]time.Time, life time.Duration) {
 	maps.DeleteFunc(m, func(_ K, at time.Time) bool {
 		return now.Sub(at) >= life
 	})
 }
 
-// roomStep is the divisor for the share of contents dropped at once when there are too
+// evictDivisor is the divisor for the share of contents dropped at once when there are too
 // many.
-const roomStep = 8
+const evictDivisor = 8
 
-// makeRoom drops the contents with the fewest and oldest crashes if there are too many.
-func (c *Crashes) makeRoom() {
-	if len(c.contents) < mostContents {
+// evictContents drops the contents with the fewest and oldest crashes if there are too
+// many.
+func (c *Crashes) evictContents() {
+	if len(c.contents) < maxContents {
 		return
 	}
 	list := slices.Collect(maps.Keys(c.contents))
 	slices.SortFunc(list, func(x, y wardturn.ContentID) int {
 		sx, sy := c.contents[x], c.contents[y]
-		return cmp.Or(cmp.Compare(len(sx.upstreams), len(sy.upstreams)), sx.latest.Compare(sy.latest), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(len(sx.crashes), len(sy.crashes)), sx.latest.Compare(sy.latest), cmp.Compare(x, y))
 	})
-	for _, content := range list[:len(list)/roomStep] {
+	for _, content := range list[:len(list)/evictDivisor] {
 		delete(c.contents, content)
 	}
 }
--- a/decide/finish.go
+++ b/decide/finish.go
@@ -4,16 +4,16 @@
 	"time"
 )
 
-// queueTime estimates how long an engine takes to prefill the prompts that precede a new
-// one.
-func queueTime(now time.Time, m *Member) time.Duration {
+// prefillDelay estimates how long an engine takes to prefill the prompts that precede a
+// new one.
+func prefillDelay(now time.Time, m *Member) time.Duration {
 	return m.rate.time(m.toRead(now))
 }
 
-// inTime reports whether a request would have its first token within its objective at an
-// engine where its prefill can start after a delay.
-func inTime(now time.Time, t *Ticket, m *Member, after time.Duration) bool {
-	begin := max(after, queueTime(now, m))
+// meetsObjective reports whether a request would have its first token within its
+// objective at an engine where its prefill can start after a delay.
+func meetsObjective(now time.Time, t *Ticket, m *Member, after time.Duration) bool {
+	begin := max(after, prefillDelay(now, m))
 	return !now.Add(begin + m.rate.time(int(t.Prompt))).After(t.Arrived.Add(t.Objective))
 }
 
@@ -25,7 +25,7 @@
 	if t.settled || t.Key.Adapter == "" || t.Prompt < longPrompt {
 		return false
 	}
-	if inTime(now, t, m, 0) {
+	if meetsObjective(now, t, m, 0) {
 		return false
 	}
 	w := f.wantOf(now, t.Key, t.Service, t.Regions)
@@ -38,7 +38,7 @@
 		}
 		home = f.home(now, w)
 	}
-	return home != nil && inTime(now, t, home, f.bringTime(now, w, home))
+	return home != nil && meetsObjective(now, t, home, f.bringTime(now, w, home))
 }
 
 // bringTime estimates how long it takes until a wanted adapter is available at an engine.
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -13,30 +13,30 @@
 // available engine holds. Its state comes from the platform's list of upstreams, from the
 // keepers beside the engines and from responses to requests. It is not persisted.
 type Fleet struct {
-	cfg        FleetConfig
-	table      *wardturn.RouteTable
-	namings    map[wardturn.ModelAdapter][]naming // announced versions of each adapter, oldest first
-	rollouts   map[wardturn.ModelAdapter]*rollout
-	members    map[wardturn.UpstreamID]*Member
-	services   map[wardturn.ServiceName][]*Member // sorted by ID
-	near       map[wardturn.ServiceName][]*Member // those of services in this gateway's failure domain
-	leaving    map[wardturn.UpstreamID]time.Time  // upstreams that announced that they are leaving, and when the list last had them
-	holders    engineIndex                        // engines that hold an adapter ready
-	loaders    engineIndex                        // engines that are loading it
-	heldBefore engineIndex                        // engines that have held it since they started
-	wants      wants
-	gateways   int       // as reported by keepers
-	gatewaysAt time.Time // when gateways was last updated
-	window     LoadWindow
-	refilled   map[wardturn.ServiceName]time.Time // when services whose engines were all empty are expected to hold adapters again
-	readers    []*Member                          // members whose keepers have to be sent changed prefill counts
-	coming     int                                // loads under way from the weight store, of all gateways
-	drawnAt    time.Time                          // latest random draw for a share of the window below one
-	crossed    map[wardturn.ModelAdapter]int      // bytes sent to other failure domains
-	limits     *Limits
-	rates      map[wardturn.ServiceName]*readRate // prefill rates of engines
-	evacuated  wardturn.Evacuations
-	rests      map[string]*rest // pauses requested by upstreams, by instance
+	cfg           FleetConfig
+	table         *wardturn.RouteTable
+	announcements map[wardturn.ModelAdapter][]announcement // announced versions of each adapter, oldest first
+	rollouts      map[wardturn.ModelAdapter]*rollout
+	members       map[wardturn.UpstreamID]*Member
+	services      map[wardturn.ServiceName][]*Member // sorted by ID
+	near          map[wardturn.ServiceName][]*Member // those of services in this gateway's failure domain
+	leaving       map[wardturn.UpstreamID]time.Time  // upstreams that announced that they are leaving, and when the list last had them
+	holders       engineIndex                        // engines that hold an adapter ready
+	loaders       engineIndex                        // engines that are loading it
+	heldBefore    engineIndex                        // engines that have held it since they started
+	wants         wants
+	gateways      int       // as reported by keepers
+	gatewaysAt    time.Time // when gateways was last updated
+	window        LoadWindow
+	refilled      map[wardturn.ServiceName]time.Time // when services whose engines were all empty are expected to hold adapters again
+	reportsDue    []*Member                          // members whose keepers have to be sent changed prefill counts
+	coming        int                                // loads under way from the weight store, of all gateways
+	drawnAt       time.Time                          // latest random draw for a share of the window below one
+	crossed       map[wardturn.ModelAdapter]int      // bytes sent to other failure domains
+	limits        *Limits
+	prefillRates  map[wardturn.ServiceName]*prefillRate // prefill rates of engines
+	evacuated     wardturn.Evacuations
+	rests         map[string]*rest // pauses requested by upstreams, by instance
 }
 
 // FleetConfig holds the limits of a Fleet.
@@ -69,22 +69,22 @@
 	}
 	cfg.Limits.SetColdConfig(cfg.Cold)
 	return &Fleet{
-		cfg:        cfg,
-		namings:    make(map[wardturn.ModelAdapter][]naming),
-		rollouts:   make(map[wardturn.ModelAdapter]*rollout),
-		members:    make(map[wardturn.UpstreamID]*Member),
-		services:   make(map[wardturn.ServiceName][]*Member),
-		leaving:    make(map[wardturn.UpstreamID]time.Time),
-		holders:    make(engineIndex),
-		loaders:    make(engineIndex),
-		heldBefore: make(engineIndex),
-		wants:      make(wants),
-		window:     NewLoadWindow(cfg.Window),
-		refilled:   make(map[wardturn.ServiceName]time.Time),
-		crossed:    make(map[wardturn.ModelAdapter]int),
-		limits:     cfg.Limits,
-		rates:      make(map[wardturn.ServiceName]*readRate),
-		rests:      make(map[string]*rest),
+		cfg:           cfg,
+		announcements: make(map[wardturn.ModelAdapter][]announcement),
+		rollouts:      make(map[wardturn.ModelAdapter]*rollout),
+		members:       make(map[wardturn.UpstreamID]*Member),
+		services:      make(map[wardturn.ServiceName][]*Member),
+		leaving:       make(map[wardturn.UpstreamID]time.Time),
+		holders:       make(engineIndex),
+		loaders:       make(engineIndex),
+		heldBefore:    make(engineIndex),
+		wants:         make(wants),
+		window:        NewLoadWindow(cfg.Window),
+		refilled:      make(map[wardturn.ServiceName]time.Time),
+		crossed:       make(map[wardturn.ModelAdapter]int),
+		limits:        cfg.Limits,
+		prefillRates:  make(map[wardturn.ServiceName]*prefillRate),
+		rests:         make(map[string]*rest),
 	}
 }
 
@@ -100,7 +100,7 @@
 // SetTable replaces the routing configuration.
 func (f *Fleet) SetTable(t *wardturn.RouteTable) {
 	f.table = t
-	f.expectLoads()
+	f.updateEngineCount()
 }
 
 // Addrs returns the addresses of all upstreams.
@@ -112,9 +112,9 @@
 	return addrs
 }
 
-// present removes entries of earlier incarnations. An upstream that restarted is listed
-// twice until its old entry expires; the entry written last is the current one.
-func present(list []wardturn.Member) []wardturn.Member {
+// currentEntries removes entries of earlier incarnations. An upstream that restarted is
+// listed twice until its old entry expires; the entry written last is the current one.
+func currentEntries(list []wardturn.Member) []wardturn.Member {
 	latest := make(map[string]wardturn.Position, len(list))
 	for _, e := range list {
 		latest[e.Addr] = max(latest[e.Addr], e.Seen)
@@ -129,7 +129,7 @@
 func (f *Fleet) SetMembers(now time.Time, list []wardturn.Member) (lost []wardturn.UpstreamID) {
 	members := make(map[wardturn.UpstreamID]*Member, len(list))
 	services := make(map[wardturn.ServiceName][]*Member)
-	list = present(list)
+	list = currentEntries(list)
 	f.keepLeaving(now, list)
 	f.forgetRests(now)
 	for _, e := range list {
@@ -168,16 +168,17 @@
 		}
 	}
 	f.members = members
-	f.limits.Keep(now, listed(list))
+	f.limits.Keep(now, listedInstances(list))
 	f.limitCold(now)
 	f.services = services
-	f.near = nearby(services, f.cfg.Domain)
-	f.expectLoads()
+	f.near = membersByServiceIn(services, f.cfg.Domain)
+	f.updateEngineCount()
 	return lost
 }
 
-// listed returns a function that reports whether an instance is in a list of upstreams.
-func listed(list []wardturn.Member) func(instance string) bool {
+// listedInstances returns a function that reports whether an instance is in a list of
+// upstreams.
+func listedInstances(list []wardturn.Member) func(instance string) bool {
 	instances := make(map[string]bool, len(list))
 	for _, e := range list {
 		instances[e.ID.Instance()] = true
@@ -187,8 +188,8 @@
 	}
 }
 
-// nearby returns, for each service, the members in a failure domain.
-func nearby(services map[wardturn.ServiceName][]*Member, d wardturn.FailureDomain) map[wardturn.ServiceName][]*Member {
+// membersByServiceIn returns, for each service, the members in a failure domain.
+func membersByServiceIn(services map[wardturn.ServiceName][]*Member, d wardturn.FailureDomain) map[wardturn.ServiceName][]*Member {
 	near := make(map[wardturn.ServiceName][]*Member, len(services))
 	for s, list := range services {
 		near[s] = slices.DeleteFunc(slices.Clone(list), func(m *Member) bool {
@@ -198,8 +199,8 @@
 	return near
 }
 
-// expectLoads updates the number of engines in the load window.
-func (f *Fleet) expectLoads() {
+// updateEngineCount updates the number of engines in the load window.
+func (f *Fleet) updateEngineCount() {
 	engines := 0
 	for s, list := range f.services {
 		if f.Engine(s) != nil {
@@ -236,13 +237,13 @@
 	return f.gateways
 }
 
-// gatewaysEvery is the interval at which the number of gateways is recomputed from the
-// keepers' reports.
-const gatewaysEvery = 100 * time.Millisecond
+// gatewayCountInterval is the interval at which the number of gateways is recomputed from
+// the keepers' reports.
+const gatewayCountInterval = 100 * time.Millisecond
 
 // countGateways updates the number of gateways.
 func (f *Fleet) countGateways(now time.Time) {
-	if now.Sub(f.gatewaysAt) < gatewaysEvery {
+	if now.Sub(f.gatewaysAt) < gatewayCountInterval {
 		return
 	}
 	f.gatewaysAt = now
@@ -270,9 +271,9 @@
 	}
 }
 
-// doubtFor is how long an engine's refusal takes precedence over its keeper's report,
-// until the keeper's next report has arrived.
-const doubtFor = 300 * time.Millisecond
+// refusalOverride is how long an engine's refusal takes precedence over its keeper's
+// report, until the keeper's next report has arrived.
+const refusalOverride = 300 * time.Millisecond
 
 // NotHeld records that an engine refused a request because it does not hold the adapter
 // version.
@@ -286,5 +287,5 @@
 			delete(m.doubts, k)
 		}
 	}
-	m.doubts[key] = now.Add(doubtFor)
+	m.doubts[key] = now.Add(refusalOverride)
 }
--- a/decide/lags.go
+++ b/decide/lags.go
@@ -11,9 +11,9 @@
 // of a later message leaves the extra delay of that message.
 type leastLags map[wardturn.Incarnation]time.Duration
 
-// maxReaders bounds the number of remembered processes. When it is exceeded all entries
+// maxLagEntries bounds the number of remembered processes. When it is exceeded all entries
 // are dropped, and with them those of processes that have ended.
-const maxReaders = 1024
+const maxLagEntries = 1024
 
 // note records the lag of a message from a process and returns the smallest lag so far.
 // It reports whether there was an earlier message to compare with.
@@ -22,7 +22,7 @@
 	if !measured || lag < least {
 		least = lag
 	}
-	if len(l) > maxReaders {
+	if len(l) > maxLagEntries {
 		clear(l)
 	}
 	l[from] = least
--- a/decide/ledger.go
+++ b/decide/ledger.go
@@ -31,41 +31,42 @@
 // it that is not in the ledger is AttemptForgotten, and its caller receives the outcome
 // Unknown. Late duplicates are thus recognized without a clock.
 type Ledger struct {
-	limit    int
-	remember time.Duration
-	attempts map[wardturn.AttemptID]*entry
-	ended    *list.List // of *entry, in the order in which they ended
-	marks    map[wardturn.Incarnation]*mark
+	limit          int
+	remember       time.Duration
+	attempts       map[wardturn.AttemptID]*ledgerEntry
+	ended          *list.List // of *entry, in the order in which they ended
+	highWaterMarks map[wardturn.Incarnation]*highWaterMark
 }
 
-type entry struct {
+type ledgerEntry struct {
 	id      wardturn.AttemptID
 	state   AttemptState
 	outcome wardturn.Outcome
 	endedAt time.Time
 }
 
-// mark is the highest sequence number of the forgotten attempts of one entry process.
-type mark struct {
+// highWaterMark is the highest sequence number of the forgotten attempts of one entry
+// process.
+type highWaterMark struct {
 	seq  uint64
 	live int // attempts still in the ledger
 	at   time.Time
 }
 
-// marksKept is how long the mark of a silent entry process is kept. It must exceed the
+// highWaterTTL is how long the mark of a silent entry process is kept. It must exceed the
 // longest delay of a frame, which is bounded by the far shorter idle timeout of
 // connections.
-const marksKept = time.Hour
+const highWaterTTL = time.Hour
 
 // NewLedger returns a ledger that keeps up to limit ended attempts, each for the given
 // time.
 func NewLedger(limit int, remember time.Duration) *Ledger {
 	return &Ledger{
-		limit:    limit,
-		remember: remember,
-		attempts: make(map[wardturn.AttemptID]*entry),
-		ended:    list.New(),
-		marks:    make(map[wardturn.Incarnation]*mark),
+		limit:          limit,
+		remember:       remember,
+		attempts:       make(map[wardturn.AttemptID]*ledgerEntry),
+		ended:          list.New(),
+		highWaterMarks: make(map[wardturn.Incarnation]*highWaterMark),
 	}
 }
 
@@ -98,21 +99,21 @@
 	if e := l.attempts[id]; e != nil {
 		return e.state, e.outcome
 	}
-	if m := l.marks[id.Entry]; m != nil && id.Seq <= m.seq {
+	if m := l.highWaterMarks[id.Entry]; m != nil && id.Seq <= m.seq {
 		return AttemptForgotten, wardturn.Uncertain(wardturn.ReasonDuplicate)
 	}
 	return AttemptNew, wardturn.Outcome{}
 }
 
 func (l *Ledger) add(now time.Time, id wardturn.AttemptID, state AttemptState) {
-	l.attempts[id] = &entry{
+	l.attempts[id] = &ledgerEntry{
 		id:    id,
 		state: state,
 	}
-	m := l.marks[id.Entry]
+	m := l.highWaterMarks[id.Entry]
 	if m == nil {
-		m = &mark{}
-		l.marks[id.Entry] = m
+		m = &highWaterMark{}
+		l.highWaterMarks[id.Entry] = m
 	}
 	m.live++
 	m.at = now
@@ -155,7 +156,7 @@
 // Sweep forgets ended attempts that are too old or too many. The marks still cover them.
 func (l *Ledger) Sweep(now time.Time) {
 	for l.ended.Len() > 0 {
-		e := l.ended.Front().Value.(*entry)
+		e := l.ended.Front().Value.(*ledgerEntry)
 		if l.ended.Len() <= l.limit && now.Sub(e.endedAt) <= l.remember {
 			break
 		}
@@ -166,16 +167,16 @@
 
 func (l *Ledger) forget(id wardturn.AttemptID) {
 	delete(l.attempts, id)
-	m := l.marks[id.Entry]
+	m := l.highWaterMarks[id.Entry]
 	m.live--
 	m.seq = max(m.seq, id.Seq)
 }
 
 // SweepMarks forgets the marks of entry processes that have been silent for long.
 func (l *Ledger) SweepMarks(now time.Time) {
-	for entry, m := range l.marks {
-		if m.live == 0 && now.Sub(m.at) > marksKept {
-			delete(l.marks, entry)
+	for entry, m := range l.highWaterMarks {
+		if m.live == 0 && now.Sub(m.at) > highWaterTTL {
+			delete(l.highWaterMarks, entry)
 		}
 	}
 }
--- a/decide/member.go
+++ b/decide/member.go
@@ -11,44 +11,45 @@
 // Member is an upstream together with the state that this gateway keeps of it.
 type Member struct {
 	wardturn.Member
-	hash         uint64
-	breaker      Breaker
-	failing      float64   // moving average of the share of its requests that failed
-	latency      float64   // moving average of its response time, in milliseconds; plain services only
-	timedAt      time.Time // when latency was last updated
-	running      int       // requests of this gateway in flight
-	bodies       int       // total size of their bodies, in bytes
-	prefill      int       // prompt tokens of those without a byte of response yet
-	reading      reading   // long prompts being prefilled, of all gateways
-	rate         *readRate // prefill rate of the engines of its service
-	holding      Holding
-	heldAt       time.Time // when the holding was received
-	atHold       int       // value of running when the holding was received
-	held         map[wardturn.ModelAdapter]heldAdapter
-	coming       int // adapters of held being loaded from the weight store
-	everHeld     map[wardturn.ModelAdapter]bool
-	asks         map[wardturn.ModelAdapter]bool // adapters that this gateway has asked it for
-	uses         map[wardturn.ModelAdapter]*AdapterCount
-	doubts       map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides the holding
-	ended        bool                                // another incarnation answers at its address
-	refusedUntil time.Time                           // set when it refuses a connection
-	rest         *rest                               // a pause that it asked for, or nil
-	coldUntil    time.Time                           // according to its entry and its responses
-	coldSeen     wardturn.Position                   // position of the entry behind coldUntil; negative if none
-	watchUntil   time.Time                           // until when it may be cold without having reported it
-	evacuated    bool                                // its failure domain is being evacuated
+	hash          uint64
+	breaker       Breaker
+	failing       float64       // moving average of the share of its requests that failed
+	latency       float64       // moving average of its response time, in milliseconds; plain services only
+	latencyAt     time.Time     // when latency was last updated
+	running       int           // requests of this gateway in flight
+	bodies        int           // total size of their bodies, in bytes
+	prefillTokens int           // prompt tokens of those without a byte of response yet
+	reading       prefillCounts // long prompts being prefilled, of all gateways
+	rate          *prefillRate  // prefill rate of the engines of its service
+	holding       Holding
+	heldAt        time.Time // when the holding was received
+	atHold        int       // value of running when the holding was received
+	held          map[wardturn.ModelAdapter]heldAdapter
+	coming        int // adapters of held being loaded from the weight store
+	everHeld      map[wardturn.ModelAdapter]bool
+	asks          map[wardturn.ModelAdapter]bool // adapters that this gateway has asked it for
+	uses          map[wardturn.ModelAdapter]*AdapterCount
+	doubts        map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides the holding
+	replaced      bool                                // another incarnation answers at its address
+	refusedUntil  time.Time                           // set when it refuses a connection
+	rest          *rest                               // a pause that it asked for, or nil
+	coldUntil     time.Time                           // according to its entry and its responses
+	coldSeen      wardturn.Position                   // position of the entry behind coldUntil; negative if none
+	watchUntil    time.Time                           // until when it may be cold without having reported it
+	evacuated     bool                                // its failure domain is being evacuated
 }
 
 // Terms of the cost of sending a request to a member, in milliseconds of expected delay.
 const (
-	// farCost stands for the price of traffic between failure domains, about one
+	// crossDomainCost stands for the price of traffic between failure domains, about one
 	// thirtieth of the value of a request.
-	farCost = 20.0
-	// runCost is the delay that each request at an engine adds to another one: prefill
-	// and decoding of all requests share the same engine steps.
-	runCost = 3.0
-	// failCost is the expected loss of a request that has to be sent again or cannot be.
-	failCost = 500.0
+	crossDomainCost = 20.0
+	// perRequestCost is the delay that each request at an engine adds to another one:
+	// prefill and decoding of all requests share the same engine steps.
+	perRequestCost = 3.0
+	// failureCost is the expected loss of a request that has to be sent again or cannot
+	// be.
+	failureCost = 500.0
 	// failWeight is the weight of one request in the average failure share; about ten
 	// failed requests reveal a fault.
 	failWeight = 0.1
@@ -81,55 +82,55 @@
 func (f *Fleet) cost(now time.Time, m *Member) float64 {
 	c := m.busyCost(now)
 	if m.Domain != f.cfg.Domain {
-		c += farCost
+		c += crossDomainCost
 	}
 	return c
 }
 
 // busyCost is cost without the part that depends on this gateway's failure domain.
 func (m *Member) busyCost(now time.Time) float64 {
-	c := m.rate.cost(m.toRead(now)) + runCost*float64(m.load())
-	return c + failCost*m.failing + m.slowness(now)
+	c := m.rate.cost(m.toRead(now)) + perRequestCost*float64(m.load())
+	return c + failureCost*m.failing + m.decayedLatency(now)
 }
 
 const (
 	// latencyWeight is the weight of one response in the average response time.
 	latencyWeight = 0.2
-	// latencyFade is the time constant with which the average decays, so that an upstream
+	// latencyDecay is the time constant with which the average decays, so that an upstream
 	// that was slow is tried again after a few seconds.
-	latencyFade = 2 * time.Second
-	// fullLatency is the response time, in milliseconds, recorded for a refusal for lack
-	// of capacity: the request has to be sent again.
-	fullLatency = 100.0
+	latencyDecay = 2 * time.Second
+	// queueFullLatency is the response time, in milliseconds, recorded for a refusal for
+	// lack of capacity: the request has to be sent again.
+	queueFullLatency = 100.0
 )
 
 // Timed records the response time of a plain upstream.
 func (f *Fleet) Timed(now time.Time, id wardturn.UpstreamID, took time.Duration) {
-	f.timed(now, id, float64(took)/float64(time.Millisecond))
+	f.observeLatency(now, id, float64(took)/float64(time.Millisecond))
 }
 
 // Full records that a plain upstream refused a request for lack of capacity. Requests of
 // other gateways, which this gateway does not see, may fill it.
 func (f *Fleet) Full(now time.Time, id wardturn.UpstreamID) {
-	f.timed(now, id, fullLatency)
+	f.observeLatency(now, id, queueFullLatency)
 }
 
-func (f *Fleet) timed(now time.Time, id wardturn.UpstreamID, took float64) {
+func (f *Fleet) observeLatency(now time.Time, id wardturn.UpstreamID, took float64) {
 	m := f.members[id]
 	if m == nil {
 		return
 	}
-	m.latency = m.slowness(now)
+	m.latency = m.decayedLatency(now)
 	m.latency += latencyWeight * (took - m.latency)
-	m.timedAt = now
+	m.latencyAt = now
 }
 
-// slowness returns the average response time, decayed by its age.
-func (m *Member) slowness(now time.Time) float64 {
+// decayedLatency returns the average response time, decayed by its age.
+func (m *Member) decayedLatency(now time.Time) float64 {
 	if m.latency == 0 {
 		return 0
 	}
-	return m.latency * math.Exp(-now.Sub(m.timedAt).Seconds()/latencyFade.Seconds())
+	return m.latency * math.Exp(-now.Sub(m.latencyAt).Seconds()/latencyDecay.Seconds())
 }
 
 // fill returns the load as a fraction of the member's slots.
@@ -150,7 +151,7 @@
 // available is usable without regard to a requested pause and to the members that a
 // request has already tried.
 func (m *Member) available(now time.Time) bool {
-	return !m.Draining && !m.evacuated && !m.ended && !now.Before(m.refusedUntil) && m.breaker.Allows(now)
+	return !m.Draining && !m.evacuated && !m.replaced && !now.Before(m.refusedUntil) && m.breaker.Allows(now)
 }
 
 // load estimates the number of requests at a member: those that its keeper reported plus
@@ -172,19 +173,19 @@
 // has ended, even if it is still listed.
 func (f *Fleet) Misplaced(id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
-		m.ended = true
+		m.replaced = true
 	}
 }
 
-// refusedFor is how long an upstream that refused a connection receives no requests. It
+// refusedPause is how long an upstream that refused a connection receives no requests. It
 // may be restarting, and is cold then, or a faulty network link may have refused the
 // connection in its place.
-const refusedFor = 400 * time.Millisecond
+const refusedPause = 400 * time.Millisecond
 
 // Refused records that a connection to an upstream's address was refused.
 func (f *Fleet) Refused(now time.Time, id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
-		m.refusedUntil = now.Add(refusedFor)
+		m.refusedUntil = now.Add(refusedPause)
 		m.watchUntil = now.Add(coldWatch)
 		f.limitCold(now)
 	}
--- a/decide/naming.go
+++ b/decide/naming.go
@@ -6,42 +6,42 @@
 	"wardturn"
 )
 
-// naming records that a version of an adapter was announced as the newest.
-type naming struct {
-	version wardturn.Version
-	heard   time.Time
-	end     time.Time // when versions before this one stop serving
+// announcement records that a version of an adapter was announced as the newest.
+type announcement struct {
+	version    wardturn.Version
+	receivedAt time.Time
+	end        time.Time // when versions before this one stop serving
 }
 
-// named appends the announcement of a version. Of the announcements whose end has passed,
-// only the latest is kept: no version before it serves.
-func (f *Fleet) named(v wardturn.AdapterVersion, heard, end time.Time) naming {
+// recordAnnouncement appends the announcement of a version. Of the announcements whose
+// end has passed, only the latest is kept: no version before it serves.
+func (f *Fleet) recordAnnouncement(v wardturn.AdapterVersion, heard, end time.Time) announcement {
 	key := v.Key()
-	list := f.namings[key]
+	list := f.announcements[key]
 	for len(list) > 1 && !heard.Before(list[1].end) {
 		list = list[1:]
 	}
-	n := naming{
-		version: v.Version,
-		heard:   heard,
-		end:     end,
+	n := announcement{
+		version:    v.Version,
+		receivedAt: heard,
+		end:        end,
 	}
-	f.namings[key] = append(list, n)
+	f.announcements[key] = append(list, n)
 	return n
 }
 
 // newest returns the newest announced version of an adapter, or zero if there is none.
 func (f *Fleet) newest(key wardturn.ModelAdapter) wardturn.Version {
-	list := f.namings[key]
+	list := f.announcements[key]
 	if len(list) == 0 {
 		return 0
 	}
 	return list[len(list)-1].version
 }
 
-// replacedBy returns the first announcement of a version newer than v, or nil.
-func (f *Fleet) replacedBy(key wardturn.ModelAdapter, v wardturn.Version) *naming {
-	list := f.namings[key]
+// firstNewer returns the first announcement of a version newer than v, or nil.
+func (f *Fleet) firstNewer(key wardturn.ModelAdapter, v wardturn.Version) *announcement {
+	list := f.announcements[key]
 	for i := range list {
 		if list[i].version > v {
 			return &list[i]
@@ -53,11 +53,11 @@
 // Superseded returns the first announced version of an adapter that is newer than v and
 // when this gateway learned of it. It reports false while there is none.
 func (f *Fleet) Superseded(key wardturn.ModelAdapter, v wardturn.Version) (newer wardturn.Version, named time.Time, ok bool) {
-	n := f.replacedBy(key, v)
+	n := f.firstNewer(key, v)
 	if n == nil {
 		return 0, time.Time{}, false
 	}
-	return n.version, n.heard, true
+	return n.version, n.receivedAt, true
 }
 
 // VersionServes reports whether requests may start on a version of an adapter. The newest
@@ -66,14 +66,14 @@
 // postpone it, and under announcements in quick succession old versions would never stop
 // serving.
 func (f *Fleet) VersionServes(now time.Time, key wardturn.ModelAdapter, v wardturn.Version) bool {
-	n := f.replacedBy(key, v)
+	n := f.firstNewer(key, v)
 	return n == nil || now.Before(n.end)
 }
 
 // oldVersionServes reports whether requests may still start on some old version of an
 // adapter.
 func (f *Fleet) oldVersionServes(now time.Time, key wardturn.ModelAdapter) bool {
-	list := f.namings[key]
+	list := f.announcements[key]
 	return len(list) > 0 && now.Before(list[len(list)-1].end)
 }
 
@@ -81,5 +81,5 @@
 // version held there before that version stops serving.
 func (f *Fleet) beginsInTime(now time.Time, m *Member, t *Ticket) bool {
 	read := m.rate.time(m.toRead(now) + int(t.Prompt))
-	return f.VersionServes(now.Add(beginWithin+read), t.Key, m.held[t.Key].version)
+	return f.VersionServes(now.Add(versionStartMargin+read), t.Key, m.held[t.Key].version)
 }
--- a/decide/readrate_internal_test.go
+++ b/decide/readrate_internal_test.go
@@ -25,14 +25,14 @@
 			hangs:    32,
 		},
 	} {
-		r := newReadRate()
+		r := newPrefillRate()
 		for i := range 100 {
 			took := time.Duration(2400 / c.perMilli * float64(time.Millisecond))
 			if c.hangs > 0 && i%c.hangs == 0 {
 				took = 4 * time.Second
 			}
-			r.add(2400, took)
-			r.add(30, time.Second) // tells nothing
+			r.observe(2400, took)
+			r.observe(30, time.Second) // tells nothing
 		}
 		want := 10000 / c.perMilli
 		if got := r.cost(10000); got < 0.8*want || got > 1.25*want {
--- a/decide/screen.go
+++ b/decide/screen.go
@@ -10,12 +10,12 @@
 	// minHeadroom is the least spare fraction of the store's rate that is assumed: beyond
 	// saturation the estimated time to clear a backlog would be infinite.
 	minHeadroom = 0.1
-	// keepBusy is the backlog, as a time, below which no load is refused for its cost to
-	// other requests, so that the store does not run idle.
-	keepBusy = 300 * time.Millisecond
-	// residence is how long a loaded adapter is expected to stay in its slot, and thus to
-	// serve further requests without another load.
-	residence = 20 * time.Second
+	// minRefusalBacklog is the backlog, as a time, below which no load is refused for its
+	// cost to other requests, so that the store does not run idle.
+	minRefusalBacklog = 300 * time.Millisecond
+	// expectedResidency is how long a loaded adapter is expected to stay in its slot, and
+	// thus to serve further requests without another load.
+	expectedResidency = 20 * time.Second
 	// maxRetryAfter bounds the retry time returned to refused callers.
 	maxRetryAfter = 30 * time.Second
 )
@@ -50,10 +50,10 @@
 func (a *Agent) screenLoad(now time.Time, w Work, ad *adapter, left time.Duration) (Refusal, bool) {
 	c := a.congestion(now)
 	own := a.loadTime + time.Duration(c.Backlog)*c.Interval
-	clears := c.clears()
+	clears := c.clearTime()
 	cost := own + time.Duration(c.Load*float64(clears))
-	gain := time.Duration(float64(left) * (1 + a.rateOf(now, ad)*residence.Seconds()))
-	short := time.Duration(c.Backlog)*c.Interval <= keepBusy
+	gain := time.Duration(float64(left) * (1 + a.rateOf(now, ad)*expectedResidency.Seconds()))
+	short := time.Duration(c.Backlog)*c.Interval <= minRefusalBacklog
 	if own <= left && (short || cost <= gain) {
 		return Refusal{}, false
 	}
@@ -62,8 +62,8 @@
 	return refuse(w, wardturn.ReasonDeadline, min(max(own, clears), maxRetryAfter)), true
 }
 
-// clears returns the time until the backlog has cleared.
-func (c Congestion) clears() time.Duration {
+// clearTime returns the time until the backlog has cleared.
+func (c Congestion) clearTime() time.Duration {
 	headroom := max(1-c.Load, minHeadroom)
 	return time.Duration(float64(c.Backlog) * float64(c.Interval) / headroom)
 }
--- a/decide/turn.go
+++ b/decide/turn.go
@@ -12,19 +12,19 @@
 // reads. There is no agreement protocol: each process bounds the age of its own copy, and
 // reads itself when the reports of others fail to arrive.
 type ReadTurn struct {
-	cfg       ReadTurnConfig
-	self      wardturn.Incarnation
-	start     time.Time // origin of the timestamps sent to other processes
-	part      float64   // position of this process in the spread of read times, from 0 to 1
-	asOf      time.Time // time of the latest known read of the record
-	own       bool      // asOf is from a read of this process
-	sure      time.Time // as asOf, but without reports whose transit time is not known
-	doubtAt   time.Time // when the copy was last found to be out of date
-	leaderAt  time.Time // when a process with a lower ID last sent a message
-	notBefore time.Time // earliest time of this process's next read
-	askedAt   time.Time // when the latest read caused by a contradiction started
-	failing   bool      // the latest read failed
-	lags      leastLags
+	cfg                 ReadTurnConfig
+	self                wardturn.Incarnation
+	start               time.Time // origin of the timestamps sent to other processes
+	spread              float64   // position of this process in the spread of read times, from 0 to 1
+	asOf                time.Time // time of the latest known read of the record
+	asOfOwn             bool      // asOf is from a read of this process
+	confirmedAsOf       time.Time // as asOf, but without reports whose transit time is not known
+	invalidatedAt       time.Time // when the copy was last found to be out of date
+	leaderSeenAt        time.Time // when a process with a lower ID last sent a message
+	earliestRead        time.Time // earliest time of this process's next read
+	lastInvalidatedRead time.Time // when the latest read caused by a contradiction started
+	failed              bool      // the latest read failed
+	lags                leastLags
 }
 
 // ReadTurnConfig holds the intervals of a ReadTurn.
@@ -41,28 +41,28 @@
 }
 
 const (
-	// turnSlack and turnSpread delay the reads of a process that relies on others, as
-	// fractions of Every. The slack lets the regular report arrive; the spread keeps the
-	// processes from reading all at once when it does not. When the leader is gone, the
-	// others take over within the slack.
-	turnSlack  = 0.15
-	turnSpread = 0.25
-	// leaderLife is how long a process with a lower ID counts as alive after its last
+	// followerSlack and followerSpread delay the reads of a process that relies on
+	// others, as fractions of Every. The slack lets the regular report arrive; the spread
+	// keeps the processes from reading all at once when it does not. When the leader is
+	// gone, the others take over within the slack.
+	followerSlack  = 0.15
+	followerSpread = 0.25
+	// leaderTimeout is how long a process with a lower ID counts as alive after its last
 	// message, as a multiple of Every.
-	leaderLife = 2
-	// doubtSpread spreads the reads of processes that find their copies out of date
+	leaderTimeout = 2
+	// invalidationSpread spreads the reads of processes that find their copies out of date
 	// through the same event: the report of the first one serves the others.
-	doubtSpread = 100 * time.Millisecond
+	invalidationSpread = 100 * time.Millisecond
 )
 
 // NewReadTurn returns a ReadTurn whose first read is due at once.
 func NewReadTurn(now time.Time, self wardturn.Incarnation, cfg ReadTurnConfig) *ReadTurn {
 	return &ReadTurn{
-		cfg:   cfg,
-		self:  self,
-		start: now,
-		part:  float64(hashString(string(self))) / (1 << 64),
-		lags:  make(leastLags),
+		cfg:    cfg,
+		self:   self,
+		start:  now,
+		spread: float64(hashString(string(self))) / (1 << 64),
+		lags:   make(leastLags),
 	}
 }
 
@@ -86,11 +86,11 @@
 // Cause returns why this process would read now.
 func (t *ReadTurn) Cause(now time.Time) ReadCause {
 	switch {
-	case t.failing:
+	case t.failed:
 		return ReadAgain
 	case t.asOf.IsZero():
 		return ReadFirst
-	case now.Before(t.usualAt(now)):
+	case now.Before(t.dueByAge(now)):
 		return ReadDoubted
 	case t.Reads(now):
 		return ReadForAll
@@ -100,31 +100,31 @@
 
 // DueAt returns when this process has to read the record.
 func (t *ReadTurn) DueAt(now time.Time) time.Time {
-	due := t.usualAt(now)
-	if t.doubtAt.After(t.asOf) {
-		doubted := latest(t.doubtAt.Add(time.Duration(t.part*float64(doubtSpread))), t.askedAt.Add(t.cfg.Gather))
+	due := t.dueByAge(now)
+	if t.invalidatedAt.After(t.asOf) {
+		doubted := latest(t.invalidatedAt.Add(time.Duration(t.spread*float64(invalidationSpread))), t.lastInvalidatedRead.Add(t.cfg.Gather))
 		if doubted.Before(due) {
 			due = doubted
 		}
 	}
-	if due.Before(t.notBefore) {
-		return t.notBefore
+	if due.Before(t.earliestRead) {
+		return t.earliestRead
 	}
 	return due
 }
 
-// usualAt returns when this process has to read judging by the age of its copy alone.
-func (t *ReadTurn) usualAt(now time.Time) time.Time {
+// dueByAge returns when this process has to read judging by the age of its copy alone.
+func (t *ReadTurn) dueByAge(now time.Time) time.Time {
 	due := t.asOf
 	switch {
 	case t.asOf.IsZero():
-	case t.Reads(now) && t.own:
+	case t.Reads(now) && t.asOfOwn:
 		due = due.Add(t.cfg.Pause)
 	case t.Reads(now):
-		late := time.Duration(turnSlack * t.part * float64(t.cfg.Every))
+		late := time.Duration(followerSlack * t.spread * float64(t.cfg.Every))
 		due = due.Add(t.cfg.Pause + late)
 	default:
-		late := 1 + turnSlack + turnSpread*t.part
+		late := 1 + followerSlack + followerSpread*t.spread
 		due = due.Add(time.Duration(late * float64(t.cfg.Every)))
 	}
 	return due
@@ -135,7 +135,7 @@
 // of an earlier one: a delayed report taken for a recent one would let an old version of
 // an adapter serve longer by the delay.
 func (t *ReadTurn) AsOf() time.Time {
-	return t.sure
+	return t.confirmedAsOf
 }
 
 func latest(x, y time.Time) time.Time {
@@ -156,38 +156,38 @@
 // Reads reports whether this process is the leader: no process with a lower ID has sent a
 // message lately.
 func (t *ReadTurn) Reads(now time.Time) bool {
-	return t.leaderAt.IsZero() || now.Sub(t.leaderAt) > leaderLife*t.cfg.Every
+	return t.leaderSeenAt.IsZero() || now.Sub(t.leaderSeenAt) > leaderTimeout*t.cfg.Every
 }
 
 // Began records the start of a read by this process.
 func (t *ReadTurn) Began(now time.Time) {
 	if t.Cause(now) == ReadDoubted {
-		t.askedAt = now
+		t.lastInvalidatedRead = now
 	}
-	t.notBefore = now.Add(t.cfg.Least)
+	t.earliestRead = now.Add(t.cfg.Least)
 }
 
 // Failed records that a read of this process failed. It is retried after the minimum time
 // between reads unless another process reports a later read. Exponential backoff was no
 // better for callers and saved few reads.
 func (t *ReadTurn) Failed(now time.Time) {
-	t.failing = true
-	t.notBefore = now.Add(t.cfg.Least)
+	t.failed = true
+	t.earliestRead = now.Add(t.cfg.Least)
 	t.Doubt(now)
 }
 
 // Read records a successful read of the record as it was at the time asOf. It returns the
 // timestamp to send to the other processes.
 func (t *ReadTurn) Read(asOf time.Time) time.Duration {
-	t.failing = false
-	t.renew(asOf, true)
-	t.sure = latest(t.sure, asOf)
+	t.failed = false
+	t.update(asOf, true)
+	t.confirmedAsOf = latest(t.confirmedAsOf, asOf)
 	return asOf.Sub(t.start)
 }
 
 // Doubt records that something contradicts the copy.
 func (t *ReadTurn) Doubt(now time.Time) {
-	t.doubtAt = now
+	t.invalidatedAt = now
 }
 
 // Heard records the report of another process that it has read the record. The stamp is
@@ -198,10 +198,10 @@
 // report.
 func (t *ReadTurn) Heard(now time.Time, from wardturn.Incarnation, stamp time.Duration) (asOf time.Time) {
 	least, known := t.lags.note(from, now.Sub(t.start)-stamp)
-	t.renew(t.start.Add(stamp+least), false)
+	t.update(t.start.Add(stamp+least), false)
 	if known {
 		asOf = t.start.Add(stamp + least)
-		t.sure = latest(t.sure, asOf)
+		t.confirmedAsOf = latest(t.confirmedAsOf, asOf)
 	}
 	t.Present(now, from)
 	return asOf
@@ -210,13 +210,13 @@
 // Present records a message of another process that says nothing about its reads.
 func (t *ReadTurn) Present(now time.Time, from wardturn.Incarnation) {
 	if from < t.self {
-		t.leaderAt = now
+		t.leaderSeenAt = now
 	}
 }
 
-func (t *ReadTurn) renew(asOf time.Time, own bool) {
+func (t *ReadTurn) update(asOf time.Time, own bool) {
 	if asOf.After(t.asOf) {
 		t.asOf = asOf
-		t.own = own
+		t.asOfOwn = own
 	}
 }
--- a/decide/versions.go
+++ b/decide/versions.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// versionSlack is how long before the bound old versions stop serving. In that time
-	// the message that cancels requests which have not started has to arrive; 500 ms is
-	// far more than the delay between failure domains plus a scheduling delay of a slow
-	// host.
-	versionSlack = 500 * time.Millisecond
-	// beginWithin is how long before its end, in addition to the prefill time, an old
-	// version receives its last request. The few requests that take longer to start, on
-	// hosts that freeze, are cancelled.
-	beginWithin = time.Second
-	// versionRepeat is the interval at which the progress of a rollout is checked.
-	versionRepeat = 300 * time.Millisecond
+	// versionEndMargin is how long before the bound old versions stop serving. In that
+	// time the message that cancels requests which have not started has to arrive; 500 ms
+	// is far more than the delay between failure domains plus a scheduling delay of a
+	// slow host.
+	versionEndMargin = 500 * time.Millisecond
+	// versionStartMargin is how long before its end, in addition to the prefill time, an
+	// old version receives its last request. The few requests that take longer to start,
+	// on hosts that freeze, are cancelled.
+	versionStartMargin = time.Second
+	// rolloutInterval is the interval at which the progress of a rollout is checked.
+	rolloutInterval = 300 * time.Millisecond
 )
 
 // rollout replaces the old versions of an adapter by the newest. First another engine
 // loads the newest version while the old one serves; the copies of the old version are
 // replaced only then, when requests no longer go to them.
 type rollout struct {
-	nextAt time.Time // when the rollout is checked next
-	ends   []naming  // announcements whose end is still to come, earliest first
+	nextAt      time.Time      // when the rollout is checked next
+	pendingEnds []announcement // announcements whose end is still to come, earliest first
 }
 
 // SetVersion records the newest version of an adapter. The version was not yet announced
@@ -39,18 +39,18 @@
 	}
 	end := now
 	if !known.IsZero() {
-		end = known.Add(f.cfg.VersionBound - versionSlack)
+		end = known.Add(f.cfg.VersionBound - versionEndMargin)
 	}
 	r := f.rollouts[key]
 	if r == nil {
 		r = &rollout{}
 		f.rollouts[key] = r
 	}
-	n := f.named(v, now, end)
+	n := f.recordAnnouncement(v, now, end)
 	if end.After(now) {
 		// Otherwise this gateway was cut off, and the version may have been announced
 		// just now: cancelling the requests sent before would lose them without need.
-		r.ends = append(r.ends, n)
+		r.pendingEnds = append(r.pendingEnds, n)
 	}
 	f.advance(now, key, r, out)
 }
@@ -59,13 +59,13 @@
 // are due.
 func (f *Fleet) advanceRollouts(now time.Time, out *Moves) {
 	for key, r := range f.rollouts {
-		for len(r.ends) > 0 && !now.Before(r.ends[0].end) {
+		for len(r.pendingEnds) > 0 && !now.Before(r.pendingEnds[0].end) {
 			out.Ended = append(out.Ended, wardturn.AdapterVersion{
 				Model:   key.Model,
 				Adapter: key.Adapter,
-				Version: r.ends[0].version,
+				Version: r.pendingEnds[0].version,
 			})
-			r.ends = r.ends[1:]
+			r.pendingEnds = r.pendingEnds[1:]
 			r.nextAt = now
 		}
 		if !now.Before(r.nextAt) {
@@ -77,33 +77,33 @@
 // advance asks engines for the newest version: those whose old version no longer serves
 // at once, the others as soon as another engine has the newest.
 func (f *Fleet) advance(now time.Time, key wardturn.ModelAdapter, r *rollout, out *Moves) {
-	r.nextAt = now.Add(versionRepeat)
+	r.nextAt = now.Add(rolloutInterval)
 	var serving, spent []*Member
 	renewed := false
 	for _, m := range f.holders[key] {
 		switch v := m.held[key].version; {
 		case v >= f.newest(key):
 			renewed = true
-		case f.VersionServes(now.Add(beginWithin), key, v):
+		case f.VersionServes(now.Add(versionStartMargin), key, v):
 			serving = append(serving, m)
 		default:
 			spent = append(spent, m)
 		}
 	}
-	f.replace(key, spent, out)
+	f.replaceOldVersions(key, spent, out)
 	switch {
 	case len(serving) == 0:
-		if len(spent) == 0 && len(r.ends) == 0 {
+		if len(spent) == 0 && len(r.pendingEnds) == 0 {
 			delete(f.rollouts, key)
 		}
-	case renewed || !f.loadBeside(now, key, serving[0].Service, out):
-		f.replace(key, serving, out)
+	case renewed || !f.loadOnAnotherEngine(now, key, serving[0].Service, out):
+		f.replaceOldVersions(key, serving, out)
 	}
 }
 
-// loadBeside asks an engine that does not hold an adapter to load its newest version. It
-// reports whether a load is under way or was asked for.
-func (f *Fleet) loadBeside(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, out *Moves) bool {
+// loadOnAnotherEngine asks an engine that does not hold an adapter to load its newest
+// version. It reports whether a load is under way or was asked for.
+func (f *Fleet) loadOnAnotherEngine(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, out *Moves) bool {
 	if w := f.wants.anywhere(key); w != nil && !w.askedAt.IsZero() {
 		return true
 	}
@@ -119,9 +119,9 @@
 	return false
 }
 
-// replace asks the engines in this gateway's failure domain that hold an old version to
-// load the newest.
-func (f *Fleet) replace(key wardturn.ModelAdapter, old []*Member, out *Moves) {
+// replaceOldVersions asks the engines in this gateway's failure domain that hold an old
+// version to load the newest.
+func (f *Fleet) replaceOldVersions(key wardturn.ModelAdapter, old []*Member, out *Moves) {
 	for _, m := range old {
 		if m.Domain != f.cfg.Domain || m.Draining {
 			continue
