--- a/decide/crashes.go
+++ b/decide/crashes.go
@@ -167,8 +167,8 @@
 		if c.add(now, at, r.Crash) {
 			fresh = append(fresh, r.Crash)
 		}
-		if known := c.state(r.Crash); known != nil {
-			known.recorded = true
+		if state := c.state(r.Crash); state != nil {
+			state.recorded = true
 		}
 	}
 	return fresh
@@ -180,9 +180,9 @@
 // happen.
 func (c *Crashes) RecordsLost(now time.Time) {
 	for _, s := range c.contents {
-		for _, known := range s.crashes {
-			known.recorded = false
-			known.learnedAt = now
+		for _, state := range s.crashes {
+			state.recorded = false
+			state.learnedAt = now
 		}
 	}
 }
@@ -198,7 +198,7 @@
 
 // add counts a crash that occurred at a time, and reports whether it counts and is new.
 func (c *Crashes) add(now, at time.Time, crash wardturn.Crash) bool {
-	if proven, ok := c.answered[crash.Content]; ok && at.Sub(proven) < answeredGrace {
+	if answeredAt, ok := c.answered[crash.Content]; ok && at.Sub(answeredAt) < answeredGrace {
 		return false
 	}
 	s := c.contents[crash.Content]
@@ -227,8 +227,8 @@
 	if s == nil {
 		return false
 	}
-	for id, known := range s.crashes {
-		if known.recorded {
+	for id, state := range s.crashes {
+		if state.recorded {
 			c.pendingDeletes[crashOf(content, id)] = true
 		}
 	}
@@ -261,34 +261,34 @@
 // Due returns the pending writes of this gateway to the store: the crashes to record and
 // the records to delete. Crashes are due if this gateway observed them or if they have
 // lacked a record for long, and if their content has enough of them or all is set.
-func (c *Crashes) Due(now time.Time, all bool) (crashes, takeBack []wardturn.Crash) {
+func (c *Crashes) Due(now time.Time, all bool) (crashes, deletes []wardturn.Crash) {
 	for content, s := range c.contents {
 		if !all && len(s.crashes) < min(minRecordedCrashes, c.cfg.Limit) {
 			continue
 		}
-		for id, known := range s.crashes {
-			mine := known.observedHere || now.Sub(known.learnedAt) >= adoptDelay
-			if mine && !known.recorded {
+		for id, state := range s.crashes {
+			assigned := state.observedHere || now.Sub(state.learnedAt) >= adoptDelay
+			if assigned && !state.recorded {
 				crashes = append(crashes, crashOf(content, id))
 			}
 		}
 	}
-	takeBack = slices.Collect(maps.Keys(c.pendingDeletes))
+	deletes = slices.Collect(maps.Keys(c.pendingDeletes))
 	slices.SortFunc(crashes, compareCrashes)
-	slices.SortFunc(takeBack, compareCrashes)
-	return crashes, takeBack
+	slices.SortFunc(deletes, compareCrashes)
+	return crashes, deletes
 }
 
 // Written records that the store holds the result of pending writes.
-func (c *Crashes) Written(crashes, takeBack []wardturn.Crash) {
+func (c *Crashes) Written(crashes, deletes []wardturn.Crash) {
 	for _, crash := range crashes {
-		if known := c.state(crash); known != nil {
-			known.recorded = true
+		if state := c.state(crash); state != nil {
+			state.recorded = true
 		} else {
 			c.pendingDeletes[crash] = true // answered successfully meanwhile
 		}
 	}
-	for _, crash := range takeBack {
+	for _, crash := range deletes {
 		delete(c.pendingDeletes, crash)
 	}
 }
@@ -303,8 +303,8 @@
 		if now.Sub(s.latest) < c.cfg.Memory {
 			continue
 		}
-		for id, known := range s.crashes {
-			if known.observedHere && known.recorded {
+		for id, state := range s.crashes {
+			if state.observedHere && state.recorded {
 				c.pendingDeletes[crashOf(content, id)] = true
 			}
 		}
@@ -312,10 +312,10 @@
 	}
 }
 
-// deleteOlder deletes the entries older than life.
-func deleteOlder[K comparable](now time.Time, m map[K]time.Time, life time.Duration) {
+// deleteOlder deletes the entries that are at least maxAge old.
+func deleteOlder[K comparable](now time.Time, m map[K]time.Time, maxAge time.Duration) {
 	maps.DeleteFunc(m, func(_ K, at time.Time) bool {
-		return now.Sub(at) >= life
+		return now.Sub(at) >= maxAge
 	})
 }
 
--- a/decide/naming.go
+++ b/decide/naming.go
@@ -15,15 +15,15 @@
 
 // recordAnnouncement appends the announcement of a version. Of the announcements whose
 // end has passed, only the latest is kept: no version before it serves.
-func (f *Fleet) recordAnnouncement(v wardturn.AdapterVersion, heard, end time.Time) announcement {
+func (f *Fleet) recordAnnouncement(v wardturn.AdapterVersion, receivedAt, end time.Time) announcement {
 	key := v.Key()
 	list := f.announcements[key]
-	for len(list) > 1 && !heard.Before(list[1].end) {
+	for len(list) > 1 && !receivedAt.Before(list[1].end) {
 		list = list[1:]
 	}
 	n := announcement{
 		version:    v.Version,
-		receivedAt: heard,
+		receivedAt: receivedAt,
 		end:        end,
 	}
 	f.announcements[key] = append(list, n)
@@ -52,7 +52,7 @@
 
 // Superseded returns the first announced version of an adapter that is newer than v and
 // when this gateway learned of it. It reports false while there is none.
-func (f *Fleet) Superseded(key wardturn.ModelAdapter, v wardturn.Version) (newer wardturn.Version, named time.Time, ok bool) {
+func (f *Fleet) Superseded(key wardturn.ModelAdapter, v wardturn.Version) (newer wardturn.Version, receivedAt time.Time, ok bool) {
 	n := f.firstNewer(key, v)
 	if n == nil {
 		return 0, time.Time{}, false
--- a/decide/readrate.go
+++ b/decide/readrate.go
@@ -44,9 +44,9 @@
 	if tokens < minPrefillSample || took <= 0 {
 		return
 	}
-	ms := min(milliseconds(took), maxPrefillRatio*r.cost(tokens))
+	millis := min(milliseconds(took), maxPrefillRatio*r.cost(tokens))
 	r.tokens = prefillSampleDecay*r.tokens + float64(tokens)
-	r.millis = prefillSampleDecay*r.millis + ms
+	r.millis = prefillSampleDecay*r.millis + millis
 }
 
 // cost returns the expected prefill time of a number of tokens, in milliseconds.
--- a/decide/screen.go
+++ b/decide/screen.go
@@ -49,17 +49,17 @@
 
 func (a *Agent) screenLoad(now time.Time, w Work, ad *adapter, left time.Duration) (Refusal, bool) {
 	c := a.congestion(now)
-	own := a.loadTime + time.Duration(c.Backlog)*c.Interval
-	clears := c.clearTime()
-	cost := own + time.Duration(c.Load*float64(clears))
+	loadDelay := a.loadTime + time.Duration(c.Backlog)*c.Interval
+	clearTime := c.clearTime()
+	cost := loadDelay + time.Duration(c.Load*float64(clearTime))
 	gain := time.Duration(float64(left) * (1 + a.rateOf(now, ad)*expectedResidency.Seconds()))
-	short := time.Duration(c.Backlog)*c.Interval <= minRefusalBacklog
-	if own <= left && (short || cost <= gain) {
+	smallBacklog := time.Duration(c.Backlog)*c.Interval <= minRefusalBacklog
+	if loadDelay <= left && (smallBacklog || cost <= gain) {
 		return Refusal{}, false
 	}
 	a.miss(now)
 	a.adapter(w.Adapter).demand.Arrive(now)
-	return refuse(w, wardturn.ReasonDeadline, min(max(own, clears), maxRetryAfter)), true
+	return refuse(w, wardturn.ReasonDeadline, min(max(loadDelay, clearTime), maxRetryAfter)), true
 }
 
 // clearTime returns the time until the backlog has cleared.
--- a/decide/turn.go
+++ b/decide/turn.go
@@ -102,9 +102,9 @@
 func (t *ReadTurn) DueAt(now time.Time) time.Time {
 	due := t.dueByAge(now)
 	if t.invalidatedAt.After(t.asOf) {
-		doubted := latest(t.invalidatedAt.Add(time.Duration(t.spread*float64(invalidationSpread))), t.lastInvalidatedRead.Add(t.cfg.Gather))
-		if doubted.Before(due) {
-			due = doubted
+		invalidatedDue := latest(t.invalidatedAt.Add(time.Duration(t.spread*float64(invalidationSpread))), t.lastInvalidatedRead.Add(t.cfg.Gather))
+		if invalidatedDue.Before(due) {
+			due = invalidatedDue
 		}
 	}
 	if due.Before(t.earliestRead) {
@@ -121,11 +121,11 @@
 	case t.Reads(now) && t.asOfOwn:
 		due = due.Add(t.cfg.Pause)
 	case t.Reads(now):
-		late := time.Duration(followerSlack * t.spread * float64(t.cfg.Every))
-		due = due.Add(t.cfg.Pause + late)
+		delay := time.Duration(followerSlack * t.spread * float64(t.cfg.Every))
+		due = due.Add(t.cfg.Pause + delay)
 	default:
-		late := 1 + followerSlack + followerSpread*t.spread
-		due = due.Add(time.Duration(late * float64(t.cfg.Every)))
+		factor := 1 + followerSlack + followerSpread*t.spread
+		due = due.Add(time.Duration(factor * float64(t.cfg.Every)))
 	}
 	return due
 }
@@ -197,10 +197,10 @@
 // it does not count for AsOf. Heard returns the time of the read, or zero for a first
 // report.
 func (t *ReadTurn) Heard(now time.Time, from wardturn.Incarnation, stamp time.Duration) (asOf time.Time) {
-	least, known := t.lags.note(from, now.Sub(t.start)-stamp)
-	t.update(t.start.Add(stamp+least), false)
-	if known {
-		asOf = t.start.Add(stamp + least)
+	minLag, measured := t.lags.note(from, now.Sub(t.start)-stamp)
+	t.update(t.start.Add(stamp+minLag), false)
+	if measured {
+		asOf = t.start.Add(stamp + minLag)
 		t.confirmedAsOf = latest(t.confirmedAsOf, asOf)
 	}
 	t.Present(now, from)
--- a/decide/versions.go
+++ b/decide/versions.go
@@ -7,10 +7,9 @@
 )
 
 const (
-	// versionEndMargin is how long before the bound old versions stop serving. In that
-	// time the message that cancels requests which have not started has to arrive; 500 ms
-	// is far more than the delay between failure domains plus a scheduling delay of a
-	// slow host.
+	// versionEndMargin is how long before the bound old versions stop serving, which
+	// leaves time for the message that cancels requests that have not started. It is far
+	// more than the delay between failure domains plus a scheduling delay of a slow host.
 	versionEndMargin = 500 * time.Millisecond
 	// versionStartMargin is how long before its end, in addition to the prefill time, an
 	// old version receives its last request. The few requests that take longer to start,
@@ -78,25 +77,25 @@
 // at once, the others as soon as another engine has the newest.
 func (f *Fleet) advance(now time.Time, key wardturn.ModelAdapter, r *rollout, out *Moves) {
 	r.nextAt = now.Add(rolloutInterval)
-	var serving, spent []*Member
-	renewed := false
+	var serving, expired []*Member
+	newestHeld := false
 	for _, m := range f.holders[key] {
 		switch v := m.held[key].version; {
 		case v >= f.newest(key):
-			renewed = true
+			newestHeld = true
 		case f.VersionServes(now.Add(versionStartMargin), key, v):
 			serving = append(serving, m)
 		default:
-			spent = append(spent, m)
+			expired = append(expired, m)
 		}
 	}
-	f.replaceOldVersions(key, spent, out)
+	f.replaceOldVersions(key, expired, out)
 	switch {
 	case len(serving) == 0:
-		if len(spent) == 0 && len(r.pendingEnds) == 0 {
+		if len(expired) == 0 && len(r.pendingEnds) == 0 {
 			delete(f.rollouts, key)
 		}
-	case renewed || !f.loadOnAnotherEngine(now, key, serving[0].Service, out):
+	case newestHeld || !f.loadOnAnotherEngine(now, key, serving[0].Service, out):
 		f.replaceOldVersions(key, serving, out)
 	}
 }
