--- a/decide/adopt_test.go
+++ b/decide/adopt_test.go
@@ -11,8 +11,8 @@
 	"wardturn/policy"
 )
 
-var _ = Describe("An adapter found while a slot is unloaded for it", func() {
-	It("keeps the slot that it was found in", func() {
+var _ = Describe("An adapter that an engine reports while a slot is being unloaded for it", func() {
+	It("keeps the slot in which it was reported", func() {
 		now := start
 		agent := decide.NewAgent(now, decide.AgentConfig{
 			Upstream:   "u",
@@ -42,7 +42,7 @@
 		var out decide.Orders
 		agent.Report(now, report("old", "other"), &out)
 		now = now.Add(time.Second)
-		agent.Report(now, report("old", "other"), &out) // nothing runs on them
+		agent.Report(now, report("old", "other"), &out) // no requests run on the adapters
 		agent.Admit(now, decide.Work{
 			Attempt: wardturn.AttemptID{
 				Entry: "e",
@@ -54,8 +54,8 @@
 		unload := out.Unload[0]
 		gone := unload.Adapter.Adapter
 
-		// The engine drops the other adapter by itself, and a late load of an
-		// earlier agent brings the wanted one.
+		// The engine drops the other adapter by itself, and a delayed load ordered by an
+		// earlier agent loads the wanted one.
 		now = now.Add(time.Second)
 		agent.Report(now, report(gone), &out)
 		now = now.Add(time.Second)
--- a/decide/agent_model_test.go
+++ b/decide/agent_model_test.go
@@ -12,23 +12,23 @@
 	"wardturn/policy"
 )
 
-// agentModel drives an Agent against a model of its engine: orders may be
-// carried out, refused or lost in either way, the engine may restart empty, and
-// reports come late. After each step the promises of the brief must hold.
+// agentModel drives an Agent against a model of its engine: orders may be carried out,
+// refused or lost with either effect, the engine may restart empty, and reports arrive
+// late. The invariants in Check must hold after each step.
 type agentModel struct {
 	now      time.Time
 	agent    *decide.Agent
 	slots    int
 	out      decide.Orders
-	resident map[wardturn.AdapterRef]int // running requests, as the engine knows
+	resident map[wardturn.AdapterRef]int // running requests of each adapter, as the engine counts them
 	loads    []decide.SlotOrder
 	unloads  []decide.SlotOrder
 	state    map[wardturn.AttemptID]attemptState
 	adapter  map[wardturn.AttemptID]wardturn.AdapterRef
 	running  []wardturn.AttemptID
 	reports  []wardturn.EngineReport // made and not yet delivered
-	ghosts   []wardturn.AdapterRef   // loads of an earlier agent, still under way
-	strays   []wardturn.AdapterRef   // requests of an earlier agent, still running
+	ghosts   []wardturn.AdapterRef   // adapters whose loads were ordered by an earlier agent and are still under way
+	strays   []wardturn.AdapterRef   // adapters of requests sent by an earlier agent that are still running
 	permits  int
 	next     uint64
 	leaving  bool
@@ -85,7 +85,7 @@
 	}, policy.Default{}, permits)
 }
 
-// absorb takes the agent's orders.
+// absorb executes the agent's orders.
 func (m *agentModel) absorb(t *rapid.T) {
 	out := m.out
 	m.out = decide.Orders{}
@@ -116,7 +116,7 @@
 	}
 	ref := m.adapter[id]
 	if _, ok := m.resident[ref]; !ok {
-		// Only an engine that restarted by itself may surprise the agent.
+		// Only an engine that restarted may lack an adapter that the agent expects.
 		m.agent.NotLoaded(m.now, id, &m.out)
 		m.absorb(t)
 		return
@@ -184,7 +184,7 @@
 	}
 	queued := m.agent.Cancel(m.now, id, &m.out)
 	if queued != (m.state[id] == waiting) {
-		t.Fatalf("cancel of %v in state %d said %v", id, m.state[id], queued)
+		t.Fatalf("cancel of %v in state %d returned %v", id, m.state[id], queued)
 	}
 	if queued {
 		m.state[id] = refused
@@ -208,7 +208,7 @@
 	}
 	m.agent.Loaded(m.now, o.ID, result, &m.out)
 	m.absorb(t)
-	m.agent.Loaded(m.now, o.ID, decide.OrderDone, &m.out) // a late copy
+	m.agent.Loaded(m.now, o.ID, decide.OrderDone, &m.out) // a duplicate, delayed result
 	m.absorb(t)
 }
 
@@ -243,8 +243,8 @@
 	m.absorb(t)
 }
 
-// RestartAgent replaces the agent beside a busy engine. Requests and loads of
-// the earlier one may go on at the engine.
+// RestartAgent replaces the agent beside a busy engine. Requests and loads of the earlier
+// agent may continue at the engine.
 func (m *agentModel) RestartAgent(t *rapid.T) {
 	if rapid.IntRange(0, 9).Draw(t, "seldom") != 0 {
 		t.Skip("not now")
@@ -280,7 +280,7 @@
 	m.strays = m.strays[1:]
 }
 
-// EndGhost ends a load of an earlier agent.
+// EndGhost completes a load ordered by an earlier agent.
 func (m *agentModel) EndGhost(t *rapid.T) {
 	if len(m.ghosts) == 0 {
 		t.Skip("none")
@@ -289,8 +289,8 @@
 	m.ghosts = m.ghosts[1:]
 }
 
-// MakeReport has the engine make a report; Report delivers the oldest one. In
-// between anything may happen.
+// MakeReport makes an engine report, and Report delivers the oldest one. Other steps may
+// come between them.
 func (m *agentModel) MakeReport(*rapid.T) {
 	m.now = m.now.Add(time.Millisecond)
 	rep := wardturn.EngineReport{
@@ -342,10 +342,10 @@
 	m.absorb(t)
 }
 
-// Check holds after every step.
+// Check verifies the invariants after every step.
 func (m *agentModel) Check(t *rapid.T) {
 	if len(m.running) > modelRunning {
-		t.Fatalf("%d requests run, %d may", len(m.running), modelRunning)
+		t.Fatalf("%d requests run, limit is %d", len(m.running), modelRunning)
 	}
 	seen := make(map[wardturn.AdapterRef]bool)
 	for _, v := range m.agent.Slots() {
@@ -359,7 +359,7 @@
 	}
 	h := m.agent.Hint()
 	if h.Running != len(m.running) {
-		t.Fatalf("agent counts %d running, %d are", h.Running, len(m.running))
+		t.Fatalf("agent counts %d running requests, want %d", h.Running, len(m.running))
 	}
 }
 
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -23,8 +23,8 @@
 	return refs
 }
 
-// BenchmarkPick routes a request and takes its hint: cold adapters, which this
-// entry has not placed lately, and warm ones.
+// BenchmarkPick routes a request and records its end, for cold adapters, which the router
+// has not placed recently, and for warm ones.
 func BenchmarkPick(b *testing.B) {
 	refs := benchRefs()
 	for _, upstreams := range []int{18, 2100} {
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkAdmit takes a request through an agent whose adapter is ready.
+// BenchmarkAdmit passes a request through an agent whose adapter is ready.
 func BenchmarkAdmit(b *testing.B) {
 	now := start
 	a := decide.NewAgent(now, decide.AgentConfig{
--- a/decide/crashes_model_test.go
+++ b/decide/crashes_model_test.go
@@ -13,10 +13,11 @@
 	"wardturn/decide"
 )
 
-// crashSim plays gateways before engines that end under some requests, in virtual time:
-// callers that ask what nobody else does, some of whose streams are resumed or asked for
-// once more after a cut; requests that many send alike; fatal ones, each some times a
-// second at any gateway; and an end of all engines at once.
+// crashSim simulates, in virtual time, gateways and engines that end while they serve
+// certain requests. The traffic consists of requests that are unique to a caller, some of
+// which are resumed or retried after a cut; of one popular request sent by many callers;
+// and of fatal requests, each sent several times a second through any gateway. Once, all
+// engines end at the same time.
 type crashSim struct {
 	way    crashWay
 	draw   *rand.Rand
@@ -27,36 +28,36 @@
 	lives  []int
 	runs   []map[*simRun]bool // by engine
 	stored []wardturn.RecordedCrash
-	read   []int // of them, by gateway
+	read   []int // number of stored records read, by gateway
 	fatals map[wardturn.ContentID]*fatalTally
 	got    crashFigures
 	starts int
 }
 
-// start puts a request to an engine.
+// start starts a request at an engine.
 func (s *crashSim) start(e int, r *simRun) {
 	s.starts++
 	r.number = s.starts
 	s.runs[e][r] = true
 }
 
-// crashWay is one way to decide.
+// crashWay is one variant of the handling of crashes.
 type crashWay struct {
 	name    string
 	limit   int
-	noClear bool // answers do not clear a content
-	noWords bool // gateways hear each other through the store alone
-	// errors is the share of requests, whatever they ask, that engines answer with an error
-	// of their own.
+	noClear bool // responses do not clear a content
+	noWords bool // gateways share crashes through the store only
+	// errors is the share of requests, regardless of content, that engines answer with an
+	// error response.
 	errors      float64
-	errorsClear bool // such an answer clears a content
+	errorsClear bool // an error response clears a content
 }
 
 type crashFigures struct {
-	ended    int // engines that ended under fatal requests
-	late     int // most sends of one of them over 3 s after its third engine
-	cut      int // other requests that were cut
-	refused  int // other requests that were refused for crashes
+	ended    int // engines ended by fatal requests
+	late     int // largest number of times a fatal request was sent more than 3 s after it ended its third engine
+	cut      int // other requests that were cut off
+	refused  int // other requests refused as crashing
 	answered int
 }
 
@@ -67,11 +68,11 @@
 }
 
 type simRun struct {
-	number  int // in order of the starts
+	number  int // in order of their starts
 	content wardturn.ContentID
 	gate    int
 	left    time.Duration
-	again   int // times that it goes on or comes again after a cut
+	again   int // remaining resumptions or retries after a cut
 }
 
 type simEvent struct {
@@ -95,13 +96,13 @@
 	simGates   = 4
 	simEngines = 12
 	simFor     = 60 * time.Second
-	simBack    = 3300 * time.Millisecond // until an engine that ended is back
-	simFatal   = 60 * time.Millisecond   // that a fatal request runs
-	simSeen    = 25 * time.Millisecond   // until a gateway knows that an engine has ended
+	simBack    = 3300 * time.Millisecond // time until an engine that ended is back
+	simFatal   = 60 * time.Millisecond   // run time of a fatal request
+	simSeen    = 25 * time.Millisecond   // time until a gateway knows that an engine has ended
 	simWord    = 10 * time.Millisecond
-	simRead    = 1200 * time.Millisecond // between readings of the store
-	simUsual   = 200                     // usual requests a second
-	simPopular = 20                      // of those that many send alike
+	simRead    = 1200 * time.Millisecond // interval between reads of the store
+	simUsual   = 200                     // unique requests per second
+	simPopular = 20                      // popular requests per second
 	simOutage  = 40 * time.Second
 )
 
@@ -151,7 +152,7 @@
 	return s.got
 }
 
-// begin starts callers and gateways.
+// begin schedules the callers, the gateways' reads and the outage.
 func (s *crashSim) begin() {
 	for i := range 2 {
 		content := wardturn.ContentID(fmt.Sprint("fatal", i))
@@ -193,7 +194,7 @@
 	})
 }
 
-// engine returns one that is up, or -1.
+// engine returns a random running engine, or -1.
 func (s *crashSim) engine() int {
 	first := s.draw.IntN(simEngines)
 	for i := range simEngines {
@@ -265,12 +266,12 @@
 	})
 }
 
-// errs reports whether an engine answers the next request with an error of its own.
+// errs reports whether an engine answers the next request with an error response.
 func (s *crashSim) errs() bool {
 	return s.way.errors > 0 && s.draw.Float64() < s.way.errors
 }
 
-// erred has an engine answer a request so.
+// erred ends a request with an error response.
 func (s *crashSim) erred(e int, r *simRun) {
 	delete(s.runs[e], r)
 	if s.way.errorsClear {
@@ -295,7 +296,7 @@
 	}
 }
 
-// end has an engine end under its requests.
+// end ends an engine and cuts off its requests.
 func (s *crashSim) end(e int) {
 	if !s.up[e] {
 		return
@@ -303,7 +304,8 @@
 	s.up[e] = false
 	id := wardturn.UpstreamID(fmt.Sprintf("e%d-%d", e, s.lives[e]))
 	seen := make(map[int]bool)
-	// In order of their start: the order of a map would make the figures of a seed differ.
+	// In order of their start: the order of a map would make the result depend on more
+	// than the seed.
 	cut := slices.SortedFunc(maps.Keys(s.runs[e]), func(x, y *simRun) int {
 		return x.number - y.number
 	})
@@ -335,7 +337,8 @@
 	})
 }
 
-// tell has a gateway tell the others of crashes, and record what is due.
+// tell sends new crashes from a gateway to the others, and writes the records that are
+// due.
 func (s *crashSim) tell(gate int, fresh []wardturn.Crash) {
 	for i, g := range s.gates {
 		if i != gate && !s.way.noWords {
@@ -359,7 +362,7 @@
 	s.gates[gate].Written(due, takeBack)
 }
 
-// The ways weighed, over ten seeds of a minute: what each costs and saves.
+// Compares variants of crash handling over ten seeds of a minute each.
 func TestCrashesOfManyGateways(t *testing.T) {
 	const never = 1 << 20
 	sum := func(way crashWay) crashFigures {
@@ -372,7 +375,7 @@
 			all.refused += f.refused
 			all.answered += f.answered
 		}
-		t.Logf("%-28s engines ended %4d, late sends %3d at most, others cut %6d, refused %5d, answered %d", way.name, all.ended, all.late, all.cut, all.refused, all.answered)
+		t.Logf("%-28s engines ended %4d, late sends at most %3d, others cut %6d, refused %5d, answered %d", way.name, all.ended, all.late, all.cut, all.refused, all.answered)
 		return all
 	}
 	without := sum(crashWay{
@@ -398,22 +401,22 @@
 		noWords: true,
 	})
 	if kept.late > 3 || noWords.late > 3 {
-		t.Errorf("%d and %d sends late, through the store alone; 3 are allowed", kept.late, noWords.late)
+		t.Errorf("%d late sends, %d when sharing through the store only; at most 3 are allowed", kept.late, noWords.late)
 	}
 	if kept.ended*10 > without.ended {
-		t.Errorf("%d engines ended, %d without", kept.ended, without.ended)
+		t.Errorf("%d engines ended, %d without crash handling", kept.ended, without.ended)
 	}
 	if kept.refused > 0 {
-		t.Errorf("%d others were refused", kept.refused)
+		t.Errorf("%d other requests were refused", kept.refused)
 	}
 	if noClear.refused <= kept.refused || two.ended > kept.ended {
-		t.Error("the ways differ in another way than they should")
+		t.Error("the variants do not differ as expected")
 	}
 }
 
-// An engine that fails by itself answers with an error of its own, whatever is asked. If
-// that clears a content, fatal ones are refused late or never; if it does not, no other
-// request is refused for it.
+// A faulty engine answers with an error response, whatever the request. If such a
+// response cleared a content, fatal requests would be refused late or never. If it does
+// not, no other request is refused because of it.
 func TestCrashesOfFailingEngines(t *testing.T) {
 	for _, errors := range []float64{0.3, 0.5, 0.7} {
 		for _, clear := range []bool{true, false} {
@@ -428,15 +431,15 @@
 				all.late = max(all.late, f.late)
 				all.refused += f.refused
 			}
-			t.Logf("errors %.1f, clear %-5v: engines ended %4d, late sends %3d at most, others refused %d", errors, clear, all.ended, all.late, all.refused)
+			t.Logf("errors %.1f, clear %-5v: engines ended %4d, late sends at most %3d, others refused %d", errors, clear, all.ended, all.late, all.refused)
 			if clear {
 				continue
 			}
 			if all.late > 3 {
-				t.Errorf("%d sends late with a share of %.1f errors; 3 are allowed", all.late, errors)
+				t.Errorf("%d late sends with an error share of %.1f; at most 3 are allowed", all.late, errors)
 			}
 			if all.refused > 0 {
-				t.Errorf("%d others were refused with a share of %.1f errors", all.refused, errors)
+				t.Errorf("%d other requests were refused with an error share of %.1f", all.refused, errors)
 			}
 		}
 	}
--- a/decide/crashes_test.go
+++ b/decide/crashes_test.go
@@ -26,7 +26,7 @@
 			Upstream: wardturn.UpstreamID(upstream),
 		}
 	}
-	// ends has an upstream end under some contents.
+	// ends has an upstream end while it serves some contents.
 	ends := func(upstream string, contents ...wardturn.ContentID) {
 		for _, content := range contents {
 			c.Broke(now, content, wardturn.UpstreamID(upstream))
@@ -45,7 +45,7 @@
 		now = time.Unix(1_000_000, 0)
 	})
 
-	It("refuse a content after three upstreams have ended under it, for a day", func() {
+	It("refuse a content for a day after three upstreams have ended while serving it", func() {
 		for i, want := range []bool{false, false, true} {
 			ends(fmt.Sprint("u", i), bad)
 			Expect(refuses(bad)).To(Equal(want))
@@ -57,7 +57,7 @@
 		Expect(refuses(bad)).To(BeFalse())
 	})
 
-	It("count an upstream once, whoever tells of it", func() {
+	It("count an upstream once, whichever gateway reports it", func() {
 		for range 3 {
 			ends("u", bad)
 			Expect(c.Heard(now, []wardturn.Crash{crash(bad, "u")})).To(BeEmpty())
@@ -65,13 +65,13 @@
 		Expect(refuses(bad)).To(BeFalse())
 	})
 
-	It("count what other gateways saw", func() {
+	It("count crashes reported by other gateways", func() {
 		ends("u0", bad)
 		Expect(c.Heard(now, []wardturn.Crash{crash(bad, "u1"), crash(bad, "u2")})).To(HaveLen(2))
 		Expect(refuses(bad)).To(BeTrue())
 	})
 
-	It("put the end of an upstream together with sends that broke off before and after it", func() {
+	It("relate the end of an upstream to requests that broke off before and after it", func() {
 		for i := range 3 {
 			id := wardturn.UpstreamID(fmt.Sprint("u", i))
 			Expect(c.Broke(now, bad, id)).To(BeEmpty())
@@ -84,7 +84,7 @@
 		Expect(refuses(other)).To(BeTrue())
 	})
 
-	It("do not blame a send that broke off long before", func() {
+	It("do not suspect a request that broke off long before", func() {
 		for i := range 3 {
 			id := wardturn.UpstreamID(fmt.Sprint("u", i))
 			c.Broke(now, bad, id)
@@ -94,14 +94,14 @@
 		Expect(refuses(bad)).To(BeFalse())
 	})
 
-	It("do not suspect a send whose upstream lives", func() {
+	It("do not suspect a request whose upstream did not end", func() {
 		for i := range 10 {
 			c.Broke(now, other, wardturn.UpstreamID(fmt.Sprint("u", i)))
 		}
 		Expect(refuses(other)).To(BeFalse())
 	})
 
-	It("clear a content that stood beside a bad one, once it is answered", func() {
+	It("clear a content that ran beside a crashing one once it is answered", func() {
 		ends("u0", bad, other)
 		ends("u1", bad, other)
 		Expect(c.Answered(now, other)).To(BeTrue())
@@ -111,7 +111,7 @@
 		Expect(refuses(other)).To(BeFalse())
 	})
 
-	It("do not suspect what is answered all the time, when many upstreams end at once", func() {
+	It("do not suspect a frequently answered content when many upstreams end at once", func() {
 		c.Answered(now, other)
 		now = now.Add(time.Second)
 		for i := range 5 {
@@ -120,7 +120,7 @@
 		Expect(refuses(other)).To(BeFalse())
 	})
 
-	It("refuse a content that begins to crash upstreams after it was answered", func() {
+	It("refuse a content that starts to crash upstreams after it was answered", func() {
 		c.Answered(now, bad)
 		now = now.Add(2 * time.Second)
 		for i := range 3 {
@@ -129,7 +129,7 @@
 		Expect(refuses(bad)).To(BeTrue())
 	})
 
-	It("record what this gateway saw, of contents with two crashes, each once", func() {
+	It("record the crashes observed by this gateway once, for contents with two crashes", func() {
 		ends("u0", bad, other)
 		due, _ := c.Due(now, false)
 		Expect(due).To(BeEmpty())
@@ -143,7 +143,7 @@
 		Expect(due).To(BeEmpty())
 	})
 
-	It("record what another gateway saw if that has not done so for long", func() {
+	It("record a crash observed by another gateway that has not recorded it for long", func() {
 		c.Heard(now, []wardturn.Crash{crash(bad, "u0"), crash(bad, "u1"), crash(other, "u0")})
 		due, _ := c.Due(now, false)
 		Expect(due).To(BeEmpty())
@@ -157,7 +157,7 @@
 		Expect(due).To(Equal([]wardturn.Crash{crash(bad, "u1")}))
 	})
 
-	It("record again what the store has lost, first by who saw it", func() {
+	It("record again what the store has lost, first through the gateway that observed it", func() {
 		ends("u0", bad)
 		ends("u1", bad)
 		c.Heard(now, []wardturn.Crash{crash(bad, "u2")})
@@ -181,7 +181,7 @@
 		Expect(refuses(bad)).To(BeTrue())
 	})
 
-	It("take records back that no longer hold", func() {
+	It("delete records that no longer apply", func() {
 		ends("u0", bad)
 		ends("u1", bad)
 		due, _ := c.Due(now, false)
@@ -194,7 +194,7 @@
 		Expect(back).To(BeEmpty())
 	})
 
-	It("take a record back that was written while its content was answered", func() {
+	It("delete a record that was written while its content was answered", func() {
 		ends("u0", bad)
 		ends("u1", bad)
 		due, _ := c.Due(now, false)
@@ -204,7 +204,7 @@
 		Expect(back).To(Equal(due))
 	})
 
-	It("know from the store what gateways before have recorded, as long as it counts", func() {
+	It("count the records of earlier gateways in the store until they expire", func() {
 		at := func(ago time.Duration, upstream string) wardturn.RecordedCrash {
 			return wardturn.RecordedCrash{
 				Crash: crash(bad, upstream),
@@ -219,7 +219,7 @@
 		Expect(refuses(bad)).To(BeFalse())
 	})
 
-	It("forget by and by, and take back what they had recorded", func() {
+	It("expire, and delete their records", func() {
 		for i := range 3 {
 			ends(fmt.Sprint("u", i), bad)
 		}
@@ -234,7 +234,7 @@
 		Expect(refuses(bad)).To(BeFalse())
 	})
 
-	It("keep those with the most crashes when there are too many", func() {
+	It("keep the contents with the most crashes when there are too many", func() {
 		for i := range 3 {
 			ends(fmt.Sprint("u", i), bad)
 		}
--- a/decide/decide_suite_test.go
+++ b/decide/decide_suite_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestMain fixes the seed of the model checks, so that every run has the same
-// verdict. Pass -rapid.seed and -rapid.checks for more and other histories.
+// TestMain fixes the seed of the rapid checks, so that every run has the same result.
+// Pass -rapid.seed and -rapid.checks to check other and more histories.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
@@ -20,7 +20,7 @@
 		_ = f.Value.Set("4000")
 	}
 	if f := flag.Lookup("rapid.steps"); f.Value.String() == f.DefValue {
-		_ = f.Value.Set("80") // a fault needs several events to show
+		_ = f.Value.Set("80") // a fault may need several events to show
 	}
 	os.Exit(m.Run())
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -9,7 +9,7 @@
 	"wardturn/policy"
 )
 
-// An agent core is told what happens and answers with orders for its driver.
+// An Agent is notified of events and returns orders for its driver.
 func ExampleAgent() {
 	now := time.Date(2026, time.January, 1, 0, 0, 0, 0, time.UTC)
 	limit := decide.StoreLimit{
--- a/decide/finish_test.go
+++ b/decide/finish_test.go
@@ -11,8 +11,8 @@
 	"wardturn/decide"
 )
 
-var _ = Describe("Copies by the prompts that wait", func() {
-	const long wardturn.Tokens = 8400 // 210 ms
+var _ = Describe("Copies of an adapter for waiting prompts", func() {
+	const long wardturn.Tokens = 8400 // 210 ms of prefill
 	var x *fleetRig
 	BeforeEach(func() {
 		x = newFleetRig()
@@ -24,10 +24,10 @@
 		x.f.Admit(x.now, t, &x.out)
 	}
 
-	It("are made for a long prompt that would be late where its adapter is, and it waits for one", func() {
+	It("are made for a long prompt that would miss its objective where its adapter is, and it waits for the copy", func() {
 		admit("first", "hot", long)
 		admit("second", "hot", long)
-		Expect(x.got["second"].Member.ID).To(BeEquivalentTo("n0")) // 420 ms of 600
+		Expect(x.got["second"].Member.ID).To(BeEquivalentTo("n0")) // 420 ms of prefill, with an objective of 600 ms
 		admit("third", "hot", long)
 		Expect(x.got).NotTo(HaveKey("third"))
 		Expect(x.out.Asks).To(HaveLen(1))
@@ -38,7 +38,7 @@
 		Expect(x.got["third"].Member.ID).To(Equal(copied))
 	})
 
-	It("are made while the store has any room, however many gateways share it", func() {
+	It("are made while the load window has any space, however many gateways share it", func() {
 		x.f.SetHolding(x.now, "n0", decide.Holding{
 			Connected: true,
 			Known:     true,
@@ -52,7 +52,7 @@
 		Expect(x.out.Asks).To(HaveLen(1))
 	})
 
-	It("are not made for an adapter that is asked for often and has short prompts", func() {
+	It("are not made for an adapter with frequent requests and short prompts", func() {
 		for i := range 4 {
 			admit(fmt.Sprint("r", i), "hot", 500)
 		}
@@ -60,15 +60,15 @@
 		Expect(x.out.Asks).To(BeEmpty())
 	})
 
-	It("are not waited for if the prompt would be late there as well", func() {
+	It("are not waited for if the prompt would miss its objective there as well", func() {
 		admit("first", "hot", long)
 		admit("second", "hot", long)
-		admit("huge", "hot", 20000) // 500 ms, and 300 for a load
+		admit("huge", "hot", 20000) // 500 ms of prefill, and 300 ms for a load
 		Expect(x.got["huge"].Member.ID).To(BeEquivalentTo("n0"))
 		Expect(x.out.Asks).To(BeEmpty())
 	})
 
-	It("count the prompts that wait for a load where it goes, as long as they do", func() {
+	It("have waiting prompts counted at the engine that loads the copy, until they stop waiting", func() {
 		for i := range 3 {
 			admit(fmt.Sprint("cold", i), "cold", 4500)
 		}
@@ -79,7 +79,7 @@
 				Tokens:   3 * 4500,
 			},
 		}))
-		x.tick(400 * time.Millisecond) // none could be in time any more
+		x.tick(400 * time.Millisecond) // none could meet its objective any more
 		Expect(x.got).To(HaveLen(3))
 		Expect(x.f.Readings()).To(Equal([]decide.ReadingNote{
 			{
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -10,11 +10,11 @@
 	"wardturn/policy"
 )
 
-// BenchmarkNowhere takes a request for an adapter that no engine holds, from its
-// arrival to its end: a home is chosen, asked, and holds the adapter for a moment.
-// Beside five busy processes, with all engines sorted for each choice and all wants
-// looked at for each engine, it took 17 us at 18 engines, 49 us at 74, 158 us at
-// 262, 674 us at 1,000 and 1.6 ms at 2,100; as it is 14, 11, 14, 22 and 32 us.
+// BenchmarkNowhere serves a request for an adapter that no engine holds: an engine is
+// chosen as its home, asked for the adapter, and holds it for a moment. On a machine with
+// five busy processes, sorting all engines for each choice and visiting all wants for
+// each engine took 17 us at 18 engines, 49 us at 74, 158 us at 262, 674 us at 1,000 and
+// 1.6 ms at 2,100. The present code takes 14, 11, 14, 22 and 32 us.
 func BenchmarkNowhere(b *testing.B) {
 	for _, engines := range []int{18, 74, 262, 1000, 2100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// nowhere is a fleet whose engines hold nothing.
+// nowhere is a fleet whose engines hold no adapters.
 type nowhere struct {
 	f    *decide.Fleet
 	now  time.Time
@@ -78,7 +78,7 @@
 	x.f.SetHolding(x.now, id, h, &out)
 }
 
-// serve takes one request to its end.
+// serve admits one request and serves it until its end.
 func (x *nowhere) serve() {
 	x.next++
 	x.now = x.now.Add(time.Millisecond)
@@ -111,8 +111,8 @@
 	})
 }
 
-// BenchmarkHeld takes a request whose adapter an engine holds, from its arrival to
-// its end.
+// BenchmarkHeld serves a request whose adapter an engine holds, from its arrival to its
+// end.
 func BenchmarkHeld(b *testing.B) {
 	for _, engines := range []int{18, 74, 262, 1000, 2100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -133,7 +133,7 @@
 	}
 }
 
-// admitHeld takes a request whose adapter is held to its end.
+// admitHeld serves a request whose adapter is held, until its end.
 func (x *nowhere) admitHeld(name string) {
 	var out decide.Moves
 	x.f.Admit(x.now, &decide.Ticket{
@@ -149,7 +149,7 @@
 	}, &out)
 }
 
-// BenchmarkOrderChoice finds the order that is due at a keeper, by the number of
+// BenchmarkOrderChoice finds the next order at a keeper, for different numbers of
 // adapters that gateways wish for.
 func BenchmarkOrderChoice(b *testing.B) {
 	for _, wishes := range []int{4, 64, 256} {
--- a/decide/fleet_loads_test.go
+++ b/decide/fleet_loads_test.go
@@ -11,13 +11,13 @@
 	"wardturn/decide"
 )
 
-var _ = Describe("Loads that a fleet asks for", func() {
+var _ = Describe("Loads requested by a fleet", func() {
 	var x *fleetRig
 	BeforeEach(func() {
 		x = newFleetRig()
 	})
 
-	It("asks one engine for an adapter that is nowhere, and lets all who want it wait", func() {
+	It("asks one engine for an adapter that no engine holds, and has all its requests wait", func() {
 		for i := range 5 {
 			x.admit(fmt.Sprint("r", i), "a")
 		}
@@ -25,14 +25,14 @@
 		Expect(x.got).To(BeEmpty())
 		x.now = x.now.Add(250 * time.Millisecond)
 		x.hold(string(x.out.Asks[0].Upstream), readyAdapter("a", 1))
-		Expect(x.got).To(HaveLen(4)) // a batch is full
+		Expect(x.got).To(HaveLen(4)) // the batch of the engine is full
 		x.tick(100 * time.Millisecond)
 		for _, a := range x.got {
 			Expect(a.Member.ID).To(Equal(x.out.Asks[0].Upstream))
 		}
 	})
 
-	It("agrees with other gateways on the engine that loads a cold adapter", func() {
+	It("chooses the same engine as other gateways to load a cold adapter", func() {
 		other := decide.NewFleet(decide.FleetConfig{
 			Domain: "far",
 		})
@@ -59,7 +59,7 @@
 		Expect(theirs.Asks).To(Equal(x.out.Asks))
 	})
 
-	It("asks first for the adapter asked for last when loads are behind", func() {
+	It("asks first for the most recently requested adapter when loads are delayed", func() {
 		for i := range 4 {
 			x.admit(fmt.Sprint("r", i), fmt.Sprint("a", i))
 		}
@@ -72,7 +72,7 @@
 		Expect(x.out.Asks[4].Adapter.Adapter).To(BeEquivalentTo("late"))
 	})
 
-	It("gives up a load whose requests have not come back", func() {
+	It("gives up a load whose callers have not retried", func() {
 		x.admit("r", "a")
 		x.tick(430 * time.Millisecond)
 		Expect(x.got["r"].Reason).To(Equal(wardturn.ReasonLoading))
@@ -85,7 +85,7 @@
 		Expect(x.out.Asks).To(HaveLen(asks))
 	})
 
-	It("joins the load that another gateway asked an engine for", func() {
+	It("joins a load that another gateway requested", func() {
 		for i, m := range fleetMembers() {
 			name := fmt.Sprint("a", i)
 			x.hold(string(m.ID), decide.HeldVersion{
@@ -97,10 +97,10 @@
 		}
 	})
 
-	It("keeps to the home of an adapter when others are on their way to it", func() {
+	It("keeps the home of an adapter that is loading other adapters", func() {
 		x.admit("first", "a")
 		home := x.out.Asks[0].Upstream
-		x.tick(2 * time.Second) // nobody wants it any more
+		x.tick(2 * time.Second) // its request has ended
 		x.f.Retune(decide.FleetConfig{
 			Window: decide.WindowConfig{
 				Least: 2 * decide.MaxComing,
@@ -123,7 +123,7 @@
 		Expect(x.out.Asks[len(x.out.Asks)-1].Upstream).To(Equal(home))
 	})
 
-	It("bounds the loads that it asked for, and asks for those most wanted first", func() {
+	It("bounds its loads, and asks first for the adapter with the most waiting requests", func() {
 		for i := range 4 {
 			x.admit(fmt.Sprint("r", i), fmt.Sprint("a", i))
 		}
@@ -136,7 +136,7 @@
 		Expect(x.out.Asks[4].Adapter.Adapter).To(BeEquivalentTo("wanted"))
 	})
 
-	It("does not count a load from the engine's own memory in the window", func() {
+	It("does not count a load from the engine's own memory in the load window", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.hold("n1", readyAdapter("a", 1))
 		x.hold("f0", readyAdapter("a", 1))
@@ -161,7 +161,7 @@
 		Expect(x.out.Asks[len(x.out.Asks)-1].Upstream).NotTo(Equal(first))
 	})
 
-	It("loads an adapter near once much was sent to a far one", func() {
+	It("loads an adapter in its own failure domain once many bytes were sent to another one", func() {
 		x.hold("f0", readyAdapter("a", 1))
 		for range 4 {
 			t := x.admit("r", "a")
@@ -173,7 +173,7 @@
 		Expect(string(x.out.Asks[0].Upstream)).To(HavePrefix("n"))
 	})
 
-	It("keeps serving what an engine held when its keeper is lost, and asks it for nothing", func() {
+	It("keeps sending requests for held adapters to an engine whose keeper is lost, and asks it for no loads", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.KeeperLost("n0")
 		x.admit("r", "a")
--- a/decide/fleet_prompts_test.go
+++ b/decide/fleet_prompts_test.go
@@ -11,13 +11,13 @@
 	"wardturn/decide"
 )
 
-var _ = Describe("Prompts in a fleet", func() {
+var _ = Describe("Prefill in a fleet", func() {
 	var x *fleetRig
 	BeforeEach(func() {
 		x = newFleetRig()
 	})
 
-	It("avoids an engine that reads a long prompt for another gateway, for a while", func() {
+	It("avoids an engine that prefills a long prompt of another gateway, for a limited time", func() {
 		reading := func(tokens int) {
 			x.f.SetHolding(x.now, "n0", decide.Holding{
 				Connected: true,
@@ -37,7 +37,7 @@
 		Expect(x.got["later"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 
-	It("tells keepers of its long prompts, and does not take them for others'", func() {
+	It("reports its long prompts to keepers, and does not count them as those of others", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		t := x.ticket("long", "a")
 		t.Prompt = 9000
@@ -65,9 +65,10 @@
 		Expect(x.f.Readings()).To(BeEmpty())
 	})
 
-	// Engines that read more slowly than assumed would get prompt after prompt, and the
-	// streams beside them pause, while others have many streams and read nothing.
-	It("weighs prompts by the time in which engines were seen to read them", func() {
+	// Engines that prefill more slowly than assumed would receive prompt after prompt,
+	// and the streams beside them would pause, while engines with many streams prefill
+	// nothing.
+	It("weighs prompts by the measured prefill rate", func() {
 		list := fleetMembers()
 		for i := range list {
 			list[i].Slots = 64
@@ -102,7 +103,7 @@
 		Expect(choose("after")).To(BeEquivalentTo("n0"))
 	})
 
-	It("has a copy that relieves a busy engine evict an adapter of less use", func() {
+	It("has a copy that relieves a busy engine evict a less used adapter", func() {
 		list := fleetMembers()
 		for i := range list {
 			list[i].Slots = 32
--- a/decide/fleet_rig_test.go
+++ b/decide/fleet_rig_test.go
@@ -10,8 +10,8 @@
 // fleetService is the service of the engines of a fleetRig.
 const fleetService = wardturn.ServiceName("llm")
 
-// fleetRig is a gateway's view of two near and two far engines, with what it
-// decided.
+// fleetRig is a Fleet with two engines in its own failure domain and two in another, and
+// the results of its decisions.
 type fleetRig struct {
 	f   *decide.Fleet
 	now time.Time
@@ -83,12 +83,12 @@
 	}
 }
 
-// newFleetRig returns engines that hold nothing.
+// newFleetRig returns a fleet whose engines hold no adapters.
 func newFleetRig() *fleetRig {
 	return newLimitedRig(nil)
 }
 
-// newLimitedRig is newFleetRig with the limits that upstreams name.
+// newLimitedRig is newFleetRig with the request rate limits stated by upstreams.
 func newLimitedRig(limits *decide.Limits) *fleetRig {
 	x := &fleetRig{
 		now: start,
@@ -96,7 +96,8 @@
 		f: decide.NewFleet(decide.FleetConfig{
 			Domain:     "near",
 			CrossBytes: 5000,
-			// The last request on an old version is sent 3 s after the newer name.
+			// The last request on an old version is sent 3 s after the newer one is
+			// announced.
 			VersionBound: 4500 * time.Millisecond,
 			Limits:       limits,
 			Draw:         func() float64 { return 0 },
@@ -117,7 +118,7 @@
 	return x
 }
 
-// hold has an engine's keeper tell all that it holds.
+// hold has an engine's keeper report all adapters that it holds.
 func (x *fleetRig) hold(id string, adapters ...decide.HeldVersion) {
 	x.f.SetHolding(x.now, wardturn.UpstreamID(id), decide.Holding{
 		Connected: true,
@@ -154,7 +155,7 @@
 	x.f.Tick(x.now, &x.out)
 }
 
-// takes reports whether a request that was given to an engine may be sent there at a time.
+// takes reports whether a request that was assigned to an engine may still be sent there.
 func (x *fleetRig) takes(now time.Time, id wardturn.UpstreamID) bool {
 	return x.f.Takes(now, wardturn.Member{
 		ID:     id,
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -17,7 +17,7 @@
 		x = newFleetRig()
 	})
 
-	It("sends a request where its adapter is, the own failure domain first", func() {
+	It("sends a request to an engine that holds its adapter, preferring its own failure domain", func() {
 		x.hold("f0", readyAdapter("a", 1))
 		x.admit("r1", "a")
 		Expect(x.got["r1"].Member.ID).To(BeEquivalentTo("f0"))
@@ -27,7 +27,7 @@
 		Expect(x.out.Asks).To(BeEmpty())
 	})
 
-	It("tries an engine that refused a connection again after a while", func() {
+	It("sends requests again to an engine that refused a connection after a while", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.Refused(x.now, "n0")
 		x.admit("r", "a")
@@ -36,7 +36,7 @@
 		Expect(x.got["r"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 
-	It("passes over engines that leave or answer as another", func() {
+	It("skips engines that leave or were replaced by another incarnation", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.hold("n1", readyAdapter("a", 1))
 		x.f.Misplaced("n0")
@@ -49,7 +49,7 @@
 		Expect(x.got).NotTo(HaveKey("r2"))
 	})
 
-	It("takes the entry written last for the upstream at an address", func() {
+	It("uses the entry written last for an address", func() {
 		list := fleetMembers()
 		again := list[0]
 		again.ID = "n0-again"
@@ -62,7 +62,7 @@
 		Expect(x.got["r"].Member.ID).To(BeEquivalentTo("n0-again"))
 	})
 
-	It("doubts its keeper's word for a moment after an engine refused", func() {
+	It("ignores a keeper's report for a moment after its engine refused a request as not held", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.NotHeld(x.now, "n0", adapterKey("a"))
 		x.admit("r", "a")
@@ -71,7 +71,7 @@
 		Expect(x.got["r"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 
-	It("follows changes of a holding", func() {
+	It("applies incremental changes of a holding", func() {
 		x.hold("n0", readyAdapter("a", 1), readyAdapter("b", 1))
 		x.f.SetHolding(x.now, "n0", decide.Holding{
 			Connected: true,
@@ -86,7 +86,7 @@
 		Expect(x.got).To(HaveLen(2))
 	})
 
-	It("withdraws a request whose caller left", func() {
+	It("withdraws a request whose caller has gone", func() {
 		t := x.admit("r", "a")
 		x.f.Withdraw(t)
 		x.hold(string(x.out.Asks[0].Upstream), readyAdapter("a", 1))
@@ -94,7 +94,7 @@
 		Expect(x.f.Usage(x.out.Asks[0].Upstream)).To(BeEmpty())
 	})
 
-	It("reports the use of adapters once", func() {
+	It("reports each change in the use of adapters once", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.admit("r", "a")
 		counts := x.f.Usage("n0")
@@ -111,7 +111,7 @@
 			x.f.SetTable(fleetTable(nil))
 		})
 
-		It("takes the near upstreams until they are full, then the far ones", func() {
+		It("uses the upstreams of its own failure domain until they are full, then the others", func() {
 			for i := range 8 {
 				x.admit(fmt.Sprint("r", i), "")
 				Expect(string(x.got[fmt.Sprint("r", i)].Member.ID)).To(HavePrefix("n"))
@@ -120,7 +120,7 @@
 			Expect(string(x.got["more"].Member.ID)).To(HavePrefix("f"))
 		})
 
-		It("moves away from an upstream that answers slowly, and tries it again", func() {
+		It("avoids an upstream that responds slowly, and tries it again later", func() {
 			ids := func() map[wardturn.UpstreamID]int {
 				n := make(map[wardturn.UpstreamID]int)
 				for range 20 {
@@ -144,7 +144,7 @@
 			Expect(n["n0"] + n["n1"]).NotTo(BeZero())
 		})
 
-		It("leaves an upstream that fails more often than others", func() {
+		It("avoids an upstream that fails more often than others", func() {
 			for range 30 {
 				x.admit("r", "")
 				id := x.got["r"].Member.ID
@@ -161,7 +161,7 @@
 			}
 		})
 
-		It("refuses when all are full, and says when there are none", func() {
+		It("refuses requests with different reasons if all upstreams are full and if there are none", func() {
 			for i := range 32 {
 				x.admit(fmt.Sprint("r", i), "")
 			}
--- a/decide/fleet_versions_test.go
+++ b/decide/fleet_versions_test.go
@@ -13,7 +13,7 @@
 		x = newFleetRig()
 	})
 
-	It("does not send to an engine with an old version that was named before its start", func() {
+	It("does not use an old version if the newer one may have been announced before the gateway started", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.SetVersion(x.now, adapterVersion("a", 2), time.Time{}, &x.out)
 		Expect(x.out.Asks).To(HaveLen(1))
@@ -25,7 +25,7 @@
 		Expect(x.got["r"].Version).To(BeEquivalentTo(2))
 	})
 
-	It("loads a new version beside the old one, moves the requests, and then replaces the old", func() {
+	It("loads a new version on another engine, moves the requests there, and then replaces the old version", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
 		Expect(x.out.Asks).To(HaveLen(1))
@@ -40,7 +40,7 @@
 		Expect(x.out.Asks[len(x.out.Asks)-1].Upstream).To(BeEquivalentTo("n0"))
 	})
 
-	It("lets an old version serve no longer than its grace", func() {
+	It("does not use an old version after its end", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
 		x.now = x.now.Add(3 * time.Second)
--- a/decide/late_test.go
+++ b/decide/late_test.go
@@ -14,7 +14,7 @@
 var _ = Describe("A request past its deadline", func() {
 	const (
 		left = time.Second
-		late = 5 * time.Second // a pause in which no tick came
+		late = 5 * time.Second // no tick occurs in this time
 	)
 	var out decide.Orders
 	limit := decide.StoreLimit{
@@ -46,7 +46,7 @@
 		})
 	}
 
-	It("does not begin when a place becomes free before the next tick", func() {
+	It("does not start when the engine gets a free position before the next tick", func() {
 		a := newAgent(0)
 		a.Admit(start, decide.Work{
 			Attempt: attempt(1),
@@ -63,7 +63,7 @@
 		Expect(a.Idle()).To(BeTrue())
 	})
 
-	It("does not begin when its adapter is loaded before the next tick", func() {
+	It("does not start when its adapter is loaded before the next tick", func() {
 		a := newAgent(2)
 		a.Report(start, wardturn.EngineReport{
 			At: start,
--- a/decide/old_version_test.go
+++ b/decide/old_version_test.go
@@ -10,19 +10,18 @@
 	"wardturn/decide"
 )
 
-// Requests ran on adapter versions that had been replaced for 5 to 14 s, where 5 s are
-// allowed. A gateway kept one end for all old versions of an adapter, 3 s after the
-// latest name, and set it anew with each name, so with a new version each 2 s the first
-// one served for ever. The gateways logged
+// An old version served without end when new versions followed each other quickly: each
+// announcement postponed the single end kept for all old versions of an adapter, so with
+// a new version every 2 s the first one never ended. Requests ran on versions replaced 5
+// to 14 s before, where 5 s are allowed and the last request should be sent after 3 s.
+// With announcements every 2 s, 347 of 655 requests on old versions were sent later than
+// 3.2 s after the first newer version; with announcements 4 to 5.2 s apart, 186 of 1,215.
+// The gateways logged
 //
 //	old version served: version=2 newer=3 sent=4.830943405s began=4.990043729s
 //	old version served: version=5 newer=6 sent=6.837146631s began=6.961095237s
-//
-// where no request should have been sent after 3 s. With names each 2 s 347 of 655
-// requests on old versions were sent later than 3.2 s after the first newer name, with
-// names 4 to 5.2 s apart 186 of 1,215.
-var _ = Describe("An old version that is replaced again and again", func() {
-	It("serves no longer than after the first newer name", func() {
+var _ = Describe("An old version that is superseded repeatedly", func() {
+	It("stops serving after the first newer announcement", func() {
 		x := newFleetRig()
 		x.hold("n0", readyAdapter("a", 1))
 		served := make(map[time.Duration]bool)
@@ -59,7 +58,7 @@
 		x.f.Tick(x.now, &x.out)
 	}
 
-	It("is counted from when no newer version was known to be there, not from its name", func() {
+	It("is counted from when the newer version was not announced yet, not from its receipt", func() {
 		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now.Add(-1500*time.Millisecond), &x.out)
 		x.now = x.now.Add(1400 * time.Millisecond)
 		x.admit("in time", "a")
@@ -69,7 +68,7 @@
 		Expect(x.got).NotTo(HaveKey("late"))
 	})
 
-	It("is told once, 500 ms before the bound, for each name", func() {
+	It("is reported once for each announcement, 500 ms before the bound", func() {
 		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
 		tick(2 * time.Second)
 		x.f.SetVersion(x.now, adapterVersion("a", 3), x.now, &x.out)
@@ -83,7 +82,7 @@
 		Expect(x.out.Ended).To(ConsistOf(adapterVersion("a", 3)))
 	})
 
-	It("leaves no old version serving however many names follow", func() {
+	It("is not postponed by any number of later announcements", func() {
 		for v := wardturn.Version(2); v < 40; v++ {
 			x.f.SetVersion(x.now, adapterVersion("a", v), x.now, &x.out)
 			tick(300 * time.Millisecond)
@@ -92,7 +91,7 @@
 		Expect(x.f.VersionServes(x.now, adapterKey("a"), 38)).To(BeTrue())
 	})
 
-	It("has an engine whose version is over replaced while another old one serves", func() {
+	It("has an ended version replaced while another old version still serves", func() {
 		x.hold("n1", readyAdapter("a", 2))
 		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
 		tick(2 * time.Second)
@@ -103,14 +102,14 @@
 	})
 })
 
-var _ = Describe("A long prompt at an old version", func() {
-	It("is not sent where it would not be read in time", func() {
+var _ = Describe("A long prompt for an old version", func() {
+	It("is not sent to an engine that would not prefill it before the version's end", func() {
 		x := newFleetRig()
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
 		x.now = x.now.Add(2500 * time.Millisecond)
 		long := x.ticket("long", "a")
-		long.Prompt = 24000 // 600 ms
+		long.Prompt = 24000 // 600 ms of prefill
 		x.f.Admit(x.now, long, &x.out)
 		Expect(x.got).NotTo(HaveKey("long"))
 		x.admit("short", "a")
--- a/decide/readrate_internal_test.go
+++ b/decide/readrate_internal_test.go
@@ -9,7 +9,7 @@
 	for _, c := range []struct {
 		name     string
 		perMilli float64
-		hangs    int // one prompt in so many takes 4 s
+		hangs    int // one prompt in this many takes 4 s
 	}{
 		{
 			name:     "half as fast as usual",
@@ -32,11 +32,11 @@
 				took = 4 * time.Second
 			}
 			r.observe(2400, took)
-			r.observe(30, time.Second) // tells nothing
+			r.observe(30, time.Second) // too short to be a sample
 		}
 		want := 10000 / c.perMilli
 		if got := r.cost(10000); got < 0.8*want || got > 1.25*want {
-			t.Errorf("%s: 10,000 tokens are taken to be read in %.0f ms, want %.0f", c.name, got, want)
+			t.Errorf("%s: estimated prefill time of 10,000 tokens is %.0f ms, want %.0f", c.name, got, want)
 		}
 	}
 }
--- a/decide/rendezvous_test.go
+++ b/decide/rendezvous_test.go
@@ -8,8 +8,8 @@
 	"wardturn/decide"
 )
 
-// The two of a key are the first of the list and the first of the rest; keys
-// spread over all of the list.
+// The two elements for a key must be the first of the list and the first of the remaining
+// list, and keys must be spread evenly over the list.
 func TestFirstTwo(t *testing.T) {
 	var list []string
 	for i := range 15 {
@@ -22,7 +22,7 @@
 		key := fmt.Sprint("key", i)
 		two := decide.FirstTwo(key, list, same)
 		if len(two) != 2 {
-			t.Fatalf("%d chosen, want 2", len(two))
+			t.Fatalf("FirstTwo returned %d elements, want 2", len(two))
 		}
 		first, _ := decide.First(key, list, same)
 		rest := slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == first })
@@ -36,12 +36,12 @@
 	for _, s := range list {
 		// The mean is 133; four standard deviations are 43.
 		if counts[s] < 90 || counts[s] > 176 {
-			t.Errorf("%s chosen %d times of %d", s, counts[s], 2*keys)
+			t.Errorf("%s was chosen %d times of %d", s, counts[s], 2*keys)
 		}
 	}
 	for n := range 2 {
 		if got := decide.FirstTwo("k", list[:n], same); len(got) != n {
-			t.Errorf("of %d: %v", n, got)
+			t.Errorf("FirstTwo of %d elements: %v", n, got)
 		}
 	}
 }
--- a/decide/turn_late_word_test.go
+++ b/decide/turn_late_word_test.go
@@ -9,17 +9,18 @@
 	"wardturn/decide"
 )
 
-// The end of old versions runs from ReadTurn.AsOf. The first word of a process sets
-// the lag that all its words are measured by, so a first word that was held up makes
-// knowledge look fresh that is as old as the word, and old versions serve that longer.
-var _ = Describe("A first word of another process that was held up on its way", func() {
-	It("does not make knowledge look newer than the reading it tells of", func() {
+// The end of old versions is computed from ReadTurn.AsOf. The first report of a process
+// sets the lag that its later reports are compared with. A delayed first report would
+// therefore make an old copy look recent, and old versions would serve longer by the
+// delay.
+var _ = Describe("A delayed first report of another process", func() {
+	It("does not make the copy look newer than the reported read", func() {
 		t := decide.NewReadTurn(start, "b", decide.ReadTurnConfig{
 			Every: 1200 * time.Millisecond,
 			Least: 100 * time.Millisecond,
 		})
 		t.Read(start)
-		read := start.Add(100 * time.Millisecond) // at "a", whose clock began at start too
+		read := start.Add(100 * time.Millisecond) // at "a", whose clock started at start too
 		t.Heard(start.Add(3*time.Second), "a", read.Sub(start))
 		Expect(t.AsOf()).To(BeTemporally("<=", read))
 	})
--- a/decide/turn_reads_test.go
+++ b/decide/turn_reads_test.go
@@ -9,24 +9,24 @@
 	"wardturn/decide"
 )
 
-// Readings of the store must not grow with the gateways: that is what sharing
-// them is for.
+// Reads of the store must not grow with the number of gateways: they are shared for that
+// purpose.
 func TestStoreReadsDoNotGrowWithGateways(t *testing.T) {
 	few, many := storeReads(3), storeReads(470)
-	t.Logf("reads an hour: 3 gateways %.0f, 470 gateways %.0f", few, many)
+	t.Logf("reads per hour: 3 gateways %.0f, 470 gateways %.0f", few, many)
 	if many > 4*few {
-		t.Errorf("470 gateways read %.0f times an hour, 3 read %.0f times", many, few)
+		t.Errorf("470 gateways read %.0f times per hour, 3 gateways %.0f times", many, few)
 	}
 }
 
 const (
 	readEvery = time.Second
-	readStep  = 2 * time.Millisecond // of virtual time; also how long a word takes
+	readStep  = 2 * time.Millisecond // of virtual time; also the transit time of a report
 	readFor   = 10 * time.Minute
 )
 
-// storeReads returns how often the list of upstreams is read in an hour by some
-// gateways that share their readings; one in a hundred is replaced each minute.
+// storeReads returns how often per hour n gateways that share their reads read the list
+// of upstreams, while one in a hundred gateways is replaced each minute.
 func storeReads(n int) float64 {
 	now := start
 	started := 0
@@ -56,7 +56,7 @@
 	return float64(reads) * time.Hour.Hours() / readFor.Hours()
 }
 
-// readDue has the gateways read whose turn it is, and tells the others.
+// readDue performs the reads that are due and reports each to the other gateways.
 func readDue(now time.Time, ids []wardturn.Incarnation, turns []*decide.ReadTurn) int {
 	var due []int
 	for i, t := range turns {
--- a/decide/turn_test.go
+++ b/decide/turn_test.go
@@ -31,14 +31,14 @@
 		now = start
 	})
 
-	It("is due at once at the start, and after a pause while nobody else reads", func() {
+	It("is due at the start, and after a pause while no other process reads", func() {
 		t := turn("b")
 		Expect(due(t)).To(BeNumerically("<=", 0))
 		t.Read(now)
 		Expect(due(t)).To(Equal(every))
 	})
 
-	It("pauses after each reading that fails, always for the same time", func() {
+	It("retries failed reads at a constant interval", func() {
 		t := turn("b")
 		t.Read(now)
 		now = now.Add(2 * every)
@@ -57,17 +57,17 @@
 		Expect(due(t)).To(Equal(least))
 	})
 
-	// Every gateway reads each change itself, so a storm of changes would cost one reading of
-	// each gateway for each of them.
-	It("reads changes together that follow each other closely, and a single one soon", func() {
+	// Every gateway reads each change itself, so changes in quick succession would cost
+	// one read per gateway and change.
+	It("reads changes in quick succession together, and a single change soon", func() {
 		const gather = 800 * time.Millisecond
 		t := decide.NewReadTurn(now, "b", decide.ReadTurnConfig{
-			Every:  10 * every, // none by its age alone
+			Every:  10 * every, // no read by age alone
 			Gather: gather,
 		})
 		began := now
 		reads := 0
-		seen := began // changes up to then are known
+		seen := began // all changes up to this time have been read
 		longest := time.Duration(0)
 		changed := func(at time.Duration) bool {
 			return at >= time.Second && at <= 4*time.Second && at%(300*time.Millisecond) == 0
@@ -79,7 +79,7 @@
 			case changed(at):
 				t.Doubt(now)
 				waits = append(waits, now)
-			case at%time.Second == 0 && len(waits) == 0: // who has not read a change does not count
+			case at%time.Second == 0 && len(waits) == 0: // a process that has not read a change does not count
 				t.Heard(now, "a", at)
 			}
 			if len(waits) > 0 && due(t) <= 0 {
@@ -100,7 +100,7 @@
 		Expect(due(t)).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
-	It("tells why it reads", func() {
+	It("returns the cause of a read", func() {
 		t := turn("b")
 		Expect(t.Cause(now)).To(Equal(decide.ReadFirst))
 		t.Read(now)
@@ -117,7 +117,7 @@
 		Expect(t.Cause(now)).To(Equal(decide.ReadStepIn))
 	})
 
-	It("leaves the reading to the process with the lowest id while that tells of it", func() {
+	It("leaves the reads to the process with the lowest ID while its reports arrive", func() {
 		a, b := turn("a"), turn("b")
 		for range 10 {
 			stamp := a.Read(now)
@@ -129,7 +129,7 @@
 		}
 	})
 
-	It("reads when the others' words stay out, and for the others after a while", func() {
+	It("reads when the reports of others fail to arrive, and becomes the leader after a while", func() {
 		a, b := turn("a"), turn("b")
 		b.Heard(now, "a", a.Read(now))
 		now = now.Add(3 * every / 2)
@@ -139,7 +139,7 @@
 		Expect(due(b)).To(Equal(every))
 	})
 
-	It("does not have all step in at once for one that is gone", func() {
+	It("does not have all processes read at once when the leader is gone", func() {
 		const n = 200
 		var turns []*decide.ReadTurn
 		var ids []wardturn.Incarnation
@@ -156,7 +156,7 @@
 			}
 		}
 		reads := 0
-		step := func() { // a word takes a step
+		step := func() { // a report takes one step
 			now = now.Add(time.Millisecond)
 			var all []int
 			for i := range turns {
@@ -180,11 +180,11 @@
 			for range 5000 {
 				step()
 			}
-			Expect(reads).To(BeNumerically("<=", 25)) // one a second, and some until the lowest is found
+			Expect(reads).To(BeNumerically("<=", 25)) // one per second, plus some until the new leader is known
 		}
 	})
 
-	It("takes a word that was held up on the way for as old as it is", func() {
+	It("recognizes the age of a delayed report", func() {
 		a, b := turn("a"), turn("b")
 		now = now.Add(time.Minute)
 		b.Heard(now, "a", a.Read(now))
@@ -194,7 +194,7 @@
 		Expect(due(b)).To(BeNumerically("<", 0))
 	})
 
-	It("knows that clocks of processes start at different times", func() {
+	It("allows for processes whose clocks started at different times", func() {
 		a := turn("a")
 		now = now.Add(time.Hour)
 		b := turn("b")
@@ -202,7 +202,7 @@
 		Expect(due(b)).To(BeNumerically(">", every))
 	})
 
-	It("is due soon after a doubt, unless another has read since", func() {
+	It("is due soon after a contradiction unless another process has read since", func() {
 		a, b := turn("a"), turn("b")
 		b.Heard(now, "a", a.Read(now))
 		now = now.Add(10 * time.Millisecond)
@@ -212,7 +212,7 @@
 		Expect(due(b)).To(BeNumerically(">", every))
 	})
 
-	It("keeps a least time between readings of its own", func() {
+	It("keeps a minimum time between its own reads", func() {
 		t := turn("a")
 		t.Began(now)
 		t.Doubt(now)
