--- a/decide/adopt_test.go
+++ b/decide/adopt_test.go
@@ -52,14 +52,14 @@
 		}, &out)
 		Expect(out.Unload).To(HaveLen(1))
 		unload := out.Unload[0]
-		gone := unload.Adapter.Adapter
+		unloading := unload.Adapter.Adapter
 
 		// The engine drops the other adapter by itself, and a delayed load ordered by an
 		// earlier agent loads the wanted one.
 		now = now.Add(time.Second)
-		agent.Report(now, report(gone), &out)
+		agent.Report(now, report(unloading), &out)
 		now = now.Add(time.Second)
-		agent.Report(now, report(gone, "new"), &out)
+		agent.Report(now, report(unloading, "new"), &out)
 		now = now.Add(time.Second)
 		out.Reset()
 		agent.Unloaded(now, unload.ID, decide.OrderDone, &out)
--- a/decide/agent_model_test.go
+++ b/decide/agent_model_test.go
@@ -16,22 +16,22 @@
 // refused or lost with either effect, the engine may restart empty, and reports arrive
 // late. The invariants in Check must hold after each step.
 type agentModel struct {
-	now      time.Time
-	agent    *decide.Agent
-	slots    int
-	out      decide.Orders
-	resident map[wardturn.AdapterRef]int // running requests of each adapter, as the engine counts them
-	loads    []decide.SlotOrder
-	unloads  []decide.SlotOrder
-	state    map[wardturn.AttemptID]attemptState
-	adapter  map[wardturn.AttemptID]wardturn.AdapterRef
-	running  []wardturn.AttemptID
-	reports  []wardturn.EngineReport // made and not yet delivered
-	ghosts   []wardturn.AdapterRef   // adapters whose loads were ordered by an earlier agent and are still under way
-	strays   []wardturn.AdapterRef   // adapters of requests sent by an earlier agent that are still running
-	permits  int
-	next     uint64
-	leaving  bool
+	now             time.Time
+	agent           *decide.Agent
+	slots           int
+	out             decide.Orders
+	resident        map[wardturn.AdapterRef]int // running requests of each adapter, as the engine counts them
+	loads           []decide.SlotOrder
+	unloads         []decide.SlotOrder
+	state           map[wardturn.AttemptID]attemptState
+	adapter         map[wardturn.AttemptID]wardturn.AdapterRef
+	running         []wardturn.AttemptID
+	reports         []wardturn.EngineReport // made and not yet delivered
+	foreignLoads    []wardturn.AdapterRef   // adapters whose loads were ordered by an earlier agent and are still under way
+	foreignRequests []wardturn.AdapterRef   // adapters of requests sent by an earlier agent that are still running
+	permits         int
+	next            uint64
+	leaving         bool
 }
 
 type attemptState int
@@ -44,9 +44,9 @@
 )
 
 const (
-	modelSlots   = 3
-	modelRunning = 4
-	modelNames   = 5
+	modelSlots    = 3
+	modelRunning  = 4
+	modelAdapters = 5
 )
 
 func newAgentModel(t *rapid.T) *agentModel {
@@ -85,8 +85,8 @@
 	}, policy.Default{}, permits)
 }
 
-// absorb executes the agent's orders.
-func (m *agentModel) absorb(t *rapid.T) {
+// applyOrders executes the agent's orders.
+func (m *agentModel) applyOrders(t *rapid.T) {
 	out := m.out
 	m.out = decide.Orders{}
 	for _, r := range out.Refuse {
@@ -118,7 +118,7 @@
 	if _, ok := m.resident[ref]; !ok {
 		// Only an engine that restarted may lack an adapter that the agent expects.
 		m.agent.NotLoaded(m.now, id, &m.out)
-		m.absorb(t)
+		m.applyOrders(t)
 		return
 	}
 	m.state[id] = started
@@ -139,7 +139,7 @@
 		Seq:   m.next,
 	}
 	ref := wardturn.AdapterRef{
-		Adapter: wardturn.AdapterID(fmt.Sprintf("a%d", rapid.IntRange(0, modelNames-1).Draw(t, "adapter"))),
+		Adapter: wardturn.AdapterID(fmt.Sprintf("a%d", rapid.IntRange(0, modelAdapters-1).Draw(t, "adapter"))),
 		Version: wardturn.Version(rapid.IntRange(1, 2).Draw(t, "version")),
 	}
 	w := decide.Work{
@@ -153,7 +153,7 @@
 	m.state[id] = waiting
 	m.adapter[id] = ref
 	m.agent.Admit(m.now, w, &m.out)
-	m.absorb(t)
+	m.applyOrders(t)
 	if m.leaving && m.state[id] != refused {
 		t.Fatalf("admitted %v while leaving", id)
 	}
@@ -171,7 +171,7 @@
 		m.resident[m.adapter[id]]--
 	}
 	m.agent.Finished(m.now, id, &m.out)
-	m.absorb(t)
+	m.applyOrders(t)
 }
 
 func (m *agentModel) Cancel(t *rapid.T) {
@@ -189,7 +189,7 @@
 	if queued {
 		m.state[id] = refused
 	}
-	m.absorb(t)
+	m.applyOrders(t)
 }
 
 func (m *agentModel) Load(t *rapid.T) {
@@ -201,15 +201,15 @@
 	result := decide.OrderResult(rapid.IntRange(0, 3).Draw(t, "result"))
 	effect := result == decide.OrderDone || result == decide.OrderUncertain && rapid.Bool().Draw(t, "took effect")
 	if effect {
-		if len(m.resident)+len(m.ghosts) >= m.slots {
+		if len(m.resident)+len(m.foreignLoads) >= m.slots {
 			t.Fatalf("load of %v into a full engine", o.Adapter)
 		}
 		m.resident[o.Adapter] = 0
 	}
 	m.agent.Loaded(m.now, o.ID, result, &m.out)
-	m.absorb(t)
+	m.applyOrders(t)
 	m.agent.Loaded(m.now, o.ID, decide.OrderDone, &m.out) // a duplicate, delayed result
-	m.absorb(t)
+	m.applyOrders(t)
 }
 
 func (m *agentModel) Unload(t *rapid.T) {
@@ -224,7 +224,7 @@
 		delete(m.resident, o.Adapter)
 	}
 	m.agent.Unloaded(m.now, o.ID, result, &m.out)
-	m.absorb(t)
+	m.applyOrders(t)
 }
 
 func (m *agentModel) Restart(t *rapid.T) {
@@ -232,15 +232,15 @@
 		t.Skip("not now")
 	}
 	m.resident = make(map[wardturn.AdapterRef]int)
-	m.ghosts = nil
-	m.strays = nil
+	m.foreignLoads = nil
+	m.foreignRequests = nil
 	running := m.running
 	m.running = nil
 	for _, id := range running {
 		m.state[id] = finished
 		m.agent.Finished(m.now, id, &m.out)
 	}
-	m.absorb(t)
+	m.applyOrders(t)
 }
 
 // RestartAgent replaces the agent beside a busy engine. Requests and loads of the earlier
@@ -250,11 +250,11 @@
 		t.Skip("not now")
 	}
 	for _, id := range m.running {
-		m.strays = append(m.strays, m.adapter[id])
+		m.foreignRequests = append(m.foreignRequests, m.adapter[id])
 	}
 	for _, o := range m.loads {
-		if rapid.Bool().Draw(t, "under way") && len(m.resident)+len(m.ghosts) < m.slots {
-			m.ghosts = append(m.ghosts, o.Adapter)
+		if rapid.Bool().Draw(t, "under way") && len(m.resident)+len(m.foreignLoads) < m.slots {
+			m.foreignLoads = append(m.foreignLoads, o.Adapter)
 		}
 	}
 	for id, st := range m.state {
@@ -271,22 +271,22 @@
 	m.newAgent()
 }
 
-// EndStray ends a request of an earlier agent.
-func (m *agentModel) EndStray(t *rapid.T) {
-	if len(m.strays) == 0 {
+// EndForeignRequest ends a request of an earlier agent.
+func (m *agentModel) EndForeignRequest(t *rapid.T) {
+	if len(m.foreignRequests) == 0 {
 		t.Skip("none")
 	}
-	m.resident[m.strays[0]]--
-	m.strays = m.strays[1:]
+	m.resident[m.foreignRequests[0]]--
+	m.foreignRequests = m.foreignRequests[1:]
 }
 
-// EndGhost completes a load ordered by an earlier agent.
-func (m *agentModel) EndGhost(t *rapid.T) {
-	if len(m.ghosts) == 0 {
+// EndForeignLoad completes a load ordered by an earlier agent.
+func (m *agentModel) EndForeignLoad(t *rapid.T) {
+	if len(m.foreignLoads) == 0 {
 		t.Skip("none")
 	}
-	m.resident[m.ghosts[0]] += 0
-	m.ghosts = m.ghosts[1:]
+	m.resident[m.foreignLoads[0]] += 0
+	m.foreignLoads = m.foreignLoads[1:]
 }
 
 // MakeReport makes an engine report, and Report delivers the oldest one. Other steps may
@@ -306,7 +306,7 @@
 	for _, o := range m.loads {
 		rep.Loading = append(rep.Loading, o.Adapter)
 	}
-	rep.Loading = append(rep.Loading, m.ghosts...)
+	rep.Loading = append(rep.Loading, m.foreignLoads...)
 	m.reports = append(m.reports, rep)
 	m.now = m.now.Add(time.Millisecond)
 }
@@ -319,7 +319,7 @@
 	m.reports = m.reports[1:]
 	m.now = m.now.Add(time.Millisecond)
 	m.agent.Report(m.now, rep, &m.out)
-	m.absorb(t)
+	m.applyOrders(t)
 }
 
 func (m *agentModel) Leave(t *rapid.T) {
@@ -328,7 +328,7 @@
 	}
 	m.leaving = true
 	m.agent.Leave(m.now, &m.out)
-	m.absorb(t)
+	m.applyOrders(t)
 	for id, st := range m.state {
 		if st == waiting {
 			t.Fatalf("%v still waits at a leaving agent", id)
@@ -336,10 +336,10 @@
 	}
 }
 
-func (m *agentModel) Pass(t *rapid.T) {
+func (m *agentModel) PassTime(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 	m.agent.Tick(m.now, &m.out)
-	m.absorb(t)
+	m.applyOrders(t)
 }
 
 // Check verifies the invariants after every step.
--- a/decide/crashes_model_test.go
+++ b/decide/crashes_model_test.go
@@ -13,47 +13,47 @@
 	"wardturn/decide"
 )
 
-// crashSim simulates, in virtual time, gateways and engines that end while they serve
-// certain requests. The traffic consists of requests that are unique to a caller, some of
-// which are resumed or retried after a cut; of one popular request sent by many callers;
-// and of fatal requests, each sent several times a second through any gateway. Once, all
-// engines end at the same time.
-type crashSim struct {
-	way    crashWay
-	draw   *rand.Rand
-	now    time.Time
-	events simEvents
-	gates  []*decide.Crashes
-	up     []bool
-	lives  []int
-	runs   []map[*simRun]bool // by engine
-	stored []wardturn.RecordedCrash
-	read   []int // number of stored records read, by gateway
-	fatals map[wardturn.ContentID]*fatalTally
-	got    crashFigures
-	starts int
+// crashSimulation simulates, in virtual time, gateways and engines that end while they
+// serve certain requests. The traffic consists of requests that are unique to a caller,
+// some of which are resumed or retried after a cut; of one popular request sent by many
+// callers; and of fatal requests, each sent several times a second through any gateway.
+// Once, all engines end at the same time.
+type crashSimulation struct {
+	variant      crashVariant
+	rand         *rand.Rand
+	now          time.Time
+	events       simEvents
+	gateways     []*decide.Crashes
+	up           []bool
+	incarnations []int
+	running      []map[*simRequest]bool // by engine
+	stored       []wardturn.RecordedCrash
+	storedRead   []int // number of stored records read, by gateway
+	fatal        map[wardturn.ContentID]*fatalResult
+	result       crashResult
+	starts       int
 }
 
 // start starts a request at an engine.
-func (s *crashSim) start(e int, r *simRun) {
+func (s *crashSimulation) start(e int, r *simRequest) {
 	s.starts++
 	r.number = s.starts
-	s.runs[e][r] = true
+	s.running[e][r] = true
 }
 
-// crashWay is one variant of the handling of crashes.
-type crashWay struct {
-	name    string
-	limit   int
-	noClear bool // responses do not clear a content
-	noWords bool // gateways share crashes through the store only
+// crashVariant is one variant of the handling of crashes.
+type crashVariant struct {
+	name      string
+	limit     int
+	noClear   bool // responses do not clear a content
+	storeOnly bool // gateways share crashes through the store only
 	// errors is the share of requests, regardless of content, that engines answer with an
 	// error response.
 	errors      float64
 	errorsClear bool // an error response clears a content
 }
 
-type crashFigures struct {
+type crashResult struct {
 	ended    int // engines ended by fatal requests
 	late     int // largest number of times a fatal request was sent more than 3 s after it ended its third engine
 	cut      int // other requests that were cut off
@@ -61,18 +61,18 @@
 	answered int
 }
 
-type fatalTally struct {
+type fatalResult struct {
 	ended   int
 	thirdAt time.Time
 	late    int
 }
 
-type simRun struct {
+type simRequest struct {
 	number  int // in order of their starts
 	content wardturn.ContentID
-	gate    int
+	gateway int
 	left    time.Duration
-	again   int // remaining resumptions or retries after a cut
+	retries int // remaining resumptions or retries after a cut
 }
 
 type simEvent struct {
@@ -93,101 +93,101 @@
 }
 
 const (
-	simGates   = 4
-	simEngines = 12
-	simFor     = 60 * time.Second
-	simBack    = 3300 * time.Millisecond // time until an engine that ended is back
-	simFatal   = 60 * time.Millisecond   // run time of a fatal request
-	simSeen    = 25 * time.Millisecond   // time until a gateway knows that an engine has ended
-	simWord    = 10 * time.Millisecond
-	simRead    = 1200 * time.Millisecond // interval between reads of the store
-	simUsual   = 200                     // unique requests per second
-	simPopular = 20                      // popular requests per second
-	simOutage  = 40 * time.Second
+	simGateways       = 4
+	simEngines        = 12
+	simDuration       = 60 * time.Second
+	simRestartTime    = 3300 * time.Millisecond // time until an engine that ended is back
+	simFatalTime      = 60 * time.Millisecond   // run time of a fatal request
+	simDetectionDelay = 25 * time.Millisecond   // time until a gateway knows that an engine has ended
+	simMessageDelay   = 10 * time.Millisecond
+	simReadInterval   = 1200 * time.Millisecond // interval between reads of the store
+	simUniqueRate     = 200                     // unique requests per second
+	simPopularRate    = 20                      // popular requests per second
+	simOutageAt       = 40 * time.Second
 )
 
-func (s *crashSim) after(d time.Duration, f func()) {
+func (s *crashSimulation) after(d time.Duration, f func()) {
 	heap.Push(&s.events, simEvent{
 		at: s.now.Add(d),
 		do: f,
 	})
 }
 
-func (s *crashSim) every(d time.Duration, f func()) {
-	s.after(time.Duration(s.draw.ExpFloat64()*float64(d)), func() {
+func (s *crashSimulation) every(d time.Duration, f func()) {
+	s.after(time.Duration(s.rand.ExpFloat64()*float64(d)), func() {
 		f()
 		s.every(d, f)
 	})
 }
 
-func playCrashes(way crashWay, seed uint64) crashFigures {
-	s := &crashSim{
-		way:    way,
-		draw:   rand.New(rand.NewPCG(seed, 1)),
-		now:    time.Unix(1_000_000, 0),
-		read:   make([]int, simGates),
-		fatals: make(map[wardturn.ContentID]*fatalTally),
-		lives:  make([]int, simEngines),
+func runCrashSimulation(variant crashVariant, seed uint64) crashResult {
+	s := &crashSimulation{
+		variant:      variant,
+		rand:         rand.New(rand.NewPCG(seed, 1)),
+		now:          time.Unix(1_000_000, 0),
+		storedRead:   make([]int, simGateways),
+		fatal:        make(map[wardturn.ContentID]*fatalResult),
+		incarnations: make([]int, simEngines),
 	}
-	for range simGates {
-		s.gates = append(s.gates, decide.NewCrashes(decide.CrashConfig{
-			Limit:  way.limit,
+	for range simGateways {
+		s.gateways = append(s.gateways, decide.NewCrashes(decide.CrashConfig{
+			Limit:  variant.limit,
 			Memory: time.Hour,
 		}))
 	}
 	for range simEngines {
 		s.up = append(s.up, true)
-		s.runs = append(s.runs, make(map[*simRun]bool))
+		s.running = append(s.running, make(map[*simRequest]bool))
 	}
 	s.begin()
-	until := s.now.Add(simFor)
+	until := s.now.Add(simDuration)
 	for s.now.Before(until) {
 		e := heap.Pop(&s.events).(simEvent)
 		s.now = e.at
 		e.do()
 	}
-	for _, f := range s.fatals {
-		s.got.late = max(s.got.late, f.late)
+	for _, f := range s.fatal {
+		s.result.late = max(s.result.late, f.late)
 	}
-	return s.got
+	return s.result
 }
 
 // begin schedules the callers, the gateways' reads and the outage.
-func (s *crashSim) begin() {
+func (s *crashSimulation) begin() {
 	for i := range 2 {
 		content := wardturn.ContentID(fmt.Sprint("fatal", i))
-		s.fatals[content] = &fatalTally{}
+		s.fatal[content] = &fatalResult{}
 		s.every(250*time.Millisecond, func() {
 			s.sendFatal(content)
 		})
 	}
 	n := 0
-	s.every(time.Second/simUsual, func() {
+	s.every(time.Second/simUniqueRate, func() {
 		n++
-		s.send(&simRun{
+		s.send(&simRequest{
 			content: wardturn.ContentID(fmt.Sprint("usual", n)),
-			gate:    s.draw.IntN(simGates),
-			left:    time.Duration(1500+s.draw.IntN(2000)) * time.Millisecond,
-			again:   s.draw.IntN(3),
+			gateway: s.rand.IntN(simGateways),
+			left:    time.Duration(1500+s.rand.IntN(2000)) * time.Millisecond,
+			retries: s.rand.IntN(3),
 		})
 	})
-	s.every(time.Second/simPopular, func() {
-		s.send(&simRun{
+	s.every(time.Second/simPopularRate, func() {
+		s.send(&simRequest{
 			content: "popular",
-			gate:    s.draw.IntN(simGates),
+			gateway: s.rand.IntN(simGateways),
 			left:    60 * time.Millisecond,
 		})
 	})
-	for i := range simGates {
-		s.every(simRead, func() {
-			s.gates[i].Recorded(s.now, s.stored[s.read[i]:])
-			s.read[i] = len(s.stored)
-			s.gates[i].Sweep(s.now)
+	for i := range simGateways {
+		s.every(simReadInterval, func() {
+			s.gateways[i].Recorded(s.now, s.stored[s.storedRead[i]:])
+			s.storedRead[i] = len(s.stored)
+			s.gateways[i].Sweep(s.now)
 		})
 	}
-	s.after(simOutage, func() {
+	s.after(simOutageAt, func() {
 		for i := range simEngines {
-			s.after(time.Duration(s.draw.IntN(300))*time.Millisecond, func() {
+			s.after(time.Duration(s.rand.IntN(300))*time.Millisecond, func() {
 				s.end(i)
 			})
 		}
@@ -195,8 +195,8 @@
 }
 
 // engine returns a random running engine, or -1.
-func (s *crashSim) engine() int {
-	first := s.draw.IntN(simEngines)
+func (s *crashSimulation) engine() int {
+	first := s.rand.IntN(simEngines)
 	for i := range simEngines {
 		if e := (first + i) % simEngines; s.up[e] {
 			return e
@@ -205,44 +205,44 @@
 	return -1
 }
 
-func (s *crashSim) sendFatal(content wardturn.ContentID) {
-	gate := s.draw.IntN(simGates)
-	if _, refused := s.gates[gate].Refuses(s.now, content); refused {
+func (s *crashSimulation) sendFatal(content wardturn.ContentID) {
+	gateway := s.rand.IntN(simGateways)
+	if _, refused := s.gateways[gateway].Refuses(s.now, content); refused {
 		return
 	}
 	e := s.engine()
 	if e < 0 {
 		return
 	}
-	f := s.fatals[content]
+	f := s.fatal[content]
 	if f.ended >= 3 && s.now.Sub(f.thirdAt) > 3*time.Second {
 		f.late++
 	}
-	r := &simRun{
+	r := &simRequest{
 		content: content,
-		gate:    gate,
+		gateway: gateway,
 	}
 	s.start(e, r)
-	erring := s.errs()
-	s.after(simFatal, func() {
-		if !s.runs[e][r] {
+	fails := s.nextFails()
+	s.after(simFatalTime, func() {
+		if !s.running[e][r] {
 			return
 		}
-		if erring {
-			s.erred(e, r)
+		if fails {
+			s.fail(e, r)
 			return
 		}
 		s.end(e)
-		s.got.ended++
+		s.result.ended++
 		if f.ended++; f.ended == 3 {
 			f.thirdAt = s.now
 		}
 	})
 }
 
-func (s *crashSim) send(r *simRun) {
-	if _, refused := s.gates[r.gate].Refuses(s.now, r.content); refused {
-		s.got.refused++
+func (s *crashSimulation) send(r *simRequest) {
+	if _, refused := s.gateways[r.gateway].Refuses(s.now, r.content); refused {
+		s.result.refused++
 		return
 	}
 	e := s.engine()
@@ -250,46 +250,46 @@
 		return
 	}
 	s.start(e, r)
-	if s.errs() {
-		s.after(simFatal, func() {
-			if s.runs[e][r] {
-				s.erred(e, r)
+	if s.nextFails() {
+		s.after(simFatalTime, func() {
+			if s.running[e][r] {
+				s.fail(e, r)
 			}
 		})
 		return
 	}
 	s.after(r.left, func() {
-		if s.runs[e][r] {
-			delete(s.runs[e], r)
+		if s.running[e][r] {
+			delete(s.running[e], r)
 			s.answered(r)
 		}
 	})
 }
 
-// errs reports whether an engine answers the next request with an error response.
-func (s *crashSim) errs() bool {
-	return s.way.errors > 0 && s.draw.Float64() < s.way.errors
+// nextFails reports whether an engine answers the next request with an error response.
+func (s *crashSimulation) nextFails() bool {
+	return s.variant.errors > 0 && s.rand.Float64() < s.variant.errors
 }
 
-// erred ends a request with an error response.
-func (s *crashSim) erred(e int, r *simRun) {
-	delete(s.runs[e], r)
-	if s.way.errorsClear {
+// fail ends a request with an error response.
+func (s *crashSimulation) fail(e int, r *simRequest) {
+	delete(s.running[e], r)
+	if s.variant.errorsClear {
 		s.answered(r)
 	}
 }
 
-func (s *crashSim) answered(r *simRun) {
-	s.got.answered++
-	if s.way.noClear {
+func (s *crashSimulation) answered(r *simRequest) {
+	s.result.answered++
+	if s.variant.noClear {
 		return
 	}
-	if !s.gates[r.gate].Answered(s.now, r.content) {
+	if !s.gateways[r.gateway].Answered(s.now, r.content) {
 		return
 	}
-	for i, g := range s.gates {
-		if i != r.gate && !s.way.noWords {
-			s.after(simWord, func() {
+	for i, g := range s.gateways {
+		if i != r.gateway && !s.variant.storeOnly {
+			s.after(simMessageDelay, func() {
 				g.Cleared([]wardturn.ContentID{r.content})
 			})
 		}
@@ -297,119 +297,119 @@
 }
 
 // end ends an engine and cuts off its requests.
-func (s *crashSim) end(e int) {
+func (s *crashSimulation) end(e int) {
 	if !s.up[e] {
 		return
 	}
 	s.up[e] = false
-	id := wardturn.UpstreamID(fmt.Sprintf("e%d-%d", e, s.lives[e]))
-	seen := make(map[int]bool)
+	id := wardturn.UpstreamID(fmt.Sprintf("e%d-%d", e, s.incarnations[e]))
+	affected := make(map[int]bool)
 	// In order of their start: the order of a map would make the result depend on more
 	// than the seed.
-	cut := slices.SortedFunc(maps.Keys(s.runs[e]), func(x, y *simRun) int {
+	cut := slices.SortedFunc(maps.Keys(s.running[e]), func(x, y *simRequest) int {
 		return x.number - y.number
 	})
 	for _, r := range cut {
-		s.gates[r.gate].Broke(s.now, r.content, id)
-		seen[r.gate] = true
-		if s.fatals[r.content] != nil {
+		s.gateways[r.gateway].Broke(s.now, r.content, id)
+		affected[r.gateway] = true
+		if s.fatal[r.content] != nil {
 			continue
 		}
-		s.got.cut++
-		if r.again > 0 {
-			r.again--
-			s.after(time.Duration(10+s.draw.IntN(300))*time.Millisecond, func() {
+		s.result.cut++
+		if r.retries > 0 {
+			r.retries--
+			s.after(time.Duration(10+s.rand.IntN(300))*time.Millisecond, func() {
 				s.send(r)
 			})
 		}
 	}
-	clear(s.runs[e])
-	for i := range simGates {
-		if seen[i] {
-			s.after(simSeen, func() {
-				s.tell(i, s.gates[i].Ended(s.now, id))
+	clear(s.running[e])
+	for i := range simGateways {
+		if affected[i] {
+			s.after(simDetectionDelay, func() {
+				s.shareCrashes(i, s.gateways[i].Ended(s.now, id))
 			})
 		}
 	}
-	s.after(simBack, func() {
-		s.lives[e]++
+	s.after(simRestartTime, func() {
+		s.incarnations[e]++
 		s.up[e] = true
 	})
 }
 
-// tell sends new crashes from a gateway to the others, and writes the records that are
-// due.
-func (s *crashSim) tell(gate int, fresh []wardturn.Crash) {
-	for i, g := range s.gates {
-		if i != gate && !s.way.noWords {
-			s.after(simWord, func() {
+// shareCrashes sends new crashes from a gateway to the others, and writes the records
+// that are due.
+func (s *crashSimulation) shareCrashes(gateway int, fresh []wardturn.Crash) {
+	for i, g := range s.gateways {
+		if i != gateway && !s.variant.storeOnly {
+			s.after(simMessageDelay, func() {
 				g.Heard(s.now, fresh)
 				s.record(i)
 			})
 		}
 	}
-	s.record(gate)
+	s.record(gateway)
 }
 
-func (s *crashSim) record(gate int) {
-	due, takeBack := s.gates[gate].Due(s.now, s.way.noWords)
+func (s *crashSimulation) record(gateway int) {
+	due, deletes := s.gateways[gateway].Due(s.now, s.variant.storeOnly)
 	for _, crash := range due {
 		s.stored = append(s.stored, wardturn.RecordedCrash{
 			Crash: crash,
 			At:    s.now,
 		})
 	}
-	s.gates[gate].Written(due, takeBack)
+	s.gateways[gateway].Written(due, deletes)
 }
 
 // Compares variants of crash handling over ten seeds of a minute each.
 func TestCrashesOfManyGateways(t *testing.T) {
 	const never = 1 << 20
-	sum := func(way crashWay) crashFigures {
-		var all crashFigures
+	sum := func(variant crashVariant) crashResult {
+		var all crashResult
 		for seed := range uint64(10) {
-			f := playCrashes(way, seed)
+			f := runCrashSimulation(variant, seed)
 			all.ended += f.ended
 			all.late = max(all.late, f.late)
 			all.cut += f.cut
 			all.refused += f.refused
 			all.answered += f.answered
 		}
-		t.Logf("%-28s engines ended %4d, late sends at most %3d, others cut %6d, refused %5d, answered %d", way.name, all.ended, all.late, all.cut, all.refused, all.answered)
+		t.Logf("%-28s engines ended %4d, late sends at most %3d, others cut %6d, refused %5d, answered %d", variant.name, all.ended, all.late, all.cut, all.refused, all.answered)
 		return all
 	}
-	without := sum(crashWay{
+	unlimited := sum(crashVariant{
 		name:  "without",
 		limit: never,
 	})
-	two := sum(crashWay{
+	limitTwo := sum(crashVariant{
 		name:  "limit two",
 		limit: 2,
 	})
-	kept := sum(crashWay{
+	limitThree := sum(crashVariant{
 		name:  "limit three",
 		limit: 3,
 	})
-	noClear := sum(crashWay{
+	noClear := sum(crashVariant{
 		name:    "answers do not clear",
 		limit:   3,
 		noClear: true,
 	})
-	noWords := sum(crashWay{
-		name:    "through the store alone",
-		limit:   3,
-		noWords: true,
+	storeOnly := sum(crashVariant{
+		name:      "through the store alone",
+		limit:     3,
+		storeOnly: true,
 	})
-	if kept.late > 3 || noWords.late > 3 {
-		t.Errorf("%d late sends, %d when sharing through the store only; at most 3 are allowed", kept.late, noWords.late)
+	if limitThree.late > 3 || storeOnly.late > 3 {
+		t.Errorf("%d late sends, %d when sharing through the store only; at most 3 are allowed", limitThree.late, storeOnly.late)
 	}
-	if kept.ended*10 > without.ended {
-		t.Errorf("%d engines ended, %d without crash handling", kept.ended, without.ended)
+	if limitThree.ended*10 > unlimited.ended {
+		t.Errorf("%d engines ended, %d without crash handling", limitThree.ended, unlimited.ended)
 	}
-	if kept.refused > 0 {
-		t.Errorf("%d other requests were refused", kept.refused)
+	if limitThree.refused > 0 {
+		t.Errorf("%d other requests were refused", limitThree.refused)
 	}
-	if noClear.refused <= kept.refused || two.ended > kept.ended {
+	if noClear.refused <= limitThree.refused || limitTwo.ended > limitThree.ended {
 		t.Error("the variants do not differ as expected")
 	}
 }
@@ -420,9 +420,9 @@
 func TestCrashesOfFailingEngines(t *testing.T) {
 	for _, errors := range []float64{0.3, 0.5, 0.7} {
 		for _, clear := range []bool{true, false} {
-			var all crashFigures
+			var all crashResult
 			for seed := range uint64(10) {
-				f := playCrashes(crashWay{
+				f := runCrashSimulation(crashVariant{
 					limit:       3,
 					errors:      errors,
 					errorsClear: clear,
--- a/decide/crashes_test.go
+++ b/decide/crashes_test.go
@@ -26,8 +26,8 @@
 			Upstream: wardturn.UpstreamID(upstream),
 		}
 	}
-	// ends has an upstream end while it serves some contents.
-	ends := func(upstream string, contents ...wardturn.ContentID) {
+	// endUpstream has an upstream end while it serves some contents.
+	endUpstream := func(upstream string, contents ...wardturn.ContentID) {
 		for _, content := range contents {
 			c.Broke(now, content, wardturn.UpstreamID(upstream))
 		}
@@ -47,7 +47,7 @@
 
 	It("refuse a content for a day after three upstreams have ended while serving it", func() {
 		for i, want := range []bool{false, false, true} {
-			ends(fmt.Sprint("u", i), bad)
+			endUpstream(fmt.Sprint("u", i), bad)
 			Expect(refuses(bad)).To(Equal(want))
 		}
 		Expect(refuses(other)).To(BeFalse())
@@ -59,14 +59,14 @@
 
 	It("count an upstream once, whichever gateway reports it", func() {
 		for range 3 {
-			ends("u", bad)
+			endUpstream("u", bad)
 			Expect(c.Heard(now, []wardturn.Crash{crash(bad, "u")})).To(BeEmpty())
 		}
 		Expect(refuses(bad)).To(BeFalse())
 	})
 
 	It("count crashes reported by other gateways", func() {
-		ends("u0", bad)
+		endUpstream("u0", bad)
 		Expect(c.Heard(now, []wardturn.Crash{crash(bad, "u1"), crash(bad, "u2")})).To(HaveLen(2))
 		Expect(refuses(bad)).To(BeTrue())
 	})
@@ -102,11 +102,11 @@
 	})
 
 	It("clear a content that ran beside a crashing one once it is answered", func() {
-		ends("u0", bad, other)
-		ends("u1", bad, other)
+		endUpstream("u0", bad, other)
+		endUpstream("u1", bad, other)
 		Expect(c.Answered(now, other)).To(BeTrue())
 		now = now.Add(3 * time.Second)
-		ends("u2", bad, other)
+		endUpstream("u2", bad, other)
 		Expect(refuses(bad)).To(BeTrue())
 		Expect(refuses(other)).To(BeFalse())
 	})
@@ -115,7 +115,7 @@
 		c.Answered(now, other)
 		now = now.Add(time.Second)
 		for i := range 5 {
-			ends(fmt.Sprint("u", i), other)
+			endUpstream(fmt.Sprint("u", i), other)
 		}
 		Expect(refuses(other)).To(BeFalse())
 	})
@@ -124,13 +124,13 @@
 		c.Answered(now, bad)
 		now = now.Add(2 * time.Second)
 		for i := range 3 {
-			ends(fmt.Sprint("u", i), bad)
+			endUpstream(fmt.Sprint("u", i), bad)
 		}
 		Expect(refuses(bad)).To(BeTrue())
 	})
 
 	It("record the crashes observed by this gateway once, for contents with two crashes", func() {
-		ends("u0", bad, other)
+		endUpstream("u0", bad, other)
 		due, _ := c.Due(now, false)
 		Expect(due).To(BeEmpty())
 		all, _ := c.Due(now, true)
@@ -158,8 +158,8 @@
 	})
 
 	It("record again what the store has lost, first through the gateway that observed it", func() {
-		ends("u0", bad)
-		ends("u1", bad)
+		endUpstream("u0", bad)
+		endUpstream("u1", bad)
 		c.Heard(now, []wardturn.Crash{crash(bad, "u2")})
 		due, _ := c.Due(now, false)
 		c.Written(due, nil)
@@ -182,8 +182,8 @@
 	})
 
 	It("delete records that no longer apply", func() {
-		ends("u0", bad)
-		ends("u1", bad)
+		endUpstream("u0", bad)
+		endUpstream("u1", bad)
 		due, _ := c.Due(now, false)
 		c.Written(due, nil)
 		c.Answered(now, bad)
@@ -195,8 +195,8 @@
 	})
 
 	It("delete a record that was written while its content was answered", func() {
-		ends("u0", bad)
-		ends("u1", bad)
+		endUpstream("u0", bad)
+		endUpstream("u1", bad)
 		due, _ := c.Due(now, false)
 		c.Answered(now, bad)
 		c.Written(due, nil)
@@ -221,7 +221,7 @@
 
 	It("expire, and delete their records", func() {
 		for i := range 3 {
-			ends(fmt.Sprint("u", i), bad)
+			endUpstream(fmt.Sprint("u", i), bad)
 		}
 		due, _ := c.Due(now, false)
 		c.Written(due, nil)
@@ -230,13 +230,13 @@
 		c.Sweep(now)
 		_, back := c.Due(now, false)
 		Expect(back).To(Equal(due))
-		ends("u4", bad)
+		endUpstream("u4", bad)
 		Expect(refuses(bad)).To(BeFalse())
 	})
 
 	It("keep the contents with the most crashes when there are too many", func() {
 		for i := range 3 {
-			ends(fmt.Sprint("u", i), bad)
+			endUpstream(fmt.Sprint("u", i), bad)
 		}
 		for i := range 1 << 16 {
 			c.Heard(now, []wardturn.Crash{crash(wardturn.ContentID(fmt.Sprint("c", i)), "u")})
--- a/decide/finish_test.go
+++ b/decide/finish_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("Copies of an adapter for waiting prompts", func() {
-	const long wardturn.Tokens = 8400 // 210 ms of prefill
+	const longPrompt wardturn.Tokens = 8400 // 210 ms of prefill
 	var x *fleetRig
 	BeforeEach(func() {
 		x = newFleetRig()
@@ -25,17 +25,17 @@
 	}
 
 	It("are made for a long prompt that would miss its objective where its adapter is, and it waits for the copy", func() {
-		admit("first", "hot", long)
-		admit("second", "hot", long)
+		admit("first", "hot", longPrompt)
+		admit("second", "hot", longPrompt)
 		Expect(x.got["second"].Member.ID).To(BeEquivalentTo("n0")) // 420 ms of prefill, with an objective of 600 ms
-		admit("third", "hot", long)
+		admit("third", "hot", longPrompt)
 		Expect(x.got).NotTo(HaveKey("third"))
 		Expect(x.out.Asks).To(HaveLen(1))
-		copied := x.out.Asks[0].Upstream
-		Expect(copied).NotTo(BeEquivalentTo("n0"))
+		copyEngine := x.out.Asks[0].Upstream
+		Expect(copyEngine).NotTo(BeEquivalentTo("n0"))
 		x.tick(250 * time.Millisecond)
-		x.hold(string(copied), readyAdapter("hot", 1))
-		Expect(x.got["third"].Member.ID).To(Equal(copied))
+		x.hold(string(copyEngine), readyAdapter("hot", 1))
+		Expect(x.got["third"].Member.ID).To(Equal(copyEngine))
 	})
 
 	It("are made while the load window has any space, however many gateways share it", func() {
@@ -46,7 +46,7 @@
 			Gateways:  26,
 		}, &x.out)
 		for i := range 3 {
-			admit(fmt.Sprint("r", i), "hot", long)
+			admit(fmt.Sprint("r", i), "hot", longPrompt)
 		}
 		Expect(x.got).To(HaveLen(2))
 		Expect(x.out.Asks).To(HaveLen(1))
@@ -61,8 +61,8 @@
 	})
 
 	It("are not waited for if the prompt would miss its objective there as well", func() {
-		admit("first", "hot", long)
-		admit("second", "hot", long)
+		admit("first", "hot", longPrompt)
+		admit("second", "hot", longPrompt)
 		admit("huge", "hot", 20000) // 500 ms of prefill, and 300 ms for a load
 		Expect(x.got["huge"].Member.ID).To(BeEquivalentTo("n0"))
 		Expect(x.out.Asks).To(BeEmpty())
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -18,7 +18,7 @@
 func BenchmarkNowhere(b *testing.B) {
 	for _, engines := range []int{18, 74, 262, 1000, 2100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			x := newNowhere(engines)
+			x := newEmptyFleet(engines)
 			b.ReportAllocs()
 			for b.Loop() {
 				x.serve()
@@ -27,15 +27,15 @@
 	}
 }
 
-// nowhere is a fleet whose engines hold no adapters.
-type nowhere struct {
+// emptyFleet is a fleet whose engines hold no adapters.
+type emptyFleet struct {
 	f    *decide.Fleet
 	now  time.Time
 	next int
 }
 
-func newNowhere(engines int) *nowhere {
-	x := &nowhere{
+func newEmptyFleet(engines int) *emptyFleet {
+	x := &emptyFleet{
 		f: decide.NewFleet(decide.FleetConfig{
 			Domain: "d",
 			Window: decide.WindowConfig{
@@ -61,14 +61,14 @@
 	}
 	x.f.SetMembers(x.now, list)
 	for _, m := range list {
-		x.tell(m.ID, decide.Holding{
+		x.setHolding(m.ID, decide.Holding{
 			Full: true,
 		})
 	}
 	return x
 }
 
-func (x *nowhere) tell(id wardturn.UpstreamID, h decide.Holding) {
+func (x *emptyFleet) setHolding(id wardturn.UpstreamID, h decide.Holding) {
 	h.Connected = true
 	h.Known = true
 	h.Models = []wardturn.BaseModel{"m"}
@@ -79,7 +79,7 @@
 }
 
 // serve admits one request and serves it until its end.
-func (x *nowhere) serve() {
+func (x *emptyFleet) serve() {
 	x.next++
 	x.now = x.now.Add(time.Millisecond)
 	name := fmt.Sprint("a", x.next%20000)
@@ -99,14 +99,14 @@
 		panic("nobody was asked")
 	}
 	id := out.Asks[0].Upstream
-	x.tell(id, decide.Holding{
+	x.setHolding(id, decide.Holding{
 		Adapters: []decide.HeldVersion{readyAdapter(name, 1)},
 	})
 	if !served {
 		panic("not served")
 	}
 	x.f.Ended(x.now, id, adapterKey(name), decide.EndedWell)
-	x.tell(id, decide.Holding{
+	x.setHolding(id, decide.Holding{
 		Gone: []wardturn.ModelAdapter{adapterKey(name)},
 	})
 }
@@ -116,9 +116,9 @@
 func BenchmarkHeld(b *testing.B) {
 	for _, engines := range []int{18, 74, 262, 1000, 2100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			x := newNowhere(engines)
+			x := newEmptyFleet(engines)
 			for i := range engines {
-				x.tell(wardturn.UpstreamID(fmt.Sprint("e", i)), decide.Holding{
+				x.setHolding(wardturn.UpstreamID(fmt.Sprint("e", i)), decide.Holding{
 					Adapters: []decide.HeldVersion{readyAdapter(fmt.Sprint("a", i), 1)},
 				})
 			}
@@ -134,7 +134,7 @@
 }
 
 // admitHeld serves a request whose adapter is held, until its end.
-func (x *nowhere) admitHeld(name string) {
+func (x *emptyFleet) admitHeld(name string) {
 	var out decide.Moves
 	x.f.Admit(x.now, &decide.Ticket{
 		Service:   fleetService,
--- a/decide/fleet_loads_test.go
+++ b/decide/fleet_loads_test.go
@@ -41,22 +41,22 @@
 			AdapterSlots: 2,
 		}))
 		other.SetMembers(x.now, fleetMembers())
-		var theirs decide.Moves
+		var otherMoves decide.Moves
 		for _, m := range fleetMembers() {
 			other.SetHolding(x.now, m.ID, decide.Holding{
 				Connected: true,
 				Known:     true,
 				Full:      true,
 				Models:    []wardturn.BaseModel{"m"},
-			}, &theirs)
+			}, &otherMoves)
 		}
 		for i := range 4 {
 			name := fmt.Sprint("a", i)
 			x.admit(name, name)
-			other.Admit(x.now, x.ticket(name, name), &theirs)
+			other.Admit(x.now, x.ticket(name, name), &otherMoves)
 		}
 		Expect(x.out.Asks).To(HaveLen(4))
-		Expect(theirs.Asks).To(Equal(x.out.Asks))
+		Expect(otherMoves.Asks).To(Equal(x.out.Asks))
 	})
 
 	It("asks first for the most recently requested adapter when loads are delayed", func() {
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -148,11 +148,11 @@
 			for range 30 {
 				x.admit("r", "")
 				id := x.got["r"].Member.ID
-				how := decide.EndedWell
+				ending := decide.EndedWell
 				if id == "n0" {
-					how = decide.EndedInError
+					ending = decide.EndedInError
 				}
-				x.f.Ended(x.now, id, adapterKey(""), how)
+				x.f.Ended(x.now, id, adapterKey(""), ending)
 			}
 			for range 5 {
 				x.admit("r", "")
--- a/decide/fleet_versions_test.go
+++ b/decide/fleet_versions_test.go
@@ -29,13 +29,13 @@
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
 		Expect(x.out.Asks).To(HaveLen(1))
-		beside := x.out.Asks[0].Upstream
-		Expect(beside).NotTo(BeEquivalentTo("n0"))
+		newEngine := x.out.Asks[0].Upstream
+		Expect(newEngine).NotTo(BeEquivalentTo("n0"))
 		x.admit("old", "a")
 		Expect(x.got["old"].Version).To(BeEquivalentTo(1))
-		x.hold(string(beside), readyAdapter("a", 2))
+		x.hold(string(newEngine), readyAdapter("a", 2))
 		x.admit("new", "a")
-		Expect(x.got["new"].Member.ID).To(Equal(beside))
+		Expect(x.got["new"].Member.ID).To(Equal(newEngine))
 		Expect(x.got["new"].Version).To(BeEquivalentTo(2))
 		Expect(x.out.Asks[len(x.out.Asks)-1].Upstream).To(BeEquivalentTo("n0"))
 	})
--- a/decide/late_test.go
+++ b/decide/late_test.go
@@ -13,8 +13,8 @@
 
 var _ = Describe("A request past its deadline", func() {
 	const (
-		left = time.Second
-		late = 5 * time.Second // no tick occurs in this time
+		timeout = time.Second
+		pause   = 5 * time.Second // no tick occurs in this time
 	)
 	var out decide.Orders
 	limit := decide.StoreLimit{
@@ -53,11 +53,11 @@
 		}, &out)
 		a.Admit(start, decide.Work{
 			Attempt:  attempt(2),
-			Deadline: start.Add(left).Add(decide.DefaultServiceTime),
+			Deadline: start.Add(timeout).Add(decide.DefaultServiceTime),
 		}, &out)
 		Expect(out.Run).To(HaveLen(1))
 		out.Reset()
-		a.Finished(start.Add(late), attempt(1), &out)
+		a.Finished(start.Add(pause), attempt(1), &out)
 		Expect(out.Run).To(BeEmpty())
 		Expect(out.Refuse).To(refused(2))
 		Expect(a.Idle()).To(BeTrue())
@@ -74,12 +74,12 @@
 				Adapter: "a",
 				Version: 1,
 			},
-			Deadline: start.Add(left),
+			Deadline: start.Add(timeout),
 		}, &out)
 		Expect(out.Load).To(HaveLen(1))
 		load := out.Load[0]
 		out.Reset()
-		a.Loaded(start.Add(late), load.ID, decide.OrderDone, &out)
+		a.Loaded(start.Add(pause), load.ID, decide.OrderDone, &out)
 		Expect(out.Run).To(BeEmpty())
 		Expect(out.Refuse).To(refused(1))
 	})
--- a/decide/old_version_test.go
+++ b/decide/old_version_test.go
@@ -24,23 +24,23 @@
 	It("stops serving after the first newer announcement", func() {
 		x := newFleetRig()
 		x.hold("n0", readyAdapter("a", 1))
-		served := make(map[time.Duration]bool)
+		servedOldAt := make(map[time.Duration]bool)
 		first := x.now
 		for v := wardturn.Version(2); v < 6; v++ {
 			x.f.SetVersion(x.now, adapterVersion("a", v), x.now, &x.out)
 			for range 4 {
 				id := x.now.String()
 				t := x.admit(id, "a")
-				served[x.now.Sub(first)] = x.got[id].Version == 1
+				servedOldAt[x.now.Sub(first)] = x.got[id].Version == 1
 				x.f.Withdraw(t)
 				x.f.Ended(x.now, x.got[id].Member.ID, adapterKey("a"), decide.EndedWell)
 				x.now = x.now.Add(500 * time.Millisecond)
 			}
 		}
-		Expect(served).To(HaveKeyWithValue(time.Duration(0), true))
-		for after, old := range served {
+		Expect(servedOldAt).To(HaveKeyWithValue(time.Duration(0), true))
+		for after, servedOld := range servedOldAt {
 			if after >= 5*time.Second {
-				Expect(old).To(BeFalse(), "%v after version 2 was named", after)
+				Expect(servedOld).To(BeFalse(), "%v after version 2 was announced", after)
 			}
 		}
 	})
--- a/decide/rendezvous_test.go
+++ b/decide/rendezvous_test.go
@@ -15,18 +15,18 @@
 	for i := range 15 {
 		list = append(list, fmt.Sprintf("10.0.0.%d:7380", i))
 	}
-	same := func(s string) string { return s }
+	identity := func(s string) string { return s }
 	counts := make(map[string]int)
 	const keys = 1000
 	for i := range keys {
 		key := fmt.Sprint("key", i)
-		two := decide.FirstTwo(key, list, same)
+		two := decide.FirstTwo(key, list, identity)
 		if len(two) != 2 {
 			t.Fatalf("FirstTwo returned %d elements, want 2", len(two))
 		}
-		first, _ := decide.First(key, list, same)
+		first, _ := decide.First(key, list, identity)
 		rest := slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == first })
-		second, _ := decide.First(key, rest, same)
+		second, _ := decide.First(key, rest, identity)
 		if two[0] != first || two[1] != second {
 			t.Fatalf("key %s: %v, want %s and %s", key, two, first, second)
 		}
@@ -40,7 +40,7 @@
 		}
 	}
 	for n := range 2 {
-		if got := decide.FirstTwo("k", list[:n], same); len(got) != n {
+		if got := decide.FirstTwo("k", list[:n], identity); len(got) != n {
 			t.Errorf("FirstTwo of %d elements: %v", n, got)
 		}
 	}
--- a/decide/turn_reads_test.go
+++ b/decide/turn_reads_test.go
@@ -20,40 +20,40 @@
 }
 
 const (
-	readEvery = time.Second
-	readStep  = 2 * time.Millisecond // of virtual time; also the transit time of a report
-	readFor   = 10 * time.Minute
+	readInterval = time.Second
+	readStep     = 2 * time.Millisecond // of virtual time; also the transit time of a report
+	readDuration = 10 * time.Minute
 )
 
 // storeReads returns how often per hour n gateways that share their reads read the list
 // of upstreams, while one in a hundred gateways is replaced each minute.
 func storeReads(n int) float64 {
 	now := start
-	started := 0
-	begin := func() (wardturn.Incarnation, *decide.ReadTurn) {
-		started++
-		id := wardturn.Incarnation(fmt.Sprintf("%08x", uint32(started)*2654435761))
+	startedCount := 0
+	startGateway := func() (wardturn.Incarnation, *decide.ReadTurn) {
+		startedCount++
+		id := wardturn.Incarnation(fmt.Sprintf("%08x", uint32(startedCount)*2654435761))
 		return id, decide.NewReadTurn(now, id, decide.ReadTurnConfig{
-			Every: readEvery,
-			Pause: readEvery,
-			Least: readEvery / 4,
+			Every: readInterval,
+			Pause: readInterval,
+			Least: readInterval / 4,
 		})
 	}
 	ids := make([]wardturn.Incarnation, n)
 	turns := make([]*decide.ReadTurn, n)
 	for i := range turns {
-		ids[i], turns[i] = begin()
+		ids[i], turns[i] = startGateway()
 	}
 	reads := 0
 	replaced := time.Minute / time.Duration(max(1, n/100))
-	for ; now.Sub(start) < readFor; now = now.Add(readStep) {
+	for ; now.Sub(start) < readDuration; now = now.Add(readStep) {
 		if now.Sub(start)%replaced < readStep {
 			i := reads % n
-			ids[i], turns[i] = begin()
+			ids[i], turns[i] = startGateway()
 		}
 		reads += readDue(now, ids, turns)
 	}
-	return float64(reads) * time.Hour.Hours() / readFor.Hours()
+	return float64(reads) * time.Hour.Hours() / readDuration.Hours()
 }
 
 // readDue performs the reads that are due and reports each to the other gateways.
--- a/decide/turn_test.go
+++ b/decide/turn_test.go
@@ -17,7 +17,7 @@
 		least = 250 * time.Millisecond
 	)
 	var now time.Time
-	turn := func(self wardturn.Incarnation) *decide.ReadTurn {
+	newTurn := func(self wardturn.Incarnation) *decide.ReadTurn {
 		return decide.NewReadTurn(now, self, decide.ReadTurnConfig{
 			Every: every,
 			Pause: every,
@@ -32,14 +32,14 @@
 	})
 
 	It("is due at the start, and after a pause while no other process reads", func() {
-		t := turn("b")
+		t := newTurn("b")
 		Expect(due(t)).To(BeNumerically("<=", 0))
 		t.Read(now)
 		Expect(due(t)).To(Equal(every))
 	})
 
 	It("retries failed reads at a constant interval", func() {
-		t := turn("b")
+		t := newTurn("b")
 		t.Read(now)
 		now = now.Add(2 * every)
 		t.Doubt(now)
@@ -101,7 +101,7 @@
 	})
 
 	It("returns the cause of a read", func() {
-		t := turn("b")
+		t := newTurn("b")
 		Expect(t.Cause(now)).To(Equal(decide.ReadFirst))
 		t.Read(now)
 		now = now.Add(2 * every)
@@ -118,7 +118,7 @@
 	})
 
 	It("leaves the reads to the process with the lowest ID while its reports arrive", func() {
-		a, b := turn("a"), turn("b")
+		a, b := newTurn("a"), newTurn("b")
 		for range 10 {
 			stamp := a.Read(now)
 			b.Heard(now, "a", stamp)
@@ -130,7 +130,7 @@
 	})
 
 	It("reads when the reports of others fail to arrive, and becomes the leader after a while", func() {
-		a, b := turn("a"), turn("b")
+		a, b := newTurn("a"), newTurn("b")
 		b.Heard(now, "a", a.Read(now))
 		now = now.Add(3 * every / 2)
 		Expect(due(b)).To(BeNumerically("<=", 0))
@@ -145,7 +145,7 @@
 		var ids []wardturn.Incarnation
 		for i := range n {
 			ids = append(ids, wardturn.Incarnation(fmt.Sprintf("%03d", i)))
-			turns = append(turns, turn(ids[i]))
+			turns = append(turns, newTurn(ids[i]))
 		}
 		read := func(i int) {
 			stamp := turns[i].Read(now)
@@ -185,7 +185,7 @@
 	})
 
 	It("recognizes the age of a delayed report", func() {
-		a, b := turn("a"), turn("b")
+		a, b := newTurn("a"), newTurn("b")
 		now = now.Add(time.Minute)
 		b.Heard(now, "a", a.Read(now))
 		held := a.Read(now.Add(every))
@@ -195,15 +195,15 @@
 	})
 
 	It("allows for processes whose clocks started at different times", func() {
-		a := turn("a")
+		a := newTurn("a")
 		now = now.Add(time.Hour)
-		b := turn("b")
+		b := newTurn("b")
 		b.Heard(now, "a", a.Read(now))
 		Expect(due(b)).To(BeNumerically(">", every))
 	})
 
 	It("is due soon after a contradiction unless another process has read since", func() {
-		a, b := turn("a"), turn("b")
+		a, b := newTurn("a"), newTurn("b")
 		b.Heard(now, "a", a.Read(now))
 		now = now.Add(10 * time.Millisecond)
 		b.Doubt(now)
@@ -213,7 +213,7 @@
 	})
 
 	It("keeps a minimum time between its own reads", func() {
-		t := turn("a")
+		t := newTurn("a")
 		t.Began(now)
 		t.Doubt(now)
 		Expect(due(t)).To(Equal(least))
