--- a/decide/crashes.go
+++ b/decide/crashes.go
@@ -41,7 +41,7 @@
 	learnedAt    time.Time // when this gateway learned of it
 }
 
-func crashOf(content wardturn.ContentID, id wardturn.UpstreamID) wardturn.Crash {
+func newCrash(content wardturn.ContentID, id wardturn.UpstreamID) wardturn.Crash {
 	return wardturn.Crash{
 		Content:  content,
 		Upstream: id,
@@ -104,9 +104,9 @@
 func (c *Crashes) Broke(now time.Time, content wardturn.ContentID, id wardturn.UpstreamID) []wardturn.Crash {
 	at, ended := c.ended[id]
 	if ended && now.Sub(at) < endCorrelationWindow {
-		return c.observed(now, []wardturn.Crash{crashOf(content, id)})
+		return c.observed(now, []wardturn.Crash{newCrash(content, id)})
 	}
-	c.brokenRequests[crashOf(content, id)] = now
+	c.brokenRequests[newCrash(content, id)] = now
 	return nil
 }
 
@@ -229,7 +229,7 @@
 	}
 	for id, state := range s.crashes {
 		if state.recorded {
-			c.pendingDeletes[crashOf(content, id)] = true
+			c.pendingDeletes[newCrash(content, id)] = true
 		}
 	}
 	delete(c.contents, content)
@@ -269,7 +269,7 @@
 		for id, state := range s.crashes {
 			assigned := state.observedHere || now.Sub(state.learnedAt) >= adoptDelay
 			if assigned && !state.recorded {
-				crashes = append(crashes, crashOf(content, id))
+				crashes = append(crashes, newCrash(content, id))
 			}
 		}
 	}
@@ -305,7 +305,7 @@
 		}
 		for id, state := range s.crashes {
 			if state.observedHere && state.recorded {
-				c.pendingDeletes[crashOf(content, id)] = true
+				c.pendingDeletes[newCrash(content, id)] = true
 			}
 		}
 		delete(c.contents, content)
--- a/decide/finish.go
+++ b/decide/finish.go
@@ -12,9 +12,9 @@
 
 // meetsObjective reports whether a request would have its first token within its
 // objective at an engine where its prefill can start after a delay.
-func meetsObjective(now time.Time, t *Ticket, m *Member, after time.Duration) bool {
-	begin := max(after, prefillDelay(now, m))
-	return !now.Add(begin + m.rate.time(int(t.Prompt))).After(t.Arrived.Add(t.Objective))
+func meetsObjective(now time.Time, t *Ticket, m *Member, delay time.Duration) bool {
+	start := max(delay, prefillDelay(now, m))
+	return !now.Add(start + m.rate.time(int(t.Prompt))).After(t.Arrived.Add(t.Objective))
 }
 
 // waitsForQuicker reports whether a request with a long prompt should wait for its
--- a/decide/member.go
+++ b/decide/member.go
@@ -64,14 +64,14 @@
 
 func cheapest(list []*Member, match func(*Member) bool, cost func(*Member) float64) *Member {
 	var best *Member
-	least := 0.0
+	lowest := 0.0
 	for _, m := range list {
 		if !match(m) {
 			continue
 		}
-		if c := cost(m); best == nil || c < least {
+		if c := cost(m); best == nil || c < lowest {
 			best = m
-			least = c
+			lowest = c
 		}
 	}
 	return best
--- a/decide/naming.go
+++ b/decide/naming.go
@@ -80,6 +80,6 @@
 // beginsInTime reports whether a request sent to a member now is expected to start on the
 // version held there before that version stops serving.
 func (f *Fleet) beginsInTime(now time.Time, m *Member, t *Ticket) bool {
-	read := m.rate.time(m.toRead(now) + int(t.Prompt))
-	return f.VersionServes(now.Add(versionStartMargin+read), t.Key, m.held[t.Key].version)
+	prefill := m.rate.time(m.toRead(now) + int(t.Prompt))
+	return f.VersionServes(now.Add(versionStartMargin+prefill), t.Key, m.held[t.Key].version)
 }
--- a/decide/rendezvous.go
+++ b/decide/rendezvous.go
@@ -21,20 +21,20 @@
 // highest first, or all elements of a shorter list.
 func FirstTwo[T any](key string, list []T, name func(T) string) []T {
 	h := hashString(key)
-	var two []T
+	var best []T
 	var scores [2]uint64
 	for _, x := range list {
 		score := mix(h ^ hashString(name(x)))
 		switch {
-		case len(two) == 0 || score > scores[0]:
-			two = append([]T{x}, two[:min(len(two), 1)]...)
+		case len(best) == 0 || score > scores[0]:
+			best = append([]T{x}, best[:min(len(best), 1)]...)
 			scores = [2]uint64{score, scores[0]}
-		case len(two) == 1 || score > scores[1]:
-			two = append(two[:1], x)
+		case len(best) == 1 || score > scores[1]:
+			best = append(best[:1], x)
 			scores[1] = score
 		}
 	}
-	return two
+	return best
 }
 
 // hashString returns the FNV-1a hash of s, passed through mix.
--- a/decide/screen.go
+++ b/decide/screen.go
@@ -52,7 +52,7 @@
 	loadDelay := a.loadTime + time.Duration(c.Backlog)*c.Interval
 	clearTime := c.clearTime()
 	cost := loadDelay + time.Duration(c.Load*float64(clearTime))
-	gain := time.Duration(float64(left) * (1 + a.rateOf(now, ad)*expectedResidency.Seconds()))
+	gain := time.Duration(float64(left) * (1 + a.requestRate(now, ad)*expectedResidency.Seconds()))
 	smallBacklog := time.Duration(c.Backlog)*c.Interval <= minRefusalBacklog
 	if loadDelay <= left && (smallBacklog || cost <= gain) {
 		return Refusal{}, false
@@ -75,7 +75,7 @@
 	})
 }
 
-func (a *Agent) rateOf(now time.Time, ad *adapter) float64 {
+func (a *Agent) requestRate(now time.Time, ad *adapter) float64 {
 	if ad == nil {
 		return 0
 	}
