--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -10,15 +10,15 @@
 	"wardturn/policy"
 )
 
-// BenchmarkNowhere takes a request for an adapter that no engine holds, from its
-// arrival to its end: a home is chosen, asked, and holds the adapter for a moment.
-// Beside five busy processes, with all engines sorted for each choice and all wants
-// looked at for each engine, it took 17 us at 18 engines, 49 us at 74, 158 us at
-// 262, 674 us at 1,000 and 1.6 ms at 2,100; as it is 14, 11, 14, 22 and 32 us.
+// BenchmarkNowhere serves a request for an adapter that no engine holds: an engine is
+// chosen as its home, asked for the adapter, and holds it for a moment. On a machine with
+// five busy processes, sorting all engines for each choice and visiting all wants for
+// each engine took 17 us at 18 engines, 49 us at 74, 158 us at 262, 674 us at 1,000 and
+// 1.6 ms at 2,100. The present code takes 14, 11, 14, 22 and 32 us.
 func BenchmarkNowhere(b *testing.B) {
 	for _, engines := range []int{18, 74, 262, 1000, 2100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			x := newNowhere(engines)
+			x := newEmptyFleet(engines)
 			b.ReportAllocs()
 			for b.Loop() {
 				x.serve()
@@ -27,15 +27,15 @@
 	}
 }
 
-// nowhere is a fleet whose engines hold nothing.
-type nowhere struct {
+// emptyFleet is a fleet whose engines hold no adapters.
+type emptyFleet struct {
 	f    *decide.Fleet
 	now  time.Time
 	next int
 }
 
-func newNowhere(engines int) *nowhere {
-	x := &nowhere{
+func newEmptyFleet(engines int) *emptyFleet {
+	x := &emptyFleet{
 		f: decide.NewFleet(decide.FleetConfig{
 			Domain: "d",
 			Window: decide.WindowConfig{
@@ -61,14 +61,14 @@
 	}
 	x.f.SetMembers(x.now, list)
 	for _, m := range list {
-		x.tell(m.ID, decide.Holding{
+		x.setHolding(m.ID, decide.Holding{
 			Full: true,
 		})
 	}
 	return x
 }
 
-func (x *nowhere) tell(id wardturn.UpstreamID, h decide.Holding) {
+func (x *emptyFleet) setHolding(id wardturn.UpstreamID, h decide.Holding) {
 	h.Connected = true
 	h.Known = true
 	h.Models = []wardturn.BaseModel{"m"}
@@ -78,8 +78,8 @@
 	x.f.SetHolding(x.now, id, h, &out)
 }
 
-// serve takes one request to its end.
-func (x *nowhere) serve() {
+// serve admits one request and serves it until its end.
+func (x *emptyFleet) serve() {
 	x.next++
 	x.now = x.now.Add(time.Millisecond)
 	name := fmt.Sprint("a", x.next%20000)
@@ -99,26 +99,26 @@
 		panic("nobody was asked")
 	}
 	id := out.Asks[0].Upstream
-	x.tell(id, decide.Holding{
+	x.setHolding(id, decide.Holding{
 		Adapters: []decide.HeldVersion{readyAdapter(name, 1)},
 	})
 	if !served {
 		panic("not served")
 	}
 	x.f.Ended(x.now, id, adapterKey(name), decide.EndedWell)
-	x.tell(id, decide.Holding{
+	x.setHolding(id, decide.Holding{
 		Gone: []wardturn.ModelAdapter{adapterKey(name)},
 	})
 }
 
-// BenchmarkHeld takes a request whose adapter an engine holds, from its arrival to
-// its end.
+// BenchmarkHeld serves a request whose adapter an engine holds, from its arrival to its
+// end.
 func BenchmarkHeld(b *testing.B) {
 	for _, engines := range []int{18, 74, 262, 1000, 2100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			x := newNowhere(engines)
+			x := newEmptyFleet(engines)
 			for i := range engines {
-				x.tell(wardturn.UpstreamID(fmt.Sprint("e", i)), decide.Holding{
+				x.setHolding(wardturn.UpstreamID(fmt.Sprint("e", i)), decide.Holding{
 					Adapters: []decide.HeldVersion{readyAdapter(fmt.Sprint("a", i), 1)},
 				})
 			}
@@ -133,8 +133,8 @@
 	}
 }
 
-// admitHeld takes a request whose adapter is held to its end.
-func (x *nowhere) admitHeld(name string) {
+// admitHeld serves a request whose adapter is held, until its end.
+func (x *emptyFleet) admitHeld(name string) {
 	var out decide.Moves
 	x.f.Admit(x.now, &decide.Ticket{
 		Service:   fleetService,
@@ -149,7 +149,7 @@
 	}, &out)
 }
 
-// BenchmarkOrderChoice finds the order that is due at a keeper, by the number of
+// BenchmarkOrderChoice finds the next order at a keeper, for different numbers of
 // adapters that gateways wish for.
 func BenchmarkOrderChoice(b *testing.B) {
 	for _, wishes := range []int{4, 64, 256} {
--- a/decide/fleet_versions_test.go
+++ b/decide/fleet_versions_test.go
@@ -13,7 +13,7 @@
 		x = newFleetRig()
 	})
 
-	It("does not send to an engine with an old version that was named before its start", func() {
+	It("does not use an old version if the newer one may have been announced before the gateway started", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.SetVersion(x.now, adapterVersion("a", 2), time.Time{}, &x.out)
 		Expect(x.out.Asks).To(HaveLen(1))
@@ -25,22 +25,22 @@
 		Expect(x.got["r"].Version).To(BeEquivalentTo(2))
 	})
 
-	It("loads a new version beside the old one, moves the requests, and then replaces the old", func() {
+	It("loads a new version on another engine, moves the requests there, and then replaces the old version", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
 		Expect(x.out.Asks).To(HaveLen(1))
-		beside := x.out.Asks[0].Upstream
-		Expect(beside).NotTo(BeEquivalentTo("n0"))
+		newEngine := x.out.Asks[0].Upstream
+		Expect(newEngine).NotTo(BeEquivalentTo("n0"))
 		x.admit("old", "a")
 		Expect(x.got["old"].Version).To(BeEquivalentTo(1))
-		x.hold(string(beside), readyAdapter("a", 2))
+		x.hold(string(newEngine), readyAdapter("a", 2))
 		x.admit("new", "a")
-		Expect(x.got["new"].Member.ID).To(Equal(beside))
+		Expect(x.got["new"].Member.ID).To(Equal(newEngine))
 		Expect(x.got["new"].Version).To(BeEquivalentTo(2))
 		Expect(x.out.Asks[len(x.out.Asks)-1].Upstream).To(BeEquivalentTo("n0"))
 	})
 
-	It("lets an old version serve no longer than its grace", func() {
+	It("does not use an old version after its end", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
 		x.now = x.now.Add(3 * time.Second)
--- a/decide/readrate.go
+++ b/decide/readrate.go
@@ -7,69 +7,71 @@
 )
 
 const (
-	// usualReadRate is how many tokens of prompts an engine is taken to read in a
-	// millisecond until some were seen to be read.
-	usualReadRate = 40.0
-	// usualReadTokens is how many read tokens that counts for.
-	usualReadTokens = 16000.0
-	// leastReadSample is the least number of tokens that tells of the rate: fewer are read
-	// within a step that the engine takes anyway.
-	leastReadSample = 1000
-	// readKeep is what remains of the weight of older prompts after each new one.
-	readKeep = 1 - 1.0/64
-	// mostReadTime bounds, in times that are expected, what one prompt tells: an engine
-	// that hangs reads at its usual rate afterwards.
-	mostReadTime = 4.0
+	// assumedPrefillRate is the assumed prefill rate of an engine, in tokens per
+	// millisecond, before any prefill was measured.
+	assumedPrefillRate = 40.0
+	// assumedPrefillTokens is the weight of that assumption, as a number of measured
+	// tokens.
+	assumedPrefillTokens = 16000.0
+	// minPrefillSample is the smallest prompt, in tokens, that is used as a sample: a
+	// shorter one is prefilled within an engine step that runs anyway.
+	minPrefillSample = 1000
+	// prefillSampleDecay is the factor by which each new sample reduces the weight of
+	// older ones.
+	prefillSampleDecay = 1 - 1.0/64
+	// maxPrefillRatio bounds a sample to a multiple of its expected time, since an engine
+	// that hung prefills at its usual rate afterwards.
+	maxPrefillRatio = 4.0
 )
 
-// readRate estimates how fast the engines of a service read prompts, from the time
-// until the first tokens of answers. It so contains what prompts wait for that this gateway
-// does not know of.
-type readRate struct {
-	tokens float64 // read lately
-	took   float64 // milliseconds
+// prefillRate estimates the prefill rate of the engines of a service from the time to
+// first token. The estimate so includes the waiting time caused by prompts that this
+// gateway does not know of.
+type prefillRate struct {
+	tokens float64 // decayed sum of prefilled tokens
+	millis float64 // decayed sum of prefill times, in milliseconds
 }
 
-func newReadRate() *readRate {
-	return &readRate{
-		tokens: usualReadTokens,
-		took:   usualReadTokens / usualReadRate,
+func newPrefillRate() *prefillRate {
+	return &prefillRate{
+		tokens: assumedPrefillTokens,
+		millis: assumedPrefillTokens / assumedPrefillRate,
 	}
 }
 
-// add takes the time in which tokens were read.
-func (r *readRate) add(tokens int, took time.Duration) {
-	if tokens < leastReadSample || took <= 0 {
+// observe records the time in which a number of tokens was prefilled.
+func (r *prefillRate) observe(tokens int, took time.Duration) {
+	if tokens < minPrefillSample || took <= 0 {
 		return
 	}
-	ms := min(milliseconds(took), mostReadTime*r.cost(tokens))
-	r.tokens = readKeep*r.tokens + float64(tokens)
-	r.took = readKeep*r.took + ms
+	millis := min(milliseconds(took), maxPrefillRatio*r.cost(tokens))
+	r.tokens = prefillSampleDecay*r.tokens + float64(tokens)
+	r.millis = prefillSampleDecay*r.millis + millis
 }
 
-// cost returns the milliseconds in which tokens are read.
-func (r *readRate) cost(tokens int) float64 {
-	return float64(tokens) * r.took / r.tokens
+// cost returns the expected prefill time of a number of tokens, in milliseconds.
+func (r *prefillRate) cost(tokens int) float64 {
+	return float64(tokens) * r.millis / r.tokens
 }
 
-// time returns the time in which tokens are read.
-func (r *readRate) time(tokens int) time.Duration {
+// time returns the expected prefill time of a number of tokens.
+func (r *prefillRate) time(tokens int) time.Duration {
 	return time.Duration(r.cost(tokens) * float64(time.Millisecond))
 }
 
-// rateOf returns the rate of the engines of a service.
-func (f *Fleet) rateOf(s wardturn.ServiceName) *readRate {
-	r := f.rates[s]
+// rateOf returns the prefill rate estimate for the engines of a service.
+func (f *Fleet) rateOf(s wardturn.ServiceName) *prefillRate {
+	r := f.prefillRates[s]
 	if r == nil {
-		r = newReadRate()
-		f.rates[s] = r
+		r = newPrefillRate()
+		f.prefillRates[s] = r
 	}
 	return r
 }
 
-// Read records how long an engine took from a request to the first token of its answer,
-// with the tokens that it had to read: of the prompt, and of those before it as far as
-// known.
+// Read records the time from sending a request to an engine to the first token of its
+// answer, with the number of tokens the engine had to prefill in that time: those of the
+// prompt and those known to be queued before it.
 func (f *Fleet) Read(s wardturn.ServiceName, tokens int, took time.Duration) {
-	f.rateOf(s).add(tokens, took)
+	f.rateOf(s).observe(tokens, took)
 }
--- a/decide/rendezvous.go
+++ b/decide/rendezvous.go
@@ -1,8 +1,8 @@
 package decide
 
-// First returns the first of a list for a key by rendezvous hashing: whoever knows
-// the same list chooses the same, and when one leaves, only its keys move. It
-// reports false for an empty list.
+// First returns the element of a list with the highest score for a key by rendezvous
+// hashing. Callers with the same list choose the same element, and when an element is
+// removed only its keys move. It reports false for an empty list.
 func First[T any](key string, list []T, name func(T) string) (first T, ok bool) {
 	h := hashString(key)
 	best := uint64(0)
@@ -17,27 +17,27 @@
 	return first, ok
 }
 
-// FirstTwo returns the first two of a list for a key, in the order of First, or all
-// of a shorter list.
+// FirstTwo returns the two elements of a list with the highest scores for a key, the
+// highest first, or all elements of a shorter list.
 func FirstTwo[T any](key string, list []T, name func(T) string) []T {
 	h := hashString(key)
-	var two []T
+	var best []T
 	var scores [2]uint64
 	for _, x := range list {
 		score := mix(h ^ hashString(name(x)))
 		switch {
-		case len(two) == 0 || score > scores[0]:
-			two = append([]T{x}, two[:min(len(two), 1)]...)
+		case len(best) == 0 || score > scores[0]:
+			best = append([]T{x}, best[:min(len(best), 1)]...)
 			scores = [2]uint64{score, scores[0]}
-		case len(two) == 1 || score > scores[1]:
-			two = append(two[:1], x)
+		case len(best) == 1 || score > scores[1]:
+			best = append(best[:1], x)
 			scores[1] = score
 		}
 	}
-	return two
+	return best
 }
 
-// hashString is FNV-1a over the string's bytes, then mixed.
+// hashString returns the FNV-1a hash of s, passed through mix.
 func hashString(s string) uint64 {
 	const (
 		offset = 14695981039346656037
@@ -51,8 +51,7 @@
 	return mix(h)
 }
 
-// mix spreads every input bit over the whole word (the finalizer of
-// splitmix64).
+// mix spreads every input bit over all 64 output bits. It is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/decide/turn_reads_test.go
+++ b/decide/turn_reads_test.go
@@ -9,54 +9,54 @@
 	"wardturn/decide"
 )
 
-// Readings of the store must not grow with the gateways: that is what sharing
-// them is for.
+// Reads of the store must not grow with the number of gateways: they are shared for that
+// purpose.
 func TestStoreReadsDoNotGrowWithGateways(t *testing.T) {
 	few, many := storeReads(3), storeReads(470)
-	t.Logf("reads an hour: 3 gateways %.0f, 470 gateways %.0f", few, many)
+	t.Logf("reads per hour: 3 gateways %.0f, 470 gateways %.0f", few, many)
 	if many > 4*few {
-		t.Errorf("470 gateways read %.0f times an hour, 3 read %.0f times", many, few)
+		t.Errorf("470 gateways read %.0f times per hour, 3 gateways %.0f times", many, few)
 	}
 }
 
 const (
-	readEvery = time.Second
-	readStep  = 2 * time.Millisecond // of virtual time; also how long a word takes
-	readFor   = 10 * time.Minute
+	readInterval = time.Second
+	readStep     = 2 * time.Millisecond // of virtual time; also the transit time of a report
+	readDuration = 10 * time.Minute
 )
 
-// storeReads returns how often the list of upstreams is read in an hour by some
-// gateways that share their readings; one in a hundred is replaced each minute.
+// storeReads returns how often per hour n gateways that share their reads read the list
+// of upstreams, while one in a hundred gateways is replaced each minute.
 func storeReads(n int) float64 {
 	now := start
-	started := 0
-	begin := func() (wardturn.Incarnation, *decide.ReadTurn) {
-		started++
-		id := wardturn.Incarnation(fmt.Sprintf("%08x", uint32(started)*2654435761))
+	startedCount := 0
+	startGateway := func() (wardturn.Incarnation, *decide.ReadTurn) {
+		startedCount++
+		id := wardturn.Incarnation(fmt.Sprintf("%08x", uint32(startedCount)*2654435761))
 		return id, decide.NewReadTurn(now, id, decide.ReadTurnConfig{
-			Every: readEvery,
-			Pause: readEvery,
-			Least: readEvery / 4,
+			Every: readInterval,
+			Pause: readInterval,
+			Least: readInterval / 4,
 		})
 	}
 	ids := make([]wardturn.Incarnation, n)
 	turns := make([]*decide.ReadTurn, n)
 	for i := range turns {
-		ids[i], turns[i] = begin()
+		ids[i], turns[i] = startGateway()
 	}
 	reads := 0
 	replaced := time.Minute / time.Duration(max(1, n/100))
-	for ; now.Sub(start) < readFor; now = now.Add(readStep) {
+	for ; now.Sub(start) < readDuration; now = now.Add(readStep) {
 		if now.Sub(start)%replaced < readStep {
 			i := reads % n
-			ids[i], turns[i] = begin()
+			ids[i], turns[i] = startGateway()
 		}
 		reads += readDue(now, ids, turns)
 	}
-	return float64(reads) * time.Hour.Hours() / readFor.Hours()
+	return float64(reads) * time.Hour.Hours() / readDuration.Hours()
 }
 
-// readDue has the gateways read whose turn it is, and tells the others.
+// readDue performs the reads that are due and reports each to the other gateways.
 func readDue(now time.Time, ids []wardturn.Incarnation, turns []*decide.ReadTurn) int {
 	var due []int
 	for i, t := range turns {
--- a/decide/versions.go
+++ b/decide/versions.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// versionSlack is how long before the bound on old versions their end is: for the
-	// way of the word that breaks off what has not begun, far over a way between failure
-	// domains and a step of a slow host.
-	versionSlack = 500 * time.Millisecond
-	// beginWithin is how long before its end an old version gets its last request,
-	// beside the time that prompts take. The few requests that take longer to begin, on
-	// hosts that freeze, are broken off.
-	beginWithin = time.Second
-	// versionRepeat is how often the replacement of old versions is looked at.
-	versionRepeat = 300 * time.Millisecond
+	// versionEndMargin is how long before the bound old versions stop serving, which
+	// leaves time for the message that cancels requests that have not started. It is far
+	// more than the delay between failure domains plus a scheduling delay of a slow host.
+	versionEndMargin = 500 * time.Millisecond
+	// versionStartMargin is how long before its end, in addition to the prefill time, an
+	// old version receives its last request. The few requests that take longer to start,
+	// on hosts that freeze, are cancelled.
+	versionStartMargin = time.Second
+	// rolloutInterval is the interval at which the progress of a rollout is checked.
+	rolloutInterval = 300 * time.Millisecond
 )
 
-// rollout is the way from an old version of an adapter to the newest: another
-// engine loads the newest while the old one serves, and only then are the
-// copies of the old version replaced, with no requests left on them.
+// rollout replaces the old versions of an adapter by the newest. First another engine
+// loads the newest version while the old one serves; the copies of the old version are
+// replaced only then, when requests no longer go to them.
 type rollout struct {
-	nextAt time.Time // of the next look
-	ends   []naming  // that are still to come, the earliest first
+	nextAt      time.Time      // when the rollout is checked next
+	pendingEnds []announcement // announcements whose end is still to come, earliest first
 }
 
-// SetVersion records the newest version of an adapter. At the time known it had not
-// been named yet, so its bound runs from then at the latest; counted from when it was
-// heard of, late words would move it. Zero means that nothing was known before: then
-// no older version serves.
+// SetVersion records the newest version of an adapter. The version was not yet announced
+// at the time known, so the bound on older versions runs from then. If it ran from the
+// time of receipt, late messages would postpone it. A zero known means that this gateway
+// had no earlier knowledge; then no older version serves.
 func (f *Fleet) SetVersion(now time.Time, v wardturn.AdapterVersion, known time.Time, out *Moves) {
 	key := v.Key()
 	if v.Version <= f.newest(key) {
@@ -38,33 +38,33 @@
 	}
 	end := now
 	if !known.IsZero() {
-		end = known.Add(f.cfg.VersionBound - versionSlack)
+		end = known.Add(f.cfg.VersionBound - versionEndMargin)
 	}
 	r := f.rollouts[key]
 	if r == nil {
 		r = &rollout{}
 		f.rollouts[key] = r
 	}
-	n := f.named(v, now, end)
+	n := f.recordAnnouncement(v, now, end)
 	if end.After(now) {
-		// Else this gateway was away, and the version may have been named just now:
-		// what was sent before would be lost without need.
-		r.ends = append(r.ends, n)
+		// Otherwise this gateway was cut off, and the version may have been announced
+		// just now: cancelling the requests sent before would lose them without need.
+		r.pendingEnds = append(r.pendingEnds, n)
 	}
 	f.advance(now, key, r, out)
 }
 
-// advanceRollouts goes on with the replacement of old versions, and ends those whose
-// time is over.
+// advanceRollouts ends old versions whose time is over and continues the rollouts that
+// are due.
 func (f *Fleet) advanceRollouts(now time.Time, out *Moves) {
 	for key, r := range f.rollouts {
-		for len(r.ends) > 0 && !now.Before(r.ends[0].end) {
+		for len(r.pendingEnds) > 0 && !now.Before(r.pendingEnds[0].end) {
 			out.Ended = append(out.Ended, wardturn.AdapterVersion{
 				Model:   key.Model,
 				Adapter: key.Adapter,
-				Version: r.ends[0].version,
+				Version: r.pendingEnds[0].version,
 			})
-			r.ends = r.ends[1:]
+			r.pendingEnds = r.pendingEnds[1:]
 			r.nextAt = now
 		}
 		if !now.Before(r.nextAt) {
@@ -73,36 +73,36 @@
 	}
 }
 
-// advance asks for the newest version where it is due: in the place of an old one
-// that serves no more, and of the others once another engine has the newest.
+// advance asks engines for the newest version: those whose old version no longer serves
+// at once, the others as soon as another engine has the newest.
 func (f *Fleet) advance(now time.Time, key wardturn.ModelAdapter, r *rollout, out *Moves) {
-	r.nextAt = now.Add(versionRepeat)
-	var serving, spent []*Member
-	renewed := false
+	r.nextAt = now.Add(rolloutInterval)
+	var serving, expired []*Member
+	newestHeld := false
 	for _, m := range f.holders[key] {
 		switch v := m.held[key].version; {
 		case v >= f.newest(key):
-			renewed = true
-		case f.VersionServes(now.Add(beginWithin), key, v):
+			newestHeld = true
+		case f.VersionServes(now.Add(versionStartMargin), key, v):
 			serving = append(serving, m)
 		default:
-			spent = append(spent, m)
+			expired = append(expired, m)
 		}
 	}
-	f.replace(key, spent, out)
+	f.replaceOldVersions(key, expired, out)
 	switch {
 	case len(serving) == 0:
-		if len(spent) == 0 && len(r.ends) == 0 {
+		if len(expired) == 0 && len(r.pendingEnds) == 0 {
 			delete(f.rollouts, key)
 		}
-	case renewed || !f.loadBeside(now, key, serving[0].Service, out):
-		f.replace(key, serving, out)
+	case newestHeld || !f.loadOnAnotherEngine(now, key, serving[0].Service, out):
+		f.replaceOldVersions(key, serving, out)
 	}
 }
 
-// loadBeside asks an engine that does not hold an adapter for its newest
-// version, and reports whether there is one.
-func (f *Fleet) loadBeside(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, out *Moves) bool {
+// loadOnAnotherEngine asks an engine that does not hold an adapter to load its newest
+// version. It reports whether a load is under way or was asked for.
+func (f *Fleet) loadOnAnotherEngine(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, out *Moves) bool {
 	if w := f.wants.anywhere(key); w != nil && !w.askedAt.IsZero() {
 		return true
 	}
@@ -118,9 +118,9 @@
 	return false
 }
 
-// replace asks the engines of the own failure domain that hold an old version
-// for the newest.
-func (f *Fleet) replace(key wardturn.ModelAdapter, old []*Member, out *Moves) {
+// replaceOldVersions asks the engines in this gateway's failure domain that hold an old
+// version to load the newest.
+func (f *Fleet) replaceOldVersions(key wardturn.ModelAdapter, old []*Member, out *Moves) {
 	for _, m := range old {
 		if m.Domain != f.cfg.Domain || m.Draining {
 			continue
