--- a/decide/breaker.go
+++ b/decide/breaker.go
@@ -9,8 +9,8 @@
 	breakerShiftCap = 10
 )
 
-// Breaker leaves an upstream alone after several failures in a row and lets one
-// request try it when the pause is over. The zero value is closed.
+// Breaker is a circuit breaker for an upstream. It opens after several consecutive failures
+// and lets one trial request through when its pause is over. The zero value is closed.
 type Breaker struct {
 	failures int
 	pauses   int
@@ -25,8 +25,8 @@
 	return !now.Before(b.until)
 }
 
-// Tried records that a request goes to the upstream: while the breaker is open,
-// no second one follows until the first has ended or the pause passed again.
+// Tried records that a request is sent to the upstream. While the breaker is open, no other
+// request is allowed until this one has ended or another pause has passed.
 func (b *Breaker) Tried(now time.Time) {
 	if b.failures >= breakerTrips {
 		b.until = now.Add(b.pause())
@@ -38,7 +38,7 @@
 	*b = Breaker{}
 }
 
-// Fail counts a failure and opens the breaker after several.
+// Fail counts a failure and opens the breaker after breakerTrips consecutive ones.
 func (b *Breaker) Fail(now time.Time) {
 	b.failures++
 	if b.failures < breakerTrips {
--- a/decide/cold.go
+++ b/decide/cold.go
@@ -6,35 +6,35 @@
 	"wardturn"
 )
 
-// ColdConfig says what cold upstreams bear: within any second, their rate times Overage
-// and Slack requests, from all gateways together.
+// ColdConfig bounds the load of cold upstreams: within any second, all gateways together
+// may send at most the cold rate times Overage, plus Slack requests.
 type ColdConfig struct {
 	Overage float64
 	Slack   float64 // requests
 }
 
-// senders returns how many gateways may send to a cold upstream: each may send one request
-// at the same moment, on top of a second of the rate.
+// senders returns the number of gateways that may send to a cold upstream. Each of them may
+// send one request at the same moment, on top of a second at the full rate.
 func (c ColdConfig) senders(rate float64) int {
 	return max(1, int((c.Overage-1)*rate+c.Slack))
 }
 
-// coldLimit bounds what a cold upstream gets. The load that it answers is that of a failure
-// domain that comes back: all its engines are idle and preferred at once, and each gateway
-// would fill them.
+// coldLimit bounds the requests sent to a cold upstream. It guards against the load when a
+// failure domain comes back: all its engines are idle, so every gateway prefers them at the
+// same time and would fill them.
 type coldLimit struct {
 	sharedRate
 	until time.Time
 }
 
-// SetColdConfig takes what cold upstreams bear.
+// SetColdConfig sets the bounds for cold upstreams.
 func (l *Limits) SetColdConfig(cfg ColdConfig) {
 	l.coldCfg = cfg
 	l.sharedAt = time.Time{}
 }
 
-// Cold records that an upstream takes few requests until a time: one that has passed ends
-// that.
+// Cold marks an upstream as cold until the given time, with a bound on its request rate. A
+// time that has passed, or a rate of zero, removes the bound.
 func (l *Limits) Cold(now time.Time, id wardturn.UpstreamID, rate float64, until time.Time) {
 	c := l.cold[id.Instance()]
 	if !now.Before(until) || rate <= 0 {
@@ -54,13 +54,14 @@
 	c.until = until
 }
 
-// ExpectCold has the other gateways learn that this one is there while upstreams may turn
-// cold: only those that know each other may send to one.
+// ExpectCold sets whether upstreams may become cold. While they may, this gateway announces
+// itself to the others, because gateways need to know each other to get their shares of a
+// cold upstream's rate.
 func (l *Limits) ExpectCold(expects bool) {
 	l.expects = expects
 }
 
-// coldOf returns the limit of a cold upstream, or nil if it is warm.
+// coldOf returns the limit of a cold upstream, or nil if the upstream is warm.
 func (l *Limits) coldOf(now time.Time, id wardturn.UpstreamID) *coldLimit {
 	if len(l.cold) == 0 {
 		return nil
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -7,16 +7,16 @@
 	"wardturn"
 )
 
-// coldWatch is how long an upstream counts as cold that may have turned cold unseen,
-// whatever its entry says: by then it has written another one, and the list has been read.
+// coldWatch is how long an upstream that may have become cold unnoticed is presumed cold,
+// whatever its entry says. By then it has written a new entry and the list has been read.
 const coldWatch = 3500 * time.Millisecond
 
-// inUseFor is how long an adapter that was in use in an evacuated failure domain is worth a
-// load elsewhere though none of its requests waits.
+// inUseFor is how long an adapter that was in use in an evacuated failure domain is wanted
+// elsewhere although no request waits for it.
 const inUseFor = 3 * time.Second
 
-// SetEvacuated takes the failure domains whose upstreams are to get no requests. When one
-// is taken back, its upstreams may just have turned cold.
+// SetEvacuated sets the failure domains whose upstreams get no requests. The upstreams of a
+// domain whose evacuation is withdrawn are presumed cold for coldWatch.
 func (f *Fleet) SetEvacuated(now time.Time, domains wardturn.Evacuations, out *Moves) {
 	before := f.evacuated
 	f.evacuated = domains
@@ -35,9 +35,10 @@
 	f.pump(now, out)
 }
 
-// wantElsewhere wants the adapters that this gateway uses at an evacuated engine and that
-// no other may serve, before the next requests come: else all of them wait for loads that
-// begin together. The engines of the same region are asked, if there are some.
+// wantElsewhere requests loads of the adapters that this gateway uses at an evacuated engine
+// and that no other available engine holds. Otherwise the next requests for all of them
+// would wait for loads that begin at the same time. Engines of the same region are
+// preferred.
 func (f *Fleet) wantElsewhere(now time.Time, m *Member) {
 	region := wardturn.Regions{f.cfg.Regions[m.Domain]}
 	if !f.servedIn(now, m.Service, region) {
@@ -53,21 +54,22 @@
 	}
 }
 
-// servedIn reports whether some upstream of a service may serve requests in regions.
+// servedIn reports whether any available upstream of a service is in the regions.
 func (f *Fleet) servedIn(now time.Time, s wardturn.ServiceName, r wardturn.Regions) bool {
 	return slices.ContainsFunc(f.services[s], func(m *Member) bool {
 		return m.open(now) && f.inRegions(m, r)
 	})
 }
 
-// heldOpen reports whether an engine that may be given requests holds an adapter.
+// heldOpen reports whether any available engine holds an adapter.
 func (f *Fleet) heldOpen(now time.Time, key wardturn.ModelAdapter) bool {
 	return slices.ContainsFunc(f.holders[key], func(m *Member) bool {
 		return m.open(now)
 	})
 }
 
-// SawCold takes an upstream's word in an answer that it stays cold for so long.
+// SawCold records an upstream's statement, in an answer, that it stays cold for the given
+// time.
 func (f *Fleet) SawCold(now time.Time, id wardturn.UpstreamID, left time.Duration) {
 	m := f.members[id]
 	if m == nil || left <= 0 {
@@ -77,7 +79,7 @@
 	f.limitCold(now)
 }
 
-// limitCold bounds what cold upstreams get.
+// limitCold updates the rate limits of cold upstreams.
 func (f *Fleet) limitCold(now time.Time) {
 	cold := false
 	for _, m := range f.members {
@@ -92,8 +94,8 @@
 	f.limits.ExpectCold(cold || len(f.evacuated) > 0)
 }
 
-// noteCold takes what an entry says of its upstream. An entry that was seen before says
-// nothing new: how long it is cold counts from when it was first read.
+// noteCold updates the cold state of a member from its entry. The time in an entry counts
+// from when the entry was first read, so an entry that was read before is ignored.
 func (m *Member) noteCold(now time.Time, e wardturn.Member) {
 	if e.Seen <= m.coldSeen {
 		return
@@ -105,8 +107,9 @@
 	}
 }
 
-// noneMay reports whether no upstream of a request's service may get it, whatever their
-// load, and why. To wait here would keep the caller from nothing better.
+// noneMay reports whether no upstream of a request's service is eligible for it, whatever
+// their load, and why. Such a request is refused at once, since waiting in the gateway would
+// gain it nothing.
 func (f *Fleet) noneMay(t *Ticket) (wardturn.Reason, bool) {
 	if t.Regions == nil && len(f.evacuated) == 0 {
 		return "", false
@@ -131,7 +134,7 @@
 	return "", false
 }
 
-// inRegions reports whether an upstream is where requests may be served.
+// inRegions reports whether an upstream is in one of the allowed regions.
 func (f *Fleet) inRegions(m *Member, allowed wardturn.Regions) bool {
 	return allowed == nil || allowed.Allow(f.cfg.Regions[m.Domain])
 }
--- a/decide/gatewaycount.go
+++ b/decide/gatewaycount.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// gatewaysMemory is how long gateways that are not counted any more keep their parts of
-// what all share: behind a cut they go on with them.
+// gatewaysMemory is how long gateways that are no longer counted keep their shares of what
+// all gateways share. Behind a network partition they still use them.
 const gatewaysMemory = time.Minute
 
-// GatewayCount is the number of gateways by which parts are given: the most that keepers
-// counted lately. On each side of a cut keepers count their own side only, and parts by
-// that would come to more than the whole. The zero value has heard no keeper.
+// GatewayCount is the number of gateways used to compute shares: the highest number that
+// keepers counted within gatewaysMemory. During a network partition keepers count the
+// gateways of their own side only, and shares computed from that number would add up to
+// more than the whole. The zero value has no count yet.
 type GatewayCount struct {
 	most      int
-	countedAt time.Time // when there were that many
+	countedAt time.Time // time of the latest count of at least that many
 }
 
-// Take takes the number that keepers count now, zero if none is heard, and returns the
-// number that counts; zero: no keeper has been heard yet.
+// Take records the number that keepers count now, or zero if no keeper is reachable, and
+// returns the number to use. It returns zero if no keeper has been reachable yet.
 func (c *GatewayCount) Take(now time.Time, counted int) int {
 	if counted > 0 && (counted >= c.most || now.Sub(c.countedAt) > gatewaysMemory) {
 		c.most = counted
--- a/decide/leaving.go
+++ b/decide/leaving.go
@@ -6,12 +6,12 @@
 	"wardturn"
 )
 
-// leavingMemory is how long it is remembered that an upstream was leaving, after
-// the list last had it: far longer than a list can be behind.
+// leavingMemory is how long an upstream is remembered as leaving after it was last in the
+// list. This is far longer than a list can be out of date.
 const leavingMemory = time.Minute
 
-// Leaves records that an upstream says of itself that it leaves. The store's list may say
-// so much later: it is silent at times.
+// Leaves records that an upstream has announced that it is leaving. The store's list may
+// show this much later, since the store is unavailable at times.
 func (f *Fleet) Leaves(now time.Time, id wardturn.UpstreamID, out *Moves) {
 	if _, known := f.leaving[id]; !known {
 		out.Leaving = append(out.Leaving, id)
@@ -22,8 +22,8 @@
 	}
 }
 
-// Takes reports whether a request that was given to an upstream may still be sent there,
-// also if the list lacks it by now.
+// Takes reports whether a request that was assigned to an upstream may still be sent there.
+// The upstream may have disappeared from the list meanwhile.
 func (f *Fleet) Takes(now time.Time, u wardturn.Member) bool {
 	if f.evacuated[u.Domain] || f.rests[u.ID.Instance()].inForce(now) {
 		return false
@@ -35,7 +35,8 @@
 	return !left
 }
 
-// Lifetime returns the listed lifetime of an instance; empty: none is listed.
+// Lifetime returns the ID of the listed lifetime of an instance, or the empty string if none
+// is listed.
 func (f *Fleet) Lifetime(instance string) wardturn.UpstreamID {
 	for id := range f.members {
 		if id.Instance() == instance {
@@ -45,10 +46,10 @@
 	return ""
 }
 
-// keepLeaving has an upstream that was once seen leaving count as leaving for the
-// rest of its lifetime. A store that has dropped its history, or answers with what
-// it had some seconds ago, may list it as ready again or after it was gone, and
-// requests sent there would be cut.
+// keepLeaving marks upstreams in the list as draining if they were seen leaving before in
+// the same lifetime. A store that has lost its history, or returns data that is some seconds
+// old, may list such an upstream as ready again, or list it after it is gone, and requests
+// sent there would be cut off.
 func (f *Fleet) keepLeaving(now time.Time, list []wardturn.Member) {
 	for i, m := range list {
 		_, left := f.leaving[m.ID]
--- a/decide/limited.go
+++ b/decide/limited.go
@@ -7,9 +7,9 @@
 	"wardturn"
 )
 
-// turnedAway reports whether no upstream of a request's service takes it now for nothing
-// but the limits that they name and the rests that they asked for, and when its caller
-// should come back. To wait here for room would keep it from nothing better.
+// turnedAway reports whether every upstream that could serve a request is excluded only by
+// its rate limit or its backoff, and when the caller should retry. Such a request is
+// refused at once, since waiting in the gateway would gain it nothing.
 func (f *Fleet) turnedAway(now time.Time, t *Ticket) (reason wardturn.Reason, back time.Duration, none bool) {
 	var soonest *Member
 	for _, m := range f.services[t.Service] {
@@ -42,8 +42,8 @@
 	return wardturn.ReasonLimited, min(max(back, leastComeBack), maxComeBack), true
 }
 
-// roomIn returns when an upstream may be sent the request of a caller that comes back then;
-// false: not as far as is known.
+// roomIn returns the delay after which a refused caller's retry may be sent to an upstream.
+// It returns false if the delay is unknown.
 func (f *Fleet) roomIn(now time.Time, m *Member) (time.Duration, bool) {
 	in, known := f.limits.RoomIn(now, m.ID)
 	return max(in, m.rest.left(now)), known
--- a/decide/limitgossip.go
+++ b/decide/limitgossip.go
@@ -9,43 +9,45 @@
 )
 
 const (
-	// limitBeat is the longest time between two messages of a gateway that knows a limit.
+	// limitBeat is the heartbeat interval of a gateway that knows a limit: the longest time
+	// between two of its messages.
 	limitBeat = time.Second
-	// limitPause is the least time between two messages: an upstream may name another figure in
-	// each answer.
+	// limitPause is the minimum time between two messages. An upstream may announce a
+	// different limit in each answer.
 	limitPause = 50 * time.Millisecond
-	// limitRefresh is how long after a limit was announced, by any gateway, it is announced again.
+	// limitRefresh is the time after an announcement of a limit, by any gateway, after which
+	// it is announced again.
 	limitRefresh = time.Second
-	// limitSlack is by how much the time of another gateway's answer may seem later than it
-	// was, over all gateways that tell of it one after another.
+	// limitSlack is the tolerated error of the time of an answer reported by other
+	// gateways. The error accumulates as gateways pass the report on.
 	limitSlack = 500 * time.Millisecond
 )
 
-// LimitGossip tells the other gateways that its sender is there, and what it knows of
-// limits that upstreams name.
+// LimitGossip is the message by which a gateway tells the others that it is running, and
+// which limits it knows.
 type LimitGossip struct {
 	Process wardturn.Incarnation
-	Seq     uint64        // counts the messages of the process
-	Stamp   time.Duration // when it was sent, in the time of the process
+	Seq     uint64        // sequence number of the message within the process
+	Stamp   time.Duration // send time, measured from the start of the process
 	Limits  []LimitUpdate
 }
 
-// LimitUpdate is what a gateway knows of the limit of one upstream.
+// LimitUpdate is the state of one upstream's limit as known to a gateway.
 type LimitUpdate struct {
 	Instance string
-	Rate     float64       // requests a second of all gateways; zero: it is over
-	Ago      time.Duration // since the answer that says so
+	Rate     float64       // requests a second over all gateways; zero: the limit has ended
+	Ago      time.Duration // age of the answer that Rate comes from
 }
 
-// limitPeer is another gateway.
+// limitPeer is another gateway from which messages have been received.
 type limitPeer struct {
 	hash     uint64
 	seq      uint64
 	lastSeen time.Time
 }
 
-// Word returns what the other gateways have to be told now, if anything; dirty says that
-// it is something new.
+// Word returns the message to send to the other gateways, if one is due. The result dirty
+// reports whether it contains a change that has not been announced before.
 func (l *Limits) Word(now time.Time) (w LimitGossip, dirty, due bool) {
 	if now.Sub(l.announcedAt) < limitPause {
 		return LimitGossip{}, false, false
@@ -75,9 +77,10 @@
 	return w, dirty, true
 }
 
-// repeatDue reports whether it is on this gateway to tell of a limit once more: it knows a
-// later answer than was told of, or no other gateway has told lately. The gateways look at
-// different times, so that few do at once.
+// repeatDue reports whether this gateway should announce a limit again: either it knows of
+// a later answer than the one announced, or no gateway has announced the limit recently.
+// The second check uses a different delay in each gateway, so that few announce it at the
+// same time.
 func (l *Limits) repeatDue(now time.Time, n *namedLimit) bool {
 	if n.rate == 0 {
 		return false
@@ -101,7 +104,7 @@
 	}
 }
 
-// Heard takes the word of another gateway. It returns what was not known here.
+// Heard processes a message from another gateway and returns the updates that were new.
 func (l *Limits) Heard(now time.Time, w LimitGossip) (changes []LimitUpdate) {
 	if w.Process == l.self {
 		return nil
@@ -131,9 +134,9 @@
 	return changes
 }
 
-// merge takes what another gateway knows by an answer of a time, and reports whether that
-// is new. The later answer counts. A first word has no other to measure its way by, and may
-// be old: it ends no limit.
+// merge applies an update from another gateway that is based on an answer given at the time
+// at, and reports whether it was new. The later answer wins. The delay of the first message
+// from a gateway cannot be measured, so that message may be old and does not end a limit.
 func (l *Limits) merge(now time.Time, t LimitUpdate, at time.Time, measured bool) (changed bool) {
 	n := l.named[t.Instance]
 	switch {
@@ -149,7 +152,7 @@
 		}
 		return ends
 	case !at.After(n.liftedAt.Add(limitSlack)):
-		// The sender missed the end.
+		// The sender does not know that the limit has ended.
 		n.dirty = n.dirty || n.rate == 0 && now.Sub(n.announcedAt) >= limitRefresh
 		return false
 	}
@@ -163,7 +166,7 @@
 	return changed
 }
 
-// forget drops gateways that have been silent for long.
+// forget drops gateways from which nothing has been received for gatewaysMemory.
 func (l *Limits) forget(now time.Time) {
 	for p, o := range l.others {
 		if now.Sub(o.lastSeen) > gatewaysMemory {
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -6,68 +6,72 @@
 	"wardturn"
 )
 
-// Limits keeps the requests a second that upstreams in need say they take, over all
-// gateways together. Each gateway spends a fixed part of a limit and never more, whatever
-// the others use: the bound holds without a message between them, through cuts and restarts.
+// Limits enforces the rate limits that overloaded upstreams announce in their answers,
+// over all gateways together. Each gateway uses a fixed share of a limit and never more,
+// whatever the others use, so the bound needs no coordination and holds through network
+// partitions and restarts.
 //
-// A request can't be divided: where many gateways share a small limit, one request of
-// each at the same moment is more than the upstream takes. So only some of them, who
-// differ from upstream to upstream, send it anything; the others go elsewhere.
+// Where many gateways share a small limit, one request from each at the same moment would
+// already exceed it. So only a subset of the gateways, which differs from upstream to
+// upstream, sends to a limited upstream; the others route their requests elsewhere.
 type Limits struct {
 	self        wardturn.Incarnation
 	hash        uint64
-	start       time.Time // stamps of messages count from here
+	start       time.Time // origin of the Stamp of sent messages
 	gateways    GatewayCount
 	coldCfg     ColdConfig
 	named       map[string]*namedLimit
 	cold        map[string]*coldLimit
-	expects     bool // upstreams may turn out to be cold: the other gateways have to be known by then
+	expects     bool // upstreams may become cold, so gateways must already know each other
 	others      map[wardturn.Incarnation]*limitPeer
 	lags        leastLags
 	seq         uint64
-	announcedAt time.Time // of the latest message
-	sharedAt    time.Time // parts were worked out
+	announcedAt time.Time // time of the latest message sent
+	sharedAt    time.Time // when the shares were last computed
 }
 
 const (
-	// limitSenders and limitSpare are how many gateways may send: so many for each request
-	// a second, and so many more. With a request of each at once on top of 4 s at the
-	// limit, an upstream that names R gets at most 5.5 R + 2 in any 4 s.
+	// limitSenders and limitSpare set how many gateways may send to a limited upstream:
+	// limitSenders for each request a second of the limit, plus limitSpare. If each sends
+	// one request at once on top of 4 s at the limit, an upstream with a limit of R gets at
+	// most 5.5 R + 2 requests in any 4 s.
 	limitSenders = 1.5
 	limitSpare   = 2
-	// leastLimit is the least rate, in requests a second, that a limit comes to: without
-	// any request nobody would learn that it is over.
+	// leastLimit is the lower bound of a limit, in requests a second. Without any requests
+	// the gateways would not learn that the limit has ended.
 	leastLimit = 0.5
-	// limitBurst is what may be sent at once, in seconds of a gateway's part.
+	// limitBurst is the burst size, in seconds of a gateway's share of the limit.
 	limitBurst = 0.25
-	// liftAfter is how long an upstream's answers have to name no limit before it is
-	// over; one answer without it may come from something in between.
+	// liftAfter is how long an upstream's answers must carry no limit before the limit
+	// ends. A single answer without one may come from an intermediary.
 	liftAfter = time.Second
-	// liftAnswers is how many answers have to, at least.
+	// liftAnswers is the minimum number of consecutive answers without a limit that end it.
 	liftAnswers = 2
-	// limitProbe is how old the latest answer that is known has to be at least before a
-	// gateway without a part of the limit sends one request: it may have missed the end.
+	// limitProbe is the minimum age of the latest known answer before a gateway without a
+	// share of the limit sends a probe request. It may have missed the end of the limit.
 	limitProbe = 10 * time.Second
-	// limitShares is how often parts are worked out anew.
+	// limitShares is the minimum interval between two computations of the shares.
 	limitShares = 100 * time.Millisecond
 )
 
-// namedLimit is the limit of one upstream, or the memory of one that is over.
+// namedLimit is the limit that one upstream announces. A limit that has ended is kept with
+// rate zero.
 type namedLimit struct {
 	sharedRate
-	namedAt  time.Time // the latest answer that names it was given about then
-	clearAt  time.Time // first of the answers since then that name none; zero: there is none
-	clear    int       // such answers
-	liftedAt time.Time // such an answer ended the limit before
+	namedAt  time.Time // approximate time of the latest answer that carries the limit
+	clearAt  time.Time // time of the first later answer without a limit; valid if clear > 0
+	clear    int       // number of answers without a limit since namedAt
+	liftedAt time.Time // time of the answer that ended the previous limit
 	probedAt time.Time
-	// probeAfter is how old the latest answer may be while the share is zero.
+	// probeAfter is the age of the latest answer after which a gateway with a zero share
+	// sends a probe request.
 	probeAfter   time.Duration
-	dirty        bool      // to be announced at once
-	announcedAt  time.Time // by any gateway
-	announcedFor time.Time // the latest answer that was announced
+	dirty        bool      // changed since the latest announcement
+	announcedAt  time.Time // time of the latest announcement by any gateway
+	announcedFor time.Time // time of the latest answer that was announced
 }
 
-// NewLimits returns limits of no upstream, for a gateway's process.
+// NewLimits returns an empty set of limits for the gateway process self.
 func NewLimits(now time.Time, self wardturn.Incarnation) *Limits {
 	return &Limits{
 		cold:   make(map[string]*coldLimit),
@@ -80,21 +84,21 @@
 	}
 }
 
-// SetGateways takes the number of gateways, as keepers count them; zero: no keeper is
-// heard.
+// SetGateways sets the number of gateways counted by keepers, or zero if no keeper is
+// reachable.
 func (l *Limits) SetGateways(now time.Time, counted int) {
 	l.gateways.Take(now, counted)
 	l.share(now)
 }
 
-// Recall takes how many gateways there were before this one started. Keepers that start as
-// well count from one on, and each gateway would take itself for the only one.
+// Recall sets the number of gateways known before this process started. Keepers that start
+// at the same time count gateways from one up, so without it each gateway would assume
+// that it is the only one.
 func (l *Limits) Recall(now time.Time, gateways int) {
 	l.SetGateways(now, gateways)
 }
 
-// Observe takes an answer that names a limit and reports whether that is another than
-// was known.
+// Observe records an answer that carries a limit and reports whether the limit changed.
 func (l *Limits) Observe(now time.Time, id wardturn.UpstreamID, rate wardturn.RequestRate) (changed bool) {
 	r := max(float64(rate), leastLimit)
 	n := l.limit(id)
@@ -104,17 +108,17 @@
 	return changed
 }
 
-// ObserveUnclear takes an answer that names a limit which can't be read: the one that is known
-// stays.
+// ObserveUnclear records an answer whose limit cannot be parsed. A known limit stays in
+// force.
 func (l *Limits) ObserveUnclear(now time.Time, id wardturn.UpstreamID) {
 	if n := l.named[id.Instance()]; n != nil && n.rate > 0 {
 		n.confirm(now)
 	}
 }
 
-// ObserveNone takes an answer that names no limit, to a request that was sent at a time. It
-// reports whether that ends one: answers to requests that were sent before the latest
-// that names it say nothing.
+// ObserveNone records an answer without a limit to a request sent at the given time, and
+// reports whether it ends a limit. Answers to requests sent before the latest answer that
+// carries the limit are ignored.
 func (l *Limits) ObserveNone(now time.Time, id wardturn.UpstreamID, sent time.Time) (ended bool) {
 	n := l.named[id.Instance()]
 	if n == nil || n.rate == 0 || !sent.After(n.namedAt) {
@@ -132,7 +136,7 @@
 	return true
 }
 
-// Any reports whether some upstream names a limit.
+// Any reports whether any upstream announces a limit.
 func (l *Limits) Any() bool {
 	for _, n := range l.named {
 		if n.rate > 0 {
@@ -142,12 +146,12 @@
 	return false
 }
 
-// Limited reports whether an upstream names a limit.
+// Limited reports whether an upstream announces a limit.
 func (l *Limits) Limited(id wardturn.UpstreamID) bool {
 	return l.of(id) != nil
 }
 
-// Bounded reports whether an upstream names a limit or is cold.
+// Bounded reports whether an upstream announces a limit or is cold.
 func (l *Limits) Bounded(now time.Time, id wardturn.UpstreamID) bool {
 	return l.Limited(id) || l.coldOf(now, id) != nil
 }
@@ -162,8 +166,8 @@
 	return n == nil || n.allows(now) || n.probes(now)
 }
 
-// Sent records that a request goes to an upstream. Whatever becomes of it, the upstream
-// may get it.
+// Sent records that a request is sent to an upstream. It counts against the limit even if
+// it fails, since the upstream may have received it.
 func (l *Limits) Sent(now time.Time, id wardturn.UpstreamID) {
 	if c := l.coldOf(now, id); c != nil {
 		c.spend(now)
@@ -178,8 +182,8 @@
 	n.spend(now)
 }
 
-// RoomIn returns when an upstream may be sent the request of a caller that comes back
-// then, after those that were told before; false: not as far as is known.
+// RoomIn returns the delay after which a refused caller's retry may be sent to an upstream,
+// behind the retries already reserved with Owe. It returns false if the delay is unknown.
 func (l *Limits) RoomIn(now time.Time, id wardturn.UpstreamID) (time.Duration, bool) {
 	wait, known := time.Duration(0), true
 	if c := l.coldOf(now, id); c != nil {
@@ -196,7 +200,7 @@
 	return max(wait, named), known
 }
 
-// Owe records that a caller was told to come back for an upstream.
+// Owe reserves capacity at an upstream for the retry of a refused caller.
 func (l *Limits) Owe(now time.Time, id wardturn.UpstreamID) {
 	if c := l.coldOf(now, id); c != nil {
 		c.owed++
@@ -206,8 +210,8 @@
 	}
 }
 
-// Keep forgets the limits of upstreams that have been gone for long: a list that was read
-// while the store was away may lack some for a while.
+// Keep drops the limits of upstreams that have been absent for gatewaysMemory. They are
+// kept until then because a list read while the store was unavailable may be incomplete.
 func (l *Limits) Keep(now time.Time, present func(instance string) bool) {
 	for instance, n := range l.named {
 		if !present(instance) && now.Sub(latest(n.namedAt, n.liftedAt)) > gatewaysMemory {
@@ -221,8 +225,8 @@
 	}
 }
 
-// of returns the limit of an upstream, or nil if it names none. A worker that starts
-// again under its name is taken to need it still, until its answers tell otherwise.
+// of returns the limit of an upstream, or nil if there is none. The limit of a worker that
+// restarts under the same name stays in force until its answers end it.
 func (l *Limits) of(id wardturn.UpstreamID) *namedLimit {
 	if len(l.named) == 0 {
 		return nil
@@ -233,7 +237,7 @@
 	return nil
 }
 
-// limit returns what is kept of an upstream.
+// limit returns the entry of an upstream, creating it if necessary.
 func (l *Limits) limit(id wardturn.UpstreamID) *namedLimit {
 	n := l.named[id.Instance()]
 	if n == nil {
@@ -251,7 +255,8 @@
 	}
 }
 
-// set takes a limit that an upstream named at a time. It begins with nothing to spend.
+// set stores a limit from an answer given at the time named. A new limit starts with an
+// empty bucket.
 func (l *Limits) set(now time.Time, n *namedLimit, named time.Time, rate float64) {
 	if n.rate == 0 {
 		n.level = 0
@@ -270,7 +275,7 @@
 	l.share(now)
 }
 
-// confirm records that a limit was named at a time.
+// confirm records that an answer given at the time named carried the limit.
 func (n *namedLimit) confirm(named time.Time) {
 	n.namedAt = latest(n.namedAt, named)
 	if named.After(n.clearAt) {
@@ -278,19 +283,20 @@
 	}
 }
 
-// lift ends a limit by an answer of a time.
+// lift ends a limit because of an answer given at the time at.
 func (n *namedLimit) lift(at time.Time) {
 	n.rate = 0
 	n.clear = 0
 	n.liftedAt = at
 }
 
-// probes reports whether a gateway without a part of a limit may look if it still holds.
+// probes reports whether a gateway without a share of the limit may send a request to find
+// out whether the limit is still in force.
 func (n *namedLimit) probes(now time.Time) bool {
 	return n.share == 0 && now.Sub(latest(n.namedAt, n.probedAt)) > n.probeAfter
 }
 
-// share works out this gateway's shares of all limits, if that was not done just now.
+// share computes this gateway's shares of all limits, at most once per limitShares.
 func (l *Limits) share(now time.Time) {
 	if len(l.named)+len(l.cold) == 0 || now.Sub(l.sharedAt) < limitShares {
 		return
@@ -311,9 +317,10 @@
 	}
 }
 
-// shareOf returns this gateway's share of the limit of an upstream to which so many
-// gateways may send. Of gateways that are counted and not heard as many may have a share
-// as of those that are.
+// shareOf returns this gateway's share of the limit of an upstream to which the given
+// number of gateways may send. If only some of the counted gateways are known here, the
+// known ones take a proportional part of the senders, since the unknown ones may have
+// shares as well.
 func (l *Limits) shareOf(instance string, senders int) float64 {
 	if l.gateways.most == 0 {
 		return 0
@@ -328,17 +335,18 @@
 	return 1 / float64(senders)
 }
 
-// probeAfter returns how old the latest answer on a limit may be while this gateway has no
-// part of it. All that have none come to one request in 1/leastLimit s together, each at its
-// own time.
+// probeAfter returns the age of the latest answer on a limit after which this gateway
+// probes if it has no share. The interval grows with the number of gateways, so that those
+// without a share together send at most one request per 1/leastLimit seconds, and is
+// spread by a hash so that they probe at different times.
 func (l *Limits) probeAfter(instance string) time.Duration {
 	each := time.Duration(float64(l.gateways.most) / leastLimit * float64(time.Second))
 	spread := 1 + float64(mix(hashString(instance)^l.hash))/(1<<64)
 	return time.Duration(spread * float64(max(limitProbe, each)))
 }
 
-// rank returns the place of this gateway among those that are known, in an order in
-// which each upstream ranks them its own way.
+// rank returns the position of this gateway among the known ones, in an order that differs
+// from upstream to upstream (rendezvous hashing).
 func (l *Limits) rank(instance string) int {
 	h := hashString(instance)
 	own := mix(h ^ l.hash)
--- a/decide/meter.go
+++ b/decide/meter.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// meterMemory is the time constant of a meter.
+// meterMemory is the time constant of a meter's decay.
 const meterMemory = 20 * time.Second
 
-// meter measures the rate of events with an exponentially decaying memory. The
-// zero value has seen none.
+// meter measures the rate of events as an exponentially weighted moving average. The zero
+// value is ready to use.
 type meter struct {
 	count float64
 	since time.Time
@@ -25,8 +25,8 @@
 	m.at = now
 }
 
-// rate returns the events a second. Young meters count as if they had seen a
-// quiet second before.
+// rate returns the events per second. One second is added to the averaging window, so that
+// the rate of a new meter is not overestimated.
 func (m *meter) rate(now time.Time) float64 {
 	if m.since.IsZero() {
 		return 0
--- a/decide/patience.go
+++ b/decide/patience.go
@@ -5,26 +5,26 @@
 )
 
 const (
-	// warmLoad is how long an adapter takes from its engine's own memory, as gateways
-	// see it, orders included.
+	// warmLoad is the time to load an adapter from the engine's own memory, as seen by
+	// gateways, including the time to request it.
 	warmLoad = 50 * time.Millisecond
-	// lastMoment is how long before its deadline a request that still waits is
-	// refused, so that its caller has the answer in time.
+	// lastMoment is how long before its deadline a waiting request is refused, so that the
+	// refusal reaches the caller in time.
 	lastMoment = 100 * time.Millisecond
-	// refillTime is how long requests wait on once the first engine is no longer
-	// empty after all were: about what a weight store of 32 loads a second takes to
-	// fill a hundred places. Refused sooner they come back before their adapters are
-	// there and are refused once more.
+	// refillTime is how long requests continue to wait after all engines were empty, from
+	// the moment the first one has loaded its model. A weight store of 32 loads a second
+	// takes about this long to fill a hundred adapter slots. Callers refused earlier would
+	// retry before their adapters are loaded and be refused again.
 	refillTime = 3 * time.Second
-	// leastComeBack is the least time told to a caller: less than a load from the
-	// store would have it back before anything has changed.
+	// leastComeBack is the minimum retry delay given to a caller. With a delay shorter than
+	// a load from the store, the caller would retry before anything has changed.
 	leastComeBack = 150 * time.Millisecond
 )
 
-// hopeless reports whether a waiting request should be refused now: it could not
-// be served within its objective any more, and nothing that it waits for is on
-// its way. While its adapter is on its way it waits on, since a late answer is
-// worth more to its caller than none.
+// hopeless reports whether a waiting request should be refused now, because it can no longer
+// be served within its objective and its adapter is not being loaded. While its adapter is
+// being loaded the request continues to wait, since a late answer is worth more to the
+// caller than none.
 func (f *Fleet) hopeless(now time.Time, w *want, t *Ticket) bool {
 	if !now.Before(t.Deadline.Add(-lastMoment)) {
 		return true
@@ -41,8 +41,8 @@
 	return now.Add(f.needs(w, t)).After(t.Arrived.Add(t.Objective))
 }
 
-// empty reports whether no engine holds the model of a want, though some are there:
-// all have started anew and are loading it.
+// empty reports whether a service has engines but none of them holds the model of a want,
+// because all have restarted and are loading it.
 func (f *Fleet) empty(now time.Time, w *want) bool {
 	list := f.services[w.service]
 	for _, m := range list {
@@ -53,9 +53,8 @@
 	return len(list) > 0
 }
 
-// needs returns the least time until the first token of a request: its adapter has
-// to come, unless an engine that holds it is merely full, and its prompt has to be
-// read.
+// needs returns the minimum time until the first token of a request: the time to load its
+// adapter, unless an engine already holds it and is merely full, and to read its prompt.
 func (f *Fleet) needs(w *want, t *Ticket) time.Duration {
 	read := f.rateOf(t.Service).time(int(t.Prompt))
 	switch {
@@ -67,7 +66,8 @@
 	return read + f.window.Typical()
 }
 
-// comeBack estimates when an adapter that is waited for will be there.
+// comeBack returns the retry delay for a caller, from the estimated time until the adapter
+// is loaded.
 func (f *Fleet) comeBack(now time.Time, w *want) time.Duration {
 	typical := f.window.Typical()
 	if w.askedAt.IsZero() {
@@ -76,9 +76,9 @@
 	return max(leastComeBack, typical-now.Sub(w.askedAt))
 }
 
-// turns estimates how many times the usual load passes until one that has not
-// been asked for is there: wants before it share the window with those of the
-// other gateways, which are taken to have as many.
+// turns estimates the time until an adapter that has not been requested is loaded, in units
+// of the typical load time. Pending wants share the load window with those of the other
+// gateways, which are assumed to have as many.
 func (f *Fleet) turns() float64 {
 	pending := 0
 	for _, w := range f.wants {
--- a/decide/pauses.go
+++ b/decide/pauses.go
@@ -5,20 +5,21 @@
 )
 
 const (
-	// pauseLoss is what a stream loses that pauses for longer than its route allows, in
+	// pauseLoss is the cost of a stream that pauses for longer than its route allows, in
 	// milliseconds.
 	pauseLoss = 250.0
-	// pauseFrom is the part of the longest pause that reading may take before streams are
-	// likely to pause for longer: other prompts come meanwhile.
+	// pauseFrom is the fraction of the longest allowed pause that reading prompts may take
+	// before longer pauses become likely, since other prompts arrive meanwhile.
 	pauseFrom = 0.5
-	// spreadPause is the loss by one prompt, in milliseconds, for which an adapter gets
-	// another engine.
+	// spreadPause is the pause cost of one prompt, in milliseconds, above which an adapter
+	// is loaded on another engine.
 	spreadPause = 150.0
 )
 
-// pauseCost returns what streams at an engine lose by pauses while it reads the prompt of
-// a request and those before it, in milliseconds. Each step of an engine reads a piece of
-// its prompts and makes a token of each stream, so many prompts together stop all streams.
+// pauseCost returns the expected cost, in milliseconds, of pauses in the streams of an engine
+// while it reads the prompt of a request and those before it. Each step of an engine reads a
+// part of its prompts and generates one token of each stream, so many prompts together stall
+// all streams.
 func (m *Member) pauseCost(now time.Time, t *Ticket) float64 {
 	if t.Pause == 0 {
 		return 0
@@ -28,7 +29,7 @@
 	return pauseLoss * likely * float64(m.load())
 }
 
-// costOf is cost with what the request's prompt does to the streams there.
+// costOf is cost plus the pause cost of the request's prompt for the streams at the member.
 func (f *Fleet) costOf(now time.Time, t *Ticket, m *Member) float64 {
 	return f.cost(now, m) + m.pauseCost(now, t)
 }
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Quota limits one caller: a rate with a burst, and requests at once. Zero
-// limits do not limit.
+// Quota limits the request rate, with a burst, and the concurrency of one caller. A limit
+// of zero is not enforced.
 type Quota struct {
 	Rate        float64
 	Burst       float64
@@ -13,8 +13,8 @@
 	open   int
 }
 
-// Enter reports whether a request may be admitted now, and when to come back if
-// not. Each admitted request ends with Leave.
+// Enter reports whether a request is admitted, and the delay after which to retry if it is
+// not. The caller calls Leave at the end of each admitted request.
 func (q *Quota) Enter(now time.Time) (retryAfter time.Duration, ok bool) {
 	if q.Concurrency > 0 && q.open >= q.Concurrency {
 		return time.Second, false
--- a/decide/rest.go
+++ b/decide/rest.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	// restUnclear is how long an upstream rests that asked for a time which can't be read.
+	// restUnclear is the backoff of an upstream whose requested time cannot be parsed.
 	restUnclear = time.Second
-	// maxRest bounds the time that one answer may ask for.
+	// maxRest bounds the backoff that one answer may request.
 	maxRest = time.Hour
-	// restTrial is the time between two requests after a rest, until one is answered
-	// otherwise: an upstream that is still in need must not get all that waited at once.
+	// restTrial is the time between two trial requests after a backoff, until one is
+	// answered without another refusal. An upstream that is still overloaded must not get
+	// all waiting requests at once.
 	restTrial = 200 * time.Millisecond
-	// restSpread is by how much the times at which callers are told to come back after a
-	// rest differ at least, and restSpreadPart the same as a part of the rest.
+	// restSpread is the minimum jitter of the retry times given to callers after a backoff,
+	// and restSpreadPart the jitter as a fraction of the backoff.
 	restSpread     = 300 * time.Millisecond
 	restSpreadPart = 0.25
-	// restMemory is how long a rest that is over is remembered while the list lacks its
-	// upstream.
+	// restMemory is how long an ended backoff is kept in case the upstream is missing from
+	// the list.
 	restMemory = time.Minute
 )
 
-// rest is the time in which an upstream wants no requests of this gateway. The load that it
-// answers is that of upstreams which turn requests away: they have nothing to do, and would
-// be chosen before all others.
+// rest is a backoff: a period during which an upstream asked this gateway to send it no
+// requests. Without it, an upstream that refuses requests would have the lowest load and so
+// be preferred over all others.
 type rest struct {
 	until   time.Time
-	trialAt time.Time // of the latest request after it
+	trialAt time.Time // time of the latest request sent
 }
 
-// inForce reports whether an upstream is at rest. With nil it asked for none.
+// inForce reports whether the backoff is in force. A nil rest is never in force.
 func (r *rest) inForce(now time.Time) bool {
 	return r != nil && now.Before(r.until)
 }
 
-// over reports whether an upstream may be sent a request, as far as its rest goes.
+// over reports whether the backoff allows a request to be sent to the upstream now.
 func (r *rest) over(now time.Time) bool {
 	return r == nil || !r.inForce(now) && now.Sub(r.trialAt) >= restTrial
 }
 
-// left returns how long an upstream is to get no request.
+// left returns the time until the backoff allows a request.
 func (r *rest) left(now time.Time) time.Duration {
 	if r == nil {
 		return 0
@@ -49,16 +50,17 @@
 	return max(0, latest(r.until, r.trialAt.Add(restTrial)).Sub(now))
 }
 
-// sent records that a request goes to the upstream.
+// sent records that a request is sent to the upstream.
 func (r *rest) sent(now time.Time) {
 	if r != nil {
 		r.trialAt = now
 	}
 }
 
-// Rests records that an upstream turned a request away and asked for so long a rest. Of
-// several the one that ends last counts. It goes on through the list's changes, and if the
-// upstream starts again under its name. It reports whether the upstream was not at rest.
+// Rests records that an upstream refused a request and asked for a backoff of the given
+// duration, and reports whether no backoff was in force before. Of several the one that ends
+// last counts. It stays in force when the list of upstreams changes and when the upstream
+// restarts under the same name.
 func (f *Fleet) Rests(now time.Time, id wardturn.UpstreamID, asked time.Duration) (changed bool) {
 	if asked <= 0 {
 		return false
@@ -76,13 +78,13 @@
 	return changed
 }
 
-// RestsUnclear is Rests for a time that can't be read.
+// RestsUnclear is Rests for a duration that cannot be parsed.
 func (f *Fleet) RestsUnclear(now time.Time, id wardturn.UpstreamID) (changed bool) {
 	return f.Rests(now, id, restUnclear)
 }
 
-// Rested records that an upstream answered a request, sent at a time, without asking for a
-// rest.
+// Rested records that an upstream answered a request, sent at the given time, without asking
+// for a backoff.
 func (f *Fleet) Rested(id wardturn.UpstreamID, sent time.Time) {
 	m := f.members[id]
 	if m == nil || m.rest == nil || sent.Before(m.rest.until) {
@@ -92,8 +94,8 @@
 	delete(f.rests, id.Instance())
 }
 
-// allRest reports whether all upstreams that may get a request are at rest, and when the
-// first will not be.
+// allRest reports whether all upstreams that may serve a request are backing off, and the
+// time until the first of them allows a request.
 func (f *Fleet) allRest(now time.Time, t *Ticket) (left time.Duration, all bool) {
 	if len(f.rests) == 0 {
 		return 0, false
@@ -112,7 +114,7 @@
 	return left, all
 }
 
-// forgetRests drops rests that were over long ago.
+// forgetRests drops backoffs that ended more than restMemory ago.
 func (f *Fleet) forgetRests(now time.Time) {
 	for instance, r := range f.rests {
 		if now.Sub(r.until) > restMemory {
@@ -121,8 +123,8 @@
 	}
 }
 
-// spreadRest returns when a caller is told to come back after a rest that has so long
-// left. Callers that all came at its end would be turned away together.
+// spreadRest returns the retry delay for a caller after a backoff with the given time left.
+// It adds jitter, since callers that all retried at the end would be refused together.
 func (f *Fleet) spreadRest(left time.Duration) time.Duration {
 	over := max(restSpread, time.Duration(restSpreadPart*float64(left)))
 	return left + time.Duration(f.cfg.Draw()*float64(over))
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// RetryBudget bounds retries to a share of recent requests, so that retries do
-// not multiply an overload. The zero value allows none; use NewRetryBudget.
+// RetryBudget bounds retries to a fraction of recent requests, so that they do not amplify
+// an overload. The zero value allows no retries; use NewRetryBudget.
 type RetryBudget struct {
 	share  float64
 	tokens float64
 	burst  float64
 	at     time.Time
-	floor  float64 // retries a second that are always allowed
+	floor  float64 // retries a second allowed regardless of requests
 }
 
-// NewRetryBudget allows retries for a share of the requests, and a few a second
-// when there is little traffic.
+// NewRetryBudget returns a budget that allows retries for a share of the requests, plus
+// floor retries a second regardless of traffic, in bursts of at most burst.
 func NewRetryBudget(share, floor, burst float64) *RetryBudget {
 	return &RetryBudget{
 		share:  share,
@@ -23,7 +23,7 @@
 	}
 }
 
-// Resize sets the share of requests and what is allowed beyond it.
+// Resize changes the parameters of the budget; see NewRetryBudget.
 func (b *RetryBudget) Resize(share, floor, burst float64) {
 	b.share = share
 	b.floor = floor
@@ -31,13 +31,13 @@
 	b.tokens = min(b.tokens, burst)
 }
 
-// Request records a first try.
+// Request records the first attempt of a request.
 func (b *RetryBudget) Request(now time.Time) {
 	b.fill(now)
 	b.tokens = min(b.burst, b.tokens+b.share)
 }
 
-// Retry reports whether a retry is within the budget, and takes it.
+// Retry reports whether the budget allows a retry, and charges it if so.
 func (b *RetryBudget) Retry(now time.Time) bool {
 	b.fill(now)
 	if b.tokens < 1 {
--- a/decide/share.go
+++ b/decide/share.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// usageMemory is the time constant of what a team has used.
+	// usageMemory is the time constant with which the recorded use of a team decays.
 	usageMemory = 60 * time.Second
-	// usageStep is the difference of used time, in seconds, below which two
-	// teams count as equal and age decides.
+	// usageStep is the difference in use, in seconds, below which two teams count as equal
+	// and the older request runs first.
 	usageStep = 1.0
 )
 
-// shares remembers how much of an upstream's time each team used lately. When
-// the upstream is full, the team that used least for its share goes first: one
-// team's flood does not make the others wait behind it. While there is room
-// nobody waits and shares mean nothing.
+// shares tracks how much of an upstream's time each team has used recently. When the
+// upstream is full, the team with the least use for its weight runs next, so that a burst of
+// one team does not delay the others. While the upstream has free capacity no request waits
+// and weights have no effect.
 type shares struct {
 	weights map[wardturn.TeamID]float64
 	used    map[wardturn.TeamID]*usage
@@ -35,7 +35,7 @@
 	}
 }
 
-// add records time that a request of a team ran.
+// add records the run time of a team's request.
 func (s *shares) add(now time.Time, team wardturn.TeamID, ran time.Duration) {
 	u := s.used[team]
 	if u == nil {
@@ -52,7 +52,7 @@
 	return u.seconds * math.Exp(-now.Sub(u.at).Seconds()/usageMemory.Seconds())
 }
 
-// of returns the time that a team used, divided by its share.
+// of returns the recent use of a team divided by its weight.
 func (s *shares) of(now time.Time, team wardturn.TeamID) float64 {
 	u := s.used[team]
 	if u == nil {
@@ -64,7 +64,7 @@
 	return u.faded(now)
 }
 
-// sweep forgets teams that used nothing lately.
+// sweep drops teams without recent use.
 func (s *shares) sweep(now time.Time) {
 	for team, u := range s.used {
 		if u.faded(now) < usageStep/10 {
@@ -78,8 +78,9 @@
 	a.shares.weights = weights
 }
 
-// before reports whether x is to run before y: starving items by age, others by
-// rank, then by their team's use of the upstream, then by age.
+// before reports whether x runs before y. Items that wait longer than StarveAfter come
+// first, by age. The others are ordered by rank, then by their team's use of the upstream,
+// then by age.
 func (a *Agent) before(now time.Time, x, y *item) bool {
 	starvingX := now.Sub(x.arrived) > a.cfg.StarveAfter
 	starvingY := now.Sub(y.arrived) > a.cfg.StarveAfter
--- a/decide/sharedrate.go
+++ b/decide/sharedrate.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// sharedRate is a rate of requests that all gateways keep together. Each spends a fixed
-// share of it, which the gateways work out by their number alone.
+// sharedRate is this gateway's token bucket for a request rate that all gateways share.
+// Each gateway uses a fixed share of the rate, computed from the number of gateways alone.
 type sharedRate struct {
-	rate  float64 // requests a second, of all gateways; zero: there is no bound
-	share float64 // of the rate, for this gateway
-	level float64 // requests that may be sent now
-	owed  float64 // callers that were told to come back and are not due yet
+	rate  float64 // requests a second, over all gateways; zero: unlimited
+	share float64 // fraction of the rate for this gateway
+	level float64 // tokens: requests that may be sent now
+	owed  float64 // reserved requests: callers told to retry whose time has not come
 	at    time.Time
-	burst float64 // requests that may be sent at once, in seconds of the share; at least one request
+	burst float64 // bucket size in seconds of the share; at least one request
 }
 
-// fill lets time pass.
+// fill adds the tokens that accrued since the last call.
 func (r *sharedRate) fill(now time.Time) {
 	more := r.rate * r.share * max(0, now.Sub(r.at).Seconds())
 	r.at = now
@@ -27,14 +27,14 @@
 	return r.level >= 1
 }
 
-// spend records that a request is sent.
+// spend takes a token for a request that is sent.
 func (r *sharedRate) spend(now time.Time) {
 	r.fill(now)
 	r.level = max(0, r.level-1)
 }
 
-// roomIn returns when the request of a caller that comes back then may be sent, after those
-// that were told before; false: not as far as is known.
+// roomIn returns the delay after which a refused caller's retry may be sent, behind the
+// retries already reserved. It returns false if this gateway has no share of the rate.
 func (r *sharedRate) roomIn(now time.Time) (time.Duration, bool) {
 	r.fill(now)
 	if r.share == 0 {
--- a/decide/teamcaps.go
+++ b/decide/teamcaps.go
@@ -6,24 +6,24 @@
 	"wardturn"
 )
 
-// TeamCaps keeps the requests of each team under its usage cap over all gateways
-// together. Each gateway counts down one bucket for all of them: by what it takes
-// itself, at once, and by what the others tell that they took. While all are heard, a
-// team may use the whole cap at any of them, however its callers are spread.
+// TeamCaps enforces the usage cap of each team over all gateways together. Each gateway
+// keeps a token bucket for the whole cap and charges it with its own usage at once and with
+// the usage of the other gateways as they report it. While all gateways are reachable, a
+// team may use the whole cap at any of them, however its callers are distributed.
 //
-// The load that this answers is a team that sends many times its usual from one
-// second to the next, to all gateways: what they have taken and not yet told is
-// bounded (untoldPart), and what goes over the cap is a debt that the bucket works
-// off. A gateway that does not hear the others takes its share by number only, and
-// those that do leave the shares of the missing ones aside.
+// This handles a team whose load on all gateways multiplies from one second to the next:
+// the usage that is not yet reported is bounded (untoldPart), and usage over the cap
+// becomes a debt that the bucket works off. A gateway that receives nothing from the
+// others uses an equal share of the cap, and the others leave the shares of missing
+// gateways unused.
 type TeamCaps struct {
 	cfg         TeamCapConfig
 	self        wardturn.Incarnation
 	start       time.Time
-	gateways    int // how many there are taken to be
+	gateways    int // assumed number of gateways
 	counted     GatewayCount
-	recalled    int     // how many there were before this one started
-	part        float64 // of each cap that the gateways heard here may use
+	recalled    int     // number of gateways known before this process started
+	part        float64 // fraction of each cap available to the gateways reachable from here
 	refreshedAt time.Time
 	caps        map[wardturn.TeamID]*teamCap
 	others      map[wardturn.Incarnation]*otherGateway
@@ -31,41 +31,41 @@
 	toldAt      time.Time
 }
 
-// TeamCapConfig says how gateways share a cap.
+// TeamCapConfig configures how gateways share a cap.
 type TeamCapConfig struct {
-	// EqualShares gives each gateway the same part of each cap at any time; what the
-	// others take does not count.
+	// EqualShares gives each gateway a fixed, equal share of each cap, regardless of the
+	// usage of the others.
 	EqualShares bool
 }
 
 const (
-	// recallLife is how long a new process goes by the number of gateways before it:
-	// keepers notice within 5 s that a gateway is lost.
+	// recallLife is how long a new process uses the number of gateways known before its
+	// start. Keepers notice the loss of a gateway within 5 s.
 	recallLife = 5 * time.Second
-	// capRefresh is how often the gateways that are heard are counted.
+	// capRefresh is the interval at which the reachable gateways are counted.
 	capRefresh = 50 * time.Millisecond
-	// leastBurst is the least that a cap takes at once, in seconds of its rate: without
-	// any, a cap that sets no burst would take nothing at all.
+	// leastBurst is the minimum burst of a cap, in seconds of its rate. Without it, a cap
+	// that sets no burst would admit no request at all.
 	leastBurst = 0.25
-	// maxCapWait bounds the time told to callers beyond a cap.
+	// maxCapWait bounds the retry delay returned to callers whose team has used up its cap.
 	maxCapWait = 8 * time.Second
 )
 
-// teamCap is the bucket of one team.
+// teamCap is the token bucket of one team.
 type teamCap struct {
 	limit   wardturn.UsageCap
-	level   float64 // units that may be taken now; under zero: a debt
-	waiting float64 // units of callers that were told to come back and are not due yet
+	level   float64 // units that may be taken now; negative: a debt
+	waiting float64 // reserved units: callers told to retry whose time has not come
 	at      time.Time
-	spared  float64 // refill that was left aside, or found the bucket full, since the start
-	unspent float64 // of it, what no late word has been set against
+	spared  float64 // refill since the start that was left to missing gateways or overflowed
+	unspent float64 // part of it that no late report has been offset against
 	used    int64   // taken by this gateway since its start
-	told    int64   // of that, as the latest word had it
-	again   bool    // to be told once more: the latest word may be lost
+	told    int64   // value of used in the latest report
+	again   bool    // report once more, since the latest report may be lost
 }
 
-// NewTeamCaps returns buckets that are empty: what the other gateways have taken is
-// not known yet, nor what a process before this one had.
+// NewTeamCaps returns a TeamCaps whose buckets start empty, because the usage of the other
+// gateways and of the previous process of this gateway is unknown.
 func NewTeamCaps(now time.Time, self wardturn.Incarnation, cfg TeamCapConfig) *TeamCaps {
 	return &TeamCaps{
 		cfg:      cfg,
@@ -78,8 +78,8 @@
 	}
 }
 
-// SetTeams takes the caps of a configuration. A bucket whose cap changes keeps its
-// level, up to the new burst.
+// SetTeams sets the caps from a configuration. A bucket whose cap changes keeps its level,
+// up to the new burst.
 func (c *TeamCaps) SetTeams(now time.Time, teams []wardturn.Team) {
 	present := make(map[wardturn.TeamID]bool, len(teams))
 	for _, t := range teams {
@@ -102,8 +102,8 @@
 	}
 }
 
-// SetGateways takes the number of gateways, as keepers count them; zero: no keeper is
-// heard.
+// SetGateways sets the number of gateways counted by keepers, or zero if no keeper is
+// reachable.
 func (c *TeamCaps) SetGateways(now time.Time, counted int) {
 	heard, weight := 1, 1.0
 	for _, o := range c.others {
@@ -120,7 +120,7 @@
 	}
 	counted = c.counted.Take(now, counted)
 	if counted == 0 {
-		counted = c.gateways // a gateway that is cut off was one of so many
+		counted = c.gateways // an isolated gateway keeps the last known number
 	}
 	if now.Sub(c.start) < recallLife {
 		counted = max(counted, c.recalled)
@@ -133,25 +133,26 @@
 	c.refreshedAt = now
 }
 
-// mayBeBefore reports whether the words of another gateway may all be of a process that
-// ended together with the one before this: it began earlier, and none of its words shows
-// that it was still there when this one began. When all gateways begin anew, each that
-// counted such a word as another gateway would take a larger part, and the team would get
-// several times its cap. Those that begin together count each other at once: with no word
-// counted for a while, more would be refused than need be.
+// mayBeBefore reports whether all reports received from another gateway may come from a
+// process that ended before this one started: the process started earlier, and no report
+// shows that it was still running when this one started. If all gateways restart at once
+// and count such delayed reports as additional gateways, each uses a larger part of the
+// cap, and the team gets several times its cap. Processes that start at the same time as
+// this one are counted at once, since ignoring them would refuse more than necessary.
 func (c *TeamCaps) mayBeBefore(o *otherGateway) bool {
 	return c.recalled > 0 && o.before && o.age-o.firstAge < capDelay
 }
 
-// freshness is how far another gateway counts as heard by the age of its latest word: in
-// full while the next word is not due, and less and less after that. When gateways are cut
-// off from the others, both sides go on with the whole cap until they notice.
+// freshness returns the weight, from 1 to 0, with which another gateway counts as reachable
+// given the age of its latest report. It is 1 until the next report is due and then falls
+// linearly until capLapse. Without the decline, both sides of a network partition would use
+// the whole cap until they notice it.
 func freshness(age time.Duration) float64 {
 	return min(1, max(0, (capLapse-age).Seconds()/(capLapse-capFresh).Seconds()))
 }
 
-// calm forgets what was spared, once every gateway known has been heard for a while: only
-// the words of those that were missing are set against it.
+// calm drops the record of unused refill once every known gateway has been reporting for a
+// while, because only the late reports of missing gateways are offset against it.
 func (c *TeamCaps) calm(now time.Time) {
 	for _, o := range c.others {
 		if o.gapEnd > 0 && o.age-o.gapEnd <= capLapse {
@@ -163,24 +164,24 @@
 	}
 }
 
-// Recall takes how many gateways there were before this one started. It counts for the
-// time in which keepers and other gateways are still to be heard: processes that take
-// themselves for the only ones would each let a team have its whole cap.
+// Recall sets the number of gateways known before this process started. It applies until
+// keepers and other gateways have had time to report. Otherwise each newly started process
+// would assume that it is the only one and grant a team its whole cap.
 func (c *TeamCaps) Recall(now time.Time, gateways int) {
 	c.recalled = gateways
 	c.SetGateways(now, 0)
 }
 
-// refresh counts the gateways again that are heard.
+// refresh counts the reachable gateways again if the latest count is older than capRefresh.
 func (c *TeamCaps) refresh(now time.Time) {
 	if now.Sub(c.refreshedAt) >= capRefresh {
 		c.SetGateways(now, 0)
 	}
 }
 
-// Take takes a request's units from its team's cap. It reports false, and when to
-// come back, if the cap is used up. A request may be larger than what is left, or
-// than the burst: the rest is a debt.
+// Take charges a request's units to its team's cap. If the cap is used up, it returns false
+// and the delay after which to retry. A request may be larger than the remaining level or
+// the burst; the excess becomes a debt.
 func (c *TeamCaps) Take(now time.Time, team wardturn.TeamID, units int64) (retryAfter time.Duration, ok bool) {
 	t := c.caps[team]
 	if t == nil || t.limit.Rate <= 0 {
@@ -193,14 +194,14 @@
 		t.used += units
 		return 0, true
 	}
-	// Callers that come back together would be refused together again: each is told
-	// when the cap will have taken those that were told before.
+	// Callers that retry at the same time would be refused together again, so each delay
+	// includes the units reserved for callers refused earlier.
 	t.waiting += float64(units)
 	wait := (t.waiting - t.level) / (t.limit.Rate * c.part)
 	return min(time.Duration(wait*float64(time.Second)), maxCapWait), false
 }
 
-// GiveBack returns the units of a request that no upstream ran.
+// GiveBack refunds the units of a request that no upstream ran.
 func (c *TeamCaps) GiveBack(team wardturn.TeamID, units int64) {
 	if t := c.caps[team]; t != nil && t.limit.Rate > 0 {
 		t.level += float64(units)
@@ -208,8 +209,8 @@
 	}
 }
 
-// Left returns what is left of a team's cap now, as far as known, in seconds of its
-// rate; under zero: a debt.
+// Left returns what is left of a team's cap, as far as known here, in seconds of the cap's
+// rate. A negative value is a debt.
 func (c *TeamCaps) Left(now time.Time, team wardturn.TeamID) float64 {
 	t := c.caps[team]
 	if t == nil || t.limit.Rate <= 0 {
@@ -219,12 +220,12 @@
 	return t.level / t.limit.Rate
 }
 
-// burst returns what the gateways that are heard may take at once.
+// burst returns the units that the reachable gateways may take at once.
 func (t *teamCap) burst(part float64) float64 {
 	return part * max(t.limit.Burst, leastBurst*t.limit.Rate, 1)
 }
 
-// fill lets time pass.
+// fill adds the units that accrued since the last call.
 func (t *teamCap) fill(now time.Time, part float64) {
 	all := t.limit.Rate * max(0, now.Sub(t.at).Seconds())
 	more := part * all
--- a/decide/teamwords.go
+++ b/decide/teamwords.go
@@ -10,67 +10,68 @@
 )
 
 const (
-	// untoldPart is the use, in seconds of a cap's rate, that all gateways together
-	// may keep to themselves while the cap is nearly used up: about as much may go over.
+	// untoldPart bounds the unreported usage of all gateways together while a cap is nearly
+	// used up, in seconds of the cap's rate. Usage may exceed the cap by about this amount.
 	untoldPart = 0.25
-	// freePart is the same as a part of what is left of the bucket: far from the cap
-	// fewer words do.
+	// freePart is the same bound as a fraction of the bucket level: far from the cap, fewer
+	// reports are needed.
 	freePart = 0.5
-	// pressPart is how many times what may be kept has to be taken for a word between two
-	// looks: a team that uses its cap steadily hardly ever does.
+	// pressPart is the multiple of the unreported usage allowed at which a report is sent
+	// before the next regular check. Steady usage up to the cap hardly ever reaches it.
 	pressPart = 1.5
-	// pressSpeed is how many times its share of the rate a gateway must have taken since its
-	// latest word.
+	// pressSpeed is the multiple of its share of the rate that a gateway must have taken
+	// since its latest report for such an early report.
 	pressSpeed = 1.5
-	// pressPause is the least time between a word and one between two looks.
+	// pressPause is the minimum time between a report and an early report.
 	pressPause = 50 * time.Millisecond
-	// capBeat is the longest time between two words of a gateway.
+	// capBeat is the heartbeat interval: the longest time between two reports of a gateway.
 	capBeat = 500 * time.Millisecond
-	// capLapse is how long a gateway is heard after a word: two that come through a
-	// relay that has just died may be lost.
+	// capLapse is the time after its latest report at which a gateway counts as unreachable.
+	// It allows for the loss of two reports sent through a relay that has just died.
 	capLapse = 1600 * time.Millisecond
-	// capFresh is the age of a word by which the next one is due: capBeat, and the 200 ms
-	// between two looks whether one is.
+	// capFresh is the age of a report by which the next one is due: capBeat plus the 200 ms
+	// between two checks whether a report is due.
 	capFresh = 700 * time.Millisecond
-	// capDelay is how long a word has to be on its way to count as late: a usual one takes
-	// some 60 ms, and one that a host held back while it was frozen seconds.
+	// capDelay is the transit time above which a report counts as delayed. A usual report
+	// takes some 60 ms, one held back by a frozen host takes seconds.
 	capDelay = 500 * time.Millisecond
-	// otherMemory is how long the counts of a gateway that is silent are kept: one
-	// that was frozen goes on with them.
+	// otherMemory is how long the totals of a silent gateway are kept. A process that was
+	// frozen continues counting from its old totals.
 	otherMemory = time.Minute
 )
 
-// TeamWord tells the other gateways what one of them has taken.
+// TeamWord is the report by which a gateway tells the others how much of the caps it has
+// used.
 type TeamWord struct {
 	Process wardturn.Incarnation
-	Seq     uint64        // counts the words of the process
-	Age     time.Duration // since it began to count
+	Seq     uint64        // sequence number of the report within the process
+	Age     time.Duration // time since the process started counting
 	Used    []TeamUsed
 }
 
-// TeamUsed is what a gateway has taken of a team's cap since its start.
+// TeamUsed is the usage of a team's cap by one gateway process since its start.
 type TeamUsed struct {
 	Team  wardturn.TeamID
 	Total int64
 }
 
-// otherGateway is what another gateway has told.
+// otherGateway is the state of another gateway process as known from its reports.
 type otherGateway struct {
 	heardAt time.Time
 	seq     uint64
-	earlier bool // it has counted for longer than this one
-	before  bool // it has for more than a word may be on its way
-	// firstAge is the age of its first word here.
+	earlier bool // it started before this process
+	before  bool // it started more than capDelay before this process
+	// firstAge is the Age of its first report received here.
 	firstAge time.Duration
 	used     map[wardturn.TeamID]int64
-	spared   map[wardturn.TeamID]float64       // spared when the team was last told of
-	lag      time.Duration                     // the least by which its words were behind their Age
-	age      time.Duration                     // of its latest word
-	gapEnd   time.Duration                     // age of the first word after a lapse; zero: none lapsed
-	told     map[wardturn.TeamID]time.Duration // age of the latest word on a team
+	spared   map[wardturn.TeamID]float64       // teamCap.spared at the latest report on the team
+	lag      time.Duration                     // minimum difference between arrival time and Age
+	age      time.Duration                     // Age of its latest report
+	gapEnd   time.Duration                     // Age of the first report after a gap; zero: no gap
+	told     map[wardturn.TeamID]time.Duration // Age of the latest report on a team
 }
 
-// Word returns what the other gateways have to be told now, if anything.
+// Word returns the report to send to the other gateways, if one is due.
 func (c *TeamCaps) Word(now time.Time) (w TeamWord, due bool) {
 	if c.cfg.EqualShares {
 		return TeamWord{}, false
@@ -105,8 +106,9 @@
 	return w, true
 }
 
-// Pressing reports whether so much was taken of a team's cap since the latest word that the
-// others have to be told before the next look: a team has begun to use far more than before.
+// Pressing reports whether the usage of a team's cap since the latest report is so high that
+// the others must be told before the next regular check. This happens when a team suddenly
+// uses far more than before.
 func (c *TeamCaps) Pressing(now time.Time, id wardturn.TeamID) bool {
 	t := c.caps[id]
 	if t == nil || c.cfg.EqualShares || now.Sub(c.toldAt) < pressPause {
@@ -119,18 +121,18 @@
 	return untold >= pressPart*t.mayKeep(now, c.part)
 }
 
-// Words returns how many words this process has told.
+// Words returns the number of reports this process has made.
 func (c *TeamCaps) Words() uint64 {
 	return c.seq
 }
 
-// mayKeep returns the units that all gateways together may take untold.
+// mayKeep returns the number of units that all gateways together may leave unreported.
 func (t *teamCap) mayKeep(now time.Time, part float64) float64 {
 	t.fill(now, part)
 	return max(untoldPart*t.limit.Rate, freePart*t.level)
 }
 
-// Heard takes the word of another gateway.
+// Heard processes a report of another gateway.
 func (c *TeamCaps) Heard(now time.Time, w TeamWord) {
 	if w.Process == c.self || c.cfg.EqualShares {
 		return
@@ -168,19 +170,20 @@
 		since := o.spared[u.Team]
 		o.spared[u.Team] = t.spared
 		if !known && o.earlier {
-			continue // taken before this gateway began to count, as far as is known
+			continue // presumably used before this process started counting
 		}
 		units := float64(u.Total - before)
 		if delayed || late {
 			forgiven := t.forgive(units, t.spared-since)
 			units -= forgiven
-			o.spared[u.Team] = since + forgiven // the rest is for late words that follow
+			o.spared[u.Team] = since + forgiven // keep the remainder for later reports
 		}
 		t.level -= units
 	}
 }
 
-// note takes the numbers and times of a word, and reports whether it was long on its way.
+// note records the sequence number and timing of a report, and reports whether the report
+// was delayed in transit by more than capDelay.
 func (o *otherGateway) note(at time.Duration, w TeamWord) (delayed bool) {
 	if w.Age-o.age > capLapse {
 		o.gapEnd = w.Age
@@ -192,25 +195,25 @@
 	return lag-o.lag > capDelay
 }
 
-// late reports whether a word on a team is the first since words were missing: it tells
-// of all that was taken meanwhile.
+// late reports whether a report on a team is the first one after a gap in the reports. It
+// then covers all usage during the gap.
 func (o *otherGateway) late(team wardturn.TeamID) bool {
 	told := o.told[team]
 	o.told[team] = o.age
 	return o.gapEnd > 0 && told < o.gapEnd && o.age-o.gapEnd <= capLapse
 }
 
-// forgive returns what need not be charged of units that a late word tells of. Their use
-// lies back some time, and is set against what this bucket did not get or could not hold
-// since the team was last told of: nothing of that was used here. Charged whole, at one
-// moment, a cut that heals would cost a team below its cap seconds of its rate.
+// forgive returns how many of the units in a late report need not be charged. They were
+// used some time ago and are offset against the refill that this bucket left unused or
+// could not hold since the previous report on the team. If they were charged in full at
+// once, a team below its cap would lose seconds of its rate when a network partition heals.
 func (t *teamCap) forgive(units, spared float64) float64 {
 	forgiven := max(0, min(units, spared, t.unspent))
 	t.unspent -= forgiven
 	return forgiven
 }
 
-// forget drops the counts of gateways that have been silent for long.
+// forget drops the totals of gateways that have been silent for longer than otherMemory.
 func (c *TeamCaps) forget(now time.Time) {
 	for p, o := range c.others {
 		if now.Sub(o.heardAt) > otherMemory {
--- a/decide/trust.go
+++ b/decide/trust.go
@@ -5,26 +5,28 @@
 )
 
 const (
-	// trustPause is how long a way that has failed is left alone at first, and
-	// trustMost at most, doubled in between: a host that is slow because it is
-	// overloaded must not be asked for everything again and again.
+	// trustPause is the initial backoff of a path that has failed. It doubles with each
+	// failure up to trustMost, so that a host that is slow because it is overloaded does not
+	// get all requests again and again.
 	trustPause = 3 * time.Second
 	trustMost  = time.Minute
-	// trustAfter is how long a way must hold to be trusted as at first.
+	// trustAfter is how long a path must work for the backoff to start from trustPause
+	// again.
 	trustAfter = 30 * time.Second
-	// trustSpread is the part of a pause by which it is longer or shorter by chance,
-	// so that processes do not come back together.
+	// trustSpread is the random jitter, as a fraction of the backoff, that keeps processes
+	// from returning to a path at the same time.
 	trustSpread = 0.25
 )
 
-// Trust decides when a way that has failed may be used again.
+// Trust is the exponential backoff of a network path: it decides when a path that has failed
+// may be used again.
 type Trust struct {
-	Draw  func() float64 // in [0, 1), by chance; nil: Draw
-	pause time.Duration  // the latest
+	Draw  func() float64 // random number in [0, 1); nil: the package's Draw
+	pause time.Duration  // latest backoff, without jitter
 	until time.Time
 }
 
-// Fail records that the way has failed, and since when it had been used.
+// Fail records that the path has failed after being in use since the given time.
 func (t *Trust) Fail(now, since time.Time) {
 	t.pause = min(2*t.pause, trustMost)
 	if t.pause == 0 || now.Sub(since) >= trustAfter {
@@ -38,7 +40,7 @@
 	t.until = now.Add(time.Duration(spread * float64(t.pause)))
 }
 
-// Allows reports whether the way may be used.
+// Allows reports whether the path may be used.
 func (t *Trust) Allows(now time.Time) bool {
 	return !now.Before(t.until)
 }
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -6,7 +6,7 @@
 	"wardturn"
 )
 
-// sent records that a request goes to an upstream.
+// sent records that a request is sent to an upstream.
 func (f *Fleet) sent(now time.Time, m *Member, key wardturn.ModelAdapter, prompt wardturn.Tokens) {
 	m.running++
 	f.reads(m, prompt)
@@ -28,30 +28,30 @@
 	u.changed = true
 }
 
-// Began records that the answer to a request began: its prompt has been read.
+// Began records that the answer to a request began, so its prompt has been read.
 func (f *Fleet) Began(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	if m := f.members[id]; m != nil {
 		f.reads(m, -prompt)
 	}
 }
 
-// Ending is how a request at an upstream ended, as far as that tells of the
+// Ending classifies the end of a request by what it indicates about the health of the
 // upstream.
 type Ending uint8
 
 const (
-	// EndedWell had its whole answer, or was refused as not run.
+	// EndedWell is a complete answer, or a refusal that says the request was not run.
 	EndedWell Ending = iota
-	// EndedInError had an answer that says the upstream failed.
+	// EndedInError is an answer that reports a failure of the upstream.
 	EndedInError
-	// EndedBroken had no answer, or a part of one.
+	// EndedBroken is a missing or incomplete answer.
 	EndedBroken
-	// EndedUnseen ended for a reason that tells nothing of the upstream.
+	// EndedUnseen is an end that says nothing about the upstream.
 	EndedUnseen
 )
 
-// Ended records the end of a request at an upstream. Call Began before, also for
-// a request that had no answer.
+// Ended records the end of a request at an upstream. Began must be called first, even if
+// the request had no answer.
 func (f *Fleet) Ended(now time.Time, id wardturn.UpstreamID, key wardturn.ModelAdapter, how Ending) {
 	m := f.members[id]
 	if m == nil {
@@ -78,28 +78,29 @@
 	m.failing += failWeight * (bad - m.failing)
 }
 
-// holds reports whether an upstream may be given the body of a request beside those that
-// this gateway has there: its part of what all may give. One alone is always given.
+// holds reports whether the body of a request fits within this gateway's share of
+// MostBodies at an upstream. A body that would be the only one there always fits.
 func (f *Fleet) holds(m *Member, t *Ticket) bool {
 	return f.cfg.MostBodies == 0 || m.bodies == 0 || m.bodies+t.Body <= f.cfg.MostBodies/f.Gateways()
 }
 
-// Freed records that an upstream no longer holds the body of a request.
+// Freed records that an upstream no longer holds a request body of the given size.
 func (f *Fleet) Freed(id wardturn.UpstreamID, body int) {
 	if m := f.members[id]; m != nil {
 		m.bodies = max(0, m.bodies-body)
 	}
 }
 
-// AdapterCount counts this gateway's requests to an adapter of one engine.
+// AdapterCount counts this gateway's requests for one adapter at one engine.
 type AdapterCount struct {
 	Key     wardturn.ModelAdapter
-	Started int // since it was last reported
+	Started int // requests started since the last report
 	Running int
 	changed bool
 }
 
-// runningOf returns how many requests for an adapter this gateway has under way at a member.
+// runningOf returns the number of requests for an adapter that this gateway has in progress
+// at a member.
 func (m *Member) runningOf(key wardturn.ModelAdapter) int {
 	if u := m.uses[key]; u != nil {
 		return u.Running
@@ -107,8 +108,7 @@
 	return 0
 }
 
-// Usage returns what changed in the use of a member's adapters since the last
-// call.
+// Usage returns the counts of a member's adapters that changed since the last call.
 func (f *Fleet) Usage(id wardturn.UpstreamID) []AdapterCount {
 	m := f.members[id]
 	if m == nil {
