--- a/decide/bodies_test.go
+++ b/decide/bodies_test.go
@@ -7,7 +7,8 @@
 	"wardturn/decide"
 )
 
-// A few long requests take an upstream beyond its memory, however small their number is.
+// A few requests with long bodies can exceed the memory of an upstream, so their bytes are
+// bounded as well as their number.
 func TestBodiesAtAnUpstreamAreBounded(t *testing.T) {
 	const (
 		most = 4 << 20
@@ -32,10 +33,10 @@
 		request.Body = body
 		x.f.Admit(x.now, request, &x.out)
 	}
-	admit("alone", 2*most) // beyond the bound, but nothing is beside it
+	admit("alone", 2*most) // over the bound, but the only one there
 	first := x.got["alone"].Member.ID
 	if first == "" {
-		t.Fatal("a long request alone is not sent")
+		t.Fatal("a single long request is not sent")
 	}
 	at := make(map[string]int)
 	for _, id := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} {
@@ -45,19 +46,19 @@
 		}
 	}
 	if at[string(first)] > 0 {
-		t.Error("more bodies go where the bound is passed")
+		t.Error("more bodies are sent to an upstream over the bound")
 	}
 	for id, bytes := range at {
 		if bytes > most/2 {
-			t.Errorf("%s is given %d bytes by one of two gateways, at most %d", id, bytes, most/2)
+			t.Errorf("%s got %d bytes from one of two gateways, want at most %d", id, bytes, most/2)
 		}
 	}
 	if len(x.got) != 7 {
-		t.Errorf("%d requests are sent, want 7: 2 beside each other at three engines, 1 alone", len(x.got))
+		t.Errorf("%d requests sent, want 7: two at each of three engines and the long one", len(x.got))
 	}
 	x.f.Freed(first, 2*most)
 	x.tick(0)
 	if len(x.got) != 9 {
-		t.Errorf("%d requests are sent after the long one ended, want 9", len(x.got))
+		t.Errorf("%d requests sent after the long one ended, want 9", len(x.got))
 	}
 }
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -15,14 +15,15 @@
 	coldSlack   = 5
 )
 
-// coldSim plays gateways that each have more requests for a cold upstream than it bears.
+// coldSim simulates gateways that each have more requests for a cold upstream than it may
+// get.
 type coldSim struct {
 	now      time.Time
 	gateways []*decide.Limits
 	started  int
 	sent     []int      // by step, of all gateways
-	apart    bool       // gateways do not hear each other
-	counted  func() int // gateways that keepers count; nil: all
+	apart    bool       // no messages between gateways
+	counted  func() int // number of gateways counted by keepers; nil: all
 }
 
 func newColdSim(n int) *coldSim {
@@ -46,7 +47,7 @@
 	return l
 }
 
-// step lets a step of time pass in which each gateway sends what it may.
+// step advances time by one step, in which each gateway sends as much as it may.
 func (s *coldSim) step() {
 	s.now = s.now.Add(capStep)
 	sent := 0
@@ -55,7 +56,7 @@
 			g.Sent(s.now, limitID)
 			sent++
 			if sent > 10000 {
-				break // nothing bounds it
+				break // sending is not bounded
 			}
 		}
 	}
@@ -85,14 +86,14 @@
 	}
 }
 
-// cold has all gateways learn that the upstream is cold for a while.
+// cold tells all gateways that the upstream is cold for a duration.
 func (s *coldSim) cold(d time.Duration) {
 	for _, g := range s.gateways {
 		g.Cold(s.now, limitID, coldRate, s.now.Add(d))
 	}
 }
 
-// most returns the most requests in any second from a step on.
+// most returns the highest number of requests in any second from a step on.
 func (s *coldSim) most(from int) int {
 	second := int(time.Second / capStep)
 	most := 0
@@ -110,11 +111,12 @@
 	t.Helper()
 	const bound = coldRate*coldOverage + coldSlack
 	if got := s.most(from); float64(got) > bound {
-		t.Errorf("%s: %d requests in a second, at most %.1f", name, got, bound)
+		t.Errorf("%s: %d requests in a second, want at most %.1f", name, got, bound)
 	}
 }
 
-// A failure domain that comes back has idle engines, which all gateways prefer at once.
+// When a failure domain comes back, its engines are idle and all gateways prefer them at
+// once. Together they keep within the bound of a cold upstream and use it.
 func TestColdUpstream(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 9, 22, 107, 470} {
 		s := newColdSim(n)
@@ -127,13 +129,13 @@
 		name := fmt.Sprintf("%d gateways", n)
 		s.expectBound(t, name, 0)
 		if got := s.most(len(s.sent) - int(3*time.Second/capStep)); float64(got) < coldRate-1 {
-			t.Errorf("%s: %d requests in a second where it takes %.1f", name, got, coldRate)
+			t.Errorf("%s: %d requests in a second of the %.1f allowed", name, got, coldRate)
 		}
 	}
 }
 
-// After a loss of all processes keepers count the gateways that are back so far: each gateway
-// took itself for the only one.
+// After a loss of all processes, keepers count only the gateways that are back so far, and
+// each gateway assumed that it was the only one.
 func TestColdUpstreamAfterALossOfAll(t *testing.T) {
 	for _, n := range []int{2, 9, 22} {
 		s := newColdSim(n)
@@ -150,7 +152,8 @@
 	}
 }
 
-// Gateways that hear nobody, and processes that begin anew, go by their number alone.
+// Gateways that receive no messages, and restarted processes, keep within the bound by the
+// number of gateways alone.
 func TestColdUpstreamApart(t *testing.T) {
 	for _, n := range []int{2, 9, 22} {
 		s := newColdSim(n)
@@ -180,17 +183,17 @@
 	l.SetGateways(start, 1)
 	l.Cold(start, limitID, coldRate, start.Add(time.Second))
 	if !l.Bounded(start, limitID) {
-		t.Error("it is cold and not limited")
+		t.Error("cold upstream is not bounded")
 	}
 	l.Cold(start, limitID, coldRate, start.Add(3*time.Second))
 	if at := start.Add(2 * time.Second); !l.Bounded(at, limitID) {
-		t.Error("the later time does not count")
+		t.Error("the later time was not applied")
 	}
 	if at := start.Add(3 * time.Second); l.Bounded(at, limitID) || !l.Allows(at, limitID) {
-		t.Error("it is warm and still limited")
+		t.Error("warm upstream is still bounded")
 	}
 	l.Cold(start, "other", 0, start.Add(time.Second))
 	if l.Bounded(start, "other") {
-		t.Error("a service that bounds nothing is limited")
+		t.Error("upstream with a cold rate of zero is bounded")
 	}
 }
--- a/decide/evacuation_test.go
+++ b/decide/evacuation_test.go
@@ -10,8 +10,8 @@
 
 const plainService = wardturn.ServiceName("app")
 
-// newEvacuationRig is newFleetRig with a plain service that has all its upstreams in one
-// failure domain, and a rate for cold engines.
+// newEvacuationRig is newFleetRig with a rate limit for cold engines and a plain service
+// whose only upstream is in the failure domain near.
 func newEvacuationRig() (x *fleetRig, members []wardturn.Member) {
 	limits := decide.NewLimits(start, "p")
 	x = newLimitedRig(limits)
@@ -43,7 +43,7 @@
 	return x, members
 }
 
-// admitFor admits a request and returns what became of it at once.
+// admitFor admits a request and returns its assignment if it was decided at once.
 func (x *fleetRig) admitFor(service wardturn.ServiceName, key wardturn.ModelAdapter, regions wardturn.Regions) (a decide.Assignment, decided bool) {
 	x.f.Admit(x.now, &decide.Ticket{
 		Service:   service,
@@ -60,7 +60,7 @@
 	return a, decided
 }
 
-// holdEverywhere has all engines hold an adapter.
+// holdEverywhere makes all engines report an adapter as ready.
 func (x *fleetRig) holdEverywhere(name string) {
 	for _, id := range []wardturn.UpstreamID{"n0", "n1", "f0", "f1"} {
 		x.f.SetHolding(x.now, id, decide.Holding{
@@ -75,7 +75,8 @@
 	}
 }
 
-// An evacuated failure domain got requests: nothing read the operator's word.
+// An evacuated failure domain gets no requests and no loads. The operator's evacuation list
+// used to be ignored.
 func TestEvacuatedDomainGetsNothing(t *testing.T) {
 	x, members := newEvacuationRig()
 	x.holdEverywhere("a")
@@ -87,7 +88,7 @@
 		for range 6 {
 			a, ok := x.admitFor(fleetService, adapterKey("a"), nil)
 			if !ok || a.Member.Domain != "far" {
-				t.Fatalf("round %d: request went to %q in %q", round, a.Member.ID, a.Member.Domain)
+				t.Fatalf("round %d: request was sent to %q in %q", round, a.Member.ID, a.Member.Domain)
 			}
 			x.f.Ended(x.now, a.Member.ID, adapterKey("a"), decide.EndedWell)
 		}
@@ -95,12 +96,12 @@
 		x.admitFor(fleetService, adapterKey("b"), nil)
 		for _, ask := range x.out.Asks {
 			if id := ask.Upstream; id == "n0" || id == "n1" {
-				t.Errorf("an adapter is asked for at %s", id)
+				t.Errorf("load requested at the evacuated engine %s", id)
 			}
 		}
 		a, ok := x.admitFor(plainService, wardturn.ModelAdapter{}, nil)
 		if !ok || a.Reason != wardturn.ReasonEvacuated {
-			t.Errorf("plain service: %+v, want it refused at once as %s", a, wardturn.ReasonEvacuated)
+			t.Errorf("plain service: %+v, want a refusal at once with reason %s", a, wardturn.ReasonEvacuated)
 		}
 		x.f.SetMembers(x.now, members) // a new list changes nothing
 	}
@@ -109,15 +110,15 @@
 		"far":  true,
 	}, &x.out)
 	if a, _ := x.admitFor(fleetService, adapterKey("a"), nil); a.Reason != wardturn.ReasonEvacuated {
-		t.Errorf("all evacuated: %+v", a)
+		t.Errorf("all failure domains evacuated: %+v", a)
 	}
 	x.f.SetEvacuated(x.now, wardturn.Evacuations{}, &x.out)
 	if a, ok := x.admitFor(plainService, wardturn.ModelAdapter{}, nil); !ok || a.Member.ID != "p0" {
-		t.Errorf("taken back: %+v", a)
+		t.Errorf("evacuation withdrawn: %+v", a)
 	}
 }
 
-// Requests that wait for an adapter are refused as soon as no engine may serve them.
+// Requests that wait for an adapter are refused as soon as no engine is eligible for them.
 func TestEvacuationEndsHopelessWaits(t *testing.T) {
 	x, _ := newEvacuationRig()
 	x.holdEverywhere("a")
@@ -138,12 +139,12 @@
 	}, &x.out)
 	x.f.Tick(x.now, &x.out)
 	if !refused {
-		t.Error("it waits on")
+		t.Error("request still waits although no engine is eligible")
 	}
 }
 
-// Engines of a failure domain that is taken back may have turned cold since their entries
-// were written.
+// Engines of a failure domain whose evacuation is withdrawn may have become cold since their
+// entries were written.
 func TestTakenBackCountsAsCold(t *testing.T) {
 	x, members := newEvacuationRig()
 	x.holdEverywhere("a")
@@ -158,30 +159,30 @@
 		return near
 	}
 	if got := count(); got != 8 {
-		t.Fatalf("%d of 8 in the own failure domain before", got)
+		t.Fatalf("%d of 8 requests in the gateway's failure domain before the evacuation", got)
 	}
 	x.f.SetEvacuated(x.now, wardturn.Evacuations{
 		"near": true,
 	}, &x.out)
 	x.f.SetEvacuated(x.now, wardturn.Evacuations{}, &x.out)
 	if got := count(); got > 2 {
-		t.Errorf("%d requests at once to engines that may be cold", got)
+		t.Errorf("%d requests at once to engines presumed cold", got)
 	}
 	for i := range members { // written before they turned cold
 		members[i].Seen = 7
 	}
 	x.f.SetMembers(x.now, members)
 	if got := count(); got > 2 {
-		t.Errorf("%d requests at once after an entry that may be older", got)
+		t.Errorf("%d requests at once after an entry that may be out of date", got)
 	}
 	x.now = x.now.Add(4 * time.Second)
 	if got := count(); got != 8 {
-		t.Errorf("%d of 8 once they are warm", got)
+		t.Errorf("%d of 8 requests once the engines are warm", got)
 	}
 }
 
-// What an entry says of coldness counts from when it was first read: told once more, by
-// another gateway or in a list that was read again, it says nothing new.
+// The cold time in an entry counts from when the entry was first read. Reading it again, in
+// another list or from another gateway, does not extend it.
 func TestColdByEntry(t *testing.T) {
 	x, members := newEvacuationRig()
 	x.holdEverywhere("a")
@@ -210,23 +211,23 @@
 	cold(5, 2*time.Second) // the same entry
 	x.now = x.now.Add(600 * time.Millisecond)
 	if got := served(); got != 16 {
-		t.Errorf("%d of 16 served by warm engines", got)
+		t.Errorf("%d of 16 requests served by warm engines", got)
 	}
 	cold(9, 2*time.Second)
 	cold(12, 0)
-	cold(9, 2*time.Second) // late
+	cold(9, 2*time.Second) // an older entry that arrives late
 	if got := served(); got != 16 {
-		t.Errorf("%d of 16 served after a late word", got)
+		t.Errorf("%d of 16 requests served after an older entry", got)
 	}
 	x.f.SawCold(x.now, "n0", time.Second)
 	x.f.SawCold(x.now, "n1", time.Second)
 	if a, _ := x.admitFor(fleetService, adapterKey("a"), nil); a.Member.Domain == "near" {
-		t.Errorf("a request went to %s, which has just said that it is cold", a.Member.ID)
+		t.Errorf("a request was sent to %s, which has just reported that it is cold", a.Member.ID)
 	}
 }
 
-// Else the next requests for all adapters of the failure domain wait for loads that begin
-// together.
+// Adapters in use in an evacuated failure domain are loaded elsewhere at once. Otherwise the
+// next requests for all of them would wait for loads that begin at the same time.
 func TestAdaptersInUseAreLoadedElsewhere(t *testing.T) {
 	x, _ := newEvacuationRig()
 	x.hold("n0", readyAdapter("used", 1), readyAdapter("idle", 1), readyAdapter("spread", 1))
@@ -241,18 +242,18 @@
 		"near": true,
 	}, &x.out)
 	if len(x.out.Asks) != 1 || x.out.Asks[0].Adapter.Adapter != "used" {
-		t.Fatalf("asked for %+v, want only what is in use and held nowhere else", x.out.Asks)
+		t.Fatalf("requested %+v, want only the adapter that is in use and held nowhere else", x.out.Asks)
 	}
 	home := x.out.Asks[0].Upstream
 	if home != "f0" && home != "f1" {
-		t.Errorf("it is asked for at %s", home)
+		t.Errorf("load requested at %s", home)
 	}
 	x.hold(string(home), readyAdapter("used", 1))
 	if a, ok := x.admitFor(fleetService, adapterKey("used"), nil); !ok || a.Member.ID != home {
-		t.Errorf("the next request: %+v", a)
+		t.Errorf("next request: %+v", a)
 	}
 	x.tick(10 * time.Second)
 	if len(x.out.Asks) != 1 {
-		t.Errorf("asked again: %+v", x.out.Asks)
+		t.Errorf("requested again: %+v", x.out.Asks)
 	}
 }
--- a/decide/leaving_test.go
+++ b/decide/leaving_test.go
@@ -11,7 +11,7 @@
 )
 
 var _ = Describe("An upstream that was seen leaving", func() {
-	It("gets no requests any more, whatever a list tells later", func() {
+	It("gets no more requests, whatever later lists contain", func() {
 		x := newFleetRig()
 		ready := fleetMembers()
 		for _, m := range ready {
@@ -33,8 +33,8 @@
 	})
 })
 
-var _ = Describe("An upstream that says of itself that it leaves", func() {
-	It("gets no requests and no loads, whatever lists tell, for its lifetime", func() {
+var _ = Describe("An upstream that announces that it is leaving", func() {
+	It("gets no requests and no loads for the rest of its lifetime, whatever lists contain", func() {
 		x := newFleetRig()
 		x.hold("n0", readyAdapter("a", 1))
 		x.admit("r0", "a")
@@ -42,7 +42,7 @@
 		Expect(x.takes(x.now, "n0")).To(BeTrue())
 		x.f.Leaves(x.now, "n0", &x.out)
 		Expect(x.out.Leaving).To(ConsistOf(wardturn.UpstreamID("n0")))
-		Expect(x.takes(x.now, "n0")).To(BeFalse(), "one that was chosen just before")
+		Expect(x.takes(x.now, "n0")).To(BeFalse(), "a request assigned just before")
 		for _, list := range [][]wardturn.Member{fleetMembers(), fleetMembers()[1:], fleetMembers()} {
 			x.f.SetMembers(x.now, list)
 			Expect(x.takes(x.now, "n0")).To(BeFalse())
@@ -56,7 +56,7 @@
 		}
 	})
 
-	It("gets no request that was given to it before its failure domain was evacuated", func() {
+	It("gets no request that was assigned to it before its failure domain was evacuated", func() {
 		x := newFleetRig()
 		for _, list := range [][]wardturn.Member{fleetMembers(), fleetMembers()[1:]} {
 			x.f.SetEvacuated(x.now, nil, &x.out)
@@ -69,7 +69,7 @@
 		}
 	})
 
-	It("is used in its next lifetime", func() {
+	It("gets requests in its next lifetime", func() {
 		x := newFleetRig()
 		x.f.Leaves(x.now, "n0", &x.out)
 		list := fleetMembers()
@@ -82,7 +82,7 @@
 		Expect(x.got["r"].Member.ID).To(Equal(list[0].ID))
 	})
 
-	It("is known as such from its keeper alone", func() {
+	It("is recognized by its keeper's report alone", func() {
 		x := newFleetRig()
 		x.f.SetHolding(x.now, "n0", decide.Holding{
 			Connected: true,
@@ -93,5 +93,5 @@
 	})
 })
 
-// wishRepeatOver is longer than the pause between two wishes for one adapter.
+// wishRepeatOver is longer than the interval between two load requests for one adapter.
 const wishRepeatOver = 400 * time.Millisecond
--- a/decide/limited_test.go
+++ b/decide/limited_test.go
@@ -11,7 +11,7 @@
 	"wardturn/decide"
 )
 
-var _ = Describe("Fleet before upstreams that name a limit", func() {
+var _ = Describe("Fleet with upstreams that announce a limit", func() {
 	var x *fleetRig
 	var limits *decide.Limits
 	name := func(ids ...wardturn.UpstreamID) {
@@ -25,7 +25,7 @@
 		x = newLimitedRig(limits)
 	})
 
-	It("sends a request to another that holds its adapter", func() {
+	It("sends a request to another upstream that holds its adapter", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.hold("f0", readyAdapter("a", 1))
 		name("n0")
@@ -33,7 +33,7 @@
 		Expect(x.got["r"].Member.ID).To(BeEquivalentTo("f0"))
 	})
 
-	It("has an adapter loaded elsewhere that only such a one holds", func() {
+	It("loads an adapter elsewhere if only limited upstreams hold it", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		name("n0")
 		x.admit("r", "a")
@@ -42,7 +42,7 @@
 		Expect(x.out.Asks[0].Upstream).NotTo(BeEquivalentTo("n0"))
 	})
 
-	It("sends what they take, and no more", func() {
+	It("sends requests up to the limit", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		name("n0", "n1", "f0", "f1")
 		sent := 0
@@ -62,14 +62,14 @@
 		Expect(sent).To(BeNumerically("~", 8, 1))
 	})
 
-	It("refuses at once when all do and none has room, with a time at which one has", func() {
+	It("refuses at once if all upstreams have reached their limits, and returns when the first may be sent a request", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		name("n0", "n1", "f0", "f1")
 		x.admit("r", "a")
 		Expect(x.got["r"].Reason).To(Equal(wardturn.ReasonLimited))
 		Expect(x.got["r"].RetryAfter).To(BeNumerically("~", 500*time.Millisecond, 10*time.Millisecond))
 		x.admit("later", "a")
-		Expect(x.got["later"].RetryAfter).To(BeNumerically("~", 500*time.Millisecond, 10*time.Millisecond), "at another upstream")
+		Expect(x.got["later"].RetryAfter).To(BeNumerically("~", 500*time.Millisecond, 10*time.Millisecond), "reserved at another upstream")
 		for range 4 {
 			x.admit("last", "a")
 		}
--- a/decide/limits_bench_test.go
+++ b/decide/limits_bench_test.go
@@ -9,9 +9,9 @@
 	"wardturn/decide"
 )
 
-// BenchmarkLimits measures what a gateway does by the number of gateways, with limits of
-// 50 upstreams: a look before a send, at an upstream with a limit and at one without while
-// others have some, and a word of another gateway.
+// BenchmarkLimits measures the cost of limits by the number of gateways, with 50 limited
+// upstreams: the check before a send to an upstream with a limit, the same for an upstream
+// without one, and the receipt of a message from another gateway.
 func BenchmarkLimits(b *testing.B) {
 	for _, n := range []int{4, 26, 107, 470} {
 		l, words := knownLimits(n)
@@ -36,8 +36,8 @@
 	}
 }
 
-// knownLimits returns limits of 50 upstreams that all of n gateways have told of, and the
-// latest words of the others.
+// knownLimits returns the limits of 50 upstreams after messages from all of n gateways, and
+// the latest messages of the others.
 func knownLimits(n int) (l *decide.Limits, words []decide.LimitGossip) {
 	l = decide.NewLimits(start, "p0")
 	l.SetGateways(start, n)
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -14,23 +14,23 @@
 const (
 	limitID     = wardturn.UpstreamID("u")
 	limitWindow = 4 * time.Second
-	limitLearn  = time.Second            // from the first answer that names a limit until all keep it
-	limitGrace  = 500 * time.Millisecond // until a gateway that had such an answer keeps it
+	limitLearn  = time.Second            // from the first answer with a limit until all must keep it
+	limitGrace  = 500 * time.Millisecond // until a gateway that had such an answer must keep it
 	answerTime  = 30 * time.Millisecond
 )
 
-// limitSim plays gateways before an upstream that names a limit: callers that ask at a
-// rate, answers, words that are delayed and lost, gateways that are cut off, frozen and
-// started anew.
+// limitSim simulates gateways in front of an upstream that announces a limit, with callers
+// that send requests at a rate, answers, delayed and lost gossip messages, and gateways that
+// are partitioned, frozen and restarted.
 type limitSim struct {
 	now      time.Time
-	rate     float64 // that answers name; negative: none
+	rate     float64 // limit in the upstream's answers; negative: none
 	gateways []*limitGateway
 	words    []limitWord
 	answers  []limitAnswer
 	sent     []int // by step, of all gateways
-	told     []int // of them, of those that had an answer that names the limit limitGrace before
-	firstAt  int   // step at which the first gateway was told; negative: none was
+	told     []int // of these, from gateways that had an answer with the limit limitGrace before
+	firstAt  int   // step of the first answer with the limit; negative: none yet
 	all      int
 	refused  int
 	ownSide  bool // keepers count the gateways of their own side only
@@ -39,10 +39,10 @@
 
 type limitGateway struct {
 	limits *decide.Limits
-	toldAt time.Time // its process had the first answer that names the limit; zero: none
+	toldAt time.Time // time of the first answer with the limit to this process; zero: none
 	owed   float64
 	frozen int // steps
-	side   int // words and keepers' counts come from the same side only
+	side   int // side of a partition: messages and keepers' counts do not cross it
 }
 
 type limitWord struct {
@@ -79,7 +79,8 @@
 	g.limits = decide.NewLimits(s.now, wardturn.Incarnation(fmt.Sprint("p", s.started)))
 }
 
-// counted returns how many gateways keepers tell one of: none if it is cut off.
+// counted returns the number of gateways that keepers report to a gateway; zero if it is
+// cut off from them.
 func (s *limitSim) counted(g *limitGateway) int {
 	switch {
 	case !s.ownSide && g.side == 0:
@@ -96,8 +97,8 @@
 	return n
 }
 
-// step lets a step of time pass in which callers ask each gateway for the upstream at a
-// rate.
+// step advances time by one step, in which each gateway gets requests for the upstream at
+// the rate demand.
 func (s *limitSim) step(demand float64, delay func() time.Duration, lost func() bool) {
 	s.now = s.now.Add(capStep)
 	s.deliver()
@@ -188,13 +189,13 @@
 	}
 }
 
-// name has the upstream name a limit from now on; a negative one: none.
+// name sets the limit that the upstream announces from now on; negative: none.
 func (s *limitSim) name(rate float64) {
 	s.rate = rate
 	s.firstAt = -1
 }
 
-// apart cuts the first gateways off from the others.
+// apart partitions the first n gateways from the others.
 func (s *limitSim) apart(n int) {
 	for i, g := range s.gateways {
 		g.side = 0
@@ -204,8 +205,8 @@
 	}
 }
 
-// mostSent returns the most requests that the upstream got in a window from all gateways,
-// once they had time to learn of the limit.
+// mostSent returns the highest number of requests that the upstream got in a window from all
+// gateways, after they had time to learn of the limit.
 func (s *limitSim) mostSent() int {
 	if s.firstAt < 0 {
 		return 0
@@ -214,13 +215,13 @@
 	return most(s.sent[min(from, len(s.sent)):], steps(limitWindow))
 }
 
-// limitAllowed is the most that an upstream may get in any window.
+// limitAllowed returns the highest number of requests that an upstream may get in any window.
 func limitAllowed(rate float64) int {
 	return int(1.5*rate*limitWindow.Seconds()) + 5
 }
 
-// An upstream gets no more than it says from all gateways together, however many there
-// are, when it begins to say so, and whatever callers ask for.
+// All gateways together keep within an upstream's limit, whatever their number, the time at
+// which the limit is announced and the demand.
 func TestLimitsKeptTogether(t *testing.T) {
 	for _, n := range []int{1, 2, 4, 9, 26, 68, 107} {
 		for _, rate := range []float64{0, 0.3, 1, 3.9, 5.4, 12, 40, 300} {
@@ -229,18 +230,19 @@
 				s.run(400/float64(n), at)
 				s.name(rate)
 				s.run(400/float64(n), 8*time.Second)
-				s.run(0, 12*time.Second) // nobody asks, so everything is spared that can be
+				s.run(0, 12*time.Second) // without demand, so that the buckets fill up
 				s.run(4000/float64(n), 8*time.Second)
 				if got := s.mostSent(); got > limitAllowed(rate) {
-					t.Errorf("%d gateways, %g a second, named at %v: %d in 4 s, at most %d", n, rate, at, got, limitAllowed(rate))
+					t.Errorf("%d gateways, limit %g/s announced at %v: %d requests in 4 s, want at most %d", n, rate, at, got, limitAllowed(rate))
 				}
 			}
 		}
 	}
 }
 
-// Gateways that do not hear each other keep a limit as well: those that were apart before
-// it was named, those that fall apart later, and where keepers count their own side only.
+// Gateways on different sides of a partition keep within a limit, whether the partition
+// begins before or after the limit is announced, also when keepers count only the gateways
+// of their own side.
 func TestLimitsApart(t *testing.T) {
 	for _, n := range []int{2, 4, 9, 26, 68} {
 		for _, side := range []int{1, n / 3, n / 2} {
@@ -263,7 +265,7 @@
 					s.apart(0)
 					s.run(demand, 10*time.Second)
 					if got := s.mostSent(); got > limitAllowed(rate) {
-						t.Errorf("%d and %d gateways, %g a second, apart before it was named %v: %d in 4 s, at most %d", side, n-side, rate, before, got, limitAllowed(rate))
+						t.Errorf("%d and %d gateways, limit %g/s, partitioned before the announcement %v: %d requests in 4 s, want at most %d", side, n-side, rate, before, got, limitAllowed(rate))
 					}
 				}
 			}
@@ -271,7 +273,7 @@
 	}
 }
 
-// Whatever happens to words and gateways, a limit is kept.
+// A limit is kept under random loss and delay of messages, restarts, freezes and partitions.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "gateways")
@@ -305,14 +307,14 @@
 		}
 		got := most(s.told, steps(limitWindow))
 		if got > limitAllowed(rate) {
-			t.Fatalf("%d in 4 s from gateways that it had told, at most %d", got, limitAllowed(rate))
+			t.Fatalf("%d requests in 4 s from gateways that knew the limit, want at most %d", got, limitAllowed(rate))
 		}
 	})
 }
 
-// What an upstream takes is used while callers ask for it.
+// The limit of an upstream is used while there is enough demand.
 func TestLimitsUsed(t *testing.T) {
-	const least = 0.6 // of the limit
+	const least = 0.6 // fraction of the limit
 	for _, n := range []int{1, 4, 26, 68} {
 		for _, rate := range []float64{1, 3.9, 12, 40} {
 			s := newLimitSim(n)
@@ -321,14 +323,14 @@
 			before := s.all
 			s.run(400/float64(n), 20*time.Second)
 			if got := float64(s.all-before) / 20; got < least*rate || got > 1.05*rate {
-				t.Errorf("%d gateways, %g a second: %.2f sent", n, rate, got)
+				t.Errorf("%d gateways, limit %g/s: %.2f requests a second sent", n, rate, got)
 			}
 		}
 	}
 }
 
-// A limit ends when answers name none any more, also for gateways that get no answers, and
-// begins again.
+// A limit ends when answers no longer carry one, also for gateways that get no answers, and
+// is kept when it is announced again.
 func TestLimitsEnd(t *testing.T) {
 	for _, n := range []int{1, 4, 26, 68} {
 		for _, rate := range []float64{1, 3.9, 12} {
@@ -342,19 +344,19 @@
 			refused := s.refused
 			s.run(demand, 5*time.Second)
 			if got := s.refused - refused; got > 0 {
-				t.Errorf("%d gateways, %g a second: %d refused 12 s after the end", n, rate, got)
+				t.Errorf("%d gateways, limit %g/s: %d requests refused later than 12 s after the end", n, rate, got)
 			}
 			s.name(rate)
 			s.run(demand, 10*time.Second)
 			if got := s.mostSent(); got > limitAllowed(rate) {
-				t.Errorf("%d gateways, %g a second, named again: %d in 4 s, at most %d", n, rate, got, limitAllowed(rate))
+				t.Errorf("%d gateways, limit %g/s announced again: %d requests in 4 s, want at most %d", n, rate, got, limitAllowed(rate))
 			}
 		}
 	}
 }
 
-// One answer that names no limit, between others that do, ends none; nor does one to a
-// request that was sent before.
+// A single answer without a limit among answers with one does not end the limit, nor does an
+// answer to a request sent before the latest answer with the limit.
 func TestLimitsSingleAnswers(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
@@ -363,24 +365,24 @@
 		now = now.Add(500 * time.Millisecond)
 		l.Observe(now, limitID, 5)
 		if l.ObserveNone(now.Add(time.Millisecond), limitID, now.Add(-time.Second)) {
-			t.Fatal("ended by an answer to a request that was sent before")
+			t.Fatal("limit ended by an answer to a request sent before the latest answer with the limit")
 		}
 		if i%2 == 0 && l.ObserveNone(now.Add(400*time.Millisecond), limitID, now.Add(time.Millisecond)) {
-			t.Fatal("ended by one answer")
+			t.Fatal("limit ended by a single answer")
 		}
 	}
 	if !l.Limited(limitID) {
-		t.Error("not limited any more")
+		t.Error("limit is no longer in force")
 	}
 }
 
-// A figure that can't be read neither ends a limit nor makes one.
+// A limit that cannot be parsed neither ends a known limit nor sets one.
 func TestLimitsUnclear(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
 	l.ObserveUnclear(start, limitID)
 	if l.Limited(limitID) {
-		t.Error("limited by a figure that can't be read")
+		t.Error("limit set by an answer whose limit cannot be parsed")
 	}
 	l.Observe(start, limitID, 5)
 	for i := range 50 {
@@ -389,20 +391,20 @@
 		l.ObserveUnclear(now, limitID)
 	}
 	if !l.Limited(limitID) {
-		t.Error("ended while answers name one")
+		t.Error("limit ended while answers carry one")
 	}
 }
 
-// A worker that starts again under its name keeps its limit until it says otherwise; one
-// with another name has none.
+// The limit of a worker that restarts under the same name stays in force; a worker with
+// another name has none.
 func TestLimitsReborn(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
 	l.Observe(start, wardturn.Lifetime("u", 1000), 5)
 	if !l.Limited(wardturn.Lifetime("u", 2000)) {
-		t.Error("not limited after a restart")
+		t.Error("limit is not in force after a restart")
 	}
 	if l.Limited("v") {
-		t.Error("another upstream is limited")
+		t.Error("limit applies to another upstream")
 	}
 }
--- a/decide/patience_test.go
+++ b/decide/patience_test.go
@@ -11,7 +11,7 @@
 	"wardturn/decide"
 )
 
-var _ = Describe("How long a request waits", func() {
+var _ = Describe("The wait of a request", func() {
 	var x *fleetRig
 	BeforeEach(func() {
 		x = newFleetRig()
@@ -23,9 +23,9 @@
 		}
 	}
 
-	It("is until its load, not begun, could not be there in time; then it is told when to come back", func() {
+	It("ends with a retry delay when a load that has not begun would be too late", func() {
 		x.admit("r", "a")
-		x.tick(290 * time.Millisecond) // 300 ms are expected of a load, 600 allowed
+		x.tick(290 * time.Millisecond) // a load typically takes 300 ms, the objective is 600 ms
 		Expect(x.got).To(BeEmpty())
 		x.tick(20 * time.Millisecond)
 		Expect(x.got["r"].Member.ID).To(BeEmpty())
@@ -36,9 +36,9 @@
 		Expect(x.got["again"].Member.ID).To(Equal(x.out.Asks[0].Upstream))
 	})
 
-	It("is shorter for a long prompt, which has to be read as well", func() {
+	It("is shorter for a long prompt, which takes time to read", func() {
 		t := x.ticket("long", "a")
-		t.Prompt = 8000 // 200 ms
+		t.Prompt = 8000 // 200 ms to read
 		x.f.Admit(x.now, t, &x.out)
 		x.tick(90 * time.Millisecond)
 		Expect(x.got).To(BeEmpty())
@@ -46,7 +46,7 @@
 		Expect(x.got["long"].Reason).To(Equal(wardturn.ReasonLoading))
 	})
 
-	It("lasts beyond the objective while the load is on its way", func() {
+	It("continues beyond the objective while the load is in progress", func() {
 		x.admit("r", "a")
 		home := x.out.Asks[0].Upstream
 		x.hold(string(home), loading("a"))
@@ -67,7 +67,7 @@
 		Expect(x.got["r"].Reason).To(Equal(wardturn.ReasonLoading))
 	})
 
-	It("goes on when all engines are empty, until their places may be filled", func() {
+	It("continues when all engines are empty, until their slots have had time to fill", func() {
 		bare := func(model ...wardturn.BaseModel) {
 			for _, m := range fleetMembers() {
 				x.f.SetHolding(x.now, m.ID, decide.Holding{
@@ -93,7 +93,7 @@
 		Expect(x.got["later"].Reason).To(Equal(wardturn.ReasonLoading))
 	})
 
-	It("does not give up a load that is under way, however long it takes", func() {
+	It("does not move a load in progress to another engine, however long it takes", func() {
 		x.admit("r", "a")
 		home := x.out.Asks[0].Upstream
 		x.hold(string(home), loading("a"))
@@ -105,7 +105,7 @@
 		}
 	})
 
-	It("has a longer time to come back the more adapters are wanted before", func() {
+	It("ends with a longer retry delay the more adapters are wanted before", func() {
 		for i := range 4 {
 			x.admit(fmt.Sprint("first", i), fmt.Sprint("a", i)) // fill the window
 		}
--- a/decide/pauses_test.go
+++ b/decide/pauses_test.go
@@ -8,18 +8,20 @@
 	"wardturn/decide"
 )
 
-// hotAdapter replays requests for one adapter that come faster than one engine can read their
-// prompts without stopping its streams, through gateways of which each sends a few of them.
+// hotAdapter simulates requests for one adapter that arrive faster than one engine can read
+// their prompts without stalling its streams, spread over gateways that each send a few of
+// them.
 type hotAdapter struct {
 	now      time.Time
 	gateways []*decide.Fleet
 	engines  map[wardturn.UpstreamID]*readingEngine
-	pause    time.Duration // as the requests' route has it
-	long     int           // requests sent to an engine that then reads for longer than the pause
+	pause    time.Duration // longest pause allowed by the requests' route
+	long     int           // requests sent to an engine that then reads for longer than hotPause
 	sent     int
 }
 
-// readingEngine reads prompts one after another and gives each request two seconds of tokens.
+// readingEngine simulates an engine that reads prompts one after another and streams tokens
+// to each request for two seconds.
 type readingEngine struct {
 	adapter  bool
 	loadedAt time.Time
@@ -29,7 +31,7 @@
 }
 
 const (
-	readRate  = 20 // tokens in a millisecond
+	readRate  = 20 // tokens per millisecond
 	hotPrompt = 2400
 	hotLoad   = 300 * time.Millisecond
 	hotPause  = 400 * time.Millisecond
@@ -78,7 +80,7 @@
 	return h
 }
 
-// hear has all gateways hear from all keepers.
+// hear delivers the state of all engines to all gateways, as keepers report it.
 func (h *hotAdapter) hear() {
 	for _, f := range h.gateways {
 		for id, e := range h.engines {
@@ -119,7 +121,8 @@
 	}
 }
 
-// ask sends a request through a gateway, and returns what ends its reading and its answer.
+// ask sends a request through a gateway, and returns the events that end the reading of its
+// prompt and its answer.
 func (h *hotAdapter) ask(f *decide.Fleet) (began, ended event) {
 	var out decide.Moves
 	f.Admit(h.now, &decide.Ticket{
@@ -158,7 +161,7 @@
 	return began, ended
 }
 
-// note has the keepers hear what gateways tell them of prompts.
+// note delivers the gateways' reports of prompts being read to the keepers.
 func (h *hotAdapter) note() {
 	for _, f := range h.gateways {
 		for _, n := range f.Readings() {
@@ -179,7 +182,7 @@
 	return y
 }
 
-// play sends requests at equal distances.
+// play sends requests at a constant interval for a span of time.
 func (h *hotAdapter) play(span, every time.Duration) {
 	var events []event
 	for at := time.Duration(0); at < span; at += 10 * time.Millisecond {
@@ -204,8 +207,8 @@
 	}
 }
 
-// Prompts of many gateways for one adapter stop all streams of its engines, while each gateway
-// has too few requests there to want another one by its own load.
+// Prompts sent by many gateways for one adapter stall all streams of its engines, while each
+// gateway has too few requests there to request another copy because of its own load.
 func TestHotAdapterIsSpreadBeforeStreamsPause(t *testing.T) {
 	play := func(pause time.Duration) *hotAdapter {
 		h := newHotAdapter(8, 8, pause)
@@ -214,14 +217,14 @@
 	}
 	with := play(hotPause)
 	without := play(0)
-	t.Logf("sent to an engine whose streams then pause: %d of %d, %d of %d without a bound on pauses", with.long, with.sent, without.long, without.sent)
+	t.Logf("requests sent to an engine whose streams then stall: %d of %d; without a bound on pauses: %d of %d", with.long, with.sent, without.long, without.sent)
 	if with.sent < 190 {
-		t.Errorf("%d requests sent, want all", with.sent)
+		t.Errorf("%d requests sent, want at least 190", with.sent)
 	}
 	if 5*with.long > with.sent {
-		t.Errorf("%d of %d requests stop streams", with.long, with.sent)
+		t.Errorf("%d of %d requests stall streams", with.long, with.sent)
 	}
 	if without.long < 2*with.long {
-		t.Errorf("%d of %d stop streams without the bound: the test shows nothing", without.long, without.sent)
+		t.Errorf("%d of %d requests stall streams without the bound, too few for a comparison", without.long, without.sent)
 	}
 }
--- a/decide/regions_test.go
+++ b/decide/regions_test.go
@@ -35,24 +35,25 @@
 	return x
 }
 
-// A request that may be served in one region only went to the upstream of the least cost.
+// A request that may be served in one region only was sent to the upstream of the least cost
+// in any region.
 func TestRegionsOfRequests(t *testing.T) {
 	x := newRegionRig()
 	x.holdEverywhere("a")
 	for range 4 {
 		a, ok := x.admitFor(fleetService, adapterKey("a"), wardturn.Regions{"south"})
 		if !ok || a.Member.Domain != "far" {
-			t.Fatalf("request went to %q in %q", a.Member.ID, a.Member.Domain)
+			t.Fatalf("request was sent to %q in %q", a.Member.ID, a.Member.Domain)
 		}
 	}
 	for _, none := range []wardturn.Regions{{"east"}, {}} {
 		if a, ok := x.admitFor(fleetService, adapterKey("a"), none); !ok || a.Reason != wardturn.ReasonRegions {
-			t.Errorf("%v: %+v, want it refused at once as %s", none, a, wardturn.ReasonRegions)
+			t.Errorf("%v: %+v, want a refusal at once with reason %s", none, a, wardturn.ReasonRegions)
 		}
 	}
 }
 
-// An adapter that two requests want in different regions is loaded in both.
+// An adapter that two requests need in different regions is loaded in both.
 func TestRegionsOfLoads(t *testing.T) {
 	x := newRegionRig()
 	x.holdEverywhere("a")
@@ -64,6 +65,6 @@
 		asked[ask.Upstream[0]]++
 	}
 	if asked['f'] != 1 || asked['n'] != 1 {
-		t.Errorf("asked for: %v", x.out.Asks)
+		t.Errorf("loads requested: %v, want one in each region", x.out.Asks)
 	}
 }
--- a/decide/rest_test.go
+++ b/decide/rest_test.go
@@ -10,9 +10,9 @@
 	"wardturn/decide"
 )
 
-// Upstreams that turn requests away have nothing to do: without their rests each next
-// request would be sent to them first.
-var _ = Describe("An upstream at rest", func() {
+// Upstreams that refuse requests have the lowest load: without a backoff each next request
+// would be sent to them first.
+var _ = Describe("An upstream that asked for a backoff", func() {
 	var x *fleetRig
 	BeforeEach(func() {
 		x = newFleetRig()
@@ -35,7 +35,7 @@
 		Expect(x.got["r"].Member.ID).To(Equal(x.out.Asks[0].Upstream))
 	})
 
-	It("stays so through lists that lack it, a shorter time, and a start under its name", func() {
+	It("keeps its backoff if it is missing from a list, asks for a shorter one, or restarts under its name", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.Rests(x.now, "n0", 3*time.Second)
 		x.f.Rests(x.now, "n0", time.Second)
@@ -53,7 +53,7 @@
 		Expect(x.got["after"].Member.ID).To(Equal(again[0].ID))
 	})
 
-	It("gets one request after it, and the others once that is answered", func() {
+	It("gets one trial request after it, and the others once that is answered", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.Rests(x.now, "n0", time.Second)
 		x.now = x.now.Add(time.Second)
@@ -64,13 +64,13 @@
 		Expect(x.got).NotTo(HaveKey("second"))
 		x.f.Rested("n0", sent.Add(-time.Millisecond))
 		x.tick(10 * time.Millisecond)
-		Expect(x.got).NotTo(HaveKey("second"), "an answer to a request of before says nothing")
+		Expect(x.got).NotTo(HaveKey("second"), "an answer to a request sent before the end of the backoff does not count")
 		x.f.Rested("n0", sent)
 		x.tick(10 * time.Millisecond)
 		Expect(x.got["second"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 
-	It("has no request wait where all are, new ones or those that wait", func() {
+	It("makes new and waiting requests fail at once if all upstreams are backing off", func() {
 		x.admit("waits", "a")
 		Expect(x.got).NotTo(HaveKey("waits"))
 		restAll(2 * time.Second)
@@ -83,7 +83,7 @@
 		}
 	})
 
-	It("has callers told times that differ, also far ones", func() {
+	It("gives callers different retry delays, also after a long backoff", func() {
 		draw := 0.0
 		f := decide.NewFleet(decide.FleetConfig{
 			Domain: "near",
@@ -107,7 +107,7 @@
 		Expect(told()).To(BeNumerically(">", 22*time.Second))
 	})
 
-	It("asks for no longer than an hour, and for none with zero", func() {
+	It("gets a backoff of at most one hour, and none if it asks for zero", func() {
 		x.f.Rests(x.now, "n0", 0)
 		Expect(x.takes(x.now, "n0")).To(BeTrue())
 		x.f.Rests(x.now, "n0", 1e8*time.Second)
--- a/decide/share_test.go
+++ b/decide/share_test.go
@@ -11,7 +11,7 @@
 	"wardturn/policy"
 )
 
-// fullUpstream is a plain service that runs two requests at once, each for a
+// fullUpstream simulates a plain upstream that runs two requests at a time, each for one
 // second, in virtual time.
 type fullUpstream struct {
 	now   time.Time
@@ -50,7 +50,7 @@
 	}
 }
 
-// second lets what runs end, and the next start.
+// second advances time by one second: the running requests end and the next ones start.
 func (u *fullUpstream) second() {
 	running := u.out.Run
 	u.out = decide.Orders{}
@@ -61,8 +61,8 @@
 	}
 }
 
-var _ = Describe("Shares of teams", func() {
-	It("let a small team pass another's flood", func() {
+var _ = Describe("Weights of teams", func() {
+	It("let a small team run before the backlog of another team", func() {
 		u := newFullUpstream()
 		u.admit("flood", 100)
 		for range 5 {
@@ -72,7 +72,7 @@
 		for range 3 {
 			u.second()
 		}
-		Expect(u.ran["small"]).To(Equal(4), "without shares they would wait behind 90 others")
+		Expect(u.ran["small"]).To(Equal(4), "in order of arrival they would wait behind 90 others")
 	})
 
 	It("divide a full upstream by weight", func() {
--- a/decide/teamcaps_apart_test.go
+++ b/decide/teamcaps_apart_test.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// capAim is how far over its cap, in seconds of its rate, a team may get in the worst 8 s:
-// the platform allows a tenth of 8 s and the burst, and 110,000 tokens, which are 0.39 s of
-// the largest team's rate.
+// capAim is the allowed excess over a cap in the worst 8 s, in seconds of the cap's rate: the
+// platform allows a tenth of 8 s and the burst, plus 110,000 tokens, which are 0.39 s of the
+// largest team's rate.
 const capAim = 0.1*(8+1) + 0.39
 
-// Gateways that fall apart take the whole cap in each part until they notice, and what is
-// left in the bucket: a team that sends 4.2 times its cap from that moment on got 2.4 to
-// 5.6 s of its rate over. It can't be kept within the aim while a gateway that is silent for
-// 0.7 s counts as heard.
+// When gateways are partitioned, each side uses the whole cap and the content of the bucket
+// until it notices: a team that sent 4.2 times its cap from that moment on exceeded it by 2.4
+// to 5.6 s of its rate. The aim cannot be met if a gateway that has been silent for 0.7 s
+// still counts as reachable.
 func TestTeamCapsApart(t *testing.T) {
 	for _, apart := range []string{"9 of 26", "13 of 26", "one of two", "each of 26"} {
 		expectWithinAim(t, apart, overApart)
 	}
 }
 
-// Gateways that began anew while words of the ones before were on their way took each for
-// another gateway that they hear: 5.2 to 5.9 s of the rate over with 26 of them.
+// Restarted gateways counted delayed messages of the previous processes as messages of
+// additional gateways: with 26 gateways a team exceeded its cap by 5.2 to 5.9 s of its rate.
 func TestTeamCapsBeginAnew(t *testing.T) {
 	for _, anew := range []string{"9 of 26", "each of 26"} {
 		expectWithinAim(t, anew, overAnew)
 	}
 }
 
-// expectWithinAim expects that a team stays within the aim over moments of a case and by
-// what it sent before.
+// expectWithinAim checks that the excess over the cap stays within capAim for a range of
+// times of the fault and of loads before it.
 func expectWithinAim(t *testing.T, name string, over func(name string, before float64, at time.Duration) float64) {
 	t.Helper()
 	for _, before := range []float64{0.3, 0.55, 0.8, 4.2} {
@@ -39,15 +39,15 @@
 				worst, worstAt = got, at
 			}
 		}
-		t.Logf("%s, at %.2f before: %.2f s of the rate over the cap, at %v", name, before, worst, worstAt)
+		t.Logf("%s, load %.2f of the cap before: excess of %.2f s of the rate, at %v", name, before, worst, worstAt)
 		if worst > capAim {
-			t.Errorf("%s, at %.2f before: %.2f s of the rate over the cap, at most %.2f (at %v)", name, before, worst, capAim, worstAt)
+			t.Errorf("%s, load %.2f of the cap before: excess of %.2f s of the rate, want at most %.2f (at %v)", name, before, worst, capAim, worstAt)
 		}
 	}
 }
 
-// overApart plays gateways that fall apart at a time, with a team that sends 4.2 times its
-// cap from then on, and returns by how much it goes over.
+// overApart simulates gateways that are partitioned at a time, with a team that sends 4.2
+// times its cap from then on, and returns the excess over the cap.
 func overApart(apart string, before float64, at time.Duration) float64 {
 	n := 26
 	if apart == "one of two" {
@@ -71,8 +71,8 @@
 	return s.over()
 }
 
-// overAnew plays gateways of which some begin anew at a time and hear nobody else that
-// does.
+// overAnew simulates gateways of which some restart at a time, each then partitioned from
+// all others, and returns the excess over the cap.
 func overAnew(anew string, before float64, at time.Duration) float64 {
 	const n = 26
 	s := newCapSim(n, false)
@@ -88,11 +88,11 @@
 	return s.over()
 }
 
-// Parts that fall apart take less and less before they notice: both together 0.97 s of the
-// rate in the last 0.7 s before the lapse by a straight fall, and 1.4 s if each went on with
-// the whole cap.
+// Both sides of a partition reduce their use before the other side counts as unreachable:
+// with a linear decline they take 0.97 s of the rate together in the last 0.7 s before
+// capLapse, and 1.4 s if each side went on using the whole cap.
 func TestTeamCapsFreshness(t *testing.T) {
-	const most = 1.1 // s of the rate, with a word that was on its way
+	const most = 1.1 // s of the rate, including a message in transit
 	s := newCapSim(2, false)
 	s.run(4.2*capRate, 4*time.Second)
 	for i, g := range s.gateways {
@@ -106,12 +106,12 @@
 		taken += n
 	}
 	if got := float64(taken) / capRate; got > most {
-		t.Errorf("%.2f s of the rate taken in 0.7 s, at most %.2f", got, most)
+		t.Errorf("%.2f s of the rate taken in 0.7 s, want at most %.2f", got, most)
 	}
 }
 
-// A team below its cap is refused next to nothing while words get lost or a keeper that
-// passes them on is gone.
+// A team below its cap gets almost no refusals while messages are lost or a keeper that
+// relays them is gone.
 func TestTeamCapsLostWords(t *testing.T) {
 	const nextToNothing = 0.1 // s of the rate
 	for _, part := range []float64{0.5, 0.7, 0.85} {
@@ -119,7 +119,7 @@
 		s.run(part*capRate, 4*time.Second)
 		s.refused = 0
 		n := 0
-		lost := func() bool { // three in a hundred
+		lost := func() bool { // 3%
 			n++
 			return n*7919%100 < 3
 		}
@@ -127,22 +127,22 @@
 			s.step(part*capRate, quick, lost)
 		}
 		if got := float64(s.refused) / capRate; got > nextToNothing {
-			t.Errorf("three words in a hundred lost, at %.2f: %.2f s of the rate refused", part, got)
+			t.Errorf("3%% of the reports lost, load %.2f of the cap: %.2f s of the rate refused", part, got)
 		}
-		// All keepers of a domain go at once: a second in which 9 gateways hear nobody.
+		// All keepers of a failure domain fail at once: 9 gateways receive nothing for a second.
 		s.refused = 0
 		for _, g := range s.gateways[:9] {
 			g.cut = int(time.Second / capStep)
 		}
 		s.run(part*capRate, 10*time.Second)
 		if got := float64(s.refused) / capRate; got > nextToNothing {
-			t.Errorf("no words for a second, at %.2f: %.2f s of the rate refused", part, got)
+			t.Errorf("no reports for a second, load %.2f of the cap: %.2f s of the rate refused", part, got)
 		}
 	}
 }
 
-// Keepers on each side of a cut lose the gateways of the other side, and count their own
-// ones only from 5 s on: each side then took the whole cap for as long as the cut lasted.
+// During a partition, keepers lose the gateways of the other side and after 5 s count only
+// those of their own: each side then used the whole cap until the partition healed.
 func TestTeamCapsKeepersApart(t *testing.T) {
 	s := newCapSim(26, false)
 	s.run(4.2*capRate, 4*time.Second)
@@ -155,12 +155,12 @@
 	s.ownSide = true
 	s.run(4.2*capRate, 20*time.Second)
 	if over := s.over(); over > capAim {
-		t.Errorf("keepers that count their own side: %.2f s of the rate over the cap, at most %.2f", over, capAim)
+		t.Errorf("keepers count their own side only: excess of %.2f s of the rate, want at most %.2f", over, capAim)
 	}
 }
 
-// A gateway that is gone for good costs a team its part of the cap for a while, not for
-// ever, and nothing to a team that stays under what the others have.
+// The loss of a gateway for good costs a team that gateway's share of the cap only for a
+// while, and costs nothing to a team whose use stays within the shares of the others.
 func TestTeamCapsGatewayGone(t *testing.T) {
 	s := newCapSim(26, false)
 	s.run(0.85*capRate, 4*time.Second)
@@ -168,12 +168,12 @@
 	s.refused = 0
 	s.run(0.85*capRate, 20*time.Second)
 	if got := float64(s.refused) / capRate; got > 0.1 {
-		t.Errorf("a gateway is gone: %.2f s of the rate refused at 0.85 of the cap", got)
+		t.Errorf("after the loss of a gateway: %.2f s of the rate refused at 0.85 of the cap", got)
 	}
 	s.run(0.99*capRate, 70*time.Second)
 	s.refused = 0
 	s.run(0.99*capRate, 10*time.Second)
 	if got := float64(s.refused) / capRate; got > 0.1 {
-		t.Errorf("a gateway was gone for long: %.2f s of the rate refused at 0.99 of the cap", got)
+		t.Errorf("long after the loss of a gateway: %.2f s of the rate refused at 0.99 of the cap", got)
 	}
 }
--- a/decide/teamcaps_bench_test.go
+++ b/decide/teamcaps_bench_test.go
@@ -9,8 +9,8 @@
 	"wardturn/decide"
 )
 
-// BenchmarkTeamCaps is what a request costs by the check of its team's cap, and what
-// the words of all other gateways cost when each tells of all teams.
+// BenchmarkTeamCaps measures the check of a request against its team's cap, and the receipt
+// of reports on all teams from all other gateways.
 func BenchmarkTeamCaps(b *testing.B) {
 	const teams = 16
 	team := func(i int) wardturn.TeamID {
--- a/decide/teamcaps_test.go
+++ b/decide/teamcaps_test.go
@@ -17,35 +17,35 @@
 	capTeam  = wardturn.TeamID("t")
 	capRate  = 100_000.0 // tokens a second
 	capStep  = 10 * time.Millisecond
-	capLook  = 200 * time.Millisecond // between looks whether a word is due
-	capSpan  = 8 * time.Second        // over which use is added up
+	capLook  = 200 * time.Millisecond // between checks whether a report is due
+	capSpan  = 8 * time.Second        // window over which usage is summed
 	capUnits = 700                    // tokens of a request
 )
 
-// capSim plays gateways that share a cap: callers that come at a rate, words that are
-// delayed, lost and overtaken, gateways that are killed, frozen and cut off.
+// capSim simulates gateways that share a cap, with callers at a rate, reports that are
+// delayed, lost and reordered, and gateways that are killed, frozen and cut off.
 type capSim struct {
 	now      time.Time
 	gateways []*capGateway
 	words    []capWord
-	taken    []int64 // units by step, of all
+	taken    []int64 // units by step, of all gateways
 	asked    []int64
 	refused  int64
 	started  int
 	shares   bool
-	patient  bool // words wait for the next look
+	patient  bool // no early reports: all wait for the next regular check
 	ownSide  bool // keepers count the gateways of their own side only
 }
 
 type capGateway struct {
 	caps   *decide.TeamCaps
-	owed   float64 // units that callers have not asked for yet
+	owed   float64 // accumulated demand, in units, not yet sent as requests
 	frozen int     // steps
 	cut    int     // steps
-	mute   int     // steps in which it is not heard
-	deaf   int     // steps in which it hears nobody
-	weight float64 // of its callers
-	side   int     // words and keepers' counts come from the same side only
+	mute   int     // steps in which its reports reach nobody
+	deaf   int     // steps in which it receives no reports
+	weight float64 // relative share of the callers
+	side   int     // side of a partition: reports and keepers' counts do not cross it
 }
 
 type capWord struct {
@@ -85,8 +85,8 @@
 	}})
 }
 
-// step lets a step of time pass in which callers ask for units at a rate; delay and
-// loss are drawn for each word.
+// step advances time by one step, in which callers ask for units at a rate. The delay and
+// loss of each report are drawn by the functions.
 func (s *capSim) step(rate float64, delay func() time.Duration, lost func() bool) {
 	s.now = s.now.Add(capStep)
 	s.deliver()
@@ -156,7 +156,7 @@
 	return n
 }
 
-// run lets time pass without loss.
+// run advances time by a span without loss of reports.
 func (s *capSim) run(rate float64, span time.Duration) {
 	for range int(span / capStep) {
 		s.step(rate, quick, never)
@@ -175,12 +175,12 @@
 	s.words = kept
 }
 
-// steps returns how many steps a span has.
+// steps returns the number of steps in a span.
 func steps(span time.Duration) int {
 	return int(span / capStep)
 }
 
-// most returns the most that was taken in so many steps in a row.
+// most returns the highest sum over the given number of consecutive steps.
 func most[T int | int64](by []T, steps int) T {
 	var sum, high T
 	for i, n := range by {
@@ -193,8 +193,8 @@
 	return high
 }
 
-// over returns by how much the use of the worst span goes over what the cap allows,
-// in seconds of its rate.
+// over returns the excess over the cap in the worst window of capSpan, in seconds of the
+// cap's rate.
 func (s *capSim) over() float64 {
 	return float64(most(s.taken, steps(capSpan)))/capRate - capSpan.Seconds() - 1
 }
@@ -203,9 +203,9 @@
 
 func never() bool { return false }
 
-// Whatever order, loss and delay words have, and whichever gateways are killed, frozen
-// and cut off, use goes over the cap by no more than callers ask for in the time until
-// a missing gateway is noticed.
+// Under random order, loss and delay of reports, and with gateways that are killed, frozen
+// and cut off, the excess over the cap is at most the demand during the time until a missing
+// gateway is noticed.
 func TestTeamCapsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "gateways")
@@ -239,10 +239,10 @@
 				s.step(rate, delay, lost)
 			}
 		}
-		unheard := 1900 * time.Millisecond // capLapse and the delay of a word
+		unheard := 1900 * time.Millisecond // capLapse plus the delay of a report
 		bound := float64(most(s.asked, steps(unheard)))/capRate + 0.25 + float64(n*capUnits)/capRate
 		if over := s.over(); over > bound {
-			t.Fatalf("%.2f s of the rate over the cap, at most %.2f", over, bound)
+			t.Fatalf("excess of %.2f s of the rate, want at most %.2f", over, bound)
 		}
 	})
 }
@@ -250,7 +250,7 @@
 var _ = Describe("TeamCaps", func() {
 	run := (*capSim).run
 
-	It("keeps a team that suddenly sends 4.2 times its cap to 26 gateways within a tenth and what is on its way", func() {
+	It("keeps the excess within a tenth plus the usage in transit if a team suddenly sends 4.2 times its cap to 26 gateways", func() {
 		s := newCapSim(26, false)
 		run(s, 0.55*capRate, 6*time.Second)
 		Expect(s.refused).To(BeZero())
@@ -260,9 +260,9 @@
 		Expect(used).To(BeNumerically(">", 4.5), "the cap is used")
 	})
 
-	// Until the next look of each gateway the others know nothing of a jump, and a cap with
-	// little slack is broken.
-	It("keeps a team that jumps to 7.5 times its cap within a tenth, at any moment between two looks", func() {
+	// Without early reports the gateways do not learn of a sudden increase until the next
+	// regular checks, and a cap with little slack is exceeded.
+	It("keeps the excess small if a team jumps to 7.5 times its cap at any moment between two regular checks", func() {
 		worst := make(map[bool]float64)
 		words := make(map[bool]uint64)
 		for _, patient := range []bool{false, true} {
@@ -281,7 +281,7 @@
 		Expect(words[false]).To(BeNumerically("<", words[true]+15), "%v", words)
 	})
 
-	It("refuses nothing below the cap when a team's callers are spread unevenly, as equal shares would", func() {
+	It("refuses nothing below the cap if a team's callers are spread unevenly, unlike equal shares", func() {
 		refused := make(map[bool]int64)
 		for _, shares := range []bool{false, true} {
 			s := newCapSim(26, shares)
@@ -297,7 +297,7 @@
 		Expect(refused[true]).To(BeNumerically(">", capRate/4))
 	})
 
-	It("leaves a gateway that is cut off its share by number", func() {
+	It("gives an isolated gateway an equal share of the cap", func() {
 		s := newCapSim(10, false)
 		run(s, 0.5*capRate, 3*time.Second)
 		g := s.gateways[0]
@@ -313,7 +313,7 @@
 		Expect(taken).To(BeNumerically("~", (2+1)*capRate/10, 3*capUnits))
 	})
 
-	It("lets a request through that is larger than the burst, and works its debt off", func() {
+	It("admits a request larger than the burst and works its debt off", func() {
 		s := newCapSim(1, false)
 		c := s.gateways[0].caps
 		s.now = s.now.Add(2 * time.Second)
@@ -327,7 +327,7 @@
 		Expect(ok).To(BeTrue())
 	})
 
-	It("tells those that are refused together different times", func() {
+	It("returns different retry delays to callers refused together", func() {
 		s := newCapSim(1, false)
 		c := s.gateways[0].caps
 		s.now = s.now.Add(2 * time.Second)
@@ -337,7 +337,7 @@
 		Expect(two - one).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 	})
 
-	It("gives back what was not run, here and at the others", func() {
+	It("refunds units of requests that were not run, also at other gateways", func() {
 		s := newCapSim(2, false)
 		run(s, 0, 2*time.Second)
 		a, b := s.gateways[0].caps, s.gateways[1].caps
@@ -350,7 +350,7 @@
 		Expect(b.Left(s.now, capTeam)).To(BeNumerically("~", 1, 0.01))
 	})
 
-	It("gives back as much as was taken", func() {
+	It("refunds as much as was taken", func() {
 		s := newCapSim(1, false)
 		c := s.gateways[0].caps
 		s.now = s.now.Add(2 * time.Second)
@@ -360,7 +360,7 @@
 		Expect(c.Left(s.now, capTeam)).To(BeNumerically("~", 0.5, 0.01))
 	})
 
-	It("takes a lower cap at once", func() {
+	It("applies a lower cap at once", func() {
 		s := newCapSim(1, false)
 		c := s.gateways[0].caps
 		s.now = s.now.Add(5 * time.Second)
--- a/decide/trust_test.go
+++ b/decide/trust_test.go
@@ -9,8 +9,8 @@
 	"wardturn/decide"
 )
 
-var _ = Describe("Trust in a way", func() {
-	// pause returns how long the way is not used from now on.
+var _ = Describe("Backoff of a path", func() {
+	// pause returns how long the path is not used from now on.
 	pause := func(t *decide.Trust, now time.Time) time.Duration {
 		for d := time.Duration(0); ; d += 100 * time.Millisecond {
 			if t.Allows(now.Add(d)) {
@@ -19,7 +19,7 @@
 		}
 	}
 
-	It("is there at first, and lost for longer each time that it fails soon", func() {
+	It("allows use at first and grows with each failure that follows soon", func() {
 		t := &decide.Trust{
 			Draw: func() float64 { return 0.5 },
 		}
@@ -37,12 +37,12 @@
 			3 * time.Second, 6 * time.Second, 12 * time.Second, 24 * time.Second, 48 * time.Second, time.Minute, time.Minute,
 		}))
 		since := now
-		now = now.Add(time.Minute) // it holds for long
+		now = now.Add(time.Minute) // the path works for a long time
 		t.Fail(now, since)
 		Expect(pause(t, now)).To(Equal(3 * time.Second))
 	})
 
-	It("comes back at different times", func() {
+	It("ends at different times in different processes", func() {
 		early := &decide.Trust{
 			Draw: func() float64 { return 0 },
 		}
