--- a/decide/breaker.go
+++ b/decide/breaker.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	breakerTrips    = 3
-	breakerMinPause = 500 * time.Millisecond
-	breakerMaxPause = 15 * time.Second
-	breakerShiftCap = 10
+	breakerThreshold = 3
+	breakerMinPause  = 500 * time.Millisecond
+	breakerMaxPause  = 15 * time.Second
+	breakerShiftCap  = 10
 )
 
 // Breaker is a circuit breaker for an upstream. It opens after several consecutive failures
@@ -19,7 +19,7 @@
 
 // Allows reports whether a request may go to the upstream.
 func (b *Breaker) Allows(now time.Time) bool {
-	if b.failures < breakerTrips {
+	if b.failures < breakerThreshold {
 		return true
 	}
 	return !now.Before(b.until)
@@ -28,7 +28,7 @@
 // Tried records that a request is sent to the upstream. While the breaker is open, no other
 // request is allowed until this one has ended or another pause has passed.
 func (b *Breaker) Tried(now time.Time) {
-	if b.failures >= breakerTrips {
+	if b.failures >= breakerThreshold {
 		b.until = now.Add(b.pause())
 	}
 }
@@ -38,10 +38,10 @@
 	*b = Breaker{}
 }
 
-// Fail counts a failure and opens the breaker after breakerTrips consecutive ones.
+// Fail counts a failure and opens the breaker after breakerThreshold consecutive ones.
 func (b *Breaker) Fail(now time.Time) {
 	b.failures++
-	if b.failures < breakerTrips {
+	if b.failures < breakerThreshold {
 		return
 	}
 	b.until = now.Add(b.pause())
--- a/decide/cold.go
+++ b/decide/cold.go
@@ -30,7 +30,7 @@
 // SetColdConfig sets the bounds for cold upstreams.
 func (l *Limits) SetColdConfig(cfg ColdConfig) {
 	l.coldCfg = cfg
-	l.sharedAt = time.Time{}
+	l.sharesAt = time.Time{}
 }
 
 // Cold marks an upstream as cold until the given time, with a bound on its request rate. A
@@ -48,7 +48,7 @@
 			},
 		}
 		l.cold[id.Instance()] = c
-		l.sharedAt = time.Time{}
+		l.sharesAt = time.Time{}
 	}
 	c.rate = rate
 	c.until = until
@@ -58,7 +58,7 @@
 // itself to the others, because gateways need to know each other to get their shares of a
 // cold upstream's rate.
 func (l *Limits) ExpectCold(expects bool) {
-	l.expects = expects
+	l.expectsCold = expects
 }
 
 // coldOf returns the limit of a cold upstream, or nil if the upstream is warm.
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -11,9 +11,9 @@
 // whatever its entry says. By then it has written a new entry and the list has been read.
 const coldWatch = 3500 * time.Millisecond
 
-// inUseFor is how long an adapter that was in use in an evacuated failure domain is wanted
-// elsewhere although no request waits for it.
-const inUseFor = 3 * time.Second
+// preloadWantedFor is how long an adapter that was in use in an evacuated failure domain
+// is wanted elsewhere although no request waits for it.
+const preloadWantedFor = 3 * time.Second
 
 // SetEvacuated sets the failure domains whose upstreams get no requests. The upstreams of a
 // domain whose evacuation is withdrawn are presumed cold for coldWatch.
@@ -29,40 +29,40 @@
 	f.limitCold(now)
 	for _, m := range f.members {
 		if m.evacuated && !before[m.Domain] {
-			f.wantElsewhere(now, m)
+			f.preloadElsewhere(now, m)
 		}
 	}
 	f.pump(now, out)
 }
 
-// wantElsewhere requests loads of the adapters that this gateway uses at an evacuated engine
-// and that no other available engine holds. Otherwise the next requests for all of them
-// would wait for loads that begin at the same time. Engines of the same region are
+// preloadElsewhere requests loads of the adapters that this gateway uses at an evacuated
+// engine and that no other available engine holds. Otherwise the next requests for all of
+// them would wait for loads that begin at the same time. Engines of the same region are
 // preferred.
-func (f *Fleet) wantElsewhere(now time.Time, m *Member) {
+func (f *Fleet) preloadElsewhere(now time.Time, m *Member) {
 	region := wardturn.Regions{f.cfg.Regions[m.Domain]}
-	if !f.servedIn(now, m.Service, region) {
+	if !f.availableInRegions(now, m.Service, region) {
 		region = nil
 	}
 	for key, u := range m.uses {
-		if u.Running == 0 || f.heldOpen(now, key) || f.wants.anywhere(key) != nil {
+		if u.Running == 0 || f.heldByAvailable(now, key) || f.wants.anywhere(key) != nil {
 			continue
 		}
 		w := f.wantOf(now, key, m.Service, region)
 		w.owed += u.Running
-		w.owedTo = now.Add(inUseFor)
+		w.owedTo = now.Add(preloadWantedFor)
 	}
 }
 
-// servedIn reports whether any available upstream of a service is in the regions.
-func (f *Fleet) servedIn(now time.Time, s wardturn.ServiceName, r wardturn.Regions) bool {
+// availableInRegions reports whether any available upstream of a service is in the regions.
+func (f *Fleet) availableInRegions(now time.Time, s wardturn.ServiceName, r wardturn.Regions) bool {
 	return slices.ContainsFunc(f.services[s], func(m *Member) bool {
 		return m.open(now) && f.inRegions(m, r)
 	})
 }
 
-// heldOpen reports whether any available engine holds an adapter.
-func (f *Fleet) heldOpen(now time.Time, key wardturn.ModelAdapter) bool {
+// heldByAvailable reports whether any available engine holds an adapter.
+func (f *Fleet) heldByAvailable(now time.Time, key wardturn.ModelAdapter) bool {
 	return slices.ContainsFunc(f.holders[key], func(m *Member) bool {
 		return m.open(now)
 	})
@@ -108,17 +108,17 @@
 }
 
 // noneMay reports whether no upstream of a request's service is eligible for it, whatever
-// their load, and why. Such a request is refused at once, since waiting in the gateway would
-// gain it nothing.
+// their load, and why. Such a request is refused at once, since waiting in the gateway
+// would gain it nothing.
 func (f *Fleet) noneMay(t *Ticket) (wardturn.Reason, bool) {
 	if t.Regions == nil && len(f.evacuated) == 0 {
 		return "", false
 	}
-	evacuated, elsewhere := false, false
+	evacuated, otherRegion := false, false
 	for _, m := range f.services[t.Service] {
 		switch {
 		case !f.inRegions(m, t.Regions):
-			elsewhere = true
+			otherRegion = true
 		case m.evacuated:
 			evacuated = true
 		default:
@@ -128,7 +128,7 @@
 	switch {
 	case evacuated:
 		return wardturn.ReasonEvacuated, true
-	case elsewhere:
+	case otherRegion:
 		return wardturn.ReasonRegions, true
 	}
 	return "", false
--- a/decide/evacuation_test.go
+++ b/decide/evacuation_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// Engines of a failure domain whose evacuation is withdrawn may have become cold since their
-// entries were written.
+// Engines of a failure domain whose evacuation is withdrawn may have become cold since
+// their entries were written.
 func TestTakenBackCountsAsCold(t *testing.T) {
 	x, members := newEvacuationRig()
 	x.holdEverywhere("a")
@@ -226,8 +226,8 @@
 	}
 }
 
-// Adapters in use in an evacuated failure domain are loaded elsewhere at once. Otherwise the
-// next requests for all of them would wait for loads that begin at the same time.
+// Adapters in use in an evacuated failure domain are loaded elsewhere at once. Otherwise
+// the next requests for all of them would wait for loads that begin at the same time.
 func TestAdaptersInUseAreLoadedElsewhere(t *testing.T) {
 	x, _ := newEvacuationRig()
 	x.hold("n0", readyAdapter("used", 1), readyAdapter("idle", 1), readyAdapter("spread", 1))
--- a/decide/leaving.go
+++ b/decide/leaving.go
@@ -6,9 +6,9 @@
 	"wardturn"
 )
 
-// leavingMemory is how long an upstream is remembered as leaving after it was last in the
-// list. This is far longer than a list can be out of date.
-const leavingMemory = time.Minute
+// leavingRetention is how long an upstream is remembered as leaving after it was last in
+// the list. This is far longer than a list can be out of date.
+const leavingRetention = time.Minute
 
 // Leaves records that an upstream has announced that it is leaving. The store's list may
 // show this much later, since the store is unavailable at times.
@@ -31,12 +31,12 @@
 	if m := f.members[u.ID]; m != nil {
 		return !m.Draining
 	}
-	_, left := f.leaving[u.ID]
-	return !left
+	_, wasLeaving := f.leaving[u.ID]
+	return !wasLeaving
 }
 
-// Lifetime returns the ID of the listed lifetime of an instance, or the empty string if none
-// is listed.
+// Lifetime returns the ID of the listed lifetime of an instance, or the empty string if
+// none is listed.
 func (f *Fleet) Lifetime(instance string) wardturn.UpstreamID {
 	for id := range f.members {
 		if id.Instance() == instance {
@@ -47,20 +47,20 @@
 }
 
 // keepLeaving marks upstreams in the list as draining if they were seen leaving before in
-// the same lifetime. A store that has lost its history, or returns data that is some seconds
-// old, may list such an upstream as ready again, or list it after it is gone, and requests
-// sent there would be cut off.
+// the same lifetime. A store that has lost its history, or returns data that is some
+// seconds old, may list such an upstream as ready again, or list it after it is gone, and
+// requests sent there would be cut off.
 func (f *Fleet) keepLeaving(now time.Time, list []wardturn.Member) {
 	for i, m := range list {
-		_, left := f.leaving[m.ID]
-		if !m.Draining && !left {
+		_, wasLeaving := f.leaving[m.ID]
+		if !m.Draining && !wasLeaving {
 			continue
 		}
 		f.leaving[m.ID] = now
 		list[i].Draining = true
 	}
 	for id, at := range f.leaving {
-		if now.Sub(at) > leavingMemory {
+		if now.Sub(at) > leavingRetention {
 			delete(f.leaving, id)
 		}
 	}
--- a/decide/limited.go
+++ b/decide/limited.go
@@ -10,41 +10,41 @@
 // turnedAway reports whether every upstream that could serve a request is excluded only by
 // its rate limit or its backoff, and when the caller should retry. Such a request is
 // refused at once, since waiting in the gateway would gain it nothing.
-func (f *Fleet) turnedAway(now time.Time, t *Ticket) (reason wardturn.Reason, back time.Duration, none bool) {
+func (f *Fleet) turnedAway(now time.Time, t *Ticket) (reason wardturn.Reason, retryAfter time.Duration, refused bool) {
 	var soonest *Member
 	for _, m := range f.services[t.Service] {
 		if !m.available(now) || !f.inRegions(m, t.Regions) {
 			continue
 		}
-		rests := !m.rest.over(now)
-		if slices.Contains(t.Tried, m.ID) && !rests {
+		backingOff := !m.rest.over(now)
+		if slices.Contains(t.Tried, m.ID) && !backingOff {
 			continue
 		}
-		if !rests && f.limits.Allows(now, m.ID) {
+		if !backingOff && f.limits.Allows(now, m.ID) {
 			return "", 0, false
 		}
-		in, known := f.roomIn(now, m)
-		if known && (soonest == nil || in < back) {
-			soonest, back = m, in
+		delay, known := f.retryDelay(now, m)
+		if known && (soonest == nil || delay < retryAfter) {
+			soonest, retryAfter = m, delay
 		}
-		none = true
+		refused = true
 	}
-	if !none {
+	if !refused {
 		return "", 0, false
 	}
 	if soonest == nil {
 		return wardturn.ReasonLimited, maxComeBack, true
 	}
 	f.limits.Owe(now, soonest.ID)
-	if left := soonest.rest.left(now); left > 0 {
-		return wardturn.ReasonResting, f.spreadRest(max(back, left)), true
+	if left := soonest.rest.remaining(now); left > 0 {
+		return wardturn.ReasonResting, f.spreadRest(max(retryAfter, left)), true
 	}
-	return wardturn.ReasonLimited, min(max(back, leastComeBack), maxComeBack), true
+	return wardturn.ReasonLimited, min(max(retryAfter, minRetryDelay), maxComeBack), true
 }
 
-// roomIn returns the delay after which a refused caller's retry may be sent to an upstream.
-// It returns false if the delay is unknown.
-func (f *Fleet) roomIn(now time.Time, m *Member) (time.Duration, bool) {
-	in, known := f.limits.RoomIn(now, m.ID)
-	return max(in, m.rest.left(now)), known
+// retryDelay returns the delay after which a refused caller's retry may be sent to an
+// upstream. It returns false if the delay is unknown.
+func (f *Fleet) retryDelay(now time.Time, m *Member) (time.Duration, bool) {
+	delay, known := f.limits.RoomIn(now, m.ID)
+	return max(delay, m.rest.remaining(now)), known
 }
--- a/decide/limitgossip.go
+++ b/decide/limitgossip.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// limitBeat is the heartbeat interval of a gateway that knows a limit: the longest time
-	// between two of its messages.
-	limitBeat = time.Second
-	// limitPause is the minimum time between two messages. An upstream may announce a
-	// different limit in each answer.
-	limitPause = 50 * time.Millisecond
-	// limitRefresh is the time after an announcement of a limit, by any gateway, after which
-	// it is announced again.
+	// limitHeartbeat is the heartbeat interval of a gateway that knows a limit: the
+	// longest time between two of its messages.
+	limitHeartbeat = time.Second
+	// limitMessageInterval is the minimum time between two messages. An upstream may
+	// announce a different limit in each answer.
+	limitMessageInterval = 50 * time.Millisecond
+	// limitRefresh is the time after an announcement of a limit, by any gateway, after
+	// which it is announced again.
 	limitRefresh = time.Second
-	// limitSlack is the tolerated error of the time of an answer reported by other
+	// limitTimeTolerance is the tolerated error of the time of an answer reported by other
 	// gateways. The error accumulates as gateways pass the report on.
-	limitSlack = 500 * time.Millisecond
+	limitTimeTolerance = 500 * time.Millisecond
 )
 
 // LimitGossip is the message by which a gateway tells the others that it is running, and
@@ -48,54 +48,54 @@
 
 // Word returns the message to send to the other gateways, if one is due. The result dirty
 // reports whether it contains a change that has not been announced before.
-func (l *Limits) Word(now time.Time) (w LimitGossip, dirty, due bool) {
-	if now.Sub(l.announcedAt) < limitPause {
+func (l *Limits) Word(now time.Time) (msg LimitGossip, dirty, due bool) {
+	if now.Sub(l.announcedAt) < limitMessageInterval {
 		return LimitGossip{}, false, false
 	}
-	knows := l.expects || len(l.cold) > 0
-	for _, instance := range slices.Sorted(maps.Keys(l.named)) {
-		n := l.named[instance]
-		knows = knows || n.rate > 0
+	hasLimits := l.expectsCold || len(l.cold) > 0
+	for _, instance := range slices.Sorted(maps.Keys(l.upstreams)) {
+		n := l.upstreams[instance]
+		hasLimits = hasLimits || n.rate > 0
 		if !n.dirty && !l.repeatDue(now, n) {
 			continue
 		}
 		dirty = dirty || n.dirty
 		n.dirty = false
 		n.announcedAt = now
-		n.announcedFor = latest(n.announcedFor, n.namedAt)
-		w.Limits = append(w.Limits, n.update(now, instance))
+		n.announcedFor = latest(n.announcedFor, n.observedAt)
+		msg.Limits = append(msg.Limits, n.update(now, instance))
 	}
-	beat := knows && now.Sub(l.announcedAt) >= limitBeat
-	if len(w.Limits) == 0 && !beat {
+	heartbeat := hasLimits && now.Sub(l.announcedAt) >= limitHeartbeat
+	if len(msg.Limits) == 0 && !heartbeat {
 		return LimitGossip{}, false, false
 	}
 	l.seq++
 	l.announcedAt = now
-	w.Process = l.self
-	w.Seq = l.seq
-	w.Stamp = now.Sub(l.start)
-	return w, dirty, true
+	msg.Process = l.self
+	msg.Seq = l.seq
+	msg.Stamp = now.Sub(l.start)
+	return msg, dirty, true
 }
 
 // repeatDue reports whether this gateway should announce a limit again: either it knows of
 // a later answer than the one announced, or no gateway has announced the limit recently.
 // The second check uses a different delay in each gateway, so that few announce it at the
 // same time.
-func (l *Limits) repeatDue(now time.Time, n *namedLimit) bool {
+func (l *Limits) repeatDue(now time.Time, n *upstreamLimit) bool {
 	if n.rate == 0 {
 		return false
 	}
-	if n.namedAt.Sub(n.announcedFor) >= limitRefresh {
+	if n.observedAt.Sub(n.announcedFor) >= limitRefresh {
 		return true
 	}
 	spread := float64(l.hash) / (1 << 64)
 	return now.Sub(n.announcedAt) >= limitRefresh+time.Duration(spread*float64(limitRefresh))
 }
 
-func (n *namedLimit) update(now time.Time, instance string) LimitUpdate {
-	at := n.namedAt
+func (n *upstreamLimit) update(now time.Time, instance string) LimitUpdate {
+	at := n.observedAt
 	if n.rate == 0 {
-		at = n.liftedAt
+		at = n.endedAt
 	}
 	return LimitUpdate{
 		Instance: instance,
@@ -105,71 +105,71 @@
 }
 
 // Heard processes a message from another gateway and returns the updates that were new.
-func (l *Limits) Heard(now time.Time, w LimitGossip) (changes []LimitUpdate) {
-	if w.Process == l.self {
+func (l *Limits) Heard(now time.Time, msg LimitGossip) (changes []LimitUpdate) {
+	if msg.Process == l.self {
 		return nil
 	}
-	o := l.others[w.Process]
+	o := l.others[msg.Process]
 	if o == nil {
 		o = &limitPeer{
-			hash: hashString(string(w.Process)),
+			hash: hashString(string(msg.Process)),
 		}
-		l.others[w.Process] = o
-		l.sharedAt = time.Time{}
+		l.others[msg.Process] = o
+		l.sharesAt = time.Time{}
 	}
-	if w.Seq <= o.seq {
+	if msg.Seq <= o.seq {
 		return nil
 	}
-	o.seq = w.Seq
+	o.seq = msg.Seq
 	o.lastSeen = now
-	lag := now.Sub(l.start) - w.Stamp
-	least, measured := l.lags.note(w.Process, lag)
+	lag := now.Sub(l.start) - msg.Stamp
+	least, measured := l.lags.note(msg.Process, lag)
 	sent := now.Add(least - lag)
-	for _, t := range w.Limits {
-		if l.merge(now, t, sent.Add(-t.Ago), measured) {
-			changes = append(changes, t)
+	for _, u := range msg.Limits {
+		if l.merge(now, u, sent.Add(-u.Ago), measured) {
+			changes = append(changes, u)
 		}
 	}
-	l.share(now)
+	l.updateShares(now)
 	return changes
 }
 
 // merge applies an update from another gateway that is based on an answer given at the time
 // at, and reports whether it was new. The later answer wins. The delay of the first message
 // from a gateway cannot be measured, so that message may be old and does not end a limit.
-func (l *Limits) merge(now time.Time, t LimitUpdate, at time.Time, measured bool) (changed bool) {
-	n := l.named[t.Instance]
+func (l *Limits) merge(now time.Time, u LimitUpdate, at time.Time, measured bool) (changed bool) {
+	n := l.upstreams[u.Instance]
 	switch {
-	case n == nil && t.Rate == 0:
+	case n == nil && u.Rate == 0:
 		return false
 	case n == nil:
-		n = newNamedLimit()
-		l.named[t.Instance] = n
-	case t.Rate == 0:
-		ends := n.rate > 0 && measured && at.After(n.namedAt)
+		n = newUpstreamLimit()
+		l.upstreams[u.Instance] = n
+	case u.Rate == 0:
+		ends := n.rate > 0 && measured && at.After(n.observedAt)
 		if ends {
-			n.lift(at)
+			n.end(at)
 		}
 		return ends
-	case !at.After(n.liftedAt.Add(limitSlack)):
+	case !at.After(n.endedAt.Add(limitTimeTolerance)):
 		// The sender does not know that the limit has ended.
 		n.dirty = n.dirty || n.rate == 0 && now.Sub(n.announcedAt) >= limitRefresh
 		return false
 	}
 	n.announcedAt = now
 	n.announcedFor = latest(n.announcedFor, at)
-	if n.rate > 0 && !at.After(n.namedAt.Add(limitSlack)) {
+	if n.rate > 0 && !at.After(n.observedAt.Add(limitTimeTolerance)) {
 		return false
 	}
-	changed = n.rate != t.Rate
-	l.set(now, n, at, t.Rate)
+	changed = n.rate != u.Rate
+	l.set(now, n, at, u.Rate)
 	return changed
 }
 
-// forget drops gateways from which nothing has been received for gatewaysMemory.
+// forget drops gateways from which nothing has been received for gatewayCountRetention.
 func (l *Limits) forget(now time.Time) {
 	for p, o := range l.others {
-		if now.Sub(o.lastSeen) > gatewaysMemory {
+		if now.Sub(o.lastSeen) > gatewayCountRetention {
 			delete(l.others, p)
 		}
 	}
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -20,49 +20,50 @@
 	start       time.Time // origin of the Stamp of sent messages
 	gateways    GatewayCount
 	coldCfg     ColdConfig
-	named       map[string]*namedLimit
+	upstreams   map[string]*upstreamLimit
 	cold        map[string]*coldLimit
-	expects     bool // upstreams may become cold, so gateways must already know each other
+	expectsCold bool // upstreams may become cold, so gateways must already know each other
 	others      map[wardturn.Incarnation]*limitPeer
 	lags        leastLags
 	seq         uint64
 	announcedAt time.Time // time of the latest message sent
-	sharedAt    time.Time // when the shares were last computed
+	sharesAt    time.Time // when the shares were last computed
 }
 
 const (
-	// limitSenders and limitSpare set how many gateways may send to a limited upstream:
-	// limitSenders for each request a second of the limit, plus limitSpare. If each sends
-	// one request at once on top of 4 s at the limit, an upstream with a limit of R gets at
-	// most 5.5 R + 2 requests in any 4 s.
-	limitSenders = 1.5
-	limitSpare   = 2
-	// leastLimit is the lower bound of a limit, in requests a second. Without any requests
+	// limitSendersPerRate and limitExtraSenders set how many gateways may send to a
+	// limited upstream: limitSendersPerRate for each request a second of the limit, plus
+	// limitExtraSenders. If each sends one request at once on top of 4 s at the limit, an
+	// upstream with a limit of R gets at most 5.5 R + 2 requests in any 4 s.
+	limitSendersPerRate = 1.5
+	limitExtraSenders   = 2
+	// minLimit is the lower bound of a limit, in requests a second. Without any requests
 	// the gateways would not learn that the limit has ended.
-	leastLimit = 0.5
+	minLimit = 0.5
 	// limitBurst is the burst size, in seconds of a gateway's share of the limit.
 	limitBurst = 0.25
-	// liftAfter is how long an upstream's answers must carry no limit before the limit
+	// limitEndDelay is how long an upstream's answers must carry no limit before the limit
 	// ends. A single answer without one may come from an intermediary.
-	liftAfter = time.Second
-	// liftAnswers is the minimum number of consecutive answers without a limit that end it.
-	liftAnswers = 2
-	// limitProbe is the minimum age of the latest known answer before a gateway without a
+	limitEndDelay = time.Second
+	// limitEndAnswers is the minimum number of consecutive answers without a limit that
+	// end it.
+	limitEndAnswers = 2
+	// minProbeAge is the minimum age of the latest known answer before a gateway without a
 	// share of the limit sends a probe request. It may have missed the end of the limit.
-	limitProbe = 10 * time.Second
-	// limitShares is the minimum interval between two computations of the shares.
-	limitShares = 100 * time.Millisecond
+	minProbeAge = 10 * time.Second
+	// shareInterval is the minimum interval between two computations of the shares.
+	shareInterval = 100 * time.Millisecond
 )
 
-// namedLimit is the limit that one upstream announces. A limit that has ended is kept with
-// rate zero.
-type namedLimit struct {
+// upstreamLimit is the limit that one upstream announces. A limit that has ended is kept
+// with rate zero.
+type upstreamLimit struct {
 	sharedRate
-	namedAt  time.Time // approximate time of the latest answer that carries the limit
-	clearAt  time.Time // time of the first later answer without a limit; valid if clear > 0
-	clear    int       // number of answers without a limit since namedAt
-	liftedAt time.Time // time of the answer that ended the previous limit
-	probedAt time.Time
+	observedAt       time.Time // approximate time of the latest answer that carries the limit
+	unlimitedSince   time.Time // first answer without a limit since observedAt
+	unlimitedAnswers int       // number of answers without a limit since observedAt
+	endedAt          time.Time // time of the answer that ended the previous limit
+	probedAt         time.Time
 	// probeAfter is the age of the latest answer after which a gateway with a zero share
 	// sends a probe request.
 	probeAfter   time.Duration
@@ -74,13 +75,13 @@
 // NewLimits returns an empty set of limits for the gateway process self.
 func NewLimits(now time.Time, self wardturn.Incarnation) *Limits {
 	return &Limits{
-		cold:   make(map[string]*coldLimit),
-		self:   self,
-		hash:   hashString(string(self)),
-		start:  now,
-		named:  make(map[string]*namedLimit),
-		others: make(map[wardturn.Incarnation]*limitPeer),
-		lags:   make(leastLags),
+		cold:      make(map[string]*coldLimit),
+		self:      self,
+		hash:      hashString(string(self)),
+		start:     now,
+		upstreams: make(map[string]*upstreamLimit),
+		others:    make(map[wardturn.Incarnation]*limitPeer),
+		lags:      make(leastLags),
 	}
 }
 
@@ -88,7 +89,7 @@
 // reachable.
 func (l *Limits) SetGateways(now time.Time, counted int) {
 	l.gateways.Take(now, counted)
-	l.share(now)
+	l.updateShares(now)
 }
 
 // Recall sets the number of gateways known before this process started. Keepers that start
@@ -100,8 +101,8 @@
 
 // Observe records an answer that carries a limit and reports whether the limit changed.
 func (l *Limits) Observe(now time.Time, id wardturn.UpstreamID, rate wardturn.RequestRate) (changed bool) {
-	r := max(float64(rate), leastLimit)
-	n := l.limit(id)
+	r := max(float64(rate), minLimit)
+	n := l.entry(id)
 	changed = n.rate != r
 	n.dirty = n.dirty || changed
 	l.set(now, n, now, r)
@@ -111,7 +112,7 @@
 // ObserveUnclear records an answer whose limit cannot be parsed. A known limit stays in
 // force.
 func (l *Limits) ObserveUnclear(now time.Time, id wardturn.UpstreamID) {
-	if n := l.named[id.Instance()]; n != nil && n.rate > 0 {
+	if n := l.upstreams[id.Instance()]; n != nil && n.rate > 0 {
 		n.confirm(now)
 	}
 }
@@ -120,25 +121,25 @@
 // reports whether it ends a limit. Answers to requests sent before the latest answer that
 // carries the limit are ignored.
 func (l *Limits) ObserveNone(now time.Time, id wardturn.UpstreamID, sent time.Time) (ended bool) {
-	n := l.named[id.Instance()]
-	if n == nil || n.rate == 0 || !sent.After(n.namedAt) {
+	n := l.upstreams[id.Instance()]
+	if n == nil || n.rate == 0 || !sent.After(n.observedAt) {
 		return false
 	}
-	if n.clear == 0 {
-		n.clearAt = now
+	if n.unlimitedAnswers == 0 {
+		n.unlimitedSince = now
 	}
-	n.clear++
-	if n.clear < liftAnswers || now.Sub(n.clearAt) < liftAfter {
+	n.unlimitedAnswers++
+	if n.unlimitedAnswers < limitEndAnswers || now.Sub(n.unlimitedSince) < limitEndDelay {
 		return false
 	}
-	n.lift(n.clearAt)
+	n.end(n.unlimitedSince)
 	n.dirty = true
 	return true
 }
 
 // Any reports whether any upstream announces a limit.
 func (l *Limits) Any() bool {
-	for _, n := range l.named {
+	for _, n := range l.upstreams {
 		if n.rate > 0 {
 			return true
 		}
@@ -148,7 +149,7 @@
 
 // Limited reports whether an upstream announces a limit.
 func (l *Limits) Limited(id wardturn.UpstreamID) bool {
-	return l.of(id) != nil
+	return l.inForce(id) != nil
 }
 
 // Bounded reports whether an upstream announces a limit or is cold.
@@ -158,12 +159,12 @@
 
 // Allows reports whether an upstream may be sent a request now.
 func (l *Limits) Allows(now time.Time, id wardturn.UpstreamID) bool {
-	l.share(now)
+	l.updateShares(now)
 	if c := l.coldOf(now, id); c != nil && !c.allows(now) {
 		return false
 	}
-	n := l.of(id)
-	return n == nil || n.allows(now) || n.probes(now)
+	n := l.inForce(id)
+	return n == nil || n.allows(now) || n.mayProbe(now)
 }
 
 // Sent records that a request is sent to an upstream. It counts against the limit even if
@@ -172,7 +173,7 @@
 	if c := l.coldOf(now, id); c != nil {
 		c.spend(now)
 	}
-	n := l.of(id)
+	n := l.inForce(id)
 	if n == nil {
 		return
 	}
@@ -187,35 +188,36 @@
 func (l *Limits) RoomIn(now time.Time, id wardturn.UpstreamID) (time.Duration, bool) {
 	wait, known := time.Duration(0), true
 	if c := l.coldOf(now, id); c != nil {
-		wait, known = c.roomIn(now)
+		wait, known = c.retryDelay(now)
 		if !known {
 			wait, known = c.until.Sub(now), true
 		}
 	}
-	n := l.of(id)
+	n := l.inForce(id)
 	if n == nil {
 		return wait, known
 	}
-	named, known := n.roomIn(now)
-	return max(wait, named), known
+	limitWait, known := n.retryDelay(now)
+	return max(wait, limitWait), known
 }
 
 // Owe reserves capacity at an upstream for the retry of a refused caller.
 func (l *Limits) Owe(now time.Time, id wardturn.UpstreamID) {
 	if c := l.coldOf(now, id); c != nil {
-		c.owed++
+		c.reserved++
 	}
-	if n := l.of(id); n != nil {
-		n.owed++
+	if n := l.inForce(id); n != nil {
+		n.reserved++
 	}
 }
 
-// Keep drops the limits of upstreams that have been absent for gatewaysMemory. They are
-// kept until then because a list read while the store was unavailable may be incomplete.
+// Keep drops the limits of upstreams that have been absent for gatewayCountRetention. They
+// are kept until then because a list read while the store was unavailable may be
+// incomplete.
 func (l *Limits) Keep(now time.Time, present func(instance string) bool) {
-	for instance, n := range l.named {
-		if !present(instance) && now.Sub(latest(n.namedAt, n.liftedAt)) > gatewaysMemory {
-			delete(l.named, instance)
+	for instance, n := range l.upstreams {
+		if !present(instance) && now.Sub(latest(n.observedAt, n.endedAt)) > gatewayCountRetention {
+			delete(l.upstreams, instance)
 		}
 	}
 	for instance, c := range l.cold {
@@ -225,89 +227,90 @@
 	}
 }
 
-// of returns the limit of an upstream, or nil if there is none. The limit of a worker that
-// restarts under the same name stays in force until its answers end it.
-func (l *Limits) of(id wardturn.UpstreamID) *namedLimit {
-	if len(l.named) == 0 {
+// inForce returns the limit of an upstream, or nil if there is none. The limit of a worker
+// that restarts under the same name stays in force until its answers end it.
+func (l *Limits) inForce(id wardturn.UpstreamID) *upstreamLimit {
+	if len(l.upstreams) == 0 {
 		return nil
 	}
-	if n := l.named[id.Instance()]; n != nil && n.rate > 0 {
+	if n := l.upstreams[id.Instance()]; n != nil && n.rate > 0 {
 		return n
 	}
 	return nil
 }
 
-// limit returns the entry of an upstream, creating it if necessary.
-func (l *Limits) limit(id wardturn.UpstreamID) *namedLimit {
-	n := l.named[id.Instance()]
+// entry returns the entry of an upstream, creating it if necessary.
+func (l *Limits) entry(id wardturn.UpstreamID) *upstreamLimit {
+	n := l.upstreams[id.Instance()]
 	if n == nil {
-		n = newNamedLimit()
-		l.named[id.Instance()] = n
+		n = newUpstreamLimit()
+		l.upstreams[id.Instance()] = n
 	}
 	return n
 }
 
-func newNamedLimit() *namedLimit {
-	return &namedLimit{
+func newUpstreamLimit() *upstreamLimit {
+	return &upstreamLimit{
 		sharedRate: sharedRate{
 			burst: limitBurst,
 		},
 	}
 }
 
-// set stores a limit from an answer given at the time named. A new limit starts with an
+// set stores a limit from an answer given at the time observed. A new limit starts with an
 // empty bucket.
-func (l *Limits) set(now time.Time, n *namedLimit, named time.Time, rate float64) {
+func (l *Limits) set(now time.Time, n *upstreamLimit, observed time.Time, rate float64) {
 	if n.rate == 0 {
 		n.level = 0
-		n.owed = 0
+		n.reserved = 0
 		n.share = 0
 		n.at = now
 		n.probedAt = now
 	}
-	n.confirm(named)
+	n.confirm(observed)
 	if n.rate == rate {
 		return
 	}
-	n.fill(now)
+	n.refill(now)
 	n.rate = rate
-	l.sharedAt = time.Time{}
-	l.share(now)
+	l.sharesAt = time.Time{}
+	l.updateShares(now)
 }
 
-// confirm records that an answer given at the time named carried the limit.
-func (n *namedLimit) confirm(named time.Time) {
-	n.namedAt = latest(n.namedAt, named)
-	if named.After(n.clearAt) {
-		n.clear = 0
+// confirm records that an answer given at the time observed carried the limit.
+func (n *upstreamLimit) confirm(observed time.Time) {
+	n.observedAt = latest(n.observedAt, observed)
+	if observed.After(n.unlimitedSince) {
+		n.unlimitedAnswers = 0
 	}
 }
 
-// lift ends a limit because of an answer given at the time at.
-func (n *namedLimit) lift(at time.Time) {
+// end ends a limit because of an answer given at the time at.
+func (n *upstreamLimit) end(at time.Time) {
 	n.rate = 0
-	n.clear = 0
-	n.liftedAt = at
+	n.unlimitedAnswers = 0
+	n.endedAt = at
 }
 
-// probes reports whether a gateway without a share of the limit may send a request to find
-// out whether the limit is still in force.
-func (n *namedLimit) probes(now time.Time) bool {
-	return n.share == 0 && now.Sub(latest(n.namedAt, n.probedAt)) > n.probeAfter
+// mayProbe reports whether a gateway without a share of the limit may send a request to
+// find out whether the limit is still in force.
+func (n *upstreamLimit) mayProbe(now time.Time) bool {
+	return n.share == 0 && now.Sub(latest(n.observedAt, n.probedAt)) > n.probeAfter
 }
 
-// share computes this gateway's shares of all limits, at most once per limitShares.
-func (l *Limits) share(now time.Time) {
-	if len(l.named)+len(l.cold) == 0 || now.Sub(l.sharedAt) < limitShares {
+// updateShares computes this gateway's shares of all limits, at most once per
+// shareInterval.
+func (l *Limits) updateShares(now time.Time) {
+	if len(l.upstreams)+len(l.cold) == 0 || now.Sub(l.sharesAt) < shareInterval {
 		return
 	}
-	l.sharedAt = now
+	l.sharesAt = now
 	l.forget(now)
-	for instance, n := range l.named {
+	for instance, n := range l.upstreams {
 		if n.rate == 0 {
 			continue
 		}
-		n.setShare(now, l.shareOf(instance, limitSpare+int(limitSenders*n.rate)))
+		n.setShare(now, l.shareOf(instance, limitExtraSenders+int(limitSendersPerRate*n.rate)))
 		if n.share == 0 {
 			n.probeAfter = l.probeAfter(instance)
 		}
@@ -322,14 +325,14 @@
 // known ones take a proportional part of the senders, since the unknown ones may have
 // shares as well.
 func (l *Limits) shareOf(instance string, senders int) float64 {
-	if l.gateways.most == 0 {
+	if l.gateways.highest == 0 {
 		return 0
 	}
-	if senders >= l.gateways.most {
-		return 1 / float64(l.gateways.most)
+	if senders >= l.gateways.highest {
+		return 1 / float64(l.gateways.highest)
 	}
-	heard := min(1+len(l.others), l.gateways.most)
-	if l.rank(instance) >= senders*heard/l.gateways.most {
+	known := min(1+len(l.others), l.gateways.highest)
+	if l.rank(instance) >= senders*known/l.gateways.highest {
 		return 0
 	}
 	return 1 / float64(senders)
@@ -337,12 +340,12 @@
 
 // probeAfter returns the age of the latest answer on a limit after which this gateway
 // probes if it has no share. The interval grows with the number of gateways, so that those
-// without a share together send at most one request per 1/leastLimit seconds, and is
+// without a share together send at most one request per 1/minLimit seconds, and is
 // spread by a hash so that they probe at different times.
 func (l *Limits) probeAfter(instance string) time.Duration {
-	each := time.Duration(float64(l.gateways.most) / leastLimit * float64(time.Second))
+	each := time.Duration(float64(l.gateways.highest) / minLimit * float64(time.Second))
 	spread := 1 + float64(mix(hashString(instance)^l.hash))/(1<<64)
-	return time.Duration(spread * float64(max(limitProbe, each)))
+	return time.Duration(spread * float64(max(minProbeAge, each)))
 }
 
 // rank returns the position of this gateway among the known ones, in an order that differs
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -20,8 +20,8 @@
 )
 
 // limitSim simulates gateways in front of an upstream that announces a limit, with callers
-// that send requests at a rate, answers, delayed and lost gossip messages, and gateways that
-// are partitioned, frozen and restarted.
+// that send requests at a rate, answers, delayed and lost gossip messages, and gateways
+// that are partitioned, frozen and restarted.
 type limitSim struct {
 	now      time.Time
 	rate     float64 // limit in the upstream's answers; negative: none
@@ -205,8 +205,8 @@
 	}
 }
 
-// mostSent returns the highest number of requests that the upstream got in a window from all
-// gateways, after they had time to learn of the limit.
+// mostSent returns the highest number of requests that the upstream got in a window from
+// all gateways, after they had time to learn of the limit.
 func (s *limitSim) mostSent() int {
 	if s.firstAt < 0 {
 		return 0
@@ -215,7 +215,8 @@
 	return most(s.sent[min(from, len(s.sent)):], steps(limitWindow))
 }
 
-// limitAllowed returns the highest number of requests that an upstream may get in any window.
+// limitAllowed returns the highest number of requests that an upstream may get in any
+// window.
 func limitAllowed(rate float64) int {
 	return int(1.5*rate*limitWindow.Seconds()) + 5
 }
@@ -273,7 +274,8 @@
 	}
 }
 
-// A limit is kept under random loss and delay of messages, restarts, freezes and partitions.
+// A limit is kept under random loss and delay of messages, restarts, freezes and
+// partitions.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "gateways")
@@ -355,8 +357,8 @@
 	}
 }
 
-// A single answer without a limit among answers with one does not end the limit, nor does an
-// answer to a request sent before the latest answer with the limit.
+// A single answer without a limit among answers with one does not end the limit, nor does
+// an answer to a request sent before the latest answer with the limit.
 func TestLimitsSingleAnswers(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
--- a/decide/meter.go
+++ b/decide/meter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// meterMemory is the time constant of a meter's decay.
-const meterMemory = 20 * time.Second
+// meterTimeConstant is the time constant of a meter's decay.
+const meterTimeConstant = 20 * time.Second
 
 // meter measures the rate of events as an exponentially weighted moving average. The zero
 // value is ready to use.
@@ -21,7 +21,7 @@
 		m.since = now
 		m.at = now
 	}
-	m.count = m.count*math.Exp(-now.Sub(m.at).Seconds()/meterMemory.Seconds()) + n
+	m.count = m.count*math.Exp(-now.Sub(m.at).Seconds()/meterTimeConstant.Seconds()) + n
 	m.at = now
 }
 
@@ -31,8 +31,8 @@
 	if m.since.IsZero() {
 		return 0
 	}
-	memory := meterMemory.Seconds()
-	faded := m.count * math.Exp(-now.Sub(m.at).Seconds()/memory)
+	memory := meterTimeConstant.Seconds()
+	decayed := m.count * math.Exp(-now.Sub(m.at).Seconds()/memory)
 	window := memory * (1 - math.Exp(-now.Sub(m.since).Seconds()/memory))
-	return faded / (window + 1)
+	return decayed / (window + 1)
 }
--- a/decide/patience.go
+++ b/decide/patience.go
@@ -8,42 +8,42 @@
 	// warmLoad is the time to load an adapter from the engine's own memory, as seen by
 	// gateways, including the time to request it.
 	warmLoad = 50 * time.Millisecond
-	// lastMoment is how long before its deadline a waiting request is refused, so that the
-	// refusal reaches the caller in time.
-	lastMoment = 100 * time.Millisecond
-	// refillTime is how long requests continue to wait after all engines were empty, from
+	// refusalMargin is how long before its deadline a waiting request is refused, so that
+	// the refusal reaches the caller in time.
+	refusalMargin = 100 * time.Millisecond
+	// refillWait is how long requests continue to wait after all engines were empty, from
 	// the moment the first one has loaded its model. A weight store of 32 loads a second
 	// takes about this long to fill a hundred adapter slots. Callers refused earlier would
 	// retry before their adapters are loaded and be refused again.
-	refillTime = 3 * time.Second
-	// leastComeBack is the minimum retry delay given to a caller. With a delay shorter than
+	refillWait = 3 * time.Second
+	// minRetryDelay is the minimum retry delay given to a caller. With a delay shorter than
 	// a load from the store, the caller would retry before anything has changed.
-	leastComeBack = 150 * time.Millisecond
+	minRetryDelay = 150 * time.Millisecond
 )
 
-// hopeless reports whether a waiting request should be refused now, because it can no longer
-// be served within its objective and its adapter is not being loaded. While its adapter is
-// being loaded the request continues to wait, since a late answer is worth more to the
-// caller than none.
+// hopeless reports whether a waiting request should be refused now, because it can no
+// longer be served within its objective and its adapter is not being loaded. While its
+// adapter is being loaded the request continues to wait, since a late answer is worth more
+// to the caller than none.
 func (f *Fleet) hopeless(now time.Time, w *want, t *Ticket) bool {
-	if !now.Before(t.Deadline.Add(-lastMoment)) {
+	if !now.Before(t.Deadline.Add(-refusalMargin)) {
 		return true
 	}
 	if f.isComing(w) {
 		return false
 	}
-	if f.empty(now, w) {
-		f.refilled[w.service] = now.Add(refillTime)
+	if f.noneHoldsModel(now, w) {
+		f.refilled[w.service] = now.Add(refillWait)
 	}
 	if now.Before(f.refilled[w.service]) {
 		return false
 	}
-	return now.Add(f.needs(w, t)).After(t.Arrived.Add(t.Objective))
+	return now.Add(f.minTimeToFirstToken(w, t)).After(t.Arrived.Add(t.Objective))
 }
 
-// empty reports whether a service has engines but none of them holds the model of a want,
-// because all have restarted and are loading it.
-func (f *Fleet) empty(now time.Time, w *want) bool {
+// noneHoldsModel reports whether a service has engines but none of them holds the model of
+// a want, because all have restarted and are loading it.
+func (f *Fleet) noneHoldsModel(now time.Time, w *want) bool {
 	list := f.services[w.service]
 	for _, m := range list {
 		if m.loads(now, w.key.Model) {
@@ -53,9 +53,10 @@
 	return len(list) > 0
 }
 
-// needs returns the minimum time until the first token of a request: the time to load its
-// adapter, unless an engine already holds it and is merely full, and to read its prompt.
-func (f *Fleet) needs(w *want, t *Ticket) time.Duration {
+// minTimeToFirstToken returns the minimum time until the first token of a request: the
+// time to load its adapter, unless an engine already holds it and is merely full, and to
+// read its prompt.
+func (f *Fleet) minTimeToFirstToken(w *want, t *Ticket) time.Duration {
 	read := f.rateOf(t.Service).time(int(t.Prompt))
 	switch {
 	case w.key.Adapter == "" || len(f.holders[w.key]) > 0:
@@ -71,15 +72,15 @@
 func (f *Fleet) comeBack(now time.Time, w *want) time.Duration {
 	typical := f.window.Typical()
 	if w.askedAt.IsZero() {
-		return max(leastComeBack, time.Duration(f.turns()*float64(typical)))
+		return max(minRetryDelay, time.Duration(f.loadRounds()*float64(typical)))
 	}
-	return max(leastComeBack, typical-now.Sub(w.askedAt))
+	return max(minRetryDelay, typical-now.Sub(w.askedAt))
 }
 
-// turns estimates the time until an adapter that has not been requested is loaded, in units
-// of the typical load time. Pending wants share the load window with those of the other
-// gateways, which are assumed to have as many.
-func (f *Fleet) turns() float64 {
+// loadRounds estimates the time until an adapter that has not been requested is loaded, in
+// units of the typical load time. Pending wants share the load window with those of the
+// other gateways, which are assumed to have as many.
+func (f *Fleet) loadRounds() float64 {
 	pending := 0
 	for _, w := range f.wants {
 		if w.askedAt.IsZero() && w.key.Adapter != "" {
--- a/decide/pauses.go
+++ b/decide/pauses.go
@@ -5,28 +5,28 @@
 )
 
 const (
-	// pauseLoss is the cost of a stream that pauses for longer than its route allows, in
-	// milliseconds.
-	pauseLoss = 250.0
-	// pauseFrom is the fraction of the longest allowed pause that reading prompts may take
-	// before longer pauses become likely, since other prompts arrive meanwhile.
-	pauseFrom = 0.5
+	// longPauseCost is the cost of a stream that pauses for longer than its route allows,
+	// in milliseconds.
+	longPauseCost = 250.0
+	// pauseThreshold is the fraction of the longest allowed pause that reading prompts may
+	// take before longer pauses become likely, since other prompts arrive meanwhile.
+	pauseThreshold = 0.5
 	// spreadPause is the pause cost of one prompt, in milliseconds, above which an adapter
 	// is loaded on another engine.
 	spreadPause = 150.0
 )
 
-// pauseCost returns the expected cost, in milliseconds, of pauses in the streams of an engine
-// while it reads the prompt of a request and those before it. Each step of an engine reads a
-// part of its prompts and generates one token of each stream, so many prompts together stall
-// all streams.
+// pauseCost returns the expected cost, in milliseconds, of pauses in the streams of an
+// engine while it reads the prompt of a request and those before it. Each step of an
+// engine reads a part of its prompts and generates one token of each stream, so many
+// prompts together stall all streams.
 func (m *Member) pauseCost(now time.Time, t *Ticket) float64 {
 	if t.Pause == 0 {
 		return 0
 	}
-	part := m.rate.cost(m.toRead(now)+int(t.Prompt)) / milliseconds(t.Pause)
-	likely := min(1, max(0, (part-pauseFrom)/(1-pauseFrom)))
-	return pauseLoss * likely * float64(m.load())
+	fraction := m.rate.cost(m.toRead(now)+int(t.Prompt)) / milliseconds(t.Pause)
+	probability := min(1, max(0, (fraction-pauseThreshold)/(1-pauseThreshold)))
+	return longPauseCost * probability * float64(m.load())
 }
 
 // costOf is cost plus the pause cost of the request's prompt for the streams at the member.
--- a/decide/pauses_test.go
+++ b/decide/pauses_test.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// Prompts sent by many gateways for one adapter stall all streams of its engines, while each
-// gateway has too few requests there to request another copy because of its own load.
+// Prompts sent by many gateways for one adapter stall all streams of its engines, while
+// each gateway has too few requests there to request another copy because of its own load.
 func TestHotAdapterIsSpreadBeforeStreamsPause(t *testing.T) {
 	play := func(pause time.Duration) *hotAdapter {
 		h := newHotAdapter(8, 8, pause)
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -10,13 +10,13 @@
 	Concurrency int
 
 	bucket bucket
-	open   int
+	active int
 }
 
 // Enter reports whether a request is admitted, and the delay after which to retry if it is
 // not. The caller calls Leave at the end of each admitted request.
 func (q *Quota) Enter(now time.Time) (retryAfter time.Duration, ok bool) {
-	if q.Concurrency > 0 && q.open >= q.Concurrency {
+	if q.Concurrency > 0 && q.active >= q.Concurrency {
 		return time.Second, false
 	}
 	if q.Rate > 0 {
@@ -27,16 +27,16 @@
 			return time.Duration(missing / q.Rate * float64(time.Second)), false
 		}
 	}
-	q.open++
+	q.active++
 	return 0, true
 }
 
 // Leave records the end of an admitted request.
 func (q *Quota) Leave() {
-	q.open--
+	q.active--
 }
 
 // Open returns the number of admitted requests that have not ended.
 func (q *Quota) Open() int {
-	return q.open
+	return q.active
 }
--- a/decide/rest.go
+++ b/decide/rest.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// restUnclear is the backoff of an upstream whose requested time cannot be parsed.
-	restUnclear = time.Second
-	// maxRest bounds the backoff that one answer may request.
-	maxRest = time.Hour
-	// restTrial is the time between two trial requests after a backoff, until one is
-	// answered without another refusal. An upstream that is still overloaded must not get
-	// all waiting requests at once.
-	restTrial = 200 * time.Millisecond
-	// restSpread is the minimum jitter of the retry times given to callers after a backoff,
-	// and restSpreadPart the jitter as a fraction of the backoff.
-	restSpread     = 300 * time.Millisecond
-	restSpreadPart = 0.25
-	// restMemory is how long an ended backoff is kept in case the upstream is missing from
-	// the list.
-	restMemory = time.Minute
+	// unclearBackoff is the backoff of an upstream whose requested time cannot be parsed.
+	unclearBackoff = time.Second
+	// maxUpstreamBackoff bounds the backoff that one answer may request.
+	maxUpstreamBackoff = time.Hour
+	// backoffTrialInterval is the time between two trial requests after a backoff, until
+	// one is answered without another refusal. An upstream that is still overloaded must
+	// not get all waiting requests at once.
+	backoffTrialInterval = 200 * time.Millisecond
+	// minBackoffJitter is the minimum jitter of the retry times given to callers after a
+	// backoff, and backoffJitterPart the jitter as a fraction of the backoff.
+	minBackoffJitter  = 300 * time.Millisecond
+	backoffJitterPart = 0.25
+	// backoffRetention is how long an ended backoff is kept in case the upstream is
+	// missing from the list.
+	backoffRetention = time.Minute
 )
 
 // rest is a backoff: a period during which an upstream asked this gateway to send it no
@@ -39,15 +39,15 @@
 
 // over reports whether the backoff allows a request to be sent to the upstream now.
 func (r *rest) over(now time.Time) bool {
-	return r == nil || !r.inForce(now) && now.Sub(r.trialAt) >= restTrial
+	return r == nil || !r.inForce(now) && now.Sub(r.trialAt) >= backoffTrialInterval
 }
 
-// left returns the time until the backoff allows a request.
-func (r *rest) left(now time.Time) time.Duration {
+// remaining returns the time until the backoff allows a request.
+func (r *rest) remaining(now time.Time) time.Duration {
 	if r == nil {
 		return 0
 	}
-	return max(0, latest(r.until, r.trialAt.Add(restTrial)).Sub(now))
+	return max(0, latest(r.until, r.trialAt.Add(backoffTrialInterval)).Sub(now))
 }
 
 // sent records that a request is sent to the upstream.
@@ -58,9 +58,9 @@
 }
 
 // Rests records that an upstream refused a request and asked for a backoff of the given
-// duration, and reports whether no backoff was in force before. Of several the one that ends
-// last counts. It stays in force when the list of upstreams changes and when the upstream
-// restarts under the same name.
+// duration, and reports whether no backoff was in force before. Of several the one that
+// ends last counts. It stays in force when the list of upstreams changes and when the
+// upstream restarts under the same name.
 func (f *Fleet) Rests(now time.Time, id wardturn.UpstreamID, asked time.Duration) (changed bool) {
 	if asked <= 0 {
 		return false
@@ -71,7 +71,7 @@
 		f.rests[id.Instance()] = r
 	}
 	changed = !r.inForce(now)
-	r.until = latest(r.until, now.Add(min(asked, maxRest)))
+	r.until = latest(r.until, now.Add(min(asked, maxUpstreamBackoff)))
 	if m := f.members[id]; m != nil {
 		m.rest = r
 	}
@@ -80,11 +80,11 @@
 
 // RestsUnclear is Rests for a duration that cannot be parsed.
 func (f *Fleet) RestsUnclear(now time.Time, id wardturn.UpstreamID) (changed bool) {
-	return f.Rests(now, id, restUnclear)
+	return f.Rests(now, id, unclearBackoff)
 }
 
-// Rested records that an upstream answered a request, sent at the given time, without asking
-// for a backoff.
+// Rested records that an upstream answered a request, sent at the given time, without
+// asking for a backoff.
 func (f *Fleet) Rested(id wardturn.UpstreamID, sent time.Time) {
 	m := f.members[id]
 	if m == nil || m.rest == nil || sent.Before(m.rest.until) {
@@ -107,17 +107,17 @@
 		if !m.rest.inForce(now) {
 			return 0, false
 		}
-		if l := m.rest.left(now); !all || l < left {
+		if l := m.rest.remaining(now); !all || l < left {
 			left, all = l, true
 		}
 	}
 	return left, all
 }
 
-// forgetRests drops backoffs that ended more than restMemory ago.
+// forgetRests drops backoffs that ended more than backoffRetention ago.
 func (f *Fleet) forgetRests(now time.Time) {
 	for instance, r := range f.rests {
-		if now.Sub(r.until) > restMemory {
+		if now.Sub(r.until) > backoffRetention {
 			delete(f.rests, instance)
 		}
 	}
@@ -126,6 +126,6 @@
 // spreadRest returns the retry delay for a caller after a backoff with the given time left.
 // It adds jitter, since callers that all retried at the end would be refused together.
 func (f *Fleet) spreadRest(left time.Duration) time.Duration {
-	over := max(restSpread, time.Duration(restSpreadPart*float64(left)))
-	return left + time.Duration(f.cfg.Draw()*float64(over))
+	jitter := max(minBackoffJitter, time.Duration(backoffJitterPart*float64(left)))
+	return left + time.Duration(f.cfg.Draw()*float64(jitter))
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -5,41 +5,41 @@
 // RetryBudget bounds retries to a fraction of recent requests, so that they do not amplify
 // an overload. The zero value allows no retries; use NewRetryBudget.
 type RetryBudget struct {
-	share  float64
-	tokens float64
-	burst  float64
-	at     time.Time
-	floor  float64 // retries a second allowed regardless of requests
+	share   float64
+	tokens  float64
+	burst   float64
+	at      time.Time
+	minRate float64 // retries a second allowed regardless of requests
 }
 
 // NewRetryBudget returns a budget that allows retries for a share of the requests, plus
 // floor retries a second regardless of traffic, in bursts of at most burst.
 func NewRetryBudget(share, floor, burst float64) *RetryBudget {
 	return &RetryBudget{
-		share:  share,
-		tokens: burst,
-		burst:  burst,
-		floor:  floor,
+		share:   share,
+		tokens:  burst,
+		burst:   burst,
+		minRate: floor,
 	}
 }
 
 // Resize changes the parameters of the budget; see NewRetryBudget.
 func (b *RetryBudget) Resize(share, floor, burst float64) {
 	b.share = share
-	b.floor = floor
+	b.minRate = floor
 	b.burst = burst
 	b.tokens = min(b.tokens, burst)
 }
 
 // Request records the first attempt of a request.
 func (b *RetryBudget) Request(now time.Time) {
-	b.fill(now)
+	b.refill(now)
 	b.tokens = min(b.burst, b.tokens+b.share)
 }
 
 // Retry reports whether the budget allows a retry, and charges it if so.
 func (b *RetryBudget) Retry(now time.Time) bool {
-	b.fill(now)
+	b.refill(now)
 	if b.tokens < 1 {
 		return false
 	}
@@ -47,9 +47,9 @@
 	return true
 }
 
-func (b *RetryBudget) fill(now time.Time) {
+func (b *RetryBudget) refill(now time.Time) {
 	if !b.at.IsZero() {
-		b.tokens = min(b.burst, b.tokens+b.floor*now.Sub(b.at).Seconds())
+		b.tokens = min(b.burst, b.tokens+b.minRate*now.Sub(b.at).Seconds())
 	}
 	b.at = now
 }
--- a/decide/share.go
+++ b/decide/share.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// usageMemory is the time constant with which the recorded use of a team decays.
-	usageMemory = 60 * time.Second
-	// usageStep is the difference in use, in seconds, below which two teams count as equal
-	// and the older request runs first.
-	usageStep = 1.0
+	// useTimeConstant is the time constant with which the recorded use of a team decays.
+	useTimeConstant = 60 * time.Second
+	// useTolerance is the difference in use, in seconds, below which two teams count as
+	// equal and the older request runs first.
+	useTolerance = 1.0
 )
 
 // shares tracks how much of an upstream's time each team has used recently. When the
-// upstream is full, the team with the least use for its weight runs next, so that a burst of
-// one team does not delay the others. While the upstream has free capacity no request waits
-// and weights have no effect.
+// upstream is full, the team with the least use for its weight runs next, so that a burst
+// of one team does not delay the others. While the upstream has free capacity no request
+// waits and weights have no effect.
 type shares struct {
 	weights map[wardturn.TeamID]float64
 	used    map[wardturn.TeamID]*usage
@@ -44,30 +44,30 @@
 		}
 		s.used[team] = u
 	}
-	u.seconds = u.faded(now) + ran.Seconds()
+	u.seconds = u.decayed(now) + ran.Seconds()
 	u.at = now
 }
 
-func (u *usage) faded(now time.Time) float64 {
-	return u.seconds * math.Exp(-now.Sub(u.at).Seconds()/usageMemory.Seconds())
+func (u *usage) decayed(now time.Time) float64 {
+	return u.seconds * math.Exp(-now.Sub(u.at).Seconds()/useTimeConstant.Seconds())
 }
 
-// of returns the recent use of a team divided by its weight.
-func (s *shares) of(now time.Time, team wardturn.TeamID) float64 {
+// weightedUse returns the recent use of a team divided by its weight.
+func (s *shares) weightedUse(now time.Time, team wardturn.TeamID) float64 {
 	u := s.used[team]
 	if u == nil {
 		return 0
 	}
 	if w := s.weights[team]; w > 0 {
-		return u.faded(now) / w
+		return u.decayed(now) / w
 	}
-	return u.faded(now)
+	return u.decayed(now)
 }
 
 // sweep drops teams without recent use.
 func (s *shares) sweep(now time.Time) {
 	for team, u := range s.used {
-		if u.faded(now) < usageStep/10 {
+		if u.decayed(now) < useTolerance/10 {
 			delete(s.used, team)
 		}
 	}
@@ -92,9 +92,9 @@
 	case x.rank != y.rank:
 		return x.rank < y.rank
 	case x.work.Team != y.work.Team:
-		usedX := a.shares.of(now, x.work.Team)
-		usedY := a.shares.of(now, y.work.Team)
-		if math.Abs(usedX-usedY) >= usageStep {
+		usedX := a.shares.weightedUse(now, x.work.Team)
+		usedY := a.shares.weightedUse(now, y.work.Team)
+		if math.Abs(usedX-usedY) >= useTolerance {
 			return usedX < usedY
 		}
 	}
--- a/decide/teamcaps.go
+++ b/decide/teamcaps.go
@@ -12,23 +12,23 @@
 // team may use the whole cap at any of them, however its callers are distributed.
 //
 // This handles a team whose load on all gateways multiplies from one second to the next:
-// the usage that is not yet reported is bounded (untoldPart), and usage over the cap
+// the usage that is not yet reported is bounded (unreportedPart), and usage over the cap
 // becomes a debt that the bucket works off. A gateway that receives nothing from the
 // others uses an equal share of the cap, and the others leave the shares of missing
 // gateways unused.
 type TeamCaps struct {
-	cfg         TeamCapConfig
-	self        wardturn.Incarnation
-	start       time.Time
-	gateways    int // assumed number of gateways
-	counted     GatewayCount
-	recalled    int     // number of gateways known before this process started
-	part        float64 // fraction of each cap available to the gateways reachable from here
-	refreshedAt time.Time
-	caps        map[wardturn.TeamID]*teamCap
-	others      map[wardturn.Incarnation]*otherGateway
-	seq         uint64
-	toldAt      time.Time
+	cfg               TeamCapConfig
+	self              wardturn.Incarnation
+	start             time.Time
+	gateways          int // assumed number of gateways
+	counted           GatewayCount
+	previousGateways  int     // number of gateways known before this process started
+	reachablePart     float64 // fraction of each cap available to the gateways reachable from here
+	gatewaysCountedAt time.Time
+	caps              map[wardturn.TeamID]*teamCap
+	others            map[wardturn.Incarnation]*otherGateway
+	seq               uint64
+	reportedAt        time.Time
 }
 
 // TeamCapConfig configures how gateways share a cap.
@@ -39,42 +39,43 @@
 }
 
 const (
-	// recallLife is how long a new process uses the number of gateways known before its
-	// start. Keepers notice the loss of a gateway within 5 s.
-	recallLife = 5 * time.Second
-	// capRefresh is the interval at which the reachable gateways are counted.
-	capRefresh = 50 * time.Millisecond
-	// leastBurst is the minimum burst of a cap, in seconds of its rate. Without it, a cap
+	// previousGatewaysTTL is how long a new process uses the number of gateways known
+	// before its start. Keepers notice the loss of a gateway within 5 s.
+	previousGatewaysTTL = 5 * time.Second
+	// gatewayRecountInterval is the interval at which the reachable gateways are counted.
+	gatewayRecountInterval = 50 * time.Millisecond
+	// minCapBurst is the minimum burst of a cap, in seconds of its rate. Without it, a cap
 	// that sets no burst would admit no request at all.
-	leastBurst = 0.25
-	// maxCapWait bounds the retry delay returned to callers whose team has used up its cap.
-	maxCapWait = 8 * time.Second
+	minCapBurst = 0.25
+	// maxCapRetryDelay bounds the retry delay returned to callers whose team has used up
+	// its cap.
+	maxCapRetryDelay = 8 * time.Second
 )
 
 // teamCap is the token bucket of one team.
 type teamCap struct {
-	limit   wardturn.UsageCap
-	level   float64 // units that may be taken now; negative: a debt
-	waiting float64 // reserved units: callers told to retry whose time has not come
-	at      time.Time
-	spared  float64 // refill since the start that was left to missing gateways or overflowed
-	unspent float64 // part of it that no late report has been offset against
-	used    int64   // taken by this gateway since its start
-	told    int64   // value of used in the latest report
-	again   bool    // report once more, since the latest report may be lost
+	limit        wardturn.UsageCap
+	level        float64 // units that may be taken now; negative: a debt
+	reserved     float64 // reserved units: callers told to retry whose time has not come
+	at           time.Time
+	unusedRefill float64 // refill since the start that was left to missing gateways or overflowed
+	offsetLeft   float64 // part of it that no late report has been offset against
+	used         int64   // taken by this gateway since its start
+	reported     int64   // value of used in the latest report
+	resend       bool    // report once more, since the latest report may be lost
 }
 
 // NewTeamCaps returns a TeamCaps whose buckets start empty, because the usage of the other
 // gateways and of the previous process of this gateway is unknown.
 func NewTeamCaps(now time.Time, self wardturn.Incarnation, cfg TeamCapConfig) *TeamCaps {
 	return &TeamCaps{
-		cfg:      cfg,
-		self:     self,
-		start:    now,
-		gateways: 1,
-		part:     1,
-		caps:     make(map[wardturn.TeamID]*teamCap),
-		others:   make(map[wardturn.Incarnation]*otherGateway),
+		cfg:           cfg,
+		self:          self,
+		start:         now,
+		gateways:      1,
+		reachablePart: 1,
+		caps:          make(map[wardturn.TeamID]*teamCap),
+		others:        make(map[wardturn.Incarnation]*otherGateway),
 	}
 }
 
@@ -91,9 +92,9 @@
 			}
 			c.caps[t.ID] = have
 		}
-		have.fill(now, c.part)
+		have.refill(now, c.reachablePart)
 		have.limit = t.Cap
-		have.level = min(have.level, have.burst(c.part))
+		have.level = min(have.level, have.burst(c.reachablePart))
 	}
 	for id := range c.caps {
 		if !present[id] {
@@ -105,62 +106,63 @@
 // SetGateways sets the number of gateways counted by keepers, or zero if no keeper is
 // reachable.
 func (c *TeamCaps) SetGateways(now time.Time, counted int) {
-	heard, weight := 1, 1.0
+	reachable, weight := 1, 1.0
 	for _, o := range c.others {
-		age := now.Sub(o.heardAt)
-		if age <= capLapse {
-			heard++
+		age := now.Sub(o.receivedAt)
+		if age <= reportTimeout {
+			reachable++
 		}
-		if !c.mayBeBefore(o) {
+		if !c.mayBePredecessor(o) {
 			weight += freshness(age)
 		}
 	}
-	if heard == len(c.others)+1 {
-		c.calm(now)
+	if reachable == len(c.others)+1 {
+		c.clearOffsets(now)
 	}
 	counted = c.counted.Take(now, counted)
 	if counted == 0 {
 		counted = c.gateways // an isolated gateway keeps the last known number
 	}
-	if now.Sub(c.start) < recallLife {
-		counted = max(counted, c.recalled)
+	if now.Sub(c.start) < previousGatewaysTTL {
+		counted = max(counted, c.previousGateways)
 	}
-	c.gateways = max(counted, heard, 1)
-	c.part = weight / float64(c.gateways)
+	c.gateways = max(counted, reachable, 1)
+	c.reachablePart = weight / float64(c.gateways)
 	if c.cfg.EqualShares {
-		c.part = 1 / float64(c.gateways)
+		c.reachablePart = 1 / float64(c.gateways)
 	}
-	c.refreshedAt = now
+	c.gatewaysCountedAt = now
 }
 
-// mayBeBefore reports whether all reports received from another gateway may come from a
-// process that ended before this one started: the process started earlier, and no report
+// mayBePredecessor reports whether all reports received from another gateway may come from
+// a process that ended before this one started: the process started earlier, and no report
 // shows that it was still running when this one started. If all gateways restart at once
 // and count such delayed reports as additional gateways, each uses a larger part of the
 // cap, and the team gets several times its cap. Processes that start at the same time as
 // this one are counted at once, since ignoring them would refuse more than necessary.
-func (c *TeamCaps) mayBeBefore(o *otherGateway) bool {
-	return c.recalled > 0 && o.before && o.age-o.firstAge < capDelay
+func (c *TeamCaps) mayBePredecessor(o *otherGateway) bool {
+	return c.previousGateways > 0 && o.startedWellBefore && o.age-o.firstAge < reportDelayed
 }
 
-// freshness returns the weight, from 1 to 0, with which another gateway counts as reachable
-// given the age of its latest report. It is 1 until the next report is due and then falls
-// linearly until capLapse. Without the decline, both sides of a network partition would use
-// the whole cap until they notice it.
+// freshness returns the weight, from 1 to 0, with which another gateway counts as
+// reachable given the age of its latest report. It is 1 until the next report is due and
+// then falls linearly until reportTimeout. Without the decline, both sides of a network
+// partition would use the whole cap until they notice it.
 func freshness(age time.Duration) float64 {
-	return min(1, max(0, (capLapse-age).Seconds()/(capLapse-capFresh).Seconds()))
+	return min(1, max(0, (reportTimeout-age).Seconds()/(reportTimeout-nextReportDue).Seconds()))
 }
 
-// calm drops the record of unused refill once every known gateway has been reporting for a
-// while, because only the late reports of missing gateways are offset against it.
-func (c *TeamCaps) calm(now time.Time) {
+// clearOffsets drops the record of unused refill once every known gateway has been
+// reporting for a while, because only the late reports of missing gateways are offset
+// against it.
+func (c *TeamCaps) clearOffsets(now time.Time) {
 	for _, o := range c.others {
-		if o.gapEnd > 0 && o.age-o.gapEnd <= capLapse {
+		if o.gapEnd > 0 && o.age-o.gapEnd <= reportTimeout {
 			return
 		}
 	}
 	for _, t := range c.caps {
-		t.unspent = 0
+		t.offsetLeft = 0
 	}
 }
 
@@ -168,13 +170,14 @@
 // keepers and other gateways have had time to report. Otherwise each newly started process
 // would assume that it is the only one and grant a team its whole cap.
 func (c *TeamCaps) Recall(now time.Time, gateways int) {
-	c.recalled = gateways
+	c.previousGateways = gateways
 	c.SetGateways(now, 0)
 }
 
-// refresh counts the reachable gateways again if the latest count is older than capRefresh.
-func (c *TeamCaps) refresh(now time.Time) {
-	if now.Sub(c.refreshedAt) >= capRefresh {
+// recountGateways counts the reachable gateways again if the latest count is older than
+// gatewayRecountInterval.
+func (c *TeamCaps) recountGateways(now time.Time) {
+	if now.Sub(c.gatewaysCountedAt) >= gatewayRecountInterval {
 		c.SetGateways(now, 0)
 	}
 }
@@ -187,8 +190,8 @@
 	if t == nil || t.limit.Rate <= 0 {
 		return 0, true
 	}
-	c.refresh(now)
-	t.fill(now, c.part)
+	c.recountGateways(now)
+	t.refill(now, c.reachablePart)
 	if t.level > 0 {
 		t.level -= float64(units)
 		t.used += units
@@ -196,9 +199,9 @@
 	}
 	// Callers that retry at the same time would be refused together again, so each delay
 	// includes the units reserved for callers refused earlier.
-	t.waiting += float64(units)
-	wait := (t.waiting - t.level) / (t.limit.Rate * c.part)
-	return min(time.Duration(wait*float64(time.Second)), maxCapWait), false
+	t.reserved += float64(units)
+	wait := (t.reserved - t.level) / (t.limit.Rate * c.reachablePart)
+	return min(time.Duration(wait*float64(time.Second)), maxCapRetryDelay), false
 }
 
 // GiveBack refunds the units of a request that no upstream ran.
@@ -216,24 +219,24 @@
 	if t == nil || t.limit.Rate <= 0 {
 		return 0
 	}
-	t.fill(now, c.part)
+	t.refill(now, c.reachablePart)
 	return t.level / t.limit.Rate
 }
 
 // burst returns the units that the reachable gateways may take at once.
 func (t *teamCap) burst(part float64) float64 {
-	return part * max(t.limit.Burst, leastBurst*t.limit.Rate, 1)
+	return part * max(t.limit.Burst, minCapBurst*t.limit.Rate, 1)
 }
 
-// fill adds the units that accrued since the last call.
-func (t *teamCap) fill(now time.Time, part float64) {
+// refill adds the units that accrued since the last call.
+func (t *teamCap) refill(now time.Time, part float64) {
 	all := t.limit.Rate * max(0, now.Sub(t.at).Seconds())
 	more := part * all
 	before := t.level
 	t.at = now
 	t.level = min(t.level+more, t.burst(part))
-	t.waiting = max(0, t.waiting-more)
-	spare := max(0, all-max(0, t.level-before))
-	t.spared += spare
-	t.unspent += spare
+	t.reserved = max(0, t.reserved-more)
+	unused := max(0, all-max(0, t.level-before))
+	t.unusedRefill += unused
+	t.offsetLeft += unused
 }
--- a/decide/teamcaps_apart_test.go
+++ b/decide/teamcaps_apart_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// capAim is the allowed excess over a cap in the worst 8 s, in seconds of the cap's rate: the
-// platform allows a tenth of 8 s and the burst, plus 110,000 tokens, which are 0.39 s of the
-// largest team's rate.
+// capAim is the allowed excess over a cap in the worst 8 s, in seconds of the cap's rate:
+// the platform allows a tenth of 8 s and the burst, plus 110,000 tokens, which are 0.39 s
+// of the largest team's rate.
 const capAim = 0.1*(8+1) + 0.39
 
-// When gateways are partitioned, each side uses the whole cap and the content of the bucket
-// until it notices: a team that sent 4.2 times its cap from that moment on exceeded it by 2.4
-// to 5.6 s of its rate. The aim cannot be met if a gateway that has been silent for 0.7 s
-// still counts as reachable.
+// When gateways are partitioned, each side uses the whole cap and the content of the
+// bucket until it notices: a team that sent 4.2 times its cap from that moment on exceeded
+// it by 2.4 to 5.6 s of its rate. The aim cannot be met if a gateway that has been silent
+// for 0.7 s still counts as reachable.
 func TestTeamCapsApart(t *testing.T) {
 	for _, apart := range []string{"9 of 26", "13 of 26", "one of two", "each of 26"} {
 		expectWithinAim(t, apart, overApart)
@@ -21,7 +21,8 @@
 }
 
 // Restarted gateways counted delayed messages of the previous processes as messages of
-// additional gateways: with 26 gateways a team exceeded its cap by 5.2 to 5.9 s of its rate.
+// additional gateways: with 26 gateways a team exceeded its cap by 5.2 to 5.9 s of its
+// rate.
 func TestTeamCapsBeginAnew(t *testing.T) {
 	for _, anew := range []string{"9 of 26", "each of 26"} {
 		expectWithinAim(t, anew, overAnew)
@@ -90,7 +91,7 @@
 
 // Both sides of a partition reduce their use before the other side counts as unreachable:
 // with a linear decline they take 0.97 s of the rate together in the last 0.7 s before
-// capLapse, and 1.4 s if each side went on using the whole cap.
+// reportTimeout, and 1.4 s if each side went on using the whole cap.
 func TestTeamCapsFreshness(t *testing.T) {
 	const most = 1.1 // s of the rate, including a message in transit
 	s := newCapSim(2, false)
@@ -129,7 +130,8 @@
 		if got := float64(s.refused) / capRate; got > nextToNothing {
 			t.Errorf("3%% of the reports lost, load %.2f of the cap: %.2f s of the rate refused", part, got)
 		}
-		// All keepers of a failure domain fail at once: 9 gateways receive nothing for a second.
+		// All keepers of a failure domain fail at once: 9 gateways receive nothing for a
+		// second.
 		s.refused = 0
 		for _, g := range s.gateways[:9] {
 			g.cut = int(time.Second / capStep)
--- a/decide/teamcaps_heal_test.go
+++ b/decide/teamcaps_heal_test.go
@@ -68,8 +68,8 @@
 // Usage that is not charged after a partition must not let a team exceed its cap. The team
 // sends as much as it can all the time.
 func TestTeamCapsOverACut(t *testing.T) {
-	// Both sides use the whole cap until they notice the partition: for capLapse (1.6 s),
-	// plus the 0.25 s that may be unreported and the time until a report is due.
+	// Both sides use the whole cap until they notice the partition: for reportTimeout (1.6
+	// s), plus the 0.25 s that may be unreported and the time until a report is due.
 	const (
 		lost  = 2.05 // s of the rate
 		usual = 1.05
@@ -102,9 +102,10 @@
 	}
 }
 
-// Restarted processes that reach nobody assumed that they are the only gateways: with a team
-// at 4.2 times its cap, the excess in the worst 8 s was 9.4 s of the rate with 9 of 26
-// restarted and 24.7 s with all. They now know the number of gateways before their start.
+// Restarted processes that reach nobody assumed that they are the only gateways: with a
+// team at 4.2 times its cap, the excess in the worst 8 s was 9.4 s of the rate with 9 of
+// 26 restarted and 24.7 s with all. They now know the number of gateways before their
+// start.
 func TestTeamCapsAtAStart(t *testing.T) {
 	for _, n := range []int{9, 26} {
 		s := newCapSim(26, false)
--- a/decide/teamcaps_test.go
+++ b/decide/teamcaps_test.go
@@ -204,8 +204,8 @@
 func never() bool { return false }
 
 // Under random order, loss and delay of reports, and with gateways that are killed, frozen
-// and cut off, the excess over the cap is at most the demand during the time until a missing
-// gateway is noticed.
+// and cut off, the excess over the cap is at most the demand during the time until a
+// missing gateway is noticed.
 func TestTeamCapsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(t, "gateways")
@@ -239,7 +239,7 @@
 				s.step(rate, delay, lost)
 			}
 		}
-		unheard := 1900 * time.Millisecond // capLapse plus the delay of a report
+		unheard := 1900 * time.Millisecond // reportTimeout plus the delay of a report
 		bound := float64(most(s.asked, steps(unheard)))/capRate + 0.25 + float64(n*capUnits)/capRate
 		if over := s.over(); over > bound {
 			t.Fatalf("excess of %.2f s of the rate, want at most %.2f", over, bound)
--- a/decide/trust.go
+++ b/decide/trust.go
@@ -5,39 +5,39 @@
 )
 
 const (
-	// trustPause is the initial backoff of a path that has failed. It doubles with each
-	// failure up to trustMost, so that a host that is slow because it is overloaded does not
-	// get all requests again and again.
-	trustPause = 3 * time.Second
-	trustMost  = time.Minute
-	// trustAfter is how long a path must work for the backoff to start from trustPause
-	// again.
-	trustAfter = 30 * time.Second
-	// trustSpread is the random jitter, as a fraction of the backoff, that keeps processes
-	// from returning to a path at the same time.
-	trustSpread = 0.25
+	// minPathBackoff is the initial backoff of a path that has failed. It doubles with
+	// each failure up to maxPathBackoff, so that a host that is slow because it is
+	// overloaded does not get all requests again and again.
+	minPathBackoff = 3 * time.Second
+	maxPathBackoff = time.Minute
+	// pathBackoffReset is how long a path must work for the backoff to start from
+	// minPathBackoff again.
+	pathBackoffReset = 30 * time.Second
+	// pathBackoffJitter is the random jitter, as a fraction of the backoff, that keeps
+	// processes from returning to a path at the same time.
+	pathBackoffJitter = 0.25
 )
 
-// Trust is the exponential backoff of a network path: it decides when a path that has failed
-// may be used again.
+// Trust is the exponential backoff of a network path: it decides when a path that has
+// failed may be used again.
 type Trust struct {
-	Draw  func() float64 // random number in [0, 1); nil: the package's Draw
-	pause time.Duration  // latest backoff, without jitter
-	until time.Time
+	Draw    func() float64 // random number in [0, 1); nil: the package's Draw
+	backoff time.Duration  // latest backoff, without jitter
+	until   time.Time
 }
 
 // Fail records that the path has failed after being in use since the given time.
 func (t *Trust) Fail(now, since time.Time) {
-	t.pause = min(2*t.pause, trustMost)
-	if t.pause == 0 || now.Sub(since) >= trustAfter {
-		t.pause = trustPause
+	t.backoff = min(2*t.backoff, maxPathBackoff)
+	if t.backoff == 0 || now.Sub(since) >= pathBackoffReset {
+		t.backoff = minPathBackoff
 	}
 	draw := Draw
 	if t.Draw != nil {
 		draw = t.Draw
 	}
-	spread := 1 + trustSpread*(2*draw()-1)
-	t.until = now.Add(time.Duration(spread * float64(t.pause)))
+	spread := 1 + pathBackoffJitter*(2*draw()-1)
+	t.until = now.Add(time.Duration(spread * float64(t.backoff)))
 }
 
 // Allows reports whether the path may be used.
