--- a/decide/bodies_test.go
+++ b/decide/bodies_test.go
@@ -11,12 +11,12 @@
 // bounded as well as their number.
 func TestBodiesAtAnUpstreamAreBounded(t *testing.T) {
 	const (
-		most = 4 << 20
-		long = 1 << 20
+		maxBytes = 4 << 20
+		longBody = 1 << 20
 	)
 	x := newFleetRig()
 	x.f.Retune(decide.FleetConfig{
-		MostBodies: most,
+		MostBodies: maxBytes,
 	})
 	for _, m := range fleetMembers() {
 		x.f.SetHolding(x.now, m.ID, decide.Holding{
@@ -33,30 +33,30 @@
 		request.Body = body
 		x.f.Admit(x.now, request, &x.out)
 	}
-	admit("alone", 2*most) // over the bound, but the only one there
+	admit("alone", 2*maxBytes) // over the bound, but the only one there
 	first := x.got["alone"].Member.ID
 	if first == "" {
 		t.Fatal("a single long request is not sent")
 	}
-	at := make(map[string]int)
+	bytesAt := make(map[string]int)
 	for _, id := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} {
-		admit(id, long)
+		admit(id, longBody)
 		if a, ok := x.got[id]; ok {
-			at[string(a.Member.ID)] += long
+			bytesAt[string(a.Member.ID)] += longBody
 		}
 	}
-	if at[string(first)] > 0 {
+	if bytesAt[string(first)] > 0 {
 		t.Error("more bodies are sent to an upstream over the bound")
 	}
-	for id, bytes := range at {
-		if bytes > most/2 {
-			t.Errorf("%s got %d bytes from one of two gateways, want at most %d", id, bytes, most/2)
+	for id, bytes := range bytesAt {
+		if bytes > maxBytes/2 {
+			t.Errorf("%s got %d bytes from one of two gateways, want at most %d", id, bytes, maxBytes/2)
 		}
 	}
 	if len(x.got) != 7 {
 		t.Errorf("%d requests sent, want 7: two at each of three engines and the long one", len(x.got))
 	}
-	x.f.Freed(first, 2*most)
+	x.f.Freed(first, 2*maxBytes)
 	x.tick(0)
 	if len(x.got) != 9 {
 		t.Errorf("%d requests sent after the long one ended, want 9", len(x.got))
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -18,12 +18,12 @@
 // coldSim simulates gateways that each have more requests for a cold upstream than it may
 // get.
 type coldSim struct {
-	now      time.Time
-	gateways []*decide.Limits
-	started  int
-	sent     []int      // by step, of all gateways
-	apart    bool       // no messages between gateways
-	counted  func() int // number of gateways counted by keepers; nil: all
+	now         time.Time
+	gateways    []*decide.Limits
+	started     int
+	sent        []int      // by step, of all gateways
+	partitioned bool       // no messages between gateways
+	counted     func() int // number of gateways counted by keepers; nil: all
 }
 
 func newColdSim(n int) *coldSim {
@@ -31,13 +31,13 @@
 		now: start,
 	}
 	for range n {
-		s.gateways = append(s.gateways, s.begin())
+		s.gateways = append(s.gateways, s.startProcess())
 	}
 	return s
 }
 
-// begin starts a gateway's process.
-func (s *coldSim) begin() *decide.Limits {
+// startProcess starts a gateway's process.
+func (s *coldSim) startProcess() *decide.Limits {
 	s.started++
 	l := decide.NewLimits(s.now, wardturn.Incarnation(fmt.Sprint("p", s.started)))
 	l.SetColdConfig(decide.ColdConfig{
@@ -61,7 +61,7 @@
 		}
 	}
 	s.sent = append(s.sent, sent)
-	if s.now.Sub(start)%capLook != 0 {
+	if s.now.Sub(start)%checkInterval != 0 {
 		return
 	}
 	for _, g := range s.gateways {
@@ -70,12 +70,12 @@
 			counted = min(counted, s.counted())
 		}
 		g.SetGateways(s.now, counted)
-		w, _, due := g.Word(s.now)
-		if !due || s.apart {
+		msg, _, due := g.Word(s.now)
+		if !due || s.partitioned {
 			continue
 		}
 		for _, o := range s.gateways {
-			o.Heard(s.now, w)
+			o.Heard(s.now, msg)
 		}
 	}
 }
@@ -93,24 +93,24 @@
 	}
 }
 
-// most returns the highest number of requests in any second from a step on.
-func (s *coldSim) most(from int) int {
+// maxPerSecond returns the highest number of requests in any second from a step on.
+func (s *coldSim) maxPerSecond(from int) int {
 	second := int(time.Second / capStep)
-	most := 0
+	highest := 0
 	for i := from; i+second <= len(s.sent); i++ {
 		n := 0
 		for _, k := range s.sent[i : i+second] {
 			n += k
 		}
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
 func (s *coldSim) expectBound(t *testing.T, name string, from int) {
 	t.Helper()
 	const bound = coldRate*coldOverage + coldSlack
-	if got := s.most(from); float64(got) > bound {
+	if got := s.maxPerSecond(from); float64(got) > bound {
 		t.Errorf("%s: %d requests in a second, want at most %.1f", name, got, bound)
 	}
 }
@@ -128,7 +128,7 @@
 		s.run(5 * time.Second)
 		name := fmt.Sprintf("%d gateways", n)
 		s.expectBound(t, name, 0)
-		if got := s.most(len(s.sent) - int(3*time.Second/capStep)); float64(got) < coldRate-1 {
+		if got := s.maxPerSecond(len(s.sent) - int(3*time.Second/capStep)); float64(got) < coldRate-1 {
 			t.Errorf("%s: %d requests in a second of the %.1f allowed", name, got, coldRate)
 		}
 	}
@@ -165,14 +165,14 @@
 		s.cold(20 * time.Second)
 		s.run(2 * time.Second)
 		from := len(s.sent)
-		s.apart = true
+		s.partitioned = true
 		s.run(2 * time.Second)
 		for i := range s.gateways {
-			s.gateways[i] = s.begin()
+			s.gateways[i] = s.startProcess()
 		}
 		s.cold(16 * time.Second)
 		s.run(2 * time.Second)
-		s.apart = false
+		s.partitioned = false
 		s.run(4 * time.Second)
 		s.expectBound(t, fmt.Sprintf("%d gateways", n), from)
 	}
--- a/decide/limited_test.go
+++ b/decide/limited_test.go
@@ -14,7 +14,7 @@
 var _ = Describe("Fleet with upstreams that announce a limit", func() {
 	var x *fleetRig
 	var limits *decide.Limits
-	name := func(ids ...wardturn.UpstreamID) {
+	announce := func(ids ...wardturn.UpstreamID) {
 		for _, id := range ids {
 			limits.Observe(x.now, id, 2)
 		}
@@ -28,14 +28,14 @@
 	It("sends a request to another upstream that holds its adapter", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.hold("f0", readyAdapter("a", 1))
-		name("n0")
+		announce("n0")
 		x.admit("r", "a")
 		Expect(x.got["r"].Member.ID).To(BeEquivalentTo("f0"))
 	})
 
 	It("loads an adapter elsewhere if only limited upstreams hold it", func() {
 		x.hold("n0", readyAdapter("a", 1))
-		name("n0")
+		announce("n0")
 		x.admit("r", "a")
 		Expect(x.got).To(BeEmpty())
 		Expect(x.out.Asks).To(HaveLen(1))
@@ -44,7 +44,7 @@
 
 	It("sends requests up to the limit", func() {
 		x.hold("n0", readyAdapter("a", 1))
-		name("n0", "n1", "f0", "f1")
+		announce("n0", "n1", "f0", "f1")
 		sent := 0
 		for i := range 400 {
 			r := fmt.Sprint("r", i)
@@ -64,7 +64,7 @@
 
 	It("refuses at once if all upstreams have reached their limits, and returns when the first may be sent a request", func() {
 		x.hold("n0", readyAdapter("a", 1))
-		name("n0", "n1", "f0", "f1")
+		announce("n0", "n1", "f0", "f1")
 		x.admit("r", "a")
 		Expect(x.got["r"].Reason).To(Equal(wardturn.ReasonLimited))
 		Expect(x.got["r"].RetryAfter).To(BeNumerically("~", 500*time.Millisecond, 10*time.Millisecond))
--- a/decide/limits_bench_test.go
+++ b/decide/limits_bench_test.go
@@ -14,7 +14,7 @@
 // without one, and the receipt of a message from another gateway.
 func BenchmarkLimits(b *testing.B) {
 	for _, n := range []int{4, 26, 107, 470} {
-		l, words := knownLimits(n)
+		l, messages := knownLimits(n)
 		now := start.Add(time.Second)
 		b.Run(fmt.Sprintf("limited/gateways=%d", n), func(b *testing.B) {
 			for i := range b.N {
@@ -28,9 +28,9 @@
 		})
 		b.Run(fmt.Sprintf("word/gateways=%d", n), func(b *testing.B) {
 			for i := range b.N {
-				w := words[i%len(words)]
-				w.Seq = uint64(i + 2)
-				l.Heard(now.Add(time.Duration(i)*time.Millisecond), w)
+				msg := messages[i%len(messages)]
+				msg.Seq = uint64(i + 2)
+				l.Heard(now.Add(time.Duration(i)*time.Millisecond), msg)
 			}
 		})
 	}
@@ -38,7 +38,7 @@
 
 // knownLimits returns the limits of 50 upstreams after messages from all of n gateways, and
 // the latest messages of the others.
-func knownLimits(n int) (l *decide.Limits, words []decide.LimitGossip) {
+func knownLimits(n int) (l *decide.Limits, messages []decide.LimitGossip) {
 	l = decide.NewLimits(start, "p0")
 	l.SetGateways(start, n)
 	for i := range 50 {
@@ -47,9 +47,9 @@
 	for i := 1; i < n; i++ {
 		other := decide.NewLimits(start, wardturn.Incarnation(fmt.Sprint("p", i)))
 		other.Observe(start, wardturn.UpstreamID(fmt.Sprint("u", i%50)), 5)
-		w, _, _ := other.Word(start)
-		l.Heard(start, w)
-		words = append(words, w)
+		msg, _, _ := other.Word(start)
+		l.Heard(start, msg)
+		messages = append(messages, msg)
 	}
-	return l, words
+	return l, messages
 }
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	limitID     = wardturn.UpstreamID("u")
-	limitWindow = 4 * time.Second
-	limitLearn  = time.Second            // from the first answer with a limit until all must keep it
-	limitGrace  = 500 * time.Millisecond // until a gateway that had such an answer must keep it
-	answerTime  = 30 * time.Millisecond
+	limitID        = wardturn.UpstreamID("u")
+	limitWindow    = 4 * time.Second
+	limitLearnTime = time.Second            // from the first answer with a limit until all must keep it
+	limitGraceTime = 500 * time.Millisecond // until a gateway that had such an answer must keep it
+	answerTime     = 30 * time.Millisecond
 )
 
 // limitSim simulates gateways in front of an upstream that announces a limit, with callers
 // that send requests at a rate, answers, delayed and lost gossip messages, and gateways
 // that are partitioned, frozen and restarted.
 type limitSim struct {
-	now      time.Time
-	rate     float64 // limit in the upstream's answers; negative: none
-	gateways []*limitGateway
-	words    []limitWord
-	answers  []limitAnswer
-	sent     []int // by step, of all gateways
-	told     []int // of these, from gateways that had an answer with the limit limitGrace before
-	firstAt  int   // step of the first answer with the limit; negative: none yet
-	all      int
-	refused  int
-	ownSide  bool // keepers count the gateways of their own side only
-	started  int
+	now          time.Time
+	rate         float64 // limit in the upstream's answers; negative: none
+	gateways     []*limitGateway
+	messages     []limitMessage
+	answers      []limitAnswer
+	sent         []int // by step, of all gateways
+	sentInformed []int // of these, from gateways that knew the limit for limitGraceTime
+	firstAnswer  int   // step of the first answer with the limit; negative: none yet
+	sentTotal    int
+	refused      int
+	countOwnSide bool // keepers count the gateways of their own side only
+	started      int
 }
 
 type limitGateway struct {
-	limits *decide.Limits
-	toldAt time.Time // time of the first answer with the limit to this process; zero: none
-	owed   float64
-	frozen int // steps
-	side   int // side of a partition: messages and keepers' counts do not cross it
+	limits     *decide.Limits
+	informedAt time.Time // time of the first answer with the limit to this process; zero: none
+	pending    float64
+	frozen     int // steps
+	side       int // side of a partition: messages and keepers' counts do not cross it
 }
 
-type limitWord struct {
-	to   *limitGateway
-	at   time.Time
-	word decide.LimitGossip
+type limitMessage struct {
+	to      *limitGateway
+	at      time.Time
+	message decide.LimitGossip
 }
 
 type limitAnswer struct {
@@ -60,22 +60,22 @@
 
 func newLimitSim(n int) *limitSim {
 	s := &limitSim{
-		now:     start,
-		rate:    -1,
-		firstAt: -1,
+		now:         start,
+		rate:        -1,
+		firstAnswer: -1,
 	}
 	for range n {
 		g := &limitGateway{}
-		s.begin(g)
+		s.startProcess(g)
 		s.gateways = append(s.gateways, g)
 	}
 	return s
 }
 
-// begin starts a gateway's process.
-func (s *limitSim) begin(g *limitGateway) {
+// startProcess starts a gateway's process.
+func (s *limitSim) startProcess(g *limitGateway) {
 	s.started++
-	g.toldAt = time.Time{}
+	g.informedAt = time.Time{}
 	g.limits = decide.NewLimits(s.now, wardturn.Incarnation(fmt.Sprint("p", s.started)))
 }
 
@@ -83,9 +83,9 @@
 // cut off from them.
 func (s *limitSim) counted(g *limitGateway) int {
 	switch {
-	case !s.ownSide && g.side == 0:
+	case !s.countOwnSide && g.side == 0:
 		return len(s.gateways)
-	case !s.ownSide:
+	case !s.countOwnSide:
 		return 0
 	}
 	n := 0
@@ -102,22 +102,22 @@
 func (s *limitSim) step(demand float64, delay func() time.Duration, lost func() bool) {
 	s.now = s.now.Add(capStep)
 	s.deliver()
-	sent, told := 0, 0
+	sent, informed := 0, 0
 	for _, g := range s.gateways {
 		if g.frozen > 0 {
 			g.frozen--
 			continue
 		}
-		for g.owed += demand * capStep.Seconds(); g.owed >= 1; g.owed-- {
+		for g.pending += demand * capStep.Seconds(); g.pending >= 1; g.pending-- {
 			if !g.limits.Allows(s.now, limitID) {
 				s.refused++
 				continue
 			}
 			g.limits.Sent(s.now, limitID)
-			s.all++
+			s.sentTotal++
 			sent++
-			if !g.toldAt.IsZero() && s.now.Sub(g.toldAt) >= limitGrace {
-				told++
+			if !g.informedAt.IsZero() && s.now.Sub(g.informedAt) >= limitGraceTime {
+				informed++
 			}
 			s.answers = append(s.answers, limitAnswer{
 				to:   g,
@@ -126,18 +126,18 @@
 				rate: s.rate,
 			})
 		}
-		s.tell(g, s.now.Sub(start)%capLook == 0, delay, lost)
+		s.gossip(g, s.now.Sub(start)%checkInterval == 0, delay, lost)
 	}
 	s.sent = append(s.sent, sent)
-	s.told = append(s.told, told)
+	s.sentInformed = append(s.sentInformed, informed)
 }
 
-func (s *limitSim) tell(g *limitGateway, look bool, delay func() time.Duration, lost func() bool) {
-	if !look {
+func (s *limitSim) gossip(g *limitGateway, check bool, delay func() time.Duration, lost func() bool) {
+	if !check {
 		return
 	}
 	g.limits.SetGateways(s.now, s.counted(g))
-	w, _, due := g.limits.Word(s.now)
+	msg, _, due := g.limits.Word(s.now)
 	if !due {
 		return
 	}
@@ -145,35 +145,35 @@
 		if to == g || to.side != g.side || lost() {
 			continue
 		}
-		s.words = append(s.words, limitWord{
-			to:   to,
-			at:   s.now.Add(delay()),
-			word: w,
+		s.messages = append(s.messages, limitMessage{
+			to:      to,
+			at:      s.now.Add(delay()),
+			message: msg,
 		})
 	}
 }
 
 func (s *limitSim) deliver() {
-	words := s.words[:0]
-	for _, w := range s.words {
+	messages := s.messages[:0]
+	for _, w := range s.messages {
 		if w.at.After(s.now) || w.to.frozen > 0 {
-			words = append(words, w)
+			messages = append(messages, w)
 			continue
 		}
-		w.to.limits.Heard(s.now, w.word)
+		w.to.limits.Heard(s.now, w.message)
 	}
-	s.words = words
+	s.messages = messages
 	answers := s.answers[:0]
 	for _, a := range s.answers {
 		switch {
 		case a.at.After(s.now) || a.to.frozen > 0:
 			answers = append(answers, a)
 		case a.rate >= 0:
-			if a.to.toldAt.IsZero() {
-				a.to.toldAt = s.now
+			if a.to.informedAt.IsZero() {
+				a.to.informedAt = s.now
 			}
-			if s.firstAt < 0 {
-				s.firstAt = len(s.sent)
+			if s.firstAnswer < 0 {
+				s.firstAnswer = len(s.sent)
 			}
 			a.to.limits.Observe(s.now, limitID, wardturn.RequestRate(a.rate))
 		default:
@@ -185,18 +185,18 @@
 
 func (s *limitSim) run(demand float64, span time.Duration) {
 	for range int(span / capStep) {
-		s.step(demand, quick, never)
+		s.step(demand, usualDelay, noLoss)
 	}
 }
 
-// name sets the limit that the upstream announces from now on; negative: none.
-func (s *limitSim) name(rate float64) {
+// announce sets the limit that the upstream announces from now on; negative: none.
+func (s *limitSim) announce(rate float64) {
 	s.rate = rate
-	s.firstAt = -1
+	s.firstAnswer = -1
 }
 
-// apart partitions the first n gateways from the others.
-func (s *limitSim) apart(n int) {
+// partition partitions the first n gateways from the others.
+func (s *limitSim) partition(n int) {
 	for i, g := range s.gateways {
 		g.side = 0
 		if i < n {
@@ -205,19 +205,19 @@
 	}
 }
 
-// mostSent returns the highest number of requests that the upstream got in a window from
+// maxSent returns the highest number of requests that the upstream got in a window from
 // all gateways, after they had time to learn of the limit.
-func (s *limitSim) mostSent() int {
-	if s.firstAt < 0 {
+func (s *limitSim) maxSent() int {
+	if s.firstAnswer < 0 {
 		return 0
 	}
-	from := s.firstAt + steps(limitLearn)
-	return most(s.sent[min(from, len(s.sent)):], steps(limitWindow))
+	from := s.firstAnswer + steps(limitLearnTime)
+	return maxSum(s.sent[min(from, len(s.sent)):], steps(limitWindow))
 }
 
-// limitAllowed returns the highest number of requests that an upstream may get in any
+// maxAllowed returns the highest number of requests that an upstream may get in any
 // window.
-func limitAllowed(rate float64) int {
+func maxAllowed(rate float64) int {
 	return int(1.5*rate*limitWindow.Seconds()) + 5
 }
 
@@ -229,12 +229,12 @@
 			for at := 3 * time.Second; at < 3400*time.Millisecond; at += 130 * time.Millisecond {
 				s := newLimitSim(n)
 				s.run(400/float64(n), at)
-				s.name(rate)
+				s.announce(rate)
 				s.run(400/float64(n), 8*time.Second)
 				s.run(0, 12*time.Second) // without demand, so that the buckets fill up
 				s.run(4000/float64(n), 8*time.Second)
-				if got := s.mostSent(); got > limitAllowed(rate) {
-					t.Errorf("%d gateways, limit %g/s announced at %v: %d requests in 4 s, want at most %d", n, rate, at, got, limitAllowed(rate))
+				if got := s.maxSent(); got > maxAllowed(rate) {
+					t.Errorf("%d gateways, limit %g/s announced at %v: %d requests in 4 s, want at most %d", n, rate, at, got, maxAllowed(rate))
 				}
 			}
 		}
@@ -253,20 +253,20 @@
 					demand := 400 / float64(n)
 					s.run(demand, 2*time.Second)
 					if before {
-						s.apart(side)
+						s.partition(side)
 						s.run(demand, time.Second)
 					}
-					s.name(rate)
+					s.announce(rate)
 					s.run(demand, 4*time.Second)
-					s.apart(side)
+					s.partition(side)
 					s.run(demand, 5*time.Second)
-					s.ownSide = true
+					s.countOwnSide = true
 					s.run(demand, 30*time.Second)
-					s.ownSide = false
-					s.apart(0)
+					s.countOwnSide = false
+					s.partition(0)
 					s.run(demand, 10*time.Second)
-					if got := s.mostSent(); got > limitAllowed(rate) {
-						t.Errorf("%d and %d gateways, limit %g/s, partitioned before the announcement %v: %d requests in 4 s, want at most %d", side, n-side, rate, before, got, limitAllowed(rate))
+					if got := s.maxSent(); got > maxAllowed(rate) {
+						t.Errorf("%d and %d gateways, limit %g/s, partitioned before the announcement %v: %d requests in 4 s, want at most %d", side, n-side, rate, before, got, maxAllowed(rate))
 					}
 				}
 			}
@@ -291,25 +291,25 @@
 			return draw.Draw(t, "loss") < share
 		}
 		s.run(100, time.Duration(rapid.IntRange(0, 100).Draw(t, "before"))*capStep)
-		s.name(rate)
+		s.announce(rate)
 		for range rapid.IntRange(1, 4).Draw(t, "phases") {
 			g := s.gateways[rapid.IntRange(0, n-1).Draw(t, "of")]
 			switch rapid.IntRange(0, 3).Draw(t, "trouble") {
 			case 0:
-				s.begin(g)
+				s.startProcess(g)
 			case 1:
 				g.frozen = rapid.IntRange(1, 400).Draw(t, "steps")
 			case 2:
-				s.apart(rapid.IntRange(0, n).Draw(t, "apart"))
+				s.partition(rapid.IntRange(0, n).Draw(t, "apart"))
 			}
 			demand := rapid.Float64Range(0, 200).Draw(t, "demand")
 			for range rapid.IntRange(1, 300).Draw(t, "length") {
 				s.step(demand, delay, lost)
 			}
 		}
-		got := most(s.told, steps(limitWindow))
-		if got > limitAllowed(rate) {
-			t.Fatalf("%d requests in 4 s from gateways that knew the limit, want at most %d", got, limitAllowed(rate))
+		got := maxSum(s.sentInformed, steps(limitWindow))
+		if got > maxAllowed(rate) {
+			t.Fatalf("%d requests in 4 s from gateways that knew the limit, want at most %d", got, maxAllowed(rate))
 		}
 	})
 }
@@ -320,11 +320,11 @@
 	for _, n := range []int{1, 4, 26, 68} {
 		for _, rate := range []float64{1, 3.9, 12, 40} {
 			s := newLimitSim(n)
-			s.name(rate)
+			s.announce(rate)
 			s.run(400/float64(n), 5*time.Second)
-			before := s.all
+			before := s.sentTotal
 			s.run(400/float64(n), 20*time.Second)
-			if got := float64(s.all-before) / 20; got < least*rate || got > 1.05*rate {
+			if got := float64(s.sentTotal-before) / 20; got < least*rate || got > 1.05*rate {
 				t.Errorf("%d gateways, limit %g/s: %.2f requests a second sent", n, rate, got)
 			}
 		}
@@ -339,19 +339,19 @@
 			s := newLimitSim(n)
 			demand := 200 / float64(n)
 			s.run(demand, time.Second)
-			s.name(rate)
+			s.announce(rate)
 			s.run(demand, 6*time.Second)
-			s.name(-1)
+			s.announce(-1)
 			s.run(demand, 12*time.Second)
 			refused := s.refused
 			s.run(demand, 5*time.Second)
 			if got := s.refused - refused; got > 0 {
 				t.Errorf("%d gateways, limit %g/s: %d requests refused later than 12 s after the end", n, rate, got)
 			}
-			s.name(rate)
+			s.announce(rate)
 			s.run(demand, 10*time.Second)
-			if got := s.mostSent(); got > limitAllowed(rate) {
-				t.Errorf("%d gateways, limit %g/s announced again: %d requests in 4 s, want at most %d", n, rate, got, limitAllowed(rate))
+			if got := s.maxSent(); got > maxAllowed(rate) {
+				t.Errorf("%d gateways, limit %g/s announced again: %d requests in 4 s, want at most %d", n, rate, got, maxAllowed(rate))
 			}
 		}
 	}
@@ -399,7 +399,7 @@
 
 // The limit of a worker that restarts under the same name stays in force; a worker with
 // another name has none.
-func TestLimitsReborn(t *testing.T) {
+func TestLimitsRestartedWorker(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
 	l.Observe(start, wardturn.Lifetime("u", 1000), 5)
--- a/decide/patience_test.go
+++ b/decide/patience_test.go
@@ -68,7 +68,7 @@
 	})
 
 	It("continues when all engines are empty, until their slots have had time to fill", func() {
-		bare := func(model ...wardturn.BaseModel) {
+		withoutAdapters := func(model ...wardturn.BaseModel) {
 			for _, m := range fleetMembers() {
 				x.f.SetHolding(x.now, m.ID, decide.Holding{
 					Connected: true,
@@ -78,13 +78,13 @@
 				}, &x.out)
 			}
 		}
-		bare()
+		withoutAdapters()
 		x.admit("r", "a")
 		for range 8 {
 			x.tick(100 * time.Millisecond)
 		}
 		Expect(x.got).To(BeEmpty())
-		bare("m")
+		withoutAdapters("m")
 		x.admit("later", "b") // places are still being filled
 		x.tick(2500 * time.Millisecond)
 		Expect(x.got).To(BeEmpty())
--- a/decide/pauses_test.go
+++ b/decide/pauses_test.go
@@ -16,18 +16,18 @@
 	gateways []*decide.Fleet
 	engines  map[wardturn.UpstreamID]*readingEngine
 	pause    time.Duration // longest pause allowed by the requests' route
-	long     int           // requests sent to an engine that then reads for longer than hotPause
+	stalled  int           // requests sent to an engine that then reads for longer than hotPause
 	sent     int
 }
 
 // readingEngine simulates an engine that reads prompts one after another and streams tokens
 // to each request for two seconds.
 type readingEngine struct {
-	adapter  bool
-	loadedAt time.Time
-	running  int
-	reading  map[*decide.Fleet]int
-	readTo   time.Time
+	adapter   bool
+	loadedAt  time.Time
+	running   int
+	reading   map[*decide.Fleet]int
+	readUntil time.Time
 }
 
 const (
@@ -80,8 +80,8 @@
 	return h
 }
 
-// hear delivers the state of all engines to all gateways, as keepers report it.
-func (h *hotAdapter) hear() {
+// deliverHoldings delivers the state of all engines to all gateways, as keepers report it.
+func (h *hotAdapter) deliverHoldings() {
 	for _, f := range h.gateways {
 		for id, e := range h.engines {
 			holding := decide.Holding{
@@ -121,9 +121,9 @@
 	}
 }
 
-// ask sends a request through a gateway, and returns the events that end the reading of its
-// prompt and its answer.
-func (h *hotAdapter) ask(f *decide.Fleet) (began, ended event) {
+// send sends a request through a gateway, and returns the events that end the reading of
+// its prompt and its answer.
+func (h *hotAdapter) send(f *decide.Fleet) (began, ended event) {
 	var out decide.Moves
 	f.Admit(h.now, &decide.Ticket{
 		Service:   fleetService,
@@ -136,19 +136,19 @@
 		Assign: func(a decide.Assignment) {
 			e := h.engines[a.Member.ID]
 			e.running++
-			e.readTo = latestOf(e.readTo, h.now).Add(hotPrompt / readRate * time.Millisecond)
+			e.readUntil = latestOf(e.readUntil, h.now).Add(hotPrompt / readRate * time.Millisecond)
 			h.sent++
-			if e.running > 1 && e.readTo.Sub(h.now) > hotPause {
-				h.long++
+			if e.running > 1 && e.readUntil.Sub(h.now) > hotPause {
+				h.stalled++
 			}
 			began = event{
-				at: e.readTo,
+				at: e.readUntil,
 				do: func() {
 					f.Began(a.Member.ID, hotPrompt)
 				},
 			}
 			ended = event{
-				at: e.readTo.Add(2 * time.Second),
+				at: e.readUntil.Add(2 * time.Second),
 				do: func() {
 					f.Ended(h.now, a.Member.ID, adapterKey("hot"), decide.EndedWell)
 					e.running--
@@ -157,12 +157,12 @@
 		},
 	}, &out)
 	h.load(out)
-	h.note()
+	h.deliverReadings()
 	return began, ended
 }
 
-// note delivers the gateways' reports of prompts being read to the keepers.
-func (h *hotAdapter) note() {
+// deliverReadings delivers the gateways' reports of prompts being read to the keepers.
+func (h *hotAdapter) deliverReadings() {
 	for _, f := range h.gateways {
 		for _, n := range f.Readings() {
 			h.engines[n.Upstream].reading[f] = n.Tokens
@@ -182,8 +182,8 @@
 	return y
 }
 
-// play sends requests at a constant interval for a span of time.
-func (h *hotAdapter) play(span, every time.Duration) {
+// run sends requests at a constant interval for a span of time.
+func (h *hotAdapter) run(span, every time.Duration) {
 	var events []event
 	for at := time.Duration(0); at < span; at += 10 * time.Millisecond {
 		h.now = start.Add(at)
@@ -196,10 +196,10 @@
 			e.do()
 		}
 		events = later
-		h.note()
-		h.hear()
+		h.deliverReadings()
+		h.deliverHoldings()
 		if at%every == 0 {
-			began, ended := h.ask(h.gateways[int(at/every)%len(h.gateways)])
+			began, ended := h.send(h.gateways[int(at/every)%len(h.gateways)])
 			if began.do != nil {
 				events = append(events, began, ended)
 			}
@@ -210,21 +210,21 @@
 // Prompts sent by many gateways for one adapter stall all streams of its engines, while
 // each gateway has too few requests there to request another copy because of its own load.
 func TestHotAdapterIsSpreadBeforeStreamsPause(t *testing.T) {
-	play := func(pause time.Duration) *hotAdapter {
+	simulate := func(pause time.Duration) *hotAdapter {
 		h := newHotAdapter(8, 8, pause)
-		h.play(10*time.Second, 50*time.Millisecond)
+		h.run(10*time.Second, 50*time.Millisecond)
 		return h
 	}
-	with := play(hotPause)
-	without := play(0)
-	t.Logf("requests sent to an engine whose streams then stall: %d of %d; without a bound on pauses: %d of %d", with.long, with.sent, without.long, without.sent)
+	with := simulate(hotPause)
+	without := simulate(0)
+	t.Logf("requests sent to an engine whose streams then stall: %d of %d; without a bound on pauses: %d of %d", with.stalled, with.sent, without.stalled, without.sent)
 	if with.sent < 190 {
 		t.Errorf("%d requests sent, want at least 190", with.sent)
 	}
-	if 5*with.long > with.sent {
-		t.Errorf("%d of %d requests stall streams", with.long, with.sent)
+	if 5*with.stalled > with.sent {
+		t.Errorf("%d of %d requests stall streams", with.stalled, with.sent)
 	}
-	if without.long < 2*with.long {
-		t.Errorf("%d of %d requests stall streams without the bound, too few for a comparison", without.long, without.sent)
+	if without.stalled < 2*with.stalled {
+		t.Errorf("%d of %d requests stall streams without the bound, too few for a comparison", without.stalled, without.sent)
 	}
 }
--- a/decide/rest_test.go
+++ b/decide/rest_test.go
@@ -17,7 +17,7 @@
 	BeforeEach(func() {
 		x = newFleetRig()
 	})
-	restAll := func(d time.Duration) {
+	backOffAll := func(d time.Duration) {
 		for _, m := range fleetMembers() {
 			x.f.Rests(x.now, m.ID, d)
 		}
@@ -73,7 +73,7 @@
 	It("makes new and waiting requests fail at once if all upstreams are backing off", func() {
 		x.admit("waits", "a")
 		Expect(x.got).NotTo(HaveKey("waits"))
-		restAll(2 * time.Second)
+		backOffAll(2 * time.Second)
 		x.f.Rests(x.now, "f1", time.Second)
 		x.tick(10 * time.Millisecond)
 		x.admit("comes", "b")
@@ -94,7 +94,7 @@
 		for _, m := range fleetMembers() {
 			f.Rests(x.now, m.ID, 20*time.Second)
 		}
-		told := func() (back time.Duration) {
+		retryDelay := func() (back time.Duration) {
 			t := x.ticket("plain", "")
 			t.Assign = func(a decide.Assignment) {
 				back = a.RetryAfter
@@ -102,9 +102,9 @@
 			f.Admit(x.now, t, &x.out)
 			return back
 		}
-		Expect(told()).To(Equal(20 * time.Second))
+		Expect(retryDelay()).To(Equal(20 * time.Second))
 		draw = 0.9
-		Expect(told()).To(BeNumerically(">", 22*time.Second))
+		Expect(retryDelay()).To(BeNumerically(">", 22*time.Second))
 	})
 
 	It("gets a backoff of at most one hour, and none if it asks for zero", func() {
--- a/decide/share_test.go
+++ b/decide/share_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// second advances time by one second: the running requests end and the next ones start.
-func (u *fullUpstream) second() {
+// advance advances time by one second: the running requests end and the next ones start.
+func (u *fullUpstream) advance() {
 	running := u.out.Run
 	u.out = decide.Orders{}
 	u.now = u.now.Add(time.Second)
@@ -66,11 +66,11 @@
 		u := newFullUpstream()
 		u.admit("flood", 100)
 		for range 5 {
-			u.second()
+			u.advance()
 		}
 		u.admit("small", 4)
 		for range 3 {
-			u.second()
+			u.advance()
 		}
 		Expect(u.ran["small"]).To(Equal(4), "in order of arrival they would wait behind 90 others")
 	})
@@ -83,7 +83,7 @@
 		u.admit("heavy", 200)
 		u.admit("light", 200)
 		for range 80 {
-			u.second()
+			u.advance()
 		}
 		part := float64(u.ran["heavy"]) / float64(u.ran["heavy"]+u.ran["light"])
 		Expect(part).To(BeNumerically("~", 0.75, 0.05))
--- a/decide/teamcaps_apart_test.go
+++ b/decide/teamcaps_apart_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// capAim is the allowed excess over a cap in the worst 8 s, in seconds of the cap's rate:
-// the platform allows a tenth of 8 s and the burst, plus 110,000 tokens, which are 0.39 s
-// of the largest team's rate.
-const capAim = 0.1*(8+1) + 0.39
+// maxCapExcess is the allowed excess over a cap in the worst 8 s, in seconds of the cap's
+// rate: the platform allows a tenth of 8 s and the burst, plus 110,000 tokens, which are
+// 0.39 s of the largest team's rate.
+const maxCapExcess = 0.1*(8+1) + 0.39
 
 // When gateways are partitioned, each side uses the whole cap and the content of the
 // bucket until it notices: a team that sent 4.2 times its cap from that moment on exceeded
 // it by 2.4 to 5.6 s of its rate. The aim cannot be met if a gateway that has been silent
 // for 0.7 s still counts as reachable.
 func TestTeamCapsApart(t *testing.T) {
-	for _, apart := range []string{"9 of 26", "13 of 26", "one of two", "each of 26"} {
-		expectWithinAim(t, apart, overApart)
+	for _, parts := range []string{"9 of 26", "13 of 26", "one of two", "each of 26"} {
+		expectBoundedExcess(t, parts, excessPartitioned)
 	}
 }
 
@@ -24,40 +24,40 @@
 // additional gateways: with 26 gateways a team exceeded its cap by 5.2 to 5.9 s of its
 // rate.
 func TestTeamCapsBeginAnew(t *testing.T) {
-	for _, anew := range []string{"9 of 26", "each of 26"} {
-		expectWithinAim(t, anew, overAnew)
+	for _, restarted := range []string{"9 of 26", "each of 26"} {
+		expectBoundedExcess(t, restarted, excessRestarted)
 	}
 }
 
-// expectWithinAim checks that the excess over the cap stays within capAim for a range of
-// times of the fault and of loads before it.
-func expectWithinAim(t *testing.T, name string, over func(name string, before float64, at time.Duration) float64) {
+// expectBoundedExcess checks that the excess over the cap stays within maxCapExcess for a
+// range of times of the fault and of loads before it.
+func expectBoundedExcess(t *testing.T, name string, excess func(name string, before float64, at time.Duration) float64) {
 	t.Helper()
 	for _, before := range []float64{0.3, 0.55, 0.8, 4.2} {
 		worst, worstAt := 0.0, time.Duration(0)
 		for at := 3900 * time.Millisecond; at <= 4400*time.Millisecond; at += 50 * time.Millisecond {
-			if got := over(name, before, at); got > worst {
+			if got := excess(name, before, at); got > worst {
 				worst, worstAt = got, at
 			}
 		}
 		t.Logf("%s, load %.2f of the cap before: excess of %.2f s of the rate, at %v", name, before, worst, worstAt)
-		if worst > capAim {
-			t.Errorf("%s, load %.2f of the cap before: excess of %.2f s of the rate, want at most %.2f (at %v)", name, before, worst, capAim, worstAt)
+		if worst > maxCapExcess {
+			t.Errorf("%s, load %.2f of the cap before: excess of %.2f s of the rate, want at most %.2f (at %v)", name, before, worst, maxCapExcess, worstAt)
 		}
 	}
 }
 
-// overApart simulates gateways that are partitioned at a time, with a team that sends 4.2
-// times its cap from then on, and returns the excess over the cap.
-func overApart(apart string, before float64, at time.Duration) float64 {
+// excessPartitioned simulates gateways that are partitioned at a time, with a team that
+// sends 4.2 times its cap from then on, and returns the excess over the cap.
+func excessPartitioned(parts string, before float64, at time.Duration) float64 {
 	n := 26
-	if apart == "one of two" {
+	if parts == "one of two" {
 		n = 2
 	}
 	s := newCapSim(n, false)
 	s.run(before*capRate, at)
 	for i, g := range s.gateways {
-		switch apart {
+		switch parts {
 		case "9 of 26":
 			if i < 9 {
 				g.side = 1
@@ -69,24 +69,24 @@
 		}
 	}
 	s.run(4.2*capRate, 12*time.Second)
-	return s.over()
+	return s.excess()
 }
 
-// overAnew simulates gateways of which some restart at a time, each then partitioned from
-// all others, and returns the excess over the cap.
-func overAnew(anew string, before float64, at time.Duration) float64 {
+// excessRestarted simulates gateways of which some restart at a time, each then
+// partitioned from all others, and returns the excess over the cap.
+func excessRestarted(restarted string, before float64, at time.Duration) float64 {
 	const n = 26
 	s := newCapSim(n, false)
 	s.run(before*capRate, at)
 	for i, g := range s.gateways {
-		if anew == "each of 26" || i < 9 {
-			s.begin(g)
+		if restarted == "each of 26" || i < 9 {
+			s.startProcess(g)
 			g.caps.Recall(s.now, n)
 			g.side = 1 + i
 		}
 	}
 	s.run(4.2*capRate, 12*time.Second)
-	return s.over()
+	return s.excess()
 }
 
 // Both sides of a partition reduce their use before the other side counts as unreachable:
@@ -114,7 +114,7 @@
 // A team below its cap gets almost no refusals while messages are lost or a keeper that
 // relays them is gone.
 func TestTeamCapsLostWords(t *testing.T) {
-	const nextToNothing = 0.1 // s of the rate
+	const almostNone = 0.1 // s of the rate
 	for _, part := range []float64{0.5, 0.7, 0.85} {
 		s := newCapSim(26, false)
 		s.run(part*capRate, 4*time.Second)
@@ -125,19 +125,19 @@
 			return n*7919%100 < 3
 		}
 		for range int(20 * time.Second / capStep) {
-			s.step(part*capRate, quick, lost)
+			s.step(part*capRate, usualDelay, lost)
 		}
-		if got := float64(s.refused) / capRate; got > nextToNothing {
+		if got := float64(s.refused) / capRate; got > almostNone {
 			t.Errorf("3%% of the reports lost, load %.2f of the cap: %.2f s of the rate refused", part, got)
 		}
 		// All keepers of a failure domain fail at once: 9 gateways receive nothing for a
 		// second.
 		s.refused = 0
 		for _, g := range s.gateways[:9] {
-			g.cut = int(time.Second / capStep)
+			g.isolated = int(time.Second / capStep)
 		}
 		s.run(part*capRate, 10*time.Second)
-		if got := float64(s.refused) / capRate; got > nextToNothing {
+		if got := float64(s.refused) / capRate; got > almostNone {
 			t.Errorf("no reports for a second, load %.2f of the cap: %.2f s of the rate refused", part, got)
 		}
 	}
@@ -154,10 +154,10 @@
 		}
 	}
 	s.run(4.2*capRate, 5*time.Second)
-	s.ownSide = true
+	s.countOwnSide = true
 	s.run(4.2*capRate, 20*time.Second)
-	if over := s.over(); over > capAim {
-		t.Errorf("keepers count their own side only: excess of %.2f s of the rate, want at most %.2f", over, capAim)
+	if excess := s.excess(); excess > maxCapExcess {
+		t.Errorf("keepers count their own side only: excess of %.2f s of the rate, want at most %.2f", excess, maxCapExcess)
 	}
 }
 
--- a/decide/teamcaps_bench_test.go
+++ b/decide/teamcaps_bench_test.go
@@ -32,28 +32,28 @@
 		return c
 	}
 	for _, gateways := range []int{26, 470} {
-		words := make([]decide.TeamWord, gateways)
-		for i := range words {
-			words[i].Process = wardturn.Incarnation(fmt.Sprint("g", i))
+		reports := make([]decide.TeamWord, gateways)
+		for i := range reports {
+			reports[i].Process = wardturn.Incarnation(fmt.Sprint("g", i))
 			for t := range teams {
-				words[i].Used = append(words[i].Used, decide.TeamUsed{
+				reports[i].Used = append(reports[i].Used, decide.TeamUsed{
 					Team: team(t),
 				})
 			}
 		}
-		hear := func(c *decide.TeamCaps, now time.Time, seq uint64) {
-			for i := range words {
-				words[i].Seq = seq
-				for t := range words[i].Used {
-					words[i].Used[t].Total += 700
+		receive := func(c *decide.TeamCaps, now time.Time, seq uint64) {
+			for i := range reports {
+				reports[i].Seq = seq
+				for t := range reports[i].Used {
+					reports[i].Used[t].Total += 700
 				}
-				c.Heard(now, words[i])
+				c.Heard(now, reports[i])
 			}
 		}
 		b.Run(fmt.Sprintf("take/gateways=%d", gateways), func(b *testing.B) {
 			c := caps()
 			now := start.Add(time.Second)
-			hear(c, now, 1)
+			receive(c, now, 1)
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time.Millisecond)
 				c.Take(now, team(i), 700)
@@ -66,7 +66,7 @@
 			for b.Loop() {
 				seq++
 				now = now.Add(200 * time.Millisecond)
-				hear(c, now, seq)
+				receive(c, now, seq)
 			}
 		})
 	}
--- a/decide/teamcaps_test.go
+++ b/decide/teamcaps_test.go
@@ -14,66 +14,66 @@
 )
 
 const (
-	capTeam  = wardturn.TeamID("t")
-	capRate  = 100_000.0 // tokens a second
-	capStep  = 10 * time.Millisecond
-	capLook  = 200 * time.Millisecond // between checks whether a report is due
-	capSpan  = 8 * time.Second        // window over which usage is summed
-	capUnits = 700                    // tokens of a request
+	capTeam       = wardturn.TeamID("t")
+	capRate       = 100_000.0 // tokens a second
+	capStep       = 10 * time.Millisecond
+	checkInterval = 200 * time.Millisecond // between checks whether a report is due
+	capWindow     = 8 * time.Second        // window over which usage is summed
+	capUnits      = 700                    // tokens of a request
 )
 
 // capSim simulates gateways that share a cap, with callers at a rate, reports that are
 // delayed, lost and reordered, and gateways that are killed, frozen and cut off.
 type capSim struct {
-	now      time.Time
-	gateways []*capGateway
-	words    []capWord
-	taken    []int64 // units by step, of all gateways
-	asked    []int64
-	refused  int64
-	started  int
-	shares   bool
-	patient  bool // no early reports: all wait for the next regular check
-	ownSide  bool // keepers count the gateways of their own side only
+	now            time.Time
+	gateways       []*capGateway
+	reports        []capReport
+	taken          []int64 // units by step, of all gateways
+	demanded       []int64
+	refused        int64
+	started        int
+	equalShares    bool
+	noEarlyReports bool // no early reports: all wait for the next regular check
+	countOwnSide   bool // keepers count the gateways of their own side only
 }
 
 type capGateway struct {
-	caps   *decide.TeamCaps
-	owed   float64 // accumulated demand, in units, not yet sent as requests
-	frozen int     // steps
-	cut    int     // steps
-	mute   int     // steps in which its reports reach nobody
-	deaf   int     // steps in which it receives no reports
-	weight float64 // relative share of the callers
-	side   int     // side of a partition: reports and keepers' counts do not cross it
+	caps            *decide.TeamCaps
+	pending         float64 // accumulated demand, in units, not yet sent as requests
+	frozen          int     // steps
+	isolated        int     // steps
+	sendsNothing    int     // steps in which its reports reach nobody
+	receivesNothing int     // steps in which it receives no reports
+	weight          float64 // relative share of the callers
+	side            int     // side of a partition: reports and keepers' counts do not cross it
 }
 
-type capWord struct {
-	to   *capGateway
-	at   time.Time
-	word decide.TeamWord
+type capReport struct {
+	to     *capGateway
+	at     time.Time
+	report decide.TeamWord
 }
 
 func newCapSim(n int, shares bool) *capSim {
 	s := &capSim{
-		now:    start,
-		shares: shares,
+		now:         start,
+		equalShares: shares,
 	}
 	for range n {
 		g := &capGateway{
 			weight: 1,
 		}
-		s.begin(g)
+		s.startProcess(g)
 		s.gateways = append(s.gateways, g)
 	}
 	return s
 }
 
-// begin starts a gateway's process.
-func (s *capSim) begin(g *capGateway) {
+// startProcess starts a gateway's process.
+func (s *capSim) startProcess(g *capGateway) {
 	s.started++
 	g.caps = decide.NewTeamCaps(s.now, wardturn.Incarnation(fmt.Sprint("p", s.started)), decide.TeamCapConfig{
-		EqualShares: s.shares,
+		EqualShares: s.equalShares,
 	})
 	g.caps.SetTeams(s.now, []wardturn.Team{{
 		ID: capTeam,
@@ -94,59 +94,59 @@
 	for _, g := range s.gateways {
 		weights += g.weight
 	}
-	taken, asked := int64(0), int64(0)
+	taken, demanded := int64(0), int64(0)
 	for _, g := range s.gateways {
 		if g.frozen > 0 {
 			g.frozen--
 			continue
 		}
-		g.cut = max(0, g.cut-1)
-		g.mute = max(0, g.mute-1)
-		g.deaf = max(0, g.deaf-1)
-		for g.owed += rate * capStep.Seconds() * g.weight / weights; g.owed >= capUnits; g.owed -= capUnits {
-			asked += capUnits
+		g.isolated = max(0, g.isolated-1)
+		g.sendsNothing = max(0, g.sendsNothing-1)
+		g.receivesNothing = max(0, g.receivesNothing-1)
+		for g.pending += rate * capStep.Seconds() * g.weight / weights; g.pending >= capUnits; g.pending -= capUnits {
+			demanded += capUnits
 			if _, ok := g.caps.Take(s.now, capTeam, capUnits); ok {
 				taken += capUnits
 			} else {
 				s.refused += capUnits
 			}
 		}
-		if s.now.Sub(start)%capLook == 0 || !s.patient && g.caps.Pressing(s.now, capTeam) {
-			s.tell(g, delay, lost)
+		if s.now.Sub(start)%checkInterval == 0 || !s.noEarlyReports && g.caps.Pressing(s.now, capTeam) {
+			s.sendReport(g, delay, lost)
 		}
 	}
 	s.taken = append(s.taken, taken)
-	s.asked = append(s.asked, asked)
+	s.demanded = append(s.demanded, demanded)
 }
 
-func (s *capSim) tell(g *capGateway, delay func() time.Duration, lost func() bool) {
+func (s *capSim) sendReport(g *capGateway, delay func() time.Duration, lost func() bool) {
 	counted := len(s.gateways)
 	switch {
-	case g.cut > 0:
+	case g.isolated > 0:
 		counted = 0
-	case s.ownSide:
-		counted = s.onSide(g.side)
+	case s.countOwnSide:
+		counted = s.countSide(g.side)
 	case g.side != s.gateways[0].side:
 		counted = 0
 	}
 	g.caps.SetGateways(s.now, counted)
-	w, due := g.caps.Word(s.now)
+	report, due := g.caps.Word(s.now)
 	if !due {
 		return
 	}
 	for _, to := range s.gateways {
-		if to == g || g.cut > 0 || to.cut > 0 || g.mute > 0 || to.deaf > 0 || g.side != to.side || lost() {
+		if to == g || g.isolated > 0 || to.isolated > 0 || g.sendsNothing > 0 || to.receivesNothing > 0 || g.side != to.side || lost() {
 			continue
 		}
-		s.words = append(s.words, capWord{
-			to:   to,
-			at:   s.now.Add(delay()),
-			word: w,
+		s.reports = append(s.reports, capReport{
+			to:     to,
+			at:     s.now.Add(delay()),
+			report: report,
 		})
 	}
 }
 
-func (s *capSim) onSide(side int) int {
+func (s *capSim) countSide(side int) int {
 	n := 0
 	for _, g := range s.gateways {
 		if g.side == side {
@@ -159,20 +159,20 @@
 // run advances time by a span without loss of reports.
 func (s *capSim) run(rate float64, span time.Duration) {
 	for range int(span / capStep) {
-		s.step(rate, quick, never)
+		s.step(rate, usualDelay, noLoss)
 	}
 }
 
 func (s *capSim) deliver() {
-	kept := s.words[:0]
-	for _, w := range s.words {
+	kept := s.reports[:0]
+	for _, w := range s.reports {
 		if w.at.After(s.now) || w.to.frozen > 0 {
 			kept = append(kept, w)
 			continue
 		}
-		w.to.caps.Heard(s.now, w.word)
+		w.to.caps.Heard(s.now, w.report)
 	}
-	s.words = kept
+	s.reports = kept
 }
 
 // steps returns the number of steps in a span.
@@ -180,28 +180,28 @@
 	return int(span / capStep)
 }
 
-// most returns the highest sum over the given number of consecutive steps.
-func most[T int | int64](by []T, steps int) T {
-	var sum, high T
-	for i, n := range by {
+// maxSum returns the highest sum over the given number of consecutive steps.
+func maxSum[T int | int64](values []T, steps int) T {
+	var sum, highest T
+	for i, n := range values {
 		sum += n
 		if i >= steps {
-			sum -= by[i-steps]
+			sum -= values[i-steps]
 		}
-		high = max(high, sum)
+		highest = max(highest, sum)
 	}
-	return high
+	return highest
 }
 
-// over returns the excess over the cap in the worst window of capSpan, in seconds of the
+// excess returns the excess over the cap in the worst capWindow, in seconds of the
 // cap's rate.
-func (s *capSim) over() float64 {
-	return float64(most(s.taken, steps(capSpan)))/capRate - capSpan.Seconds() - 1
+func (s *capSim) excess() float64 {
+	return float64(maxSum(s.taken, steps(capWindow)))/capRate - capWindow.Seconds() - 1
 }
 
-func quick() time.Duration { return 60 * time.Millisecond }
+func usualDelay() time.Duration { return 60 * time.Millisecond }
 
-func never() bool { return false }
+func noLoss() bool { return false }
 
 // Under random order, loss and delay of reports, and with gateways that are killed, frozen
 // and cut off, the excess over the cap is at most the demand during the time until a
@@ -226,11 +226,11 @@
 				steps := rapid.IntRange(1, 400).Draw(t, "steps")
 				switch rapid.IntRange(0, 3).Draw(t, "trouble") {
 				case 0:
-					s.begin(g) // killed
+					s.startProcess(g) // killed
 				case 1:
 					g.frozen = steps
 				case 2:
-					g.cut = steps
+					g.isolated = steps
 				case 3:
 					g.weight = rapid.Float64Range(0.1, 8).Draw(t, "weight")
 				}
@@ -239,10 +239,10 @@
 				s.step(rate, delay, lost)
 			}
 		}
-		unheard := 1900 * time.Millisecond // reportTimeout plus the delay of a report
-		bound := float64(most(s.asked, steps(unheard)))/capRate + 0.25 + float64(n*capUnits)/capRate
-		if over := s.over(); over > bound {
-			t.Fatalf("excess of %.2f s of the rate, want at most %.2f", over, bound)
+		unnoticed := 1900 * time.Millisecond // reportTimeout plus the delay of a report
+		bound := float64(maxSum(s.demanded, steps(unnoticed)))/capRate + 0.25 + float64(n*capUnits)/capRate
+		if excess := s.excess(); excess > bound {
+			t.Fatalf("excess of %.2f s of the rate, want at most %.2f", excess, bound)
 		}
 	})
 }
@@ -255,8 +255,8 @@
 		run(s, 0.55*capRate, 6*time.Second)
 		Expect(s.refused).To(BeZero())
 		run(s, 4.2*capRate, 10*time.Second)
-		Expect(s.over()).To(BeNumerically("<", 0.3))
-		used := float64(most(s.taken[len(s.taken)-500:], steps(5*time.Second))) / capRate
+		Expect(s.excess()).To(BeNumerically("<", 0.3))
+		used := float64(maxSum(s.taken[len(s.taken)-500:], steps(5*time.Second))) / capRate
 		Expect(used).To(BeNumerically(">", 4.5), "the cap is used")
 	})
 
@@ -264,21 +264,21 @@
 	// regular checks, and a cap with little slack is exceeded.
 	It("keeps the excess small if a team jumps to 7.5 times its cap at any moment between two regular checks", func() {
 		worst := make(map[bool]float64)
-		words := make(map[bool]uint64)
-		for _, patient := range []bool{false, true} {
-			for at := time.Duration(0); at < capLook; at += 20 * time.Millisecond {
+		reports := make(map[bool]uint64)
+		for _, noEarlyReports := range []bool{false, true} {
+			for at := time.Duration(0); at < checkInterval; at += 20 * time.Millisecond {
 				s := newCapSim(29, false)
-				s.patient = patient
+				s.noEarlyReports = noEarlyReports
 				run(s, 0.55*capRate, 6*time.Second+at)
 				before := s.gateways[0].caps.Words()
 				run(s, 7.5*capRate, 10*time.Second)
-				worst[patient] = max(worst[patient], s.over())
-				words[patient] = s.gateways[0].caps.Words() - before
+				worst[noEarlyReports] = max(worst[noEarlyReports], s.excess())
+				reports[noEarlyReports] = s.gateways[0].caps.Words() - before
 			}
 		}
 		Expect(worst[false]).To(BeNumerically("<", 0.5), "%v", worst)
 		Expect(worst[true]).To(BeNumerically(">", 0.9), "%v", worst)
-		Expect(words[false]).To(BeNumerically("<", words[true]+15), "%v", words)
+		Expect(reports[false]).To(BeNumerically("<", reports[true]+15), "%v", reports)
 	})
 
 	It("refuses nothing below the cap if a team's callers are spread unevenly, unlike equal shares", func() {
@@ -301,7 +301,7 @@
 		s := newCapSim(10, false)
 		run(s, 0.5*capRate, 3*time.Second)
 		g := s.gateways[0]
-		g.cut = 1 << 30
+		g.isolated = 1 << 30
 		run(s, 0, 3*time.Second)
 		taken := 0
 		for range 200 {
@@ -342,11 +342,11 @@
 		run(s, 0, 2*time.Second)
 		a, b := s.gateways[0].caps, s.gateways[1].caps
 		a.Take(s.now, capTeam, capRate)
-		run(s, 0, capLook+100*time.Millisecond)
+		run(s, 0, checkInterval+100*time.Millisecond)
 		left := b.Left(s.now, capTeam)
 		Expect(left).To(BeNumerically("<", 0.5))
 		a.GiveBack(capTeam, capRate)
-		run(s, 0, capLook+100*time.Millisecond)
+		run(s, 0, checkInterval+100*time.Millisecond)
 		Expect(b.Left(s.now, capTeam)).To(BeNumerically("~", 1, 0.01))
 	})
 
