--- a/decide/patience_test.go
+++ b/decide/patience_test.go
@@ -85,7 +85,7 @@
 		}
 		Expect(x.got).To(BeEmpty())
 		withoutAdapters("m")
-		x.admit("later", "b") // places are still being filled
+		x.admit("later", "b") // adapter slots are still being filled
 		x.tick(2500 * time.Millisecond)
 		Expect(x.got).To(BeEmpty())
 		x.tick(700 * time.Millisecond)
--- a/decide/rest.go
+++ b/decide/rest.go
@@ -12,7 +12,7 @@
 	// maxUpstreamBackoff bounds the backoff that one answer may request.
 	maxUpstreamBackoff = time.Hour
 	// backoffTrialInterval is the time between two trial requests after a backoff, until
-	// one is answered without another refusal. An upstream that is still overloaded must
+	// an answer asks for no further backoff. An upstream that is still overloaded must
 	// not get all waiting requests at once.
 	backoffTrialInterval = 200 * time.Millisecond
 	// minBackoffJitter is the minimum jitter of the retry times given to callers after a
--- a/decide/sharedrate.go
+++ b/decide/sharedrate.go
@@ -8,7 +8,7 @@
 	rate     float64 // requests a second, over all gateways; zero: unlimited
 	share    float64 // fraction of the rate for this gateway
 	level    float64 // tokens: requests that may be sent now
-	reserved float64 // reserved requests: callers told to retry whose time has not come
+	reserved float64 // requests reserved for callers told to retry later
 	at       time.Time
 	burst    float64 // bucket size in seconds of the share; at least one request
 }
--- a/decide/teamcaps.go
+++ b/decide/teamcaps.go
@@ -56,7 +56,7 @@
 type teamCap struct {
 	limit        wardturn.UsageCap
 	level        float64 // units that may be taken now; negative: a debt
-	reserved     float64 // reserved units: callers told to retry whose time has not come
+	reserved     float64 // units reserved for callers told to retry later
 	at           time.Time
 	unusedRefill float64 // refill since the start that was left to missing gateways or overflowed
 	offsetLeft   float64 // part of it that no late report has been offset against
--- a/decide/teamcaps_heal_test.go
+++ b/decide/teamcaps_heal_test.go
@@ -68,8 +68,9 @@
 // Usage that is not charged after a partition must not let a team exceed its cap. The team
 // sends as much as it can all the time.
 func TestTeamCapsOverACut(t *testing.T) {
-	// Both sides use the whole cap until they notice the partition: for reportTimeout (1.6
-	// s), plus the 0.25 s that may be unreported and the time until a report is due.
+	// Both sides use the whole cap until they notice the partition: for the 1.6 s of
+	// reportTimeout, plus the 0.25 s that may be unreported and the time until a report is
+	// due.
 	const (
 		partitioned = 2.05 // s of the rate
 		usual       = 1.05
--- a/decide/teamcaps_test.go
+++ b/decide/teamcaps_test.go
@@ -33,7 +33,7 @@
 	refused        int64
 	started        int
 	equalShares    bool
-	noEarlyReports bool // no early reports: all wait for the next regular check
+	noEarlyReports bool // all reports wait for the next regular check
 	countOwnSide   bool // keepers count the gateways of their own side only
 }
 
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -52,7 +52,7 @@
 
 // Ended records the end of a request at an upstream. Began must be called first, even if
 // the request had no answer.
-func (f *Fleet) Ended(now time.Time, id wardturn.UpstreamID, key wardturn.ModelAdapter, how Ending) {
+func (f *Fleet) Ended(now time.Time, id wardturn.UpstreamID, key wardturn.ModelAdapter, outcome Ending) {
 	m := f.members[id]
 	if m == nil {
 		return
@@ -63,7 +63,7 @@
 	}
 	m.running = max(0, m.running-1)
 	m.atHold = max(0, m.atHold-1)
-	switch how {
+	switch outcome {
 	case EndedUnseen:
 		return
 	case EndedBroken:
@@ -72,7 +72,7 @@
 		m.breaker.Succeed()
 	}
 	bad := 0.0
-	if how != EndedWell {
+	if outcome != EndedWell {
 		bad = 1
 	}
 	m.failing += failWeight * (bad - m.failing)
