--- a/decide/limits_bench_test.go
+++ b/decide/limits_bench_test.go
@@ -9,12 +9,12 @@
 	"wardturn/decide"
 )
 
-// BenchmarkLimits measures what a gateway does by the number of gateways, with limits of
-// 50 upstreams: a look before a send, at an upstream with a limit and at one without while
-// others have some, and a word of another gateway.
+// BenchmarkLimits measures the cost of limits by the number of gateways, with 50 limited
+// upstreams: the check before a send to an upstream with a limit, the same for an upstream
+// without one, and the receipt of a message from another gateway.
 func BenchmarkLimits(b *testing.B) {
 	for _, n := range []int{4, 26, 107, 470} {
-		l, words := knownLimits(n)
+		l, messages := knownLimits(n)
 		now := start.Add(time.Second)
 		b.Run(fmt.Sprintf("limited/gateways=%d", n), func(b *testing.B) {
 			for i := range b.N {
@@ -28,17 +28,17 @@
 		})
 		b.Run(fmt.Sprintf("word/gateways=%d", n), func(b *testing.B) {
 			for i := range b.N {
-				w := words[i%len(words)]
-				w.Seq = uint64(i + 2)
-				l.Heard(now.Add(time.Duration(i)*time.Millisecond), w)
+				msg := messages[i%len(messages)]
+				msg.Seq = uint64(i + 2)
+				l.Heard(now.Add(time.Duration(i)*time.Millisecond), msg)
 			}
 		})
 	}
 }
 
-// knownLimits returns limits of 50 upstreams that all of n gateways have told of, and the
-// latest words of the others.
-func knownLimits(n int) (l *decide.Limits, words []decide.LimitGossip) {
+// knownLimits returns the limits of 50 upstreams after messages from all of n gateways, and
+// the latest messages of the others.
+func knownLimits(n int) (l *decide.Limits, messages []decide.LimitGossip) {
 	l = decide.NewLimits(start, "p0")
 	l.SetGateways(start, n)
 	for i := range 50 {
@@ -47,9 +47,9 @@
 	for i := 1; i < n; i++ {
 		other := decide.NewLimits(start, wardturn.Incarnation(fmt.Sprint("p", i)))
 		other.Observe(start, wardturn.UpstreamID(fmt.Sprint("u", i%50)), 5)
-		w, _, _ := other.Word(start)
-		l.Heard(start, w)
-		words = append(words, w)
+		msg, _, _ := other.Word(start)
+		l.Heard(start, msg)
+		messages = append(messages, msg)
 	}
-	return l, words
+	return l, messages
 }
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -12,43 +12,43 @@
 )
 
 const (
-	limitID     = wardturn.UpstreamID("u")
-	limitWindow = 4 * time.Second
-	limitLearn  = time.Second            // from the first answer that names a limit until all keep it
-	limitGrace  = 500 * time.Millisecond // until a gateway that had such an answer keeps it
-	answerTime  = 30 * time.Millisecond
+	limitID        = wardturn.UpstreamID("u")
+	limitWindow    = 4 * time.Second
+	limitLearnTime = time.Second            // from the first answer with a limit until all must keep it
+	limitGraceTime = 500 * time.Millisecond // until a gateway that had such an answer must keep it
+	answerTime     = 30 * time.Millisecond
 )
 
-// limitSim plays gateways before an upstream that names a limit: callers that ask at a
-// rate, answers, words that are delayed and lost, gateways that are cut off, frozen and
-// started anew.
+// limitSim simulates gateways in front of an upstream that announces a limit, with callers
+// that send requests at a rate, answers, delayed and lost gossip messages, and gateways
+// that are partitioned, frozen and restarted.
 type limitSim struct {
-	now      time.Time
-	rate     float64 // that answers name; negative: none
-	gateways []*limitGateway
-	words    []limitWord
-	answers  []limitAnswer
-	sent     []int // by step, of all gateways
-	told     []int // of them, of those that had an answer that names the limit limitGrace before
-	firstAt  int   // step at which the first gateway was told; negative: none was
-	all      int
-	refused  int
-	ownSide  bool // keepers count the gateways of their own side only
-	started  int
+	now          time.Time
+	rate         float64 // limit in the upstream's answers; negative: none
+	gateways     []*limitGateway
+	messages     []limitMessage
+	answers      []limitAnswer
+	sent         []int // by step, of all gateways
+	sentInformed []int // of these, from gateways that knew the limit for limitGraceTime
+	firstAnswer  int   // step of the first answer with the limit; negative: none yet
+	sentTotal    int
+	refused      int
+	countOwnSide bool // keepers count the gateways of their own side only
+	started      int
 }
 
 type limitGateway struct {
-	limits *decide.Limits
-	toldAt time.Time // its process had the first answer that names the limit; zero: none
-	owed   float64
-	frozen int // steps
-	side   int // words and keepers' counts come from the same side only
+	limits     *decide.Limits
+	informedAt time.Time // time of the first answer with the limit to this process; zero: none
+	pending    float64
+	frozen     int // steps
+	side       int // side of a partition: messages and keepers' counts do not cross it
 }
 
-type limitWord struct {
-	to   *limitGateway
-	at   time.Time
-	word decide.LimitGossip
+type limitMessage struct {
+	to      *limitGateway
+	at      time.Time
+	message decide.LimitGossip
 }
 
 type limitAnswer struct {
@@ -60,31 +60,32 @@
 
 func newLimitSim(n int) *limitSim {
 	s := &limitSim{
-		now:     start,
-		rate:    -1,
-		firstAt: -1,
+		now:         start,
+		rate:        -1,
+		firstAnswer: -1,
 	}
 	for range n {
 		g := &limitGateway{}
-		s.begin(g)
+		s.startProcess(g)
 		s.gateways = append(s.gateways, g)
 	}
 	return s
 }
 
-// begin starts a gateway's process.
-func (s *limitSim) begin(g *limitGateway) {
+// startProcess starts a gateway's process.
+func (s *limitSim) startProcess(g *limitGateway) {
 	s.started++
-	g.toldAt = time.Time{}
+	g.informedAt = time.Time{}
 	g.limits = decide.NewLimits(s.now, wardturn.Incarnation(fmt.Sprint("p", s.started)))
 }
 
-// counted returns how many gateways keepers tell one of: none if it is cut off.
+// counted returns the number of gateways that keepers report to a gateway; zero if it is
+// cut off from them.
 func (s *limitSim) counted(g *limitGateway) int {
 	switch {
-	case !s.ownSide && g.side == 0:
+	case !s.countOwnSide && g.side == 0:
 		return len(s.gateways)
-	case !s.ownSide:
+	case !s.countOwnSide:
 		return 0
 	}
 	n := 0
@@ -96,27 +97,27 @@
 	return n
 }
 
-// step lets a step of time pass in which callers ask each gateway for the upstream at a
-// rate.
+// step advances time by one step, in which each gateway gets requests for the upstream at
+// the rate demand.
 func (s *limitSim) step(demand float64, delay func() time.Duration, lost func() bool) {
 	s.now = s.now.Add(capStep)
 	s.deliver()
-	sent, told := 0, 0
+	sent, informed := 0, 0
 	for _, g := range s.gateways {
 		if g.frozen > 0 {
 			g.frozen--
 			continue
 		}
-		for g.owed += demand * capStep.Seconds(); g.owed >= 1; g.owed-- {
+		for g.pending += demand * capStep.Seconds(); g.pending >= 1; g.pending-- {
 			if !g.limits.Allows(s.now, limitID) {
 				s.refused++
 				continue
 			}
 			g.limits.Sent(s.now, limitID)
-			s.all++
+			s.sentTotal++
 			sent++
-			if !g.toldAt.IsZero() && s.now.Sub(g.toldAt) >= limitGrace {
-				told++
+			if !g.informedAt.IsZero() && s.now.Sub(g.informedAt) >= limitGraceTime {
+				informed++
 			}
 			s.answers = append(s.answers, limitAnswer{
 				to:   g,
@@ -125,18 +126,18 @@
 				rate: s.rate,
 			})
 		}
-		s.tell(g, s.now.Sub(start)%capLook == 0, delay, lost)
+		s.gossip(g, s.now.Sub(start)%checkInterval == 0, delay, lost)
 	}
 	s.sent = append(s.sent, sent)
-	s.told = append(s.told, told)
+	s.sentInformed = append(s.sentInformed, informed)
 }
 
-func (s *limitSim) tell(g *limitGateway, look bool, delay func() time.Duration, lost func() bool) {
-	if !look {
+func (s *limitSim) gossip(g *limitGateway, check bool, delay func() time.Duration, lost func() bool) {
+	if !check {
 		return
 	}
 	g.limits.SetGateways(s.now, s.counted(g))
-	w, _, due := g.limits.Word(s.now)
+	msg, _, due := g.limits.Word(s.now)
 	if !due {
 		return
 	}
@@ -144,35 +145,35 @@
 		if to == g || to.side != g.side || lost() {
 			continue
 		}
-		s.words = append(s.words, limitWord{
-			to:   to,
-			at:   s.now.Add(delay()),
-			word: w,
+		s.messages = append(s.messages, limitMessage{
+			to:      to,
+			at:      s.now.Add(delay()),
+			message: msg,
 		})
 	}
 }
 
 func (s *limitSim) deliver() {
-	words := s.words[:0]
-	for _, w := range s.words {
+	messages := s.messages[:0]
+	for _, w := range s.messages {
 		if w.at.After(s.now) || w.to.frozen > 0 {
-			words = append(words, w)
+			messages = append(messages, w)
 			continue
 		}
-		w.to.limits.Heard(s.now, w.word)
+		w.to.limits.Heard(s.now, w.message)
 	}
-	s.words = words
+	s.messages = messages
 	answers := s.answers[:0]
 	for _, a := range s.answers {
 		switch {
 		case a.at.After(s.now) || a.to.frozen > 0:
 			answers = append(answers, a)
 		case a.rate >= 0:
-			if a.to.toldAt.IsZero() {
-				a.to.toldAt = s.now
+			if a.to.informedAt.IsZero() {
+				a.to.informedAt = s.now
 			}
-			if s.firstAt < 0 {
-				s.firstAt = len(s.sent)
+			if s.firstAnswer < 0 {
+				s.firstAnswer = len(s.sent)
 			}
 			a.to.limits.Observe(s.now, limitID, wardturn.RequestRate(a.rate))
 		default:
@@ -184,18 +185,18 @@
 
 func (s *limitSim) run(demand float64, span time.Duration) {
 	for range int(span / capStep) {
-		s.step(demand, quick, never)
+		s.step(demand, usualDelay, noLoss)
 	}
 }
 
-// name has the upstream name a limit from now on; a negative one: none.
-func (s *limitSim) name(rate float64) {
+// announce sets the limit that the upstream announces from now on; negative: none.
+func (s *limitSim) announce(rate float64) {
 	s.rate = rate
-	s.firstAt = -1
+	s.firstAnswer = -1
 }
 
-// apart cuts the first gateways off from the others.
-func (s *limitSim) apart(n int) {
+// partition partitions the first n gateways from the others.
+func (s *limitSim) partition(n int) {
 	for i, g := range s.gateways {
 		g.side = 0
 		if i < n {
@@ -204,43 +205,45 @@
 	}
 }
 
-// mostSent returns the most requests that the upstream got in a window from all gateways,
-// once they had time to learn of the limit.
-func (s *limitSim) mostSent() int {
-	if s.firstAt < 0 {
+// maxSent returns the highest number of requests that the upstream got in a window from
+// all gateways, after they had time to learn of the limit.
+func (s *limitSim) maxSent() int {
+	if s.firstAnswer < 0 {
 		return 0
 	}
-	from := s.firstAt + steps(limitLearn)
-	return most(s.sent[min(from, len(s.sent)):], steps(limitWindow))
+	from := s.firstAnswer + steps(limitLearnTime)
+	return maxSum(s.sent[min(from, len(s.sent)):], steps(limitWindow))
 }
 
-// limitAllowed is the most that an upstream may get in any window.
-func limitAllowed(rate float64) int {
+// maxAllowed returns the highest number of requests that an upstream may get in any
+// window.
+func maxAllowed(rate float64) int {
 	return int(1.5*rate*limitWindow.Seconds()) + 5
 }
 
-// An upstream gets no more than it says from all gateways together, however many there
-// are, when it begins to say so, and whatever callers ask for.
+// All gateways together keep within an upstream's limit, whatever their number, the time at
+// which the limit is announced and the demand.
 func TestLimitsKeptTogether(t *testing.T) {
 	for _, n := range []int{1, 2, 4, 9, 26, 68, 107} {
 		for _, rate := range []float64{0, 0.3, 1, 3.9, 5.4, 12, 40, 300} {
 			for at := 3 * time.Second; at < 3400*time.Millisecond; at += 130 * time.Millisecond {
 				s := newLimitSim(n)
 				s.run(400/float64(n), at)
-				s.name(rate)
+				s.announce(rate)
 				s.run(400/float64(n), 8*time.Second)
-				s.run(0, 12*time.Second) // nobody asks, so everything is spared that can be
+				s.run(0, 12*time.Second) // without demand, so that the buckets fill up
 				s.run(4000/float64(n), 8*time.Second)
-				if got := s.mostSent(); got > limitAllowed(rate) {
-					t.Errorf("%d gateways, %g a second, named at %v: %d in 4 s, at most %d", n, rate, at, got, limitAllowed(rate))
+				if got := s.maxSent(); got > maxAllowed(rate) {
+					t.Errorf("%d gateways, limit %g/s announced at %v: %d requests in 4 s, want at most %d", n, rate, at, got, maxAllowed(rate))
 				}
 			}
 		}
 	}
 }
 
-// Gateways that do not hear each other keep a limit as well: those that were apart before
-// it was named, those that fall apart later, and where keepers count their own side only.
+// Gateways on different sides of a partition keep within a limit, whether the partition
+// begins before or after the limit is announced, also when keepers count only the gateways
+// of their own side.
 func TestLimitsApart(t *testing.T) {
 	for _, n := range []int{2, 4, 9, 26, 68} {
 		for _, side := range []int{1, n / 3, n / 2} {
@@ -250,20 +253,20 @@
 					demand := 400 / float64(n)
 					s.run(demand, 2*time.Second)
 					if before {
-						s.apart(side)
+						s.partition(side)
 						s.run(demand, time.Second)
 					}
-					s.name(rate)
+					s.announce(rate)
 					s.run(demand, 4*time.Second)
-					s.apart(side)
+					s.partition(side)
 					s.run(demand, 5*time.Second)
-					s.ownSide = true
+					s.countOwnSide = true
 					s.run(demand, 30*time.Second)
-					s.ownSide = false
-					s.apart(0)
+					s.countOwnSide = false
+					s.partition(0)
 					s.run(demand, 10*time.Second)
-					if got := s.mostSent(); got > limitAllowed(rate) {
-						t.Errorf("%d and %d gateways, %g a second, apart before it was named %v: %d in 4 s, at most %d", side, n-side, rate, before, got, limitAllowed(rate))
+					if got := s.maxSent(); got > maxAllowed(rate) {
+						t.Errorf("%d and %d gateways, limit %g/s, partitioned before the announcement %v: %d requests in 4 s, want at most %d", side, n-side, rate, before, got, maxAllowed(rate))
 					}
 				}
 			}
@@ -271,7 +274,8 @@
 	}
 }
 
-// Whatever happens to words and gateways, a limit is kept.
+// A limit is kept under random loss and delay of messages, restarts, freezes and
+// partitions.
 func TestLimitsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "gateways")
@@ -287,74 +291,74 @@
 			return draw.Draw(t, "loss") < share
 		}
 		s.run(100, time.Duration(rapid.IntRange(0, 100).Draw(t, "before"))*capStep)
-		s.name(rate)
+		s.announce(rate)
 		for range rapid.IntRange(1, 4).Draw(t, "phases") {
 			g := s.gateways[rapid.IntRange(0, n-1).Draw(t, "of")]
 			switch rapid.IntRange(0, 3).Draw(t, "trouble") {
 			case 0:
-				s.begin(g)
+				s.startProcess(g)
 			case 1:
 				g.frozen = rapid.IntRange(1, 400).Draw(t, "steps")
 			case 2:
-				s.apart(rapid.IntRange(0, n).Draw(t, "apart"))
+				s.partition(rapid.IntRange(0, n).Draw(t, "apart"))
 			}
 			demand := rapid.Float64Range(0, 200).Draw(t, "demand")
 			for range rapid.IntRange(1, 300).Draw(t, "length") {
 				s.step(demand, delay, lost)
 			}
 		}
-		got := most(s.told, steps(limitWindow))
-		if got > limitAllowed(rate) {
-			t.Fatalf("%d in 4 s from gateways that it had told, at most %d", got, limitAllowed(rate))
+		got := maxSum(s.sentInformed, steps(limitWindow))
+		if got > maxAllowed(rate) {
+			t.Fatalf("%d requests in 4 s from gateways that knew the limit, want at most %d", got, maxAllowed(rate))
 		}
 	})
 }
 
-// What an upstream takes is used while callers ask for it.
+// The limit of an upstream is used while there is enough demand.
 func TestLimitsUsed(t *testing.T) {
-	const least = 0.6 // of the limit
+	const least = 0.6 // fraction of the limit
 	for _, n := range []int{1, 4, 26, 68} {
 		for _, rate := range []float64{1, 3.9, 12, 40} {
 			s := newLimitSim(n)
-			s.name(rate)
+			s.announce(rate)
 			s.run(400/float64(n), 5*time.Second)
-			before := s.all
+			before := s.sentTotal
 			s.run(400/float64(n), 20*time.Second)
-			if got := float64(s.all-before) / 20; got < least*rate || got > 1.05*rate {
-				t.Errorf("%d gateways, %g a second: %.2f sent", n, rate, got)
+			if got := float64(s.sentTotal-before) / 20; got < least*rate || got > 1.05*rate {
+				t.Errorf("%d gateways, limit %g/s: %.2f requests a second sent", n, rate, got)
 			}
 		}
 	}
 }
 
-// A limit ends when answers name none any more, also for gateways that get no answers, and
-// begins again.
+// A limit ends when answers no longer carry one, also for gateways that get no answers, and
+// is kept when it is announced again.
 func TestLimitsEnd(t *testing.T) {
 	for _, n := range []int{1, 4, 26, 68} {
 		for _, rate := range []float64{1, 3.9, 12} {
 			s := newLimitSim(n)
 			demand := 200 / float64(n)
 			s.run(demand, time.Second)
-			s.name(rate)
+			s.announce(rate)
 			s.run(demand, 6*time.Second)
-			s.name(-1)
+			s.announce(-1)
 			s.run(demand, 12*time.Second)
 			refused := s.refused
 			s.run(demand, 5*time.Second)
 			if got := s.refused - refused; got > 0 {
-				t.Errorf("%d gateways, %g a second: %d refused 12 s after the end", n, rate, got)
+				t.Errorf("%d gateways, limit %g/s: %d requests refused later than 12 s after the end", n, rate, got)
 			}
-			s.name(rate)
+			s.announce(rate)
 			s.run(demand, 10*time.Second)
-			if got := s.mostSent(); got > limitAllowed(rate) {
-				t.Errorf("%d gateways, %g a second, named again: %d in 4 s, at most %d", n, rate, got, limitAllowed(rate))
+			if got := s.maxSent(); got > maxAllowed(rate) {
+				t.Errorf("%d gateways, limit %g/s announced again: %d requests in 4 s, want at most %d", n, rate, got, maxAllowed(rate))
 			}
 		}
 	}
 }
 
-// One answer that names no limit, between others that do, ends none; nor does one to a
-// request that was sent before.
+// A single answer without a limit among answers with one does not end the limit, nor does
+// an answer to a request sent before the latest answer with the limit.
 func TestLimitsSingleAnswers(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
@@ -363,24 +367,24 @@
 		now = now.Add(500 * time.Millisecond)
 		l.Observe(now, limitID, 5)
 		if l.ObserveNone(now.Add(time.Millisecond), limitID, now.Add(-time.Second)) {
-			t.Fatal("ended by an answer to a request that was sent before")
+			t.Fatal("limit ended by an answer to a request sent before the latest answer with the limit")
 		}
 		if i%2 == 0 && l.ObserveNone(now.Add(400*time.Millisecond), limitID, now.Add(time.Millisecond)) {
-			t.Fatal("ended by one answer")
+			t.Fatal("limit ended by a single answer")
 		}
 	}
 	if !l.Limited(limitID) {
-		t.Error("not limited any more")
+		t.Error("limit is no longer in force")
 	}
 }
 
-// A figure that can't be read neither ends a limit nor makes one.
+// A limit that cannot be parsed neither ends a known limit nor sets one.
 func TestLimitsUnclear(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
 	l.ObserveUnclear(start, limitID)
 	if l.Limited(limitID) {
-		t.Error("limited by a figure that can't be read")
+		t.Error("limit set by an answer whose limit cannot be parsed")
 	}
 	l.Observe(start, limitID, 5)
 	for i := range 50 {
@@ -389,20 +393,20 @@
 		l.ObserveUnclear(now, limitID)
 	}
 	if !l.Limited(limitID) {
-		t.Error("ended while answers name one")
+		t.Error("limit ended while answers carry one")
 	}
 }
 
-// A worker that starts again under its name keeps its limit until it says otherwise; one
-// with another name has none.
-func TestLimitsReborn(t *testing.T) {
+// The limit of a worker that restarts under the same name stays in force; a worker with
+// another name has none.
+func TestLimitsRestartedWorker(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
 	l.Observe(start, wardturn.Lifetime("u", 1000), 5)
 	if !l.Limited(wardturn.Lifetime("u", 2000)) {
-		t.Error("not limited after a restart")
+		t.Error("limit is not in force after a restart")
 	}
 	if l.Limited("v") {
-		t.Error("another upstream is limited")
+		t.Error("limit applies to another upstream")
 	}
 }
--- a/decide/share.go
+++ b/decide/share.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// usageMemory is the time constant of what a team has used.
-	usageMemory = 60 * time.Second
-	// usageStep is the difference of used time, in seconds, below which two
-	// teams count as equal and age decides.
-	usageStep = 1.0
+	// useTimeConstant is the time constant with which the recorded use of a team decays.
+	useTimeConstant = 60 * time.Second
+	// useTolerance is the difference in use, in seconds, below which two teams count as
+	// equal and the older request runs first.
+	useTolerance = 1.0
 )
 
-// shares remembers how much of an upstream's time each team used lately. When
-// the upstream is full, the team that used least for its share goes first: one
-// team's flood does not make the others wait behind it. While there is room
-// nobody waits and shares mean nothing.
+// shares tracks how much of an upstream's time each team has used recently. When the
+// upstream is full, the team with the least use for its weight runs next, so that a burst
+// of one team does not delay the others. While the upstream has free capacity no request
+// waits and weights have no effect.
 type shares struct {
 	weights map[wardturn.TeamID]float64
 	used    map[wardturn.TeamID]*usage
@@ -35,7 +35,7 @@
 	}
 }
 
-// add records time that a request of a team ran.
+// add records the run time of a team's request.
 func (s *shares) add(now time.Time, team wardturn.TeamID, ran time.Duration) {
 	u := s.used[team]
 	if u == nil {
@@ -44,30 +44,30 @@
 		}
 		s.used[team] = u
 	}
-	u.seconds = u.faded(now) + ran.Seconds()
+	u.seconds = u.decayed(now) + ran.Seconds()
 	u.at = now
 }
 
-func (u *usage) faded(now time.Time) float64 {
-	return u.seconds * math.Exp(-now.Sub(u.at).Seconds()/usageMemory.Seconds())
+func (u *usage) decayed(now time.Time) float64 {
+	return u.seconds * math.Exp(-now.Sub(u.at).Seconds()/useTimeConstant.Seconds())
 }
 
-// of returns the time that a team used, divided by its share.
-func (s *shares) of(now time.Time, team wardturn.TeamID) float64 {
+// weightedUse returns the recent use of a team divided by its weight.
+func (s *shares) weightedUse(now time.Time, team wardturn.TeamID) float64 {
 	u := s.used[team]
 	if u == nil {
 		return 0
 	}
 	if w := s.weights[team]; w > 0 {
-		return u.faded(now) / w
+		return u.decayed(now) / w
 	}
-	return u.faded(now)
+	return u.decayed(now)
 }
 
-// sweep forgets teams that used nothing lately.
+// sweep drops teams without recent use.
 func (s *shares) sweep(now time.Time) {
 	for team, u := range s.used {
-		if u.faded(now) < usageStep/10 {
+		if u.decayed(now) < useTolerance/10 {
 			delete(s.used, team)
 		}
 	}
@@ -78,8 +78,9 @@
 	a.shares.weights = weights
 }
 
-// before reports whether x is to run before y: starving items by age, others by
-// rank, then by their team's use of the upstream, then by age.
+// before reports whether x runs before y. Items that wait longer than StarveAfter come
+// first, by age. The others are ordered by rank, then by their team's use of the upstream,
+// then by age.
 func (a *Agent) before(now time.Time, x, y *item) bool {
 	starvingX := now.Sub(x.arrived) > a.cfg.StarveAfter
 	starvingY := now.Sub(y.arrived) > a.cfg.StarveAfter
@@ -91,9 +92,9 @@
 	case x.rank != y.rank:
 		return x.rank < y.rank
 	case x.work.Team != y.work.Team:
-		usedX := a.shares.of(now, x.work.Team)
-		usedY := a.shares.of(now, y.work.Team)
-		if math.Abs(usedX-usedY) >= usageStep {
+		usedX := a.shares.weightedUse(now, x.work.Team)
+		usedY := a.shares.weightedUse(now, y.work.Team)
+		if math.Abs(usedX-usedY) >= useTolerance {
 			return usedX < usedY
 		}
 	}
--- a/decide/share_test.go
+++ b/decide/share_test.go
@@ -11,7 +11,7 @@
 	"wardturn/policy"
 )
 
-// fullUpstream is a plain service that runs two requests at once, each for a
+// fullUpstream simulates a plain upstream that runs two requests at a time, each for one
 // second, in virtual time.
 type fullUpstream struct {
 	now   time.Time
@@ -50,8 +50,8 @@
 	}
 }
 
-// second lets what runs end, and the next start.
-func (u *fullUpstream) second() {
+// advance advances time by one second: the running requests end and the next ones start.
+func (u *fullUpstream) advance() {
 	running := u.out.Run
 	u.out = decide.Orders{}
 	u.now = u.now.Add(time.Second)
@@ -61,18 +61,18 @@
 	}
 }
 
-var _ = Describe("Shares of teams", func() {
-	It("let a small team pass another's flood", func() {
+var _ = Describe("Weights of teams", func() {
+	It("let a small team run before the backlog of another team", func() {
 		u := newFullUpstream()
 		u.admit("flood", 100)
 		for range 5 {
-			u.second()
+			u.advance()
 		}
 		u.admit("small", 4)
 		for range 3 {
-			u.second()
+			u.advance()
 		}
-		Expect(u.ran["small"]).To(Equal(4), "without shares they would wait behind 90 others")
+		Expect(u.ran["small"]).To(Equal(4), "in order of arrival they would wait behind 90 others")
 	})
 
 	It("divide a full upstream by weight", func() {
@@ -83,7 +83,7 @@
 		u.admit("heavy", 200)
 		u.admit("light", 200)
 		for range 80 {
-			u.second()
+			u.advance()
 		}
 		part := float64(u.ran["heavy"]) / float64(u.ran["heavy"]+u.ran["light"])
 		Expect(part).To(BeNumerically("~", 0.75, 0.05))
--- a/decide/trust.go
+++ b/decide/trust.go
@@ -5,40 +5,42 @@
 )
 
 const (
-	// trustPause is how long a way that has failed is left alone at first, and
-	// trustMost at most, doubled in between: a host that is slow because it is
-	// overloaded must not be asked for everything again and again.
-	trustPause = 3 * time.Second
-	trustMost  = time.Minute
-	// trustAfter is how long a way must hold to be trusted as at first.
-	trustAfter = 30 * time.Second
-	// trustSpread is the part of a pause by which it is longer or shorter by chance,
-	// so that processes do not come back together.
-	trustSpread = 0.25
+	// minPathBackoff is the initial backoff of a path that has failed. It doubles with
+	// each failure up to maxPathBackoff, so that a host that is slow because it is
+	// overloaded does not get all requests again and again.
+	minPathBackoff = 3 * time.Second
+	maxPathBackoff = time.Minute
+	// pathBackoffReset is how long a path must work for the backoff to start from
+	// minPathBackoff again.
+	pathBackoffReset = 30 * time.Second
+	// pathBackoffJitter is the random jitter, as a fraction of the backoff, that keeps
+	// processes from returning to a path at the same time.
+	pathBackoffJitter = 0.25
 )
 
-// Trust decides when a way that has failed may be used again.
+// Trust is the exponential backoff of a network path: it decides when a path that has
+// failed may be used again.
 type Trust struct {
-	Draw  func() float64 // in [0, 1), by chance; nil: Draw
-	pause time.Duration  // the latest
-	until time.Time
+	Draw    func() float64 // random number in [0, 1); nil: the package's Draw
+	backoff time.Duration  // latest backoff, without jitter
+	until   time.Time
 }
 
-// Fail records that the way has failed, and since when it had been used.
+// Fail records that the path has failed after being in use since the given time.
 func (t *Trust) Fail(now, since time.Time) {
-	t.pause = min(2*t.pause, trustMost)
-	if t.pause == 0 || now.Sub(since) >= trustAfter {
-		t.pause = trustPause
+	t.backoff = min(2*t.backoff, maxPathBackoff)
+	if t.backoff == 0 || now.Sub(since) >= pathBackoffReset {
+		t.backoff = minPathBackoff
 	}
 	draw := Draw
 	if t.Draw != nil {
 		draw = t.Draw
 	}
-	spread := 1 + trustSpread*(2*draw()-1)
-	t.until = now.Add(time.Duration(spread * float64(t.pause)))
+	spread := 1 + pathBackoffJitter*(2*draw()-1)
+	t.until = now.Add(time.Duration(spread * float64(t.backoff)))
 }
 
-// Allows reports whether the way may be used.
+// Allows reports whether the path may be used.
 func (t *Trust) Allows(now time.Time) bool {
 	return !now.Before(t.until)
 }
