--- a/gateway/link.go
+++ b/gateway/link.go
@@ -9,34 +9,35 @@
 	"wardturn/peer"
 )
 
-// link is the connection to one keeper, and the way on which its words come: on
-// that connection, or by a relay, another keeper in the own failure domain.
+// link is the connection to one keeper. Updates of the keeper's engine state arrive either
+// on this connection or through a relay: a keeper in the gateway's own failure domain that
+// forwards them.
 type link struct {
 	links  *links
 	client *peer.Client
-	words  sync.Mutex // held while one word is taken, so that they are in order
+	words  sync.Mutex // serializes the handling of updates, to keep them in order
 
 	mu         sync.Mutex
 	member     wardturn.Member
 	notice     peer.EngineNotice
-	told       bool // the notice was sent on the present connection
+	told       bool // the notice was sent on the current connection
 	conn       *peer.Conn
-	begun      time.Time    // of the link
-	via        *link        // relay; nil: none
-	followed   *peer.Conn   // on which the relay was asked; nil: it has to be
-	viaSince   time.Time    // when it was chosen
-	trust      decide.Trust // in relays
-	distrusted bool         // the keeper tells directly until it may be relayed again
-	synced     bool         // a full holding came
-	seq        uint64       // of the latest word
-	asked      time.Time    // when a full holding was last waited for
-	behind     peer.Mark    // that the relay had not reached when it came; zero: none
+	begun      time.Time    // when the link was created
+	via        *link        // the relay; nil if there is none
+	followed   *peer.Conn   // relay connection that carries the subscription; nil if not subscribed
+	viaSince   time.Time    // when the relay was selected
+	trust      decide.Trust // backoff after a relay failed
+	distrusted bool         // a relay failed; updates come directly until the backoff ends
+	synced     bool         // a full state was received
+	seq        uint64       // of the latest update
+	asked      time.Time    // when a full state was last requested
+	behind     peer.Mark    // mark that the relay had not reached when it arrived; zero if none
 	behindAt   time.Time
 }
 
-// tell sends the notice to the keeper if it has not got one that says the same of the
-// engine. Most configurations change nothing there, and a notice for each would be as many
-// messages as there are gateways times engines.
+// tell sets the notice for the keeper, and sends it unless the keeper already has one with
+// the same engine specification. Most configuration changes do not affect an engine, and
+// sending a notice for each would cost one message per gateway and engine.
 func (l *link) tell(m wardturn.Member, n peer.EngineNotice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,8 +52,8 @@
 	l.sendNotice()
 }
 
-// sendNotice sends the notice on a connection that has not carried it; the lock
-// is held.
+// sendNotice sends the notice if it has not been sent on the current connection. The
+// caller must hold l.mu.
 func (l *link) sendNotice() {
 	if l.conn == nil || l.told || l.notice.Upstream == "" {
 		return
@@ -75,8 +76,8 @@
 	l.links.route(l)
 }
 
-// Closed implements peer.Handler. The engine goes on serving what it held: only
-// its keeper can change that.
+// Closed implements peer.Handler. The engine still serves the adapters it holds, since
+// only the keeper loads and unloads them.
 func (l *link) Closed(_ *peer.Conn, err error) {
 	l.words.Lock()
 	l.mu.Lock()
@@ -115,7 +116,8 @@
 	}
 }
 
-// take takes a word of a keeper's process, and says whether a relay brought it.
+// take handles an engine state update of a keeper process. Relayed reports whether the
+// update came through a relay.
 func (l *link) take(process wardturn.Incarnation, h *peer.Holding, relayed bool) {
 	l.words.Lock()
 	defer l.words.Unlock()
@@ -133,9 +135,9 @@
 	})
 }
 
-// accept reports whether a holding is to be taken, and of which upstream: not one
-// of another lifetime of the engine or of its keeper, no change before the full
-// one, and none twice. After a gap everything is asked for again.
+// accept reports whether an update is to be applied, and to which upstream. It rejects
+// updates of another incarnation of the engine or its keeper, changes that arrive before
+// the full state, and duplicates. After a gap in the sequence it requests the full state.
 func (l *link) accept(process wardturn.Incarnation, h *peer.Holding) (wardturn.UpstreamID, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -10,7 +10,7 @@
 	"wardturn/process"
 )
 
-// connected hands out the connection of a client.
+// connected is a client handler that delivers each new connection on the channel.
 type connected chan *peer.Conn
 
 func (c connected) Connected(conn *peer.Conn)       { c <- conn }
@@ -26,7 +26,7 @@
 	}
 }
 
-// newTestLink returns a link that is connected to a keeper of process k.
+// newTestLink returns a link that is connected to a keeper with process ID k.
 func newTestLink(t *testing.T) *link {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,8 +58,8 @@
 	}
 }
 
-// A link takes each change once and in order, whichever way it comes, and nothing
-// of another lifetime of the engine or of its keeper.
+// A link applies each update once and in order, whether it arrives directly or through a
+// relay, and none of another incarnation of the engine or its keeper.
 func TestLinkAccepts(t *testing.T) {
 	word := func(seq uint64, full bool) *peer.Holding {
 		return &peer.Holding{
@@ -82,30 +82,30 @@
 		word    *peer.Holding
 		want    bool
 	}{
-		{what: "a change before the full holding", process: "k", word: word(4, false)},
-		{what: "an answer before it", process: "k", word: answer(4)},
-		{what: "a full holding of an earlier keeper", process: "old", word: word(8, true)},
-		{what: "one of another lifetime of the engine", process: "k", word: other},
-		{what: "the full holding", process: "k", word: word(5, true), want: true},
+		{what: "a change before the full state", process: "k", word: word(4, false)},
+		{what: "an answer before the full state", process: "k", word: answer(4)},
+		{what: "a full state of an earlier keeper process", process: "old", word: word(8, true)},
+		{what: "a full state of another incarnation of the engine", process: "k", word: other},
+		{what: "the full state", process: "k", word: word(5, true), want: true},
 		{what: "the next change", process: "k", word: word(6, false), want: true},
-		{what: "it again by the other way", process: "k", word: word(6, false)},
-		{what: "an older full holding of a mirror that is behind", process: "k", word: word(5, true)},
-		{what: "an answer that is older than what is known", process: "k", word: answer(5)},
+		{what: "the same change through the relay", process: "k", word: word(6, false)},
+		{what: "an older full state from a relay that is behind", process: "k", word: word(5, true)},
+		{what: "an answer older than the current state", process: "k", word: answer(5)},
 		{what: "an answer ahead of the changes", process: "k", word: answer(8), want: true},
 		{what: "the change that comes after it", process: "k", word: word(7, false), want: true},
 		{what: "a change after a gap", process: "k", word: word(9, false)},
-		{what: "the next one, while everything is asked for", process: "k", word: word(10, false)},
-		{what: "the full holding after the gap", process: "k", word: word(10, true), want: true},
+		{what: "the next change, while the full state is requested", process: "k", word: word(10, false)},
+		{what: "the full state after the gap", process: "k", word: word(10, true), want: true},
 		{what: "the change after that", process: "k", word: word(11, false), want: true},
 	} {
 		if _, got := l.accept(step.process, step.word); got != step.want {
-			t.Errorf("step %d, %s: taken %v, want %v", i, step.what, got, step.want)
+			t.Errorf("step %d, %s: accepted %v, want %v", i, step.what, got, step.want)
 		}
 	}
 }
 
-// A mark that is not reached within relayLag shows a relay that is behind; a
-// later one does not put that off.
+// A relay is behind if it has not reached a mark within relayLag. A later mark must not
+// restart that period.
 func TestLinkLeavesARelayThatIsBehind(t *testing.T) {
 	l := newTestLink(t)
 	l.synced = true
@@ -118,7 +118,7 @@
 		Seq: 9,
 	})
 	if l.behind.Seq != 5 || l.behindAt != first {
-		t.Fatalf("a later mark took the place of one that was not reached: %+v", l.behind)
+		t.Fatalf("a later mark replaced one that was not reached: %+v", l.behind)
 	}
 	l.seq = 5
 	l.mark(peer.Mark{
@@ -129,8 +129,8 @@
 	}
 }
 
-// Each configuration had each gateway tell each keeper of its engine, and the keeper answer
-// with all that it holds.
+// Regression test: each new configuration made each gateway send a notice to each keeper,
+// and the keeper reply with its full state.
 func TestLinkTellsWhatChanged(t *testing.T) {
 	spec := wardturn.EngineSpec{
 		Batch:        8,
@@ -146,7 +146,7 @@
 	l := newTestLink(t)
 	sent := func(n peer.EngineNotice) bool {
 		conn := l.conn
-		l.conn = nil // nothing can be sent now: what has to be stays to be told
+		l.conn = nil // without a connection, a notice to be sent stays pending
 		l.told = true
 		l.tell(wardturn.Member{
 			ID: n.Upstream,
@@ -162,13 +162,13 @@
 		{"the first", peer.EngineNotice{Config: 1, Upstream: "i-1", Spec: spec}, true},
 		{"a version that changes nothing", peer.EngineNotice{Config: 2, Upstream: "i-1", Spec: spec}, false},
 		{"another specification", peer.EngineNotice{Config: 3, Upstream: "i-1", Spec: larger}, true},
-		{"another lifetime", peer.EngineNotice{Config: 3, Upstream: "i-2", Spec: larger}, true},
+		{"another incarnation", peer.EngineNotice{Config: 3, Upstream: "i-2", Spec: larger}, true},
 	} {
 		if got := sent(c.notice); got != c.want {
-			t.Errorf("%s: told %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: notice to be sent: %v, want %v", c.name, got, c.want)
 		}
 	}
 	if l.notice.Config != 3 {
-		t.Errorf("a new connection would carry version %d", l.notice.Config)
+		t.Errorf("notice for the next connection has version %d, want 3", l.notice.Config)
 	}
 }
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -9,8 +9,7 @@
 	"wardturn/peer"
 )
 
-// links are the connections to the keepers beside the engines, one for each
-// address of an engine.
+// links holds the connections to keepers, one for each engine address.
 type links struct {
 	g *Gateway
 
@@ -18,8 +17,8 @@
 	byAddr  map[string]*link
 	byID    map[wardturn.UpstreamID]*link
 	keepers map[string]*link         // by the keeper's address
-	near    []*link                  // that may relay, as of the latest routing
-	hears   []wardturn.FailureDomain // at whose keepers news is heard, as of then
+	near    []*link                  // relay candidates at the latest routeAll
+	hears   []wardturn.FailureDomain // domains whose keepers deliver announcements, at the latest routeAll
 	closed  bool
 }
 
@@ -32,8 +31,8 @@
 	}
 }
 
-// update follows the list of upstreams and the configuration: it connects to
-// the keepers of new engines, and tells keepers what changed.
+// update applies the current list of upstreams and configuration: it connects to the
+// keepers of new engines, closes the links of removed ones, and sends changed notices.
 func (ls *links) update() {
 	rs := ls.g.routes.Load()
 	if rs == nil {
@@ -79,7 +78,7 @@
 	ls.routeAll()
 }
 
-// disconnect ends the link to a keeper; the lock is held.
+// disconnect closes the link to a keeper. The caller must hold ls.mu.
 func (ls *links) disconnect(addr string, l *link) {
 	delete(ls.byAddr, addr)
 	delete(ls.keepers, l.client.Addr())
@@ -87,7 +86,7 @@
 	ls.g.tasks.Go(l.client.Close)
 }
 
-// connect returns the link to the keeper of an engine; the lock is held.
+// connect creates the link to the keeper of an engine. The caller must hold ls.mu.
 func (ls *links) connect(m wardturn.Member) *link {
 	l := &link{
 		links:  ls,
@@ -97,7 +96,7 @@
 	ls.byAddr[m.Addr] = l
 	host, _, err := net.SplitHostPort(m.Addr)
 	if err != nil {
-		ls.g.logger.Error("address of an upstream not understood", "upstream", m.ID, "addr", m.Addr, "error", err)
+		ls.g.logger.Error("invalid upstream address", "upstream", m.ID, "addr", m.Addr, "error", err)
 	}
 	l.client = peer.NewClient(net.JoinHostPort(host, ls.g.cfg.KeeperPort), nil, ls.g.clock, peer.Identity{
 		Role:    peer.RoleEntry,
@@ -117,7 +116,7 @@
 	return wardturn.Offset(rs.table.Version)
 }
 
-// tellReadings tells keepers of the long prompts that their engines read.
+// tellReadings reports to keepers the long prompts that their engines are processing.
 func (ls *links) tellReadings(notes []decide.ReadingNote) {
 	for _, n := range notes {
 		if l := ls.of(n.Upstream); l != nil {
@@ -128,7 +127,7 @@
 	}
 }
 
-// ask sends the asks of a decision to the keepers.
+// ask sends the adapter load requests of a decision to the keepers.
 func (ls *links) ask(out decide.Moves) {
 	for _, a := range out.Asks {
 		l := ls.of(a.Upstream)
@@ -153,19 +152,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
-		// A lost message is repeated while it matters.
+		// Errors are ignored: these messages are repeated as long as they are relevant.
 		_ = l.conn.Send(m)
 	}
 }
 
-// present returns the connection, or nil, and the failure domain of its keeper.
+// present returns the current connection, or nil, and the keeper's failure domain.
 func (l *link) present() (*peer.Conn, wardturn.FailureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn, l.member.Domain
 }
 
-// report tells each keeper which of its adapters are in use.
+// report sends each keeper the current usage of its adapters.
 func (ls *links) report() {
 	ls.mu.Lock()
 	list := make(map[wardturn.UpstreamID]*link, len(ls.byID))
--- a/gateway/relays.go
+++ b/gateway/relays.go
@@ -12,21 +12,24 @@
 
 const (
 	// relayStart is how long a new link in the own failure domain counts as a relay
-	// before it is connected, so that gateways which start together choose alike and
-	// once; a choice among those that are there so far moves with each that comes.
+	// candidate before it is connected, so that gateways that start together select the
+	// same relay, and only once. Selecting among the connected links only would change
+	// the relay with each new connection.
 	relayStart = 2 * time.Second
-	// relaySync is how long a full holding may stay out until the keeper itself is
-	// asked: a dial to a host that is still dark takes 300 ms, and then another.
+	// relaySync is how long to wait for a full state through a relay before requesting
+	// it from the keeper directly. A dial to an unreachable host times out after 300 ms
+	// and is then retried.
 	relaySync = time.Second
-	// relayLag is how long a relay may be behind a keeper's mark: far over the
-	// way by a relay, a step of some milliseconds, also on a slow host. A
-	// frozen relay is left after this and a tick of links.check, and sooner than its
-	// heartbeat shows it.
+	// relayLag is how long a relay may take to reach a keeper's mark: far longer than
+	// the few milliseconds that relaying adds, also on a slow host. A frozen relay is
+	// abandoned after this time and a tick of links.check, before its missing heartbeat
+	// is noticed.
 	relayLag = 500 * time.Millisecond
 )
 
-// route chooses the way of a keeper's words when the link to it came or went. One in
-// the own failure domain may relay others, whose ways are chosen again.
+// route selects the relay for a keeper when the link to it was connected or lost. If the
+// keeper is in the own failure domain, it may itself be a relay, so the relays of all
+// links are selected again.
 func (ls *links) route(l *link) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -37,8 +40,9 @@
 	ls.choose(ls.g.clock.Now(), l)
 }
 
-// routeAll is route; the lock is held. Keepers in other failure domains are
-// relayed by one in the own, on which all gateways there agree.
+// routeAll selects the relays of all links. Updates of a keeper in another failure domain
+// are relayed by one in the own domain; all gateways in the domain select the same one.
+// The caller must hold ls.mu.
 func (ls *links) routeAll() {
 	if ls.closed {
 		return
@@ -51,8 +55,8 @@
 	}
 }
 
-// choose chooses the way of one keeper's words, and whether it tells news; the lock
-// is held.
+// choose selects the relay for one keeper, and whether the keeper forwards announcements
+// to this gateway. The caller must hold ls.mu.
 func (ls *links) choose(now time.Time, l *link) {
 	l.hear(ls.hears)
 	via, _ := decide.First(l.addr(), ls.near, (*link).addr)
@@ -69,8 +73,8 @@
 	return l.client.Addr()
 }
 
-// mayRelay returns the links that may relay now, in order of address; the lock is
-// held.
+// mayRelay returns the links that are relay candidates now, sorted by address. The caller
+// must hold ls.mu.
 func (ls *links) mayRelay(now time.Time) []*link {
 	var list []*link
 	for _, l := range ls.byAddr {
@@ -84,15 +88,15 @@
 	return list
 }
 
-// reached returns the failure domain of a keeper, and whether it is connected or may
-// soon be.
+// reached returns the keeper's failure domain, and whether the keeper is connected or was
+// added so recently that the connection may still be in progress.
 func (l *link) reached(now time.Time) (wardturn.FailureDomain, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.member.Domain, l.conn != nil || now.Sub(l.begun) < relayStart
 }
 
-// check looks for relays that came, went, or failed.
+// check selects relays again if a relay failed or the candidates have changed.
 func (ls *links) check() {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -108,8 +112,8 @@
 	}
 }
 
-// relayFailed reports whether the way of a keeper's words has to be chosen again:
-// its relay does not tell or is behind, or may be tried again.
+// relayFailed reports whether a relay has to be selected again: because the current one
+// sends nothing or is behind, or because the backoff after a failure is over.
 func (l *link) relayFailed(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +133,8 @@
 	return true
 }
 
-// follow has the keeper's words come by a relay, or, with nil, from itself.
+// follow subscribes to the keeper's updates through the relay via. With nil the keeper
+// sends them directly.
 func (l *link) follow(now time.Time, via *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,10 +159,10 @@
 	}
 }
 
-// leave ends what the present relay tells; the lock is held.
+// leave cancels the subscription at the current relay. The caller must hold l.mu.
 func (l *link) leave() {
 	if l.followed != nil {
-		// A connection that has ended has ended that too.
+		// Errors are ignored: the subscription ends with its connection.
 		_ = l.followed.Send(&peer.Follow{
 			Keeper: l.addr(),
 			End:    true,
@@ -166,8 +171,8 @@
 	l.followed = nil
 }
 
-// askRelay asks the relay for the keeper's words, once on each of its
-// connections; the lock is held.
+// askRelay subscribes to the keeper's updates at the relay, once per relay connection. The
+// caller must hold l.mu.
 func (l *link) askRelay() {
 	conn, _ := l.via.present()
 	if conn == nil || conn == l.followed {
@@ -178,8 +183,8 @@
 	}
 }
 
-// unsync has the full holding told again: by the relay, or with the next notice;
-// the lock is held.
+// unsync requests the full state again, from the relay or with the next notice. The
+// caller must hold l.mu.
 func (l *link) unsync() {
 	l.synced = false
 	l.asked = l.links.g.clock.Now()
@@ -191,14 +196,14 @@
 	l.told = false
 }
 
-// relayed takes the word of a keeper that a relay brings. When the relay has lost
-// the keeper, that is listened to directly.
+// relayed handles a keeper's update that came through a relay. If the relay has lost its
+// connection to the keeper, the gateway switches to direct updates.
 func (ls *links) relayed(m *peer.Relayed) {
 	ls.mu.Lock()
 	l := ls.keepers[m.Keeper]
 	ls.mu.Unlock()
 	if l == nil {
-		return // no longer in the list
+		return // no longer listed
 	}
 	if m.Lost {
 		l.relayLost(m.Process)
@@ -216,19 +221,21 @@
 	}
 }
 
-// distrust has the keeper tell directly for a while; the lock is held.
+// distrust records a failure of the relay and starts the backoff during which the keeper
+// sends its updates directly. The caller must hold l.mu.
 func (l *link) distrust(now time.Time) {
 	l.distrusted = true
 	l.trust.Fail(now, l.viaSince)
 	l.links.g.metrics.relaysLeft.Inc(1)
 }
 
-// mark takes a keeper's word on how far its changes go.
+// mark handles a mark: the sequence number of the keeper's latest change, sent directly so
+// that a relay that falls behind is noticed.
 func (l *link) mark(m peer.Mark) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.behind.Seq > l.seq {
-		return // the earlier one is not reached yet
+		return // an earlier mark has not been reached yet
 	}
 	l.behind = m
 	l.behindAt = l.links.g.clock.Now()
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -12,11 +12,11 @@
 	"wardturn/platform"
 )
 
-var _ = Describe("What a far engine holds", func() {
+var _ = Describe("State of an engine in another failure domain", func() {
 	var (
 		x     *rig
-		other *gateway.Gateway // in the far engine's failure domain
-		front string           // of the other
+		other *gateway.Gateway // in the engine's failure domain
+		front string           // address of other
 	)
 	words := func(way string) int64 {
 		c := x.metrics.Snapshot().Counters()["keeper_words+way="+way]
@@ -25,7 +25,8 @@
 		}
 		return c.Value()
 	}
-	// load has the other gateway bring adapters to the engines; some go to the far one.
+	// load requests new adapters through the other gateway; some are loaded at the remote
+	// engine.
 	loads := 0
 	load := func() {
 		own := x.front
@@ -42,7 +43,7 @@
 		x = newRigIn("d", "f")
 		own := x.front
 		x.domain = "f"
-		// Its metrics are apart, so that the words are those of the first gateway.
+		// Separate metrics, so that x.metrics counts only the first gateway's updates.
 		metrics := x.metrics
 		x.metrics = newTestScope()
 		other, front, _ = x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
@@ -51,14 +52,14 @@
 		Eventually(other.Ready, soon, often).Should(BeTrue())
 	})
 
-	It("is told by a relay in the own failure domain", func() {
+	It("is received through a relay in the own failure domain", func() {
 		Eventually(func() int64 {
 			load()
 			return words("relay")
 		}, soon, often).Should(BeNumerically(">", 5))
 	})
 
-	It("is told directly when the relay is gone", func() {
+	It("is received directly when the relay is unreachable", func() {
 		Eventually(func() int64 {
 			load()
 			return words("relay")
@@ -71,7 +72,7 @@
 		}, soon, often).Should(BeNumerically(">", before+3))
 	})
 
-	It("is told directly when the relay is frozen", func() {
+	It("is received directly when the relay is frozen", func() {
 		Eventually(func() int64 {
 			load()
 			return words("relay")
@@ -81,13 +82,13 @@
 		before := words("direct")
 		Eventually(func() int64 {
 			load()
-			x.get("use", "/ask/x", fmt.Sprintf("m0/l%d", loads)) // which one of the engines holds
+			x.get("use", "/ask/x", fmt.Sprintf("m0/l%d", loads)) // an adapter that one of the engines holds
 			return words("direct")
 		}, soon, often).Should(BeNumerically(">", before+3))
-		Expect(time.Since(frozen)).To(BeNumerically("<", 3*time.Second)) // a heartbeat shows it after 5 s
+		Expect(time.Since(frozen)).To(BeNumerically("<", 3*time.Second)) // a missing heartbeat is noticed after 5 s
 	})
 
-	It("is told by the relay again when that is back", func() {
+	It("is received through the relay again once it is reachable", func() {
 		x.way.Block(true)
 		load()
 		x.way.Block(false)
