--- a/gateway/caps.go
+++ b/gateway/caps.go
@@ -11,27 +11,27 @@
 	"wardturn/peer"
 )
 
-// caps are the usage caps of teams, and the words on them that go to and come from
-// the other gateways through keepers.
+// caps enforces the usage caps of teams and exchanges usage messages with the other gateways
+// through keepers.
 type caps struct {
 	g *Gateway
 
 	mu    sync.Mutex
 	teams *decide.TeamCaps
-	words int // told so far
+	words int // messages sent so far
 
-	pressing chan struct{} // asks for a word before the next look
+	pressing chan struct{} // requests a message before the next interval
 }
 
-// capEvery is how often it is looked whether the other gateways have to be told.
+// capEvery is the interval at which it is checked whether a usage message is due.
 const capEvery = 200 * time.Millisecond
 
-// capGroup is how many gateways have their words on caps carried by the same keepers:
-// what a keeper gets of several it passes on in one message. With one group for all, the
-// two that it chooses would carry everything.
+// capGroup is the number of gateways that send their usage messages through the same keepers,
+// so that a keeper can merge several of them into one message. With a single group, two
+// keepers would carry the load of all gateways.
 const capGroup = 16
 
-// relayKey chooses the keepers that carry this gateway's words.
+// relayKey returns the key that selects the keepers for this gateway's usage messages.
 func (c *caps) relayKey(gateways int) string {
 	groups := gateways/capGroup + 1
 	return "caps/" + strconv.Itoa(bucketOf(string(c.g.cfg.Process), groups))
@@ -53,15 +53,15 @@
 	c.teams.SetTeams(c.g.clock.Now(), teams)
 }
 
-// recall takes how many gateways there were before this one.
+// recall sets the number of gateways that was known before this one started.
 func (c *caps) recall(gateways int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.teams.Recall(c.g.clock.Now(), gateways)
 }
 
-// tellPressing tells the other gateways whenever that cannot wait for the next look, until
-// the gateway ends.
+// tellPressing sends a usage message whenever one cannot wait for the next interval, until the
+// gateway shuts down.
 func (c *caps) tellPressing() {
 	for {
 		select {
@@ -73,9 +73,9 @@
 	}
 }
 
-// tell tells the other gateways what this one has taken, if that is due. Each word
-// goes to one of two keepers in each failure domain, by turns: what one loses, the
-// next word makes up for.
+// tell sends the usage at this gateway to the others if a message is due. Messages go to two
+// keepers in each failure domain alternately. Totals are cumulative, so the next message
+// makes up for a lost one.
 func (c *caps) tell() {
 	if !c.g.keyed() {
 		return
@@ -99,7 +99,7 @@
 		Words: []decide.TeamWord{w},
 	}
 	for _, conn := range c.g.links.capConns(c.relayKey(counted), turn) {
-		// A word that is lost is made up for by the next.
+		// Errors are ignored: the next message makes up for a lost one.
 		_ = conn.Send(m)
 	}
 }
@@ -113,7 +113,8 @@
 	}
 }
 
-// charge takes the request from its team's cap. It answers one that lies beyond.
+// charge charges the request to its team's cap. If the cap is exceeded, it rejects the
+// request and reports false.
 func (x *exchange) charge() bool {
 	if x.team == nil || x.team.Cap.Rate <= 0 {
 		return true
@@ -137,8 +138,7 @@
 	return ok
 }
 
-// settle gives back what the request took from its team's cap if no upstream can have
-// run it.
+// settle refunds the request's charge if no upstream can have run the request.
 func (x *exchange) settle() {
 	if x.units == 0 || x.mayHaveRun {
 		return
@@ -149,8 +149,8 @@
 	c.teams.GiveBack(x.team.ID, x.units)
 }
 
-// refuseBeyondCap tells the caller that its team's cap is used up; left is what is
-// left of it, in seconds of its rate.
+// refuseBeyondCap rejects a request that exceeds its team's cap. Left is the remainder of the
+// cap, in seconds of its rate.
 func (x *exchange) refuseBeyondCap(retryAfter time.Duration, left float64) {
 	x.comeBack(retryAfter)
 	x.g.metrics.finished(x, "beyond_cap")
--- a/gateway/caps_internal_test.go
+++ b/gateway/caps_internal_test.go
@@ -10,7 +10,7 @@
 	"wardturn"
 )
 
-// stillClock is a clock that a test sets.
+// stillClock is a clock that advances only when a test sets it.
 type stillClock struct {
 	now time.Time
 }
@@ -23,8 +23,8 @@
 	return nil
 }
 
-// Told at the next look only, a team that jumps to many times its cap goes over it by what
-// all gateways let through until then.
+// If a sudden rise in a team's usage were announced only at the next interval, the team would
+// exceed its cap by what all gateways admit until then.
 func TestChargeAsksForMessageWhenTeamJumps(t *testing.T) {
 	clock := &stillClock{
 		now: time.Unix(1000, 0),
@@ -55,7 +55,7 @@
 		}
 		x.r.Header.Set("Tokens", tokens)
 		if !x.charge() {
-			t.Fatalf("%s tokens are beyond the cap", tokens)
+			t.Fatalf("%s tokens exceed the cap", tokens)
 		}
 		select {
 		case <-g.caps.pressing:
@@ -68,9 +68,9 @@
 	g.caps.teams.Word(clock.now)
 	clock.now = clock.now.Add(capEvery / 2)
 	if charge("1,0") {
-		t.Error("a single token asks for a message")
+		t.Error("a single token requests a message")
 	}
 	if !charge("3000,0") {
-		t.Error("most of the cap at once asks for none")
+		t.Error("using most of the cap at once requests no message")
 	}
 }
--- a/gateway/caps_test.go
+++ b/gateway/caps_test.go
@@ -34,7 +34,7 @@
 		}, soon, often).Should(Equal(http.StatusOK))
 	})
 
-	It("answers what lies beyond with 429 and a time at which it is served", func() {
+	It("reject requests over the cap with 429 and the time after which they are served", func() {
 		Eventually(func() int {
 			_, r := try(x.front, "key-a", "1500,500")
 			return r.status
@@ -54,7 +54,7 @@
 		Expect(x.log.String()).To(ContainSubstring("beyond the cap"))
 	})
 
-	It("counts what another gateway took, and what it gave back", func() {
+	It("include the usage at other gateways", func() {
 		store := platform.NewStore(x.storeAddr, x.metrics)
 		_, second, _ := x.startGateway("second", store)
 		status := func(front string) func() int {
@@ -64,15 +64,15 @@
 			}
 		}
 		Eventually(status(second), soon, often).Should(Equal(http.StatusOK))
-		time.Sleep(1200 * time.Millisecond) // both have heard each other and refilled
+		time.Sleep(1200 * time.Millisecond) // both have received each other's messages and refilled
 		_, r := try(x.front, "key-a", "9000,0")
 		Expect(r.status).To(Equal(http.StatusOK))
 		Eventually(status(second), soon, often).Should(Equal(http.StatusTooManyRequests))
 		Consistently(status(second), 500*time.Millisecond, 50*time.Millisecond).Should(Equal(http.StatusTooManyRequests))
 	})
 
-	It("gives back what no upstream ran", func() {
-		time.Sleep(300 * time.Millisecond) // a gateway starts without anything left of a cap
+	It("refund requests that no upstream ran", func() {
+		time.Sleep(300 * time.Millisecond) // a gateway starts with an empty bucket
 		for _, m := range x.apps {
 			m.SetFaults(standin.WorkerFaults{
 				Full: true,
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -9,17 +9,17 @@
 	"wardturn/peer"
 )
 
-// limitEvery is how often it is looked whether the other gateways have to be told of limits
-// that upstreams name.
+// limitEvery is the interval at which it is checked whether a message on upstream limits is
+// due.
 const limitEvery = 200 * time.Millisecond
 
-// limits are the requests a second that upstreams in need say they take, and the words on
-// them that go to and come from the other gateways through keepers.
+// limits enforces the request rate limits that overloaded upstreams announce in their
+// responses, and exchanges them with the other gateways through keepers.
 type limits struct {
 	g     *Gateway
 	state *decide.Limits // guarded by the gateway's lock
-	any   atomic.Bool    // some upstream has named one
-	words atomic.Int64   // told so far
+	any   atomic.Bool    // an upstream has announced a limit
+	words atomic.Int64   // messages sent so far
 }
 
 func newLimits(g *Gateway) *limits {
@@ -29,7 +29,7 @@
 	}
 }
 
-// observe takes an answer that names a limit.
+// observe records a response that carries a limit.
 func (l *limits) observe(id wardturn.UpstreamID, limit wardturn.Figure[wardturn.RequestRate], status int) {
 	l.any.Store(true)
 	now := l.g.clock.Now()
@@ -50,7 +50,7 @@
 	}
 }
 
-// observeNone takes an answer that names no limit, to a request sent at a time.
+// observeNone records a response without a limit, to a request that was sent at the given time.
 func (l *limits) observeNone(id wardturn.UpstreamID, sent time.Time, status int) {
 	l.g.mu.Lock()
 	ended := l.state.ObserveNone(l.g.clock.Now(), id, sent)
@@ -61,8 +61,8 @@
 	}
 }
 
-// tell tells the other gateways what is known here, if that is due. What is new goes to two
-// keepers in each failure domain, the rest to one of them, by turns.
+// tell sends the known limits to the other gateways if a message is due. New limits go through
+// two keepers in each failure domain, repeated ones through the two alternately.
 func (l *limits) tell() {
 	l.g.mu.Lock()
 	now := l.g.clock.Now()
@@ -83,12 +83,12 @@
 		Words: []decide.LimitGossip{w},
 	}
 	for _, conn := range conns {
-		// A word that is lost is told again by another gateway.
+		// Errors are ignored: another gateway repeats what a lost message carried.
 		_ = conn.Send(m)
 	}
 }
 
-// receive takes a message of another gateway.
+// receive handles a message of another gateway.
 func (l *limits) receive(m *peer.LimitNews) {
 	l.any.Store(true)
 	var changes []decide.LimitUpdate
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -16,16 +16,17 @@
 
 const (
 	limitWindow = 4 * time.Second
-	limitGrace  = 500 * time.Millisecond // after an answer that names a limit
+	limitGrace  = 500 * time.Millisecond // after a response that carries a limit
 )
 
-// limitAllows returns how many requests an upstream that names a limit may get in any
+// limitAllows returns how many requests an upstream with a limit may receive in any
 // limitWindow.
 func limitAllows(rate float64) int {
 	return int(1.5*rate*limitWindow.Seconds()) + 5
 }
 
-// mostWithin returns the most arrivals that lie within a span, of those after a time.
+// mostWithin returns the maximum number of arrivals within any interval of length span, of
+// those after the given time.
 func mostWithin(list []standin.Arrival, after time.Time, span time.Duration) int {
 	list = slices.DeleteFunc(list, func(a standin.Arrival) bool {
 		return a.At.Before(after)
@@ -40,8 +41,8 @@
 	return most
 }
 
-// callAll has callers at each front send requests one after another for a while, and
-// returns how many there were of each status.
+// callAll runs callers at each front that send sequential requests for the given span. It
+// returns the number of responses by status.
 func (x *rig) callAll(fronts []string, path, model string, callers int, pause, span time.Duration) map[int]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -65,9 +66,9 @@
 	return statuses
 }
 
-// Unread, the limit that an upstream in need names leaves it with its usual load from all
-// gateways together.
-var _ = Describe("An upstream that names a limit", func() {
+// Without the limit, an overloaded upstream would keep receiving its usual load from all
+// gateways.
+var _ = Describe("An upstream that announces a limit", func() {
 	var x *rig
 	var fronts []string
 	BeforeEach(func() {
@@ -76,16 +77,16 @@
 		Eventually(g.Ready, soon, often).Should(BeTrue())
 		fronts = []string{x.front, second}
 	})
-	// expectKept expects that a worker gets as much as it says, once it has told, and not
-	// much less.
+	// expectKept expects that a worker receives no more than its limit after it announced it,
+	// and not much less.
 	expectKept := func(m *standin.ModelWorker, named time.Time, rate float64) {
 		GinkgoHelper()
 		got := mostWithin(m.Arrivals(), named.Add(limitGrace), limitWindow)
 		Expect(got).To(BeNumerically("<=", limitAllows(rate)))
-		Expect(got).To(BeNumerically(">=", int(rate*limitWindow.Seconds())/2), "what it takes is used")
+		Expect(got).To(BeNumerically(">=", int(rate*limitWindow.Seconds())/2), "the limit is used")
 	}
 
-	It("gets no more than that from all gateways together, and the others serve the rest", func() {
+	It("receives at most that from all gateways together, and other upstreams serve the rest", func() {
 		x.apps[0].SetFaults(standin.WorkerFaults{
 			Limit: "4",
 		})
@@ -96,7 +97,7 @@
 		Expect(statuses[http.StatusServiceUnavailable]).To(BeZero(), "%v", statuses)
 	})
 
-	It("gets no more than that where it streams", func() {
+	It("receives at most that for streaming requests", func() {
 		x.engines[0].SetFaults(standin.WorkerFaults{
 			Limit: "5.5",
 		})
@@ -106,7 +107,7 @@
 		Expect(statuses[http.StatusServiceUnavailable]).To(BeZero(), "%v", statuses)
 	})
 
-	It("gets no more than that if it names it only in answers that no caller gets", func() {
+	It("receives at most that if it announces the limit only in responses that are not forwarded", func() {
 		x.apps[0].SetFaults(standin.WorkerFaults{
 			Limit: "4",
 			Full:  true,
@@ -117,7 +118,7 @@
 		Expect(got).To(BeNumerically("<=", limitAllows(4)))
 	})
 
-	It("gets no more than that if some of its figures are garbled, and one that names nothing else gets its share", func() {
+	It("receives at most that if some values are invalid, and one with only invalid values receives its share", func() {
 		x.apps[0].SetFaults(standin.WorkerFaults{
 			Limit: "4",
 		})
@@ -135,7 +136,7 @@
 		Expect(x.log.String()).To(ContainSubstring("limit of an upstream not understood"))
 	})
 
-	It("is told to others by a gateway that had such an answer", func() {
+	It("is announced to other gateways by the one that received the response", func() {
 		x.apps[0].SetFaults(standin.WorkerFaults{
 			Limit: "2",
 		})
@@ -146,7 +147,7 @@
 		Expect(len(x.apps[0].Arrivals()) - before).To(BeNumerically("<=", 3))
 	})
 
-	It("has requests refused at once where all upstreams do, and when to come back", func() {
+	It("has requests rejected immediately with Retry-After if all upstreams are at their limits", func() {
 		for _, m := range x.apps {
 			m.SetFaults(standin.WorkerFaults{
 				Limit: "2",
@@ -170,7 +171,7 @@
 		Expect(back).To(BeNumerically(">", 0))
 	})
 
-	It("gets its usual share again once its answers name none", func() {
+	It("receives its usual share again once its responses carry no limit", func() {
 		x.apps[0].SetFaults(standin.WorkerFaults{
 			Limit: "4",
 		})
@@ -182,7 +183,7 @@
 		Expect(len(x.apps[0].Arrivals()) - before).To(BeNumerically(">", 20))
 	})
 
-	It("is kept through the start of another gateway", func() {
+	It("stays limited when another gateway starts", func() {
 		x.apps[0].SetFaults(standin.WorkerFaults{
 			Limit: "4",
 		})
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -10,38 +10,38 @@
 	"wardturn/peer"
 )
 
-// news shares what the gateways read from the platform's store: each tells the
-// others of its readings, through two keepers in each failure domain, and reads itself only when its
-// turn comes. Nothing depends on it but the number of calls: a gateway that hears
-// nothing reads as if it were alone.
+// news coordinates the reads of the platform's store among gateways. Each gateway announces
+// its reads to the others, through two keepers in each failure domain, and reads itself only
+// when its schedule says so. This only reduces the number of store calls: a gateway that
+// receives no announcements reads as if it were the only one.
 type news struct {
 	g       *Gateway
-	changes chan toldMembers // for the goroutine that follows the list
+	changes chan toldMembers // consumed by followMembers
 
 	mu       sync.Mutex
-	woken    chan struct{} // closed and replaced when a turn may have changed
+	woken    chan struct{} // closed and replaced when a schedule may have changed
 	config   *decide.ReadTurn
-	configTo wardturn.Position // up to which the configuration was read
+	configTo wardturn.Position // position up to which the configuration was read
 	members  *decide.ReadTurn
 }
 
 // toldMembers is a change of the list that another gateway has read.
 type toldMembers struct {
 	change wardturn.MemberChange
-	asOf   time.Time // of that reading; zero: not known
+	asOf   time.Time // time of that read; zero if unknown
 }
 
-// changesKept is how many changes heard may wait; one more is dropped, and the
-// gap makes the gateway read.
+// changesKept is the capacity of the queue of announced changes. If the queue is full,
+// changes are dropped and the gateway reads the list itself.
 const changesKept = 32
 
-// mostTold is how many upstreams a change may have that is told to others: long ones
-// that wait to be passed on to all gateways take keepers beyond their memory, and one
-// reading of the store each costs less.
+// mostTold is the maximum number of upstreams in an announced change. Longer changes queued
+// for all gateways would exceed the keepers' memory limit, and one store read per gateway is
+// cheaper.
 const mostTold = 64
 
-// shortened returns a change as it is told: of a long one only how far it goes, so
-// that others read it themselves.
+// shortened returns the change to announce. For a long change, that is only its end
+// position, so that other gateways read the change themselves.
 func shortened(c *wardturn.MemberChange) *wardturn.MemberChange {
 	if len(c.Changed)+len(c.Ended) <= mostTold {
 		return c
@@ -71,13 +71,14 @@
 	}
 }
 
-// wake has the waiting goroutines look at their turns again; the lock is held.
+// wake makes waiting goroutines re-evaluate their schedules. The caller must hold n.mu.
 func (n *news) wake() {
 	close(n.woken)
 	n.woken = make(chan struct{})
 }
 
-// await waits until a turn is due. It reports false when the gateway ends.
+// await blocks until a read is due by the schedule t. It reports false when the gateway
+// shuts down.
 func (n *news) await(t *decide.ReadTurn) bool {
 	for n.g.tasks.Context().Err() == nil {
 		limit, cancel, woken, due := n.look(t, time.Time{})
@@ -93,9 +94,9 @@
 	return false
 }
 
-// look returns whether a turn is due; if not, a context that ends when it is, or at a
-// time, if that is not zero, and a channel that is closed when that has to be looked at
-// again.
+// look reports whether a read is due by the schedule t. If not, it returns a context that
+// expires when the read is due or at the time at, unless that is zero, and a channel that is
+// closed when the schedule has to be evaluated again.
 func (n *news) look(t *decide.ReadTurn, at time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,9 +112,9 @@
 	return limit, cancel, n.woken, false
 }
 
-// awaitMembers waits for a change of the list that another gateway has read, or until the
-// list has to be read here, which due reports, or until a time, if that is not zero. It
-// reports false when the gateway ends.
+// awaitMembers waits for an announced change of the list, until a read of the list is due,
+// or until the given time unless that is zero. Due reports whether a read is due. The result
+// ok is false when the gateway shuts down.
 func (n *news) awaitMembers(until time.Time) (told *toldMembers, due, ok bool) {
 	for n.g.tasks.Context().Err() == nil {
 		limit, cancel, woken, due := n.look(n.members, until)
@@ -136,22 +137,22 @@
 	return nil, false, false
 }
 
-// configKnown returns a time at which the configuration was as it is known here;
-// zero before the first reading.
+// configKnown returns the latest time at which the local configuration is known to have been
+// current, or zero before the first read.
 func (n *news) configKnown() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.config.AsOf()
 }
 
-// readsForAll reports whether this gateway reads the configuration for the others.
+// readsForAll reports whether this gateway reads the configuration on behalf of the others.
 func (n *news) readsForAll() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.config.Reads(n.g.clock.Now())
 }
 
-// readConfig records and tells that the configuration was read up to a position.
+// readConfig records and announces that the configuration was read up to a position.
 func (n *news) readConfig(asOf time.Time, to wardturn.Position) {
 	n.mu.Lock()
 	n.configTo = to
@@ -165,7 +166,7 @@
 	})
 }
 
-// beganConfig records that a reading of the configuration begins.
+// beganConfig records the start of a configuration read.
 func (n *news) beganConfig(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -180,8 +181,7 @@
 	n.members.Began(now)
 }
 
-// readMembers records a reading of the list and tells the change, unless it is
-// nil.
+// readMembers records a read of the list and announces the change, unless it is nil.
 func (n *news) readMembers(asOf time.Time, c *wardturn.MemberChange) {
 	n.mu.Lock()
 	stamp := n.members.Read(asOf)
@@ -196,7 +196,7 @@
 	})
 }
 
-// failed records that a reading had no answer.
+// failed records that a read failed.
 func (n *news) failed(t *decide.ReadTurn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -210,7 +210,7 @@
 	n.wake()
 }
 
-// ages tells the metrics how old the knowledge of the records is.
+// ages updates the metrics for the age of the configuration and the list.
 func (n *news) ages() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -225,12 +225,12 @@
 		kind = "members"
 	}
 	for _, c := range n.g.links.newsConns(string(m.Reader) + "/" + kind) {
-		// A gateway that does not get it reads by itself.
+		// Errors are ignored: a gateway that misses an announcement reads the store itself.
 		_ = c.Send(m)
 	}
 }
 
-// receive takes a message of another gateway.
+// receive handles an announcement of another gateway.
 func (n *news) receive(m *peer.StoreNews) {
 	if m.Reader == n.g.cfg.Process {
 		return
@@ -244,7 +244,7 @@
 		return
 	}
 	if m.Config > n.configTo {
-		n.config.Doubt(now) // a change that is not in force here
+		n.config.Doubt(now) // a change that has not been applied here
 		n.wake()
 		return
 	}
@@ -253,18 +253,18 @@
 	n.wake()
 }
 
-// receiveMembers hands a change of the list on; the lock is held. If that cannot be
-// taken, the list counts as out of date.
+// receiveMembers queues an announced change of the list. If the queue is full, the list is
+// marked as out of date. The caller must hold n.mu.
 func (n *news) receiveMembers(now time.Time, m *peer.StoreNews) {
 	if m.Members.From < 0 {
-		// The change is too long to be told. The list is read when its turn comes: read at
-		// once by all that hear of it, while hundreds of upstreams enter, it would have all
-		// tell the same and read again.
+		// The change was too long to announce, so the list is read as scheduled. If all
+		// gateways read it at once while hundreds of upstreams register, each would announce
+		// the same change and trigger another round of reads.
 		n.members.Present(now, m.Reader)
 		return
 	}
 	defer n.wake()
-	if len(n.changes) == cap(n.changes) { // nobody else adds to them while the lock is held
+	if len(n.changes) == cap(n.changes) { // no other goroutine sends on the channel while the lock is held
 		n.members.Doubt(now)
 		return
 	}
--- a/gateway/news_internal_test.go
+++ b/gateway/news_internal_test.go
@@ -13,7 +13,7 @@
 		Ended: make([]wardturn.UpstreamID, mostTold),
 	}
 	if got := shortened(short); got != short {
-		t.Errorf("a change of %d upstreams is told as %+v", mostTold, got)
+		t.Errorf("a change of %d upstreams is announced as %+v", mostTold, got)
 	}
 	long := &wardturn.MemberChange{
 		From:    3,
@@ -23,6 +23,6 @@
 	}
 	got := shortened(long)
 	if got.From >= 0 || got.To != 9 || len(got.Changed)+len(got.Ended) > 0 {
-		t.Errorf("a long change is told as %+v", got)
+		t.Errorf("a long change is announced as %+v", got)
 	}
 }
--- a/gateway/news_relays_test.go
+++ b/gateway/news_relays_test.go
@@ -18,16 +18,15 @@
 // inForce is the time within which a change of the configuration is in force.
 const inForce = 2 * time.Second
 
-// newsRig is a rig with a second gateway whose ways to the store and to each keeper
-// are its own.
+// newsRig is a rig with a second gateway that reaches the store and the keepers through
+// proxies of its own.
 type newsRig struct {
 	*rig
-	away *atomic.Bool // the second gateway's way to the store is cut
+	away *atomic.Bool // the store is unavailable to the second gateway
 	ways []*standin.Relay
 }
 
-// ownWays has gateways that are started from now on reach the keepers by ways of
-// their own.
+// ownWays makes gateways started from now on reach the keepers through proxies of their own.
 func (x *rig) ownWays() []*standin.Relay {
 	hosts := []string{"127.0.0.11", "127.0.0.12"}
 	list, port := listenAll(hosts...)
@@ -43,8 +42,8 @@
 	return ways
 }
 
-// newNewsRig starts a gateway in failure domain d and a second one in another, which
-// hears of the first's readings: its id is the higher one.
+// newNewsRig starts a gateway in failure domain d and one in the domain second. The second
+// one relies on the reads of the first, since its ID is higher.
 func newNewsRig(keepers []string, second wardturn.FailureDomain) *newsRig {
 	x := &newsRig{
 		rig:  newRigIn(keepers...),
@@ -69,8 +68,7 @@
 	return x
 }
 
-// takesNewRoute waits until a route that is added now is in force at the second
-// gateway.
+// takesNewRoute adds a route and waits until it is in force at the second gateway.
 func (x *newsRig) takesNewRoute() {
 	GinkgoHelper()
 	x.store.PutConfig(config(2, newRoute))
@@ -79,14 +77,14 @@
 	}, inForce, often).Should(Equal(http.StatusOK))
 }
 
-var _ = Describe("News of the store", func() {
-	DescribeTable("reach a gateway that cannot read",
+var _ = Describe("Announcements of store reads", func() {
+	DescribeTable("reach a gateway that cannot read the store",
 		func(keepers []string, second wardturn.FailureDomain, hurt func(*newsRig)) {
 			x := newNewsRig(keepers, second)
 			hurt(x)
 			x.takesNewRoute()
 			x.away.Store(true)
-			time.Sleep(300 * time.Millisecond) // calls under way have ended
+			time.Sleep(300 * time.Millisecond) // calls in progress have ended
 			x.list(x.apps[0], "app", "a0", "draining")
 			Eventually(func() int {
 				before := x.apps[0].Total()
@@ -97,31 +95,31 @@
 			}, inForce, often).Should(BeZero())
 			Expect(x.apps[1].Total()).To(BeNumerically(">", 0))
 		},
-		Entry("by two keepers in its failure domain", []string{"d", "d"}, wardturn.FailureDomain("d"), func(*newsRig) {}),
-		Entry("when one of them is lost", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
+		Entry("through two keepers in its failure domain", []string{"d", "d"}, wardturn.FailureDomain("d"), func(*newsRig) {}),
+		Entry("when one of them is unreachable", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
 			x.way.Block(true)
 		}),
 		Entry("when one of them is frozen", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
 			x.way.Freeze(true)
 		}),
-		Entry("when the other of them is frozen for it alone", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
+		Entry("when the other one is frozen for this gateway only", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
 			x.ways[1].Freeze(true)
 		}),
-		Entry("when it is connected to one of them only", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
+		Entry("when it is connected to only one of them", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
 			x.ways[0].Block(true)
 		}),
 		Entry("in another failure domain", []string{"f", "f"}, wardturn.FailureDomain("f"), func(*newsRig) {}),
-		Entry("in one with a single keeper", []string{"d", "f"}, wardturn.FailureDomain("f"), func(*newsRig) {}),
-		Entry("when that is lost", []string{"d", "f"}, wardturn.FailureDomain("f"), func(x *newsRig) {
+		Entry("in a failure domain with a single keeper", []string{"d", "f"}, wardturn.FailureDomain("f"), func(*newsRig) {}),
+		Entry("when the single keeper is unreachable", []string{"d", "f"}, wardturn.FailureDomain("f"), func(x *newsRig) {
 			x.ways[1].Block(true)
 		}),
-		Entry("in one without keepers", []string{"f", "f"}, wardturn.FailureDomain("g"), func(*newsRig) {}),
-		Entry("when those of its failure domain are lost", []string{"d", "f"}, wardturn.FailureDomain("d"), func(x *newsRig) {
+		Entry("in a failure domain without keepers", []string{"f", "f"}, wardturn.FailureDomain("g"), func(*newsRig) {}),
+		Entry("when the keepers of its failure domain are unreachable", []string{"d", "f"}, wardturn.FailureDomain("d"), func(x *newsRig) {
 			x.way.Block(true)
 		}),
 	)
 
-	It("are not waited for by a gateway that reaches no keeper", func() {
+	It("are not required by a gateway that reaches no keeper", func() {
 		x := newNewsRig([]string{"d", "d"}, "d")
 		for _, way := range x.ways {
 			way.Block(true)
--- a/gateway/news_test.go
+++ b/gateway/news_test.go
@@ -16,7 +16,7 @@
 	var (
 		x     *rig
 		other *gateway.Gateway
-		away  atomic.Bool // the other gateway's way to the store
+		away  atomic.Bool // the store is unavailable to the other gateway
 	)
 	BeforeEach(func() {
 		x = newRig()
@@ -29,7 +29,7 @@
 			}
 			x.store.ServeHTTP(w, r)
 		}))
-		// Its id is the higher one, so it leaves the reading to the first.
+		// Its ID is higher, so the first gateway reads for both.
 		other, x.front, x.ready = x.startGateway("second", platform.NewStore(ln.Addr().String(), x.metrics))
 		Eventually(other.Ready, soon, often).Should(BeTrue())
 		Eventually(func() int {
@@ -37,12 +37,12 @@
 		}, soon, often).Should(Equal(http.StatusOK))
 	})
 
-	It("read it about as often as one alone would", func() {
-		time.Sleep(1500 * time.Millisecond) // both have heard of each other
+	It("read it about as often as a single gateway", func() {
+		time.Sleep(1500 * time.Millisecond) // both have received announcements of each other
 		operator, servers := x.store.Reads()
 		time.Sleep(3 * time.Second)
 		operatorNow, serversNow := x.store.Reads()
-		// One alone reads 2.5 and 12 times in 3 s, two 5 and 24 times.
+		// In 3 s, one gateway alone makes 2.5 configuration and 12 list reads, two 5 and 24.
 		Expect(operatorNow - operator).To(BeNumerically("<=", 4))
 		Expect(serversNow - servers).To(BeNumerically("<=", 16))
 		heard := x.metrics.Snapshot().Counters()["store_reads+record=upstreams,result=by_another"]
@@ -51,7 +51,7 @@
 		Expect(causes["store_read_causes+cause=for_all,record=upstreams"].Value()).To(BeNumerically(">", 0))
 	})
 
-	It("learn from each other that an upstream leaves", func() {
+	It("learn from each other that an upstream is draining", func() {
 		time.Sleep(600 * time.Millisecond)
 		away.Store(true)
 		time.Sleep(300 * time.Millisecond)
@@ -66,7 +66,7 @@
 		Expect(x.apps[1].Total()).To(BeNumerically(">", 0))
 	})
 
-	It("learn of a change at once", func() {
+	It("apply a configuration change immediately", func() {
 		time.Sleep(100 * time.Millisecond)
 		x.store.PutConfig(config(2, newRoute))
 		Eventually(func() int {
@@ -74,7 +74,7 @@
 		}, 400*time.Millisecond, often).Should(Equal(http.StatusOK))
 	})
 
-	It("read by themselves when they hear nothing", func() {
+	It("read the store themselves if they receive no announcements", func() {
 		time.Sleep(600 * time.Millisecond)
 		x.gateway.Close()
 		x.store.PutConfig(config(2, newRoute))
--- a/gateway/newsways.go
+++ b/gateway/newsways.go
@@ -10,15 +10,15 @@
 	"wardturn/peer"
 )
 
-// newsKeepers is how many keepers pass a reading on in each failure domain, so that
-// the loss of one hides nothing.
+// newsKeepers is the number of keepers per failure domain that forward an announcement, so
+// that the loss of one loses no announcement.
 const newsKeepers = 2
 
-// newsConns returns the connections on which a reading is told: to two keepers in
-// each failure domain, which pass it on inside. So it crosses to each other domain
-// twice, and not to each gateway there. Key chooses them; the readings of one kind of
-// one gateway go the same ways, and so stay in order, and those of others by others:
-// with two keepers for all, these two would carry everything.
+// newsConns returns the connections for an announcement: to two keepers in each failure
+// domain, which forward it within the domain. An announcement thus crosses to each other
+// domain twice, instead of once per gateway there. The keepers are selected by key.
+// Announcements of one kind from one gateway use the same keepers, which keeps them in
+// order. Other keys select other keepers, so that no two keepers carry the whole load.
 func (ls *links) newsConns(key string) []*peer.Conn {
 	byDomain := ls.waysByDomain()
 	conns := make([]*peer.Conn, 0, newsKeepers*len(byDomain))
@@ -30,8 +30,8 @@
 	return conns
 }
 
-// capConns returns the connections on which a word on caps is told: in each failure
-// domain to one of two keepers, by turns. Key chooses them.
+// capConns returns the connections for a cap usage message: in each failure domain to one of
+// the two keepers selected by key, alternating with turn.
 func (ls *links) capConns(key string, turn int) []*peer.Conn {
 	byDomain := ls.waysByDomain()
 	conns := make([]*peer.Conn, 0, len(byDomain))
@@ -42,7 +42,7 @@
 	return conns
 }
 
-// waysByDomain returns the keepers that are connected, by failure domain.
+// waysByDomain returns the connected keepers by failure domain.
 func (ls *links) waysByDomain() map[wardturn.FailureDomain][]newsWay {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -58,7 +58,7 @@
 	return byDomain
 }
 
-// newsWay is a keeper that is connected.
+// newsWay is a connected keeper.
 type newsWay struct {
 	addr string
 	conn *peer.Conn
@@ -68,10 +68,10 @@
 	return w.addr
 }
 
-// hearsAt returns the failure domains at whose keepers this gateway hears news: its
-// own, and more while those have fewer than two keepers; the lock is held, and near
-// is up to date. Where there is no keeper at all, one gateway's readings cross to each
-// gateway twice.
+// hearsAt returns the failure domains whose keepers forward announcements to this gateway:
+// its own domain, and further ones until there are two keepers. If a domain has no keeper,
+// each announcement crosses to each gateway in it twice. The caller must hold ls.mu, and
+// ls.near must be up to date.
 func (ls *links) hearsAt(now time.Time) []wardturn.FailureDomain {
 	at := []wardturn.FailureDomain{ls.g.cfg.Domain}
 	have := len(ls.near)
@@ -92,8 +92,8 @@
 	return string(d)
 }
 
-// otherKeepers counts the keepers that can be reached in other failure domains; the
-// lock is held.
+// otherKeepers counts the reachable keepers in other failure domains. The caller must hold
+// ls.mu.
 func (ls *links) otherKeepers(now time.Time) map[wardturn.FailureDomain]int {
 	keepers := make(map[wardturn.FailureDomain]int)
 	for _, l := range ls.byAddr {
@@ -104,7 +104,8 @@
 	return keepers
 }
 
-// hear has the gateway hear news at the keeper, or no longer.
+// hear subscribes to announcements at the keeper if its failure domain is in at, and
+// unsubscribes otherwise.
 func (l *link) hear(at []wardturn.FailureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/newsways_internal_test.go
+++ b/gateway/newsways_internal_test.go
@@ -11,8 +11,8 @@
 	"wardturn/process"
 )
 
-// newTestLinks returns links of a gateway in failure domain d0 that are connected to
-// some keepers in each of d0, d1 and so on.
+// newTestLinks returns the links of a gateway in failure domain d0, connected to the given
+// number of keepers in each of the domains d0, d1 and so on.
 func newTestLinks(t *testing.T, keepers ...int) *links {
 	t.Helper()
 	ls := newLinks(&Gateway{
@@ -55,8 +55,8 @@
 	}
 }
 
-// A reading is told to two keepers in each failure domain; those of other readers
-// and of the other kind to others.
+// An announcement goes to two keepers in each failure domain. Different readers use different
+// keepers.
 func TestReadingIsToldTwiceInEachDomain(t *testing.T) {
 	const each = 6
 	ls := newTestLinks(t, each, each, each, 1)
@@ -73,17 +73,17 @@
 		}
 		for domain, want := range map[wardturn.FailureDomain]int{"d0": 2, "d1": 2, "d2": 2, "d3": 1} {
 			if told[domain] != want {
-				t.Errorf("reader %d: told %d keepers in %s, want %d", i, told[domain], domain, want)
+				t.Errorf("reader %d: %d keepers in %s, want %d", i, told[domain], domain, want)
 			}
 		}
 	}
 	if len(used) != len(domains) {
-		t.Errorf("%d of %d keepers carry the news of some reader", len(used), len(domains))
+		t.Errorf("%d of %d keepers carry announcements", len(used), len(domains))
 	}
 }
 
-// A gateway hears news in its own failure domain, and in others while there are fewer
-// than two keepers there.
+// A gateway receives announcements from keepers in its own failure domain, and in others as
+// long as that gives fewer than two keepers.
 func TestWhereNewsIsHeard(t *testing.T) {
 	for _, c := range []struct {
 		keepers []int
@@ -99,11 +99,11 @@
 		ls := newTestLinks(t, c.keepers...)
 		ls.routeAll()
 		if len(ls.hears) != c.want || ls.hears[0] != "d0" {
-			t.Errorf("with %v keepers news is heard at %v, want %d domains", c.keepers, ls.hears, c.want)
+			t.Errorf("with %v keepers, announcements come from %v, want %d domains", c.keepers, ls.hears, c.want)
 		}
 		for _, l := range ls.byAddr {
 			if domain := l.domain(); domain == "d0" && !l.notice.News {
-				t.Errorf("with %v keepers no news is heard in the own failure domain", c.keepers)
+				t.Errorf("with %v keepers, no announcements come from the own failure domain", c.keepers)
 			}
 		}
 	}
