--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -17,14 +17,14 @@
 	"wardturn/standin"
 )
 
-// fatal is the body of a request that crashes each upstream that begins to run it.
+// fatal is the body of a request that crashes each upstream that starts it.
 const fatal = "fatal"
 
-// downFor is how long an upstream that crashed is gone.
+// downFor is how long a crashed upstream is down.
 const downFor = 150 * time.Millisecond
 
-// mortal is an upstream that crashes: its connections and its listener close, and after
-// a while it serves at its address again, empty and under another id.
+// mortal is an upstream that can crash: its connections and listener close, and after downFor
+// it restarts at the same address, without state and with a new ID.
 type mortal struct {
 	x       *rig
 	service string
@@ -37,7 +37,7 @@
 	id      string
 }
 
-// mortalWorker adds a worker that crashes on a fatal request.
+// mortalWorker starts and registers a worker that crashes on a fatal request.
 func (x *rig) mortalWorker(service, host string, cfg standin.ModelWorkerConfig) *mortal {
 	m := &mortal{
 		x:       x,
@@ -101,7 +101,7 @@
 	return m.crashes
 }
 
-// crashRig is a rig whose upstreams crash, before two gateways.
+// crashRig is a rig with two gateways and upstreams that can crash.
 type crashRig struct {
 	*rig
 	fronts  []string
@@ -127,7 +127,8 @@
 	x.fronts = []string{x.front, front}
 	for i := range x.fronts {
 		x.serves(i)
-		// An engine serves once its keeper is connected, by which gateways hear each other.
+		// An engine serves once its keeper is connected; gateways also exchange messages
+		// through the keepers.
 		Eventually(func() int {
 			x.rig.front = x.fronts[i]
 			return x.get("warm", "/ask/x", "m0").status
@@ -143,14 +144,14 @@
 	return own.send("POST", fmt.Sprintf("crash-%d", attempts.Add(1)), path, "", body)
 }
 
-// serves waits until a gateway has a sound upstream that serves others.
+// serves waits until harmless requests through a gateway succeed.
 func (x *crashRig) serves(i int) {
 	Eventually(func() string {
 		return x.at(i, "/look/", "sound").body
 	}, soon, often).Should(Equal("echo:sound"))
 }
 
-// faultAll sets the troubles of all upstreams.
+// faultAll sets the faults of all upstreams.
 func (x *crashRig) faultAll(f standin.WorkerFaults) {
 	for _, m := range x.mortals {
 		m.worker.SetFaults(f)
@@ -165,15 +166,15 @@
 	return n
 }
 
-// Known by its attempt alone, a request that crashes its upstream is a new one each time that
-// its caller repeats it, at any gateway, and ends one upstream after another.
+// If such a request were identified only by its attempt ID, each repetition by its caller, at
+// any gateway, would look like a new request and crash another upstream.
 var _ = Describe("A request that crashes its upstreams", func() {
 	const (
-		// crashesAllowed is how many upstreams may end under one request before it is
-		// known for that.
+		// crashesAllowed is how many upstreams one request may crash before it is rejected.
 		crashesAllowed = 3
 		tries          = 12
-		// refusedIn is by when a gateway that hears it from the store alone refuses it.
+		// refusedIn is the time within which a gateway that learns of the crashes only from
+		// the store rejects the request.
 		refusedIn = 3 * time.Second
 	)
 	var x *crashRig
@@ -181,7 +182,7 @@
 		x = newCrashRig()
 	})
 
-	It("is refused at once by all gateways after it has crashed three, and others are served", func() {
+	It("is rejected by all gateways after three crashes, and other requests are served", func() {
 		for n := range tries {
 			x.serves(n % 2)
 			x.at(n%2, "/charge/", fatal)
@@ -197,10 +198,9 @@
 		}
 	})
 
-	// An upstream that fails by itself answers some requests with an error of its own,
-	// whatever they ask. Taken for an answer that clears the content, it keeps the content
-	// from ever being refused.
-	It("is refused after three also if upstreams that fail by themselves answer it between", func() {
+	// A faulty upstream answers some requests with an error, whatever their content. If such
+	// a response cleared the content, the content would never be rejected.
+	It("is rejected after three crashes even if faulty upstreams answer it with errors in between", func() {
 		for n := range tries {
 			x.serves(n % 2)
 			if n%3 == 2 {
@@ -216,8 +216,8 @@
 		Expect(x.crashes()).To(BeNumerically("<=", crashesAllowed))
 	})
 
-	// crash has upstreams end under a request, by one gateway, until it is refused there. A
-	// request that comes again before the end of its last upstream is known takes another.
+	// crash sends the request through gateway i until it is rejected there. A repetition sent
+	// before the previous crash is noticed goes to another upstream.
 	crash := func(i int) {
 		Eventually(func() string {
 			x.serves(i)
@@ -225,7 +225,7 @@
 		}, soon, 50*time.Millisecond).Should(Equal(string(wardturn.ReasonCrashes)))
 	}
 
-	It("is refused by a gateway that starts when all others have ended", func() {
+	It("is rejected by a gateway that starts after all others have stopped", func() {
 		crash(0)
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("crashes recorded"))
 		x.gateway.Close()
@@ -238,13 +238,13 @@
 		Expect(x.crashes()).To(Equal(crashesAllowed))
 	})
 
-	It("is refused by such a gateway also if the store came back without the records", func() {
+	It("is rejected by such a gateway even if the store was restored without the records", func() {
 		crash(0)
 		recorded := func() int {
 			return strings.Count(x.log.String(), "crashes recorded")
 		}
 		Eventually(recorded, soon, often).Should(Equal(2))
-		x.second.Close() // which would record what it has not read
+		x.second.Close() // it would record what it has not read
 		old := x.store.Copy()
 		delete(old, "keyed.wardturn.crashes")
 		x.store.ComeBack(old)
@@ -258,8 +258,8 @@
 		Expect(x.crashes()).To(Equal(crashesAllowed))
 	})
 
-	It("is refused by a gateway that hears of the others through the store alone", func() {
-		x.keeper = "1" // where no keeper is
+	It("is rejected by a gateway that reaches the others only through the store", func() {
+		x.keeper = "1" // no keeper listens there
 		_, front, _ := x.startGateway("alone", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = append(x.fronts, front)
 		x.serves(2)
@@ -269,19 +269,19 @@
 		Expect(x.crashes()).To(Equal(crashesAllowed))
 	})
 
-	It("is told of to the others by a gateway that they do not hear, from its first crash on", func() {
+	It("is recorded for the others from its first crash by a gateway that reaches no keeper", func() {
 		x.keeper = "1"
 		_, front, _ := x.startGateway("alone", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = append(x.fronts, front)
 		x.serves(2)
 		x.at(2, "/charge/", fatal)
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("alone: crashes recorded: crashes=1"))
-		time.Sleep(1500 * time.Millisecond) // in which one of the others reads it for both
+		time.Sleep(1500 * time.Millisecond) // one of the others reads the record for both
 		crash(0)
 		Expect(x.crashes()).To(Equal(crashesAllowed))
 	})
 
-	It("is recorded from its first crash on, also if the store was away then", func() {
+	It("is recorded from its first crash even if the store was unavailable then", func() {
 		x.keeper = "1"
 		_, front, _ := x.startGateway("alone", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = append(x.fronts, front)
@@ -295,7 +295,7 @@
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("alone: crashes recorded: crashes=1"))
 	})
 
-	It("does not take with it those that are at the same upstreams", func() {
+	It("does not cause other requests at the same upstreams to be rejected", func() {
 		const think = 300 * time.Millisecond
 		for _, m := range x.mortals {
 			m.worker.SetFaults(standin.WorkerFaults{
@@ -311,7 +311,7 @@
 				x.at(0, "/charge/", fatal)
 			})
 			time.Sleep(think / 2)
-			for range 2 * len(x.mortals) { // at all of them when one crashes
+			for range 2 * len(x.mortals) { // present at all upstreams when one crashes
 				done.Go(func() {
 					defer GinkgoRecover()
 					x.at(0, "/charge/", "beside")
@@ -325,7 +325,7 @@
 		Expect(x.at(0, "/charge/", "beside").status).To(Equal(http.StatusOK))
 	})
 
-	// record enters into the store that upstreams ended under a request to the engines.
+	// record writes crashes of a request to the engines into the store.
 	record := func(path, body string) {
 		content := wardturn.Content{
 			Method: http.MethodPost,
@@ -341,7 +341,7 @@
 		}
 	}
 
-	It("is broken off at an upstream that has not begun it", func() {
+	It("is aborted at an upstream that has not started it", func() {
 		for _, m := range x.engines {
 			m.SetFaults(standin.WorkerFaults{
 				HoldUp: soon,
@@ -362,10 +362,10 @@
 		Expect(x.log.String()).To(ContainSubstring("broken_off=1"))
 	})
 
-	It("goes on nowhere when it becomes known under way", func() {
+	It("is not resumed at another upstream if its crashes become known meanwhile", func() {
 		for _, m := range x.engines {
 			m.SetFaults(standin.WorkerFaults{
-				Linger:   900 * time.Millisecond, // three events take longer than two readings of the store
+				Linger:   900 * time.Millisecond, // three events take longer than two reads of the store
 				CutFresh: 3,
 			})
 		}
@@ -375,7 +375,7 @@
 		Expect(x.runs("resumed")).To(Equal(1))
 	})
 
-	It("is sent on again after the store's records of it were taken back", func() {
+	It("is forwarded again after its records were removed from the store", func() {
 		crash(0)
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("crashes recorded"))
 		for _, m := range x.mortals {
@@ -388,8 +388,8 @@
 	})
 })
 
-var _ = Describe("Crashes in the store", func() {
-	It("are read by one gateway for all, also while the configuration changes", func() {
+var _ = Describe("Crash records in the store", func() {
+	It("are read by one gateway on behalf of all, even while the configuration changes", func() {
 		x := newRig()
 		_, second, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
 		x.front = second
@@ -399,13 +399,13 @@
 		calls := func() int64 {
 			return x.metrics.Snapshot().Counters()["store_calls+purpose=crashes,result=answered"].Value()
 		}
-		time.Sleep(1500 * time.Millisecond) // both have heard of each other
+		time.Sleep(1500 * time.Millisecond) // both have received announcements of each other
 		before := calls()
-		for n := range 8 { // each has both gateways read the configuration
+		for n := range 8 { // both gateways read the configuration after each change
 			x.store.PutConfig(config(2+n, ""))
 			time.Sleep(500 * time.Millisecond)
 		}
-		// One alone reads 3 times in 4 s; with each reading of the configuration it is 16.
+		// One gateway reads 3 times in 4 s. Reading at each configuration read would give 16.
 		Expect(calls() - before).To(BeNumerically("<=", 5))
 	})
 })
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// crashCheckPause is how long after a connection broke it is looked whether the
-	// upstream still listens: all connections of a process end within a millisecond.
+	// crashCheckPause is the delay between a broken connection and the check whether the
+	// upstream still listens. All connections of a crashed process end within a millisecond.
 	crashCheckPause = 20 * time.Millisecond
 )
 
-// crashes knows under which requests upstreams have ended: by what this gateway sees, by
-// the words of others, and by the store. There lie the contents under which two have
-// ended, so that all gateways may end or be cut off from each other. Without it a request
-// that crashes upstreams goes on to one after another for as long as it comes.
+// crashes tracks which request contents crash upstreams, from crashes that this gateway
+// observes, that other gateways announce, and that are recorded in the store. Contents with
+// two crashes are recorded in the store, so that they stay known if all gateways stop or
+// cannot reach each other. Without this tracking, a request that crashes its upstream would
+// crash another one each time it is repeated.
 type crashes struct {
 	g      *Gateway
 	record wardturn.CrashRecord
-	reads  chan struct{} // asks for a reading of the store
-	writes chan struct{} // asks for what is due there to be written
+	reads  chan struct{} // requests a read of the store
+	writes chan struct{} // requests a write of the records that are due
 
 	mu       sync.Mutex
 	book     *decide.Crashes
 	checking map[wardturn.UpstreamID]bool
-	unsent   bool              // a crash could be told to nobody
-	readTo   wardturn.Position // of the store
-	readAt   time.Time         // when that was known to be the latest; zero: nothing was read
+	unsent   bool              // a crash could not be announced because no keeper was connected
+	readTo   wardturn.Position // position up to which the store was read
+	readAt   time.Time         // when readTo was last known to be current; zero before the first read
 }
 
 func newCrashes(g *Gateway, record wardturn.CrashRecord) *crashes {
@@ -44,7 +45,7 @@
 	}
 }
 
-// wake asks the goroutine that waits on a channel to look again.
+// wake signals the goroutine that waits on c, without blocking.
 func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -52,14 +53,14 @@
 	}
 }
 
-// refuses reports whether a content is refused, and for how long yet.
+// refuses reports whether requests with this content are rejected, and for how much longer.
 func (c *crashes) refuses(content wardturn.ContentID) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.book.Refuses(c.g.clock.Now(), content)
 }
 
-// answered records that an upstream answered a request.
+// answered records that an upstream completed a request with this content.
 func (c *crashes) answered(content wardturn.ContentID) {
 	c.mu.Lock()
 	suspected := c.book.Answered(c.g.clock.Now(), content)
@@ -74,8 +75,8 @@
 	wake(c.writes)
 }
 
-// broke records that a send got no whole answer. With check, the connection broke without
-// this gateway's doing, and it is looked whether the upstream has ended.
+// broke records that a send received no complete response. If check is set, the connection
+// was not closed by this gateway, and it is checked whether the upstream has crashed.
 func (c *crashes) broke(m wardturn.Member, content wardturn.ContentID, check bool) {
 	c.mu.Lock()
 	fresh := c.book.Broke(c.g.clock.Now(), content, m.ID)
@@ -92,7 +93,7 @@
 	}
 }
 
-// check looks whether an upstream still listens.
+// check records a crash if the upstream no longer listens.
 func (c *crashes) check(m wardturn.Member) {
 	defer func() {
 		c.mu.Lock()
@@ -106,7 +107,7 @@
 	c.ended(m.ID)
 }
 
-// ended records that upstreams have ended without notice.
+// ended records that upstreams have disappeared without draining.
 func (c *crashes) ended(ids ...wardturn.UpstreamID) {
 	var fresh []wardturn.Crash
 	c.mu.Lock()
@@ -118,7 +119,7 @@
 	c.saw(fresh)
 }
 
-// saw tells the other gateways of crashes that were seen here.
+// saw announces crashes that were observed here to the other gateways.
 func (c *crashes) saw(fresh []wardturn.Crash) {
 	if len(fresh) == 0 {
 		return
@@ -134,8 +135,9 @@
 	c.counted(fresh)
 }
 
-// tell tells the other gateways, and reports whether a keeper is there to pass it on.
-// What gets lost on the way is read in the store once it matters.
+// tell sends a message to the other gateways and reports whether any keeper is connected to
+// forward it. Gateways that miss the message read the crashes from the store once there are
+// enough of them to be recorded.
 func (c *crashes) tell(m *peer.CrashNews) bool {
 	conns := c.g.links.newsConns(string(c.g.cfg.Process) + "/crashes")
 	for _, conn := range conns {
@@ -144,8 +146,8 @@
 	return len(conns) > 0
 }
 
-// counted acts on crashes that were not known: where they make a content refused, its
-// requests that have not begun are broken off.
+// counted handles newly known crashes. If a content is now rejected, its requests that no
+// upstream has started yet are aborted.
 func (c *crashes) counted(fresh []wardturn.Crash) {
 	for _, crash := range fresh {
 		if _, refused := c.refuses(crash.Content); !refused {
@@ -159,7 +161,7 @@
 	}
 }
 
-// receive takes a message of another gateway.
+// receive handles a message of another gateway.
 func (c *crashes) receive(m *peer.CrashNews) {
 	c.mu.Lock()
 	fresh := c.book.Heard(c.g.clock.Now(), m.Crashes)
@@ -171,14 +173,14 @@
 		return
 	}
 	if m.Read.From > known {
-		wake(c.reads) // what lies between was not heard
+		wake(c.reads) // changes in between were missed
 		return
 	}
 	c.read(*m.Read)
 }
 
-// refuseCrashing reports whether the request is refused since upstreams end under what it
-// asks, and notes when it may be tried again.
+// refuseCrashing reports whether the request is rejected because its content crashes
+// upstreams, and records when it may be retried.
 func (x *exchange) refuseCrashing() bool {
 	left, refused := x.g.crashes.refuses(x.content)
 	if refused {
@@ -190,10 +192,10 @@
 	return refused
 }
 
-// noteContent tells what the end of a send says of what the request asks. An answer that
-// the upstream gave whole speaks for it, an error of the upstream's own says nothing: one
-// that fails by itself answers so whatever is asked. If that cleared a content, a request
-// that crashes upstreams would be let through again by any that fails now and then.
+// noteContent records what the end of a send shows about the request's content. A complete
+// response clears the content. An error response of the upstream does not, since a faulty
+// upstream returns errors whatever the request: if those cleared it, any upstream that fails
+// occasionally would let a request that crashes upstreams pass again.
 func (x *exchange) noteContent(a assignment, res result, limit error) {
 	switch res {
 	case passed:
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// crashGather is how long crashes are gathered into one call of the store.
+	// crashGather is how long crashes are batched into one write to the store.
 	crashGather = 50 * time.Millisecond
-	// crashRetry is the pause after crashes could not be written, doubled up to
-	// crashMaxRetry: while the store is away all gateways may have some to write, and each
-	// call has a price.
+	// crashRetry is the initial delay after a failed write, doubled up to crashMaxRetry.
+	// During a store outage all gateways may have crashes to write, and calls are costly.
 	crashRetry    = 500 * time.Millisecond
 	crashMaxRetry = 4 * time.Second
-	// crashReadEvery is how old what is known of the store may be at the gateway that reads
-	// the configuration for all when it has done so.
+	// crashReadEvery is the maximum age of the crash records at the gateway that reads the
+	// configuration on behalf of all. It is checked after each configuration read.
 	crashReadEvery = time.Second
-	// crashReadOthers is the same at gateways that hear of such readings. All gateways
-	// read the configuration after a change, and would all read the crashes.
+	// crashReadOthers is the maximum age at the other gateways. It is longer because all
+	// gateways read the configuration after a change, and would all read the crashes too.
 	crashReadOthers = 3 * time.Second
 )
 
-// reading returns what is told of the latest reading of the store; nil: there was none.
+// reading describes the latest read of the crash records, for announcements. It returns nil
+// before the first read.
 func (c *crashes) reading() *peer.CrashReading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-// mergeReading takes what another gateway says of its latest reading of the store.
+// mergeReading handles another gateway's description of its latest read.
 func (c *crashes) mergeReading(r *peer.CrashReading) {
 	if r == nil {
 		return
@@ -53,8 +53,9 @@
 	}
 }
 
-// readIfOld has the store read if what is known of it is old, for this gateway or for all.
-// It is called when the store has just answered.
+// readIfOld requests a read of the crash records if they are older than the maximum age,
+// which depends on whether this gateway reads for all. It is called after a successful
+// configuration read.
 func (c *crashes) readIfOld(forAll bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +68,7 @@
 	}
 }
 
-// follow reads the store whenever it is asked to, until the gateway ends.
+// follow reads the crash records whenever a read is requested, until the gateway shuts down.
 func (c *crashes) follow() {
 	failing := false
 	first := true
@@ -75,7 +76,7 @@
 		change, err := c.record.Next()
 		if err != nil {
 			if !failing {
-				c.g.logger.Warn("crashes not read, those known count", "error", err)
+				c.g.logger.Warn("failed to read crash records, using the known ones", "error", err)
 			}
 			failing = true
 			continue
@@ -91,7 +92,7 @@
 	}
 }
 
-// await waits until a channel asks for something. It reports false when the gateway ends.
+// await waits for a signal on ask. It reports false when the gateway shuts down.
 func (c *crashes) await(ask chan struct{}) bool {
 	select {
 	case <-ask:
@@ -101,7 +102,7 @@
 	}
 }
 
-// read takes what was read in the store.
+// read applies a change that was read from the store, here or by another gateway.
 func (c *crashes) read(change wardturn.CrashChange) {
 	c.mu.Lock()
 	c.readTo = max(c.readTo, change.To)
@@ -118,7 +119,7 @@
 	}
 }
 
-// write writes what is due to the store, until the gateway ends.
+// write writes due records to the store whenever requested, until the gateway shuts down.
 func (c *crashes) write() {
 	for c.await(c.writes) && c.g.tasks.Pause(crashGather) {
 		pause := crashRetry
@@ -131,7 +132,7 @@
 	}
 }
 
-// writeDue reports whether nothing is left to be written.
+// writeDue writes the records that are due. It reports false if the write failed.
 func (c *crashes) writeDue() bool {
 	c.mu.Lock()
 	list, takeBack := c.book.Due(c.g.clock.Now(), c.unsent)
@@ -154,7 +155,7 @@
 	return true
 }
 
-// sweep forgets what no longer counts.
+// sweep drops expired crashes and requests a write if their records have to be removed.
 func (c *crashes) sweep() {
 	c.mu.Lock()
 	now := c.g.clock.Now()
--- a/gateway/crashrecord_internal_test.go
+++ b/gateway/crashrecord_internal_test.go
@@ -8,7 +8,7 @@
 	"wardturn/decide"
 )
 
-// setClock is a clock that stands where it was set.
+// setClock is a clock that advances only when a test sets it.
 type setClock struct {
 	now time.Time
 }
@@ -21,8 +21,8 @@
 	panic("not used")
 }
 
-// News of the configuration is no reading of crashes: two gateways that take turns at the
-// configuration would read none.
+// An announced configuration read must not count as a read of the crash records: two gateways
+// that read the configuration alternately would never read the crashes.
 func TestCrashesAreReadByOneOfTwo(t *testing.T) {
 	clock := &setClock{
 		now: time.Unix(1000, 0),
@@ -49,7 +49,7 @@
 		default:
 		}
 		if age := clock.now.Sub(readAt); age > 2*configWait {
-			t.Fatalf("nobody has read the crashes for %v", age)
+			t.Fatalf("no gateway has read the crashes for %v", age)
 		}
 	}
 }
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -13,7 +13,7 @@
 	})
 }
 
-// decide runs a decision under the lock and carries out what it wants.
+// decide runs f with g.mu held and carries out the resulting moves.
 func (g *Gateway) decide(f func(now time.Time, out *decide.Moves)) {
 	var out decide.Moves
 	g.mu.Lock()
@@ -24,7 +24,7 @@
 	g.carry(out)
 }
 
-// carry does what a decision wants done, outside the lock.
+// carry carries out the moves of a decision. It must be called without g.mu held.
 func (g *Gateway) carry(out decide.Moves) {
 	for _, n := range out.Loads {
 		g.metrics.loaded(n)
@@ -59,14 +59,14 @@
 	g.links.tellReadings(readings)
 }
 
-// readPrompt records how long an upstream took to read prompts.
+// readPrompt records how long an upstream took to process prompts.
 func (g *Gateway) readPrompt(s wardturn.ServiceName, tokens int, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fleet.Read(s, tokens, took)
 }
 
-// ended records the end of a send.
+// ended records the end of a send to an upstream.
 func (g *Gateway) ended(id wardturn.UpstreamID, key wardturn.ModelAdapter, body int, how decide.Ending) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,7 +81,7 @@
 	g.doubtMembers()
 }
 
-// timed records the time of a plain upstream's answer, or that it was full.
+// timed records the response time of a plain upstream, or that it was at capacity.
 func (g *Gateway) timed(id wardturn.UpstreamID, took time.Duration, full bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,7 +92,7 @@
 	g.fleet.Timed(g.clock.Now(), id, took)
 }
 
-// takes reports whether a request that was given to an upstream may still be sent there.
+// takes reports whether a request that was assigned to an upstream may still be sent to it.
 func (g *Gateway) takes(u wardturn.Member) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -112,15 +112,14 @@
 	g.fleet.NotHeld(g.clock.Now(), id, key)
 }
 
-// versionServes reports whether requests may begin on a version of an adapter now.
+// versionServes reports whether requests may start on a version of an adapter now.
 func (g *Gateway) versionServes(key wardturn.ModelAdapter, v wardturn.Version) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fleet.VersionServes(g.clock.Now(), key, v)
 }
 
-// superseded returns the first newer version of an adapter, and when it was named
-// here.
+// superseded returns the first newer version of an adapter, and when it was activated here.
 func (g *Gateway) superseded(key wardturn.ModelAdapter, v wardturn.Version) (newer wardturn.Version, named time.Time, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -9,18 +9,18 @@
 	"wardturn/decide"
 )
 
-// evacuations are the failure domains that the operator has evacuated. Guarded by the
-// gateway's lock.
+// evacuations holds the failure domains that the operator has evacuated: their upstreams
+// receive no requests. It is guarded by Gateway.mu.
 type evacuations struct {
-	named wardturn.Evacuations // as the store has them
-	// kept were in force when the store came back from an older copy, which may lack them.
-	// Until the operator has had time to write them again they stay so: else requests would
-	// go where he has been told that none do.
+	named wardturn.Evacuations // as recorded in the store
+	// kept were in force when the store was restored from an older copy, which may lack
+	// them. They stay in force until the operator has had time to write them again.
+	// Otherwise requests would go to domains that were reported to the operator as empty.
 	kept  wardturn.Evacuations
 	until time.Time
 }
 
-// inForce returns the failure domains whose upstreams are to get no requests.
+// inForce returns the failure domains whose upstreams must receive no requests.
 func (e *evacuations) inForce() wardturn.Evacuations {
 	domains := make(wardturn.Evacuations, len(e.named)+len(e.kept))
 	maps.Copy(domains, e.named)
@@ -28,7 +28,7 @@
 	return domains
 }
 
-// evacuate puts a change of the operator's evacuations in force; the lock is held.
+// evacuate applies the evacuations in a configuration change. The caller must hold g.mu.
 func (g *Gateway) evacuate(now time.Time, c wardturn.ConfigChange, out *decide.Moves) {
 	if c.Returned {
 		g.evacuated.kept = g.evacuated.inForce()
@@ -41,14 +41,14 @@
 	g.setEvacuated(now, out)
 }
 
-// setEvacuated puts the evacuations in force; the lock is held.
+// setEvacuated applies the evacuations in force to the fleet. The caller must hold g.mu.
 func (g *Gateway) setEvacuated(now time.Time, out *decide.Moves) {
 	domains := g.evacuated.inForce()
 	g.fleet.SetEvacuated(now, domains, out)
 	g.logger.Info("evacuations in force", "domains", slices.Sorted(maps.Keys(domains)))
 }
 
-// endKept ends the evacuations that were kept and that the operator has not written again.
+// endKept ends retained evacuations that the operator has not written again in time.
 func (g *Gateway) endKept() {
 	g.decide(func(now time.Time, out *decide.Moves) {
 		e := &g.evacuated
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -13,11 +13,12 @@
 	"wardturn/standin"
 )
 
-// evacuateBound is by when the upstreams of an evacuated failure domain get nothing more.
+// evacuateBound is the time after which upstreams of an evacuated failure domain must receive
+// no requests.
 const evacuateBound = 2500 * time.Millisecond
 
-// evacuate writes the operator's word that a failure domain is to get nothing, and returns
-// when its upstreams must get no more.
+// evacuate evacuates a failure domain in the store. It returns the time from which its
+// upstreams must receive no requests.
 func (x *rig) evacuate(domain string) time.Time {
 	x.store.Evacuate(domain, true)
 	return time.Now().Add(evacuateBound)
@@ -27,7 +28,8 @@
 	x.store.Evacuate(domain, false)
 }
 
-// arrivedAfter counts the requests that reached workers of a failure domain after a time.
+// arrivedAfter counts the requests that reached workers of a failure domain after the given
+// time.
 func (x *rig) arrivedAfter(domain string, after time.Time) int {
 	n := 0
 	for _, m := range append(x.engines, x.apps...) {
@@ -40,7 +42,7 @@
 	return n
 }
 
-// Unread, the operator's evacuation leaves upstreams there with their usual requests.
+// A gateway that does not apply an evacuation keeps sending requests to the domain's upstreams.
 var _ = Describe("An evacuated failure domain", func() {
 	var x *rig
 	var fronts []string
@@ -50,8 +52,8 @@
 		Eventually(g.Ready, soon, often).Should(BeTrue())
 		fronts = []string{x.front, second}
 	})
-	// expectEmpty sends requests to all gateways and expects none at the upstreams of a
-	// failure domain after a time.
+	// expectEmpty sends requests to all gateways and expects that none reach the upstreams of
+	// a failure domain after the given time.
 	expectEmpty := func(domain string, after time.Time, span time.Duration) {
 		GinkgoHelper()
 		statuses := x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, span)
@@ -60,7 +62,7 @@
 		Expect(x.arrivedAfter(domain, after)).To(BeZero())
 	}
 
-	It("gets no requests after the bound, through a restart and a store that drops its history", func() {
+	It("receives no requests after the bound, across a gateway start and a compaction of the store", func() {
 		after := x.evacuate("d")
 		expectEmpty("d", after, 3*time.Second)
 		x.store.CompactConfig()
@@ -70,14 +72,14 @@
 		expectEmpty("d", after, time.Second)
 	})
 
-	It("gets none if it is taken back and evacuated again at once", func() {
+	It("receives none if the evacuation is revoked and repeated immediately", func() {
 		x.evacuate("d")
 		x.takeBack("d")
 		after := x.evacuate("d")
 		expectEmpty("d", after, 3*time.Second)
 	})
 
-	It("gets requests again once it is taken back", func() {
+	It("receives requests again once the evacuation is revoked", func() {
 		x.evacuate("d")
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("evacuations in force: domains=[\"d\"]"))
 		x.takeBack("d")
@@ -88,7 +90,7 @@
 		}, soon, often).Should(BeNumerically(">", 5))
 	})
 
-	It("has its requests refused at once where no other has upstreams", func() {
+	It("has its requests rejected immediately if no other domain has upstreams", func() {
 		x.evacuate("d")
 		x.evacuate("e")
 		var refused reply
@@ -104,7 +106,7 @@
 		Expect(x.runs(id)).To(BeZero())
 	})
 
-	It("does not get a stream that goes on elsewhere", func() {
+	It("does not receive a stream that is resumed at another upstream", func() {
 		x.get("hold", "/resume/x", "m0/a1")
 		var began atomic.Int64
 		for _, e := range x.engines {
@@ -125,9 +127,9 @@
 	})
 })
 
-// Where requests may be served is read from their routes and teams.
-var _ = Describe("A route with homes", func() {
-	It("is served in their regions only, and refused in plain words where none can", func() {
+// Routes and teams restrict the regions in which their requests may be served.
+var _ = Describe("A route with allowed regions", func() {
+	It("is served only there, and rejected with a specific reason if no upstream is there", func() {
 		x := newRigIn("d", "e")
 		x.regions = map[wardturn.FailureDomain]wardturn.Region{
 			"d": "north",
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// maxEvent bounds what is kept of an event that is not whole yet, in bytes;
-	// longer ones are passed on in parts, and their stream cannot be resumed.
+	// maxEvent is the maximum size in bytes of an incomplete event that is buffered. Longer
+	// events are forwarded in parts, and their stream cannot be resumed.
 	maxEvent = 64 << 10
-	// maxSums bounds the events of a stream of which a sum of 8 bytes is kept;
-	// later ones are not recognised when they come again.
+	// maxSums is the maximum number of events per stream whose checksum (8 bytes) is kept.
+	// Later events are not recognised as duplicates.
 	maxSums = 4096
 )
 
@@ -22,54 +22,55 @@
 	eventData = []byte("data:")
 )
 
-// misplacement says why an answer that resumes a stream does not go on where it
-// should; empty if it does.
+// misplacement is the reason why a response that resumes a stream does not continue after the
+// caller's last event. It is empty if the response does.
 type misplacement string
 
 const (
-	// missing: events between the caller's last one and this one did not come.
+	// missing: events between the caller's last one and this one are missing.
 	missing misplacement = "missing"
-	// otherRun: an event comes again that is not the one the caller has.
+	// otherRun: a repeated event differs from the one the caller has, so the response is
+	// from another run of the request.
 	otherRun misplacement = "other_run"
-	// noNumber: nobody can tell whether the event is the next one.
+	// noNumber: the event has no number, so its position is unknown.
 	noNumber misplacement = "no_number"
-	// repeated: the caller has the event; it is left out and the stream goes on.
+	// repeated: the caller already has the event. It is dropped and the stream continues.
 	repeated misplacement = "repeated"
 )
 
-// events passes a resumable stream on event by event, so that it can go on at
-// another upstream after the last whole one.
+// events forwards a resumable stream of server-sent events event by event, so that it can
+// be resumed at another upstream after the last complete event.
 //
-// Each event of an answer that resumes a stream must have the number after that
-// of the caller's last event. Without that a caller gets streams with events
-// missing or doubled, or joined from two runs, that look whole. Events that the
-// caller has are left out if they are the same by their sums.
+// In a response that resumes a stream, each event's number must follow that of the caller's
+// last event. Without this check, a caller could receive a stream that looks complete but
+// has missing or duplicate events, or events of two different runs. Events that the caller
+// already has are dropped if their checksums match.
 type events struct {
-	part    []byte // of an event that is not whole
-	long    bool   // the event's first part was passed on
-	last    string // id of the last whole event that was passed on
-	number  int64  // of the caller's last whole event, if counted
-	counted bool   // ids are numbers that rise by one
-	resumed bool   // the answer must go on after the last event
-	passed  bool   // an event was passed on
-	stuck   bool   // nobody can tell where the stream has to go on
-	skipped int    // events left out of this answer
-	first   int64  // number of the event of the first sum
+	part    []byte // incomplete event
+	long    bool   // the first part of the current event was already forwarded
+	last    string // ID of the last complete event that was forwarded
+	number  int64  // number of the caller's last complete event, if counted
+	counted bool   // IDs are consecutive numbers
+	resumed bool   // the response must continue after the last event
+	passed  bool   // an event was forwarded
+	stuck   bool   // the position at which to resume is unknown
+	skipped int    // duplicate events dropped from this response
+	first   int64  // number of the event that sums[0] belongs to
 	sums    []uint64
 }
 
-// sumSeed is that of the sums of events, in this process.
+// sumSeed is the seed of the event checksums in this process.
 var sumSeed = maphash.MakeSeed()
 
-// startAfter notes the event after which a caller resumes its stream. An id that
-// is no number is the caller's and the upstream's matter.
+// startAfter sets the ID of the event after which the caller resumes its stream. If it is not
+// a number, the response is forwarded unchecked.
 func (e *events) startAfter(id string) {
 	e.number, e.counted = eventNumber([]byte(id))
 	e.resumed = e.counted
 }
 
-// resume prepares for an answer that goes on after the last whole event. It
-// reports false if nobody could tell whether it does.
+// resume prepares for a response that continues after the last complete event. It reports
+// false if that could not be verified.
 func (e *events) resume() bool {
 	if e.stuck || e.passed && !e.counted {
 		return false
@@ -80,8 +81,8 @@
 	return true
 }
 
-// take returns the events that may be passed on of what arrived so far. What
-// comes after a misplaced event is worth nothing.
+// take adds received data and returns the events that may be forwarded. After a misplaced
+// event the rest of the response must be discarded.
 func (e *events) take(data []byte) ([]byte, misplacement) {
 	e.part = append(e.part, data...)
 	var out []byte
@@ -102,7 +103,7 @@
 	}
 }
 
-// overflow adds the part of an event that is too long to be kept.
+// overflow appends the incomplete event to out if it is too long to be buffered further.
 func (e *events) overflow(out []byte) ([]byte, misplacement) {
 	if len(e.part) < maxEvent {
 		return out, ""
@@ -120,7 +121,7 @@
 	return out, ""
 }
 
-// rest returns what came after the last whole event, at the stream's end.
+// rest returns the data after the last complete event, at the end of the stream.
 func (e *events) rest() ([]byte, misplacement) {
 	data := e.part
 	e.part = nil
@@ -134,16 +135,16 @@
 	return data, ""
 }
 
-// check notes an event and reports whether it is passed on, or why it does not
+// check records an event and reports whether it is to be forwarded, or why it does not
 // belong to the stream.
 func (e *events) check(event []byte) (bool, misplacement) {
 	if e.long {
-		e.long = false // its end; the first part was noted
+		e.long = false // end of an event whose first part was recorded
 		return true, ""
 	}
 	id, data := fields(event)
 	if id == nil && !data {
-		return true, "" // a comment, which may come twice
+		return true, "" // a comment; duplicates do no harm
 	}
 	n, ok := eventNumber(id)
 	if e.resumed {
@@ -155,8 +156,8 @@
 	return true, ""
 }
 
-// follows reports whether an event of an answer that resumes a stream is the
-// next one, or else why not; it says nothing of one that is left out.
+// follows reports whether an event of a resumed response is the next one, or else why not.
+// For a duplicate that is to be dropped, it returns false without a reason.
 func (e *events) follows(event []byte, n int64, ok bool) (bool, misplacement) {
 	switch {
 	case !ok:
@@ -174,7 +175,7 @@
 	return false, ""
 }
 
-// note remembers an event that is passed on.
+// note records an event that is forwarded.
 func (e *events) note(event, id []byte, n int64, ok bool) {
 	counted := ok && (!e.passed && !e.resumed || e.counted && n == e.number+1)
 	if !counted {
@@ -193,7 +194,7 @@
 	e.passed = true
 }
 
-// fields returns the id of an event, nil if it has none, and whether it has data.
+// fields returns the ID of an event, nil if it has none, and whether the event has data.
 func fields(event []byte) (id []byte, data bool) {
 	for line := range bytes.Lines(event) {
 		if rest, ok := bytes.CutPrefix(line, eventID); ok {
@@ -204,7 +205,7 @@
 	return id, data
 }
 
-// eventNumber returns the number that an id is.
+// eventNumber parses an event ID as a number.
 func eventNumber(id []byte) (int64, bool) {
 	n, err := strconv.ParseInt(string(id), 10, 64)
 	return n, err == nil && n >= 0 && n < math.MaxInt64
--- a/gateway/events_internal_test.go
+++ b/gateway/events_internal_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// passAll passes the pieces of an answer on and returns what the caller gets.
+// passAll feeds the pieces of a response to e and returns what the caller receives.
 func passAll(e *events, pieces ...string) (string, misplacement) {
 	var got strings.Builder
 	for _, p := range pieces {
@@ -36,22 +36,22 @@
 		why    misplacement
 	}{
 		{"next", three, three, ""},
-		{"nothing more", "", "", ""},
+		{"end of stream", "", "", ""},
 		{"comment first", ping + three, ping + three, ""},
-		{"comment again", ping + ping + three, ping + ping + three, ""},
-		{"last again", two + three, three, ""},
-		{"anew", one + two + three, three, ""},
-		{"anew, not to the end", one, "", ""},
-		{"later one missing", three + "id: 5\ndata: e\n\n", three, missing},
+		{"repeated comment", ping + ping + three, ping + ping + three, ""},
+		{"last event repeated", two + three, three, ""},
+		{"from the start", one + two + three, three, ""},
+		{"from the start, incomplete", one, "", ""},
+		{"later event missing", three + "id: 5\ndata: e\n\n", three, missing},
 		{"back to the first", three + one, three, ""},
 		{"zero", "id: 0\ndata: z\n\n" + three, "", otherRun},
-		{"below zero", "id: -1\ndata: z\n\n" + three, "", noNumber},
+		{"negative number", "id: -1\ndata: z\n\n" + three, "", noNumber},
 		{"data only", "data: c\n\n", "", noNumber},
 		{"id only", "id: 4\n\n", "", missing},
-		{"last part without an end", "id: 4\ndata: d", "", missing},
-		{"last part that follows", "id: 3\ndata: c", "id: 3\ndata: c", ""},
+		{"incomplete last event with a gap", "id: 4\ndata: d", "", missing},
+		{"incomplete last event", "id: 3\ndata: c", "id: 3\ndata: c", ""},
 		{"long", long, long, ""},
-		{"long, of another place", strings.Replace(long, "id: 3", "id: 4", 1), "", missing},
+		{"long, with a gap", strings.Replace(long, "id: 3", "id: 4", 1), "", missing},
 	} {
 		for size := 1; size <= len(c.answer)+1; size += 1 + len(c.answer)/40 {
 			e := &events{}
@@ -79,11 +79,11 @@
 
 func TestEventsThatCannotBeResumed(t *testing.T) {
 	for name, answer := range map[string]string{
-		"an event without id last":  "id: 1\ndata: a\n\ndata: b\n\n",
-		"an event without id first": "data: a\n\nid: 1\ndata: b\n\n",
-		"a number twice":            "id: 1\ndata: a\n\nid: 1\ndata: b\n\n",
-		"numbers that fall":         "id: 2\ndata: a\n\nid: 1\ndata: b\n\n",
-		"a long event":              "id: 1\ndata: " + strings.Repeat("x", maxEvent) + "\n\n",
+		"last event without ID":  "id: 1\ndata: a\n\ndata: b\n\n",
+		"first event without ID": "data: a\n\nid: 1\ndata: b\n\n",
+		"duplicate number":       "id: 1\ndata: a\n\nid: 1\ndata: b\n\n",
+		"decreasing numbers":     "id: 2\ndata: a\n\nid: 1\ndata: b\n\n",
+		"long event":             "id: 1\ndata: " + strings.Repeat("x", maxEvent) + "\n\n",
 	} {
 		e := &events{}
 		if got, why := passAll(e, split(answer, 8<<10)...); got != answer || why != "" {
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -8,7 +8,7 @@
 	"wardturn/decide"
 )
 
-// followConfig keeps the configuration up to date.
+// followConfig keeps the configuration up to date by long polls of the store.
 func (g *Gateway) followConfig() {
 	pause := configRetry
 	away := false
@@ -34,8 +34,8 @@
 				g.storeReturned()
 			}
 			g.apply(change, g.news.configKnown())
-			// Recorded last: whoever finds the configuration known as of a time has
-			// it in force up to then.
+			// Recorded last, so that a configuration known as of a time is also in force
+			// as of that time.
 			g.news.readConfig(asOf, change.To)
 			if g.upstreams.Load() {
 				g.crashes.readIfOld(g.news.readsForAll())
@@ -55,15 +55,16 @@
 	}
 }
 
-// storeReturned has records of this gateway that the store may have lost written again.
+// storeReturned triggers a rewrite of records that the store may have lost when it was
+// restored from an older copy.
 func (g *Gateway) storeReturned() {
 	g.returned.Store(true)
 	wake(g.crashes.reads)
 }
 
-// configWait returns the time of a waiting read of the configuration. While no upstream is
-// listed, no keeper is known by whom another gateway could pass its readings on, and all
-// read: the fewer the better.
+// configWait returns the wait of a long poll of the configuration. While no upstream is
+// registered, there is no keeper to forward announcements, so every gateway polls; longer
+// waits then limit the load on the store.
 func (g *Gateway) configWait() time.Duration {
 	if g.listed.Load() && !g.upstreams.Load() {
 		return configIdleWait
@@ -71,9 +72,9 @@
 	return configWait
 }
 
-// configAsOf returns a time at which the answer to a read of the configuration
-// was true: a waiting read that found nothing ended with its wait. One that ended
-// sooner met a record, also if that changes nothing here.
+// configAsOf returns a time as of which the result of a configuration read is current. A long
+// poll that found nothing is current as of the end of its wait. One that returned sooner
+// found a record, even if that changes nothing here, and counts as of the time it was sent.
 func configAsOf(sent time.Time, wait time.Duration, answered time.Time, c wardturn.ConfigChange, first bool) time.Time {
 	waited := sent.Add(wait)
 	if first || c.Table != nil || len(c.Versions) > 0 || answered.Before(waited) {
@@ -82,9 +83,9 @@
 	return waited
 }
 
-// apply puts a change of the configuration in force. An older version than the
-// present one is passed over. What changed was not so yet at the time known; zero:
-// nothing was known then.
+// apply applies a change of the configuration. A route table older than the current one is
+// ignored. The change was made after the time known, which is zero if no configuration was
+// known before.
 func (g *Gateway) apply(c wardturn.ConfigChange, known time.Time) {
 	now := g.clock.Now()
 	var out decide.Moves
@@ -117,7 +118,7 @@
 	g.links.update()
 }
 
-// limit sets the limits of callers' connections and starts to take them.
+// limit sets the limits of callers' connections and starts accepting requests.
 func (g *Gateway) limit(l wardturn.CallerLimits) {
 	g.served.Do(func() {
 		if l.MaxHeader > 0 {
@@ -133,8 +134,8 @@
 	})
 }
 
-// followMembers keeps the list of upstreams up to date, by own readings and by
-// those of other gateways.
+// followMembers keeps the list of upstreams up to date from its own reads and from announced
+// changes.
 func (g *Gateway) followMembers() {
 	for {
 		told, due, ok := g.news.awaitMembers(g.list.nextLapse())
@@ -151,7 +152,7 @@
 	}
 }
 
-// takeMembers takes the word of another gateway.
+// takeMembers applies a change that another gateway announced.
 func (g *Gateway) takeMembers(told toldMembers) {
 	now, ok := g.list.take(told.change, told.asOf)
 	if !ok {
@@ -195,11 +196,10 @@
 	}
 }
 
-// takePart takes the upstreams of plain services from a list that is still being
-// read, so that their requests need not wait for the rest, which takes most of a second
-// with thousands of upstreams.
-// Engines are taken all at once: requests for an adapter whose holder has not been
-// read yet would have it loaded elsewhere.
+// takePart applies the upstreams of plain services while the list is still being read, so
+// that their requests need not wait for the rest of it. Reading thousands of upstreams takes
+// most of a second. Engines are applied only with the complete list: otherwise a request for
+// an adapter whose engine has not been read yet would load the adapter elsewhere.
 func (g *Gateway) takePart(list []wardturn.Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,8 +207,8 @@
 	g.setPart()
 }
 
-// setPart puts the part of the list in force that came so far, once there is a
-// configuration; the lock is held.
+// setPart applies the part of the list received so far, if there is a configuration. The
+// caller must hold g.mu.
 func (g *Gateway) setPart() {
 	rs := g.routes.Load()
 	if rs == nil || g.part == nil {
@@ -220,7 +220,7 @@
 	g.fleet.SetMembers(g.clock.Now(), plain)
 }
 
-// doubtMembers has the list read soon.
+// doubtMembers marks the list as possibly out of date, so that it is read soon.
 func (g *Gateway) doubtMembers() {
 	g.news.doubtMembers()
 }
--- a/gateway/follow_internal_test.go
+++ b/gateway/follow_internal_test.go
@@ -18,12 +18,12 @@
 		want     time.Time
 	}{
 		{
-			name:     "nothing came in the whole wait",
+			name:     "no record within the wait",
 			answered: waited.Add(time.Millisecond),
 			want:     waited,
 		},
 		{
-			name:     "a record that changes nothing ended the wait",
+			name:     "a record without effect ended the wait",
 			answered: sent.Add(20 * time.Millisecond),
 			want:     sent,
 		},
@@ -36,7 +36,7 @@
 			want: sent,
 		},
 		{
-			name:     "the first read, which does not wait",
+			name:     "the first read, which returns without waiting",
 			answered: waited.Add(time.Millisecond),
 			first:    true,
 			want:     sent,
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -13,11 +13,11 @@
 	"wardturn/standin"
 )
 
-// stopWithin is how soon an engine must stop when the caller of its request has
-// left.
+// stopWithin is the time within which an engine must stop a request whose caller has
+// disconnected.
 const stopWithin = 500 * time.Millisecond
 
-var _ = Describe("A request whose caller leaves", func() {
+var _ = Describe("A request whose caller disconnects", func() {
 	var x *rig
 	active := func() int {
 		n := 0
@@ -26,7 +26,8 @@
 		}
 		return n
 	}
-	// call sends a request and returns what ends its caller's connection.
+	// call sends a request and, if read is positive, waits for that many bytes of the response.
+	// The returned function closes the caller's connection.
 	call := func(path, model string, read int) context.CancelFunc {
 		ctx, leave := context.WithCancel(context.Background())
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, x.front+path, strings.NewReader("prompt"))
@@ -45,7 +46,7 @@
 			defer GinkgoRecover()
 			res, err := client.Do(req)
 			if err != nil {
-				return // it has left
+				return // disconnected
 			}
 			defer res.Body.Close()
 			_, _ = io.ReadFull(res.Body, make([]byte, read))
@@ -68,7 +69,7 @@
 	})
 
 	for _, path := range []string{"/ask/x", "/resume/x", "/look/"} {
-		It("ends at its upstream before the first byte, on "+path, func() {
+		It("is canceled at its upstream before the first byte, on "+path, func() {
 			faults(standin.WorkerFaults{
 				Think: soon,
 			})
@@ -83,7 +84,7 @@
 		})
 	}
 
-	It("ends at its engine in the middle of a stream", func() {
+	It("is canceled at its engine in the middle of a stream", func() {
 		faults(standin.WorkerFaults{
 			Linger: soon,
 		})
@@ -93,7 +94,7 @@
 		Eventually(active, stopWithin, often).Should(BeZero())
 	})
 
-	It("reaches no engine when its adapter comes later", func() {
+	It("reaches no engine if its adapter is loaded later", func() {
 		faults(standin.WorkerFaults{
 			LoseOrders: true,
 		})
--- a/gateway/list_bench_test.go
+++ b/gateway/list_bench_test.go
@@ -22,10 +22,11 @@
 const (
 	listEngines = 148
 	listPlain   = 2852
-	listPage    = 500 // entries of one answer of the store
+	listPage    = 500 // entries per response of the store
 )
 
-// listStore serves a list of upstreams from answers that were made before.
+// listStore returns a store client whose server returns a list of upstreams from prepared
+// responses.
 func listStore(b *testing.B) *platform.Store {
 	b.Helper()
 	type item struct {
@@ -66,7 +67,7 @@
 	return platform.NewStore(s.Listener.Addr().String(), tally.NoopScope)
 }
 
-// newListGateway returns a gateway without goroutines of its own.
+// newListGateway returns a gateway without background goroutines.
 func newListGateway(b *testing.B, logger hclog.Logger) *Gateway {
 	b.Helper()
 	g := &Gateway{
@@ -104,8 +105,8 @@
 	})
 }
 
-// BenchmarkWholeList takes the list of a gateway's start, 3,000 upstreams, step by
-// step.
+// BenchmarkWholeList measures the steps of processing the initial list of 3,000 upstreams when
+// a gateway starts.
 func BenchmarkWholeList(b *testing.B) {
 	store := listStore(b)
 	logger := listLogger()
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -10,8 +10,8 @@
 	"wardturn/decide"
 )
 
-// Metrics are the gateway's counters and histograms. The series that it made are
-// kept, so that counting needs no look-up of labels.
+// Metrics holds the gateway's counters, gauges and histograms. The series of requests are
+// cached, so that counting a request needs no label lookup.
 type Metrics struct {
 	scope      tally.Scope
 	resends    tally.Counter
@@ -23,15 +23,15 @@
 	evacuated  tally.Gauge
 	window     tally.Gauge
 	sends      tally.Counter
-	direct     tally.Counter   // words of keepers, from themselves
-	relayed    tally.Counter   // by relays
-	answers    tally.Counter   // on what was asked for
-	oldBegan   tally.Histogram // from a newer version's name to the begin on an old one
-	oldEnded   tally.Counter   // requests broken off that had not begun on an old version
-	relaysLeft tally.Counter   // relays that told nothing, were behind, or lost their keeper
-	crashes    tally.Counter   // requests that were there when an upstream ended
-	staleKeys  tally.Counter   // requests refused because the keys were known too long ago
-	rests      tally.Counter   // answers of upstreams that asked for a rest
+	direct     tally.Counter   // keeper updates received directly
+	relayed    tally.Counter   // keeper updates received through relays
+	answers    tally.Counter   // keeper replies to requests of this gateway
+	oldBegan   tally.Histogram // time from the activation of a newer version to a start on an old one
+	oldEnded   tally.Counter   // requests aborted before they started on an old version
+	relaysLeft tally.Counter   // relays abandoned because they sent nothing, were behind, or lost the keeper
+	crashes    tally.Counter   // requests that were at an upstream when it crashed
+	staleKeys  tally.Counter   // requests rejected because the API keys were not refreshed in time
+	rests      tally.Counter   // responses in which an upstream asked to be sent no requests for a while
 	config     recordMetrics
 	members    recordMetrics
 
@@ -39,12 +39,12 @@
 	requests map[series]outcomeSeries
 }
 
-// recordMetrics tell of one record of the platform's store.
+// recordMetrics holds the metrics for reads of one record of the platform's store.
 type recordMetrics struct {
-	read   tally.Counter // readings of this gateway that had an answer
+	read   tally.Counter // successful reads by this gateway
 	failed tally.Counter
-	heard  tally.Counter // readings of other gateways
-	age    tally.Gauge   // of what is known, in seconds
+	heard  tally.Counter // reads announced by other gateways
+	age    tally.Gauge   // age of the local state, in seconds
 	causes map[decide.ReadCause]tally.Counter
 }
 
@@ -73,7 +73,7 @@
 	}
 }
 
-// series names the series of requests that ended alike.
+// series identifies the request metrics of one route and outcome.
 type series struct {
 	route   string
 	outcome string
@@ -84,10 +84,10 @@
 	time  tally.Histogram
 }
 
-// latencies are the buckets of latency histograms: 5 ms to 5 s.
+// latencies holds the buckets of the latency histograms, 5 ms to 5 s.
 var latencies = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 2, 11)
 
-// NewMetrics returns metrics in a scope.
+// NewMetrics returns metrics that report to scope.
 func NewMetrics(scope tally.Scope) *Metrics {
 	kind := func(k string) tally.Histogram {
 		return scope.Tagged(map[string]string{
@@ -126,21 +126,21 @@
 	}).Counter("keeper_words")
 }
 
-// misplaced counts an answer that did not go on where its stream should.
+// misplaced counts a response that did not resume its stream at the right event.
 func (m *Metrics) misplaced(why misplacement) {
 	m.scope.Tagged(map[string]string{
 		"reason": string(why),
 	}).Counter("streams_misplaced").Inc(1)
 }
 
-// beyondCap counts a request beyond its team's cap.
+// beyondCap counts a request that exceeded its team's cap.
 func (m *Metrics) beyondCap(team wardturn.TeamID) {
 	m.scope.Tagged(map[string]string{
 		"team": string(team),
 	}).Counter("beyond_cap").Inc(1)
 }
 
-// told counts a word of a keeper.
+// told counts an update from a keeper.
 func (m *Metrics) told(relayed, answer bool) {
 	switch {
 	case relayed:
@@ -152,7 +152,7 @@
 	}
 }
 
-// finished counts the end of a request.
+// finished records the outcome and duration of a request.
 func (m *Metrics) finished(x *exchange, outcome string) {
 	key := series{
 		outcome: outcome,
@@ -188,7 +188,7 @@
 	return s
 }
 
-// loaded counts an adapter that arrived.
+// loaded records the load time of an adapter.
 func (m *Metrics) loaded(n decide.LoadNote) {
 	if n.Warm {
 		m.warm.RecordDuration(n.Took)
@@ -197,7 +197,7 @@
 	m.loads.RecordDuration(n.Took)
 }
 
-// levels takes the present sizes of queues and windows.
+// levels updates the gauges of queue and window sizes.
 func (m *Metrics) levels(l decide.Levels) {
 	m.waiting.Update(float64(l.Waiting))
 	m.under.Update(float64(l.Under))
--- a/gateway/parts_test.go
+++ b/gateway/parts_test.go
@@ -13,15 +13,15 @@
 	"wardturn/platform"
 )
 
-var _ = Describe("A gateway whose list of upstreams comes in parts", func() {
+var _ = Describe("A gateway that receives the list of upstreams in pages", func() {
 	var (
 		x      *rig
 		late   *gateway.Gateway
-		rest   atomic.Bool // the second part may come
-		config atomic.Bool // the configuration may come
+		rest   atomic.Bool // the second page may be returned
+		config atomic.Bool // the configuration may be returned
 	)
-	// start starts a gateway to which the engine e0 comes with the plain upstreams, and
-	// e1 with the second part.
+	// start starts a gateway that receives the engine e0 with the plain upstreams in the first
+	// page and e1 in the second one.
 	start := func() {
 		ln := listen("127.0.0.1:0")
 		serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -43,19 +43,19 @@
 		x = newRig()
 		rest.Store(false)
 		config.Store(true)
-		DeferCleanup(func() { // calls that are held back end
+		DeferCleanup(func() { // let delayed calls complete
 			rest.Store(true)
 			config.Store(true)
 		})
 	})
 
-	It("serves plain requests before the rest is there", func() {
+	It("serves requests for plain services before the list is complete", func() {
 		start()
 		Eventually(status("/charge/", ""), soon, often).Should(Equal(http.StatusOK))
 		Expect(late.Ready()).To(BeFalse())
 	})
 
-	It("does so also if the configuration comes later", func() {
+	It("does so if the configuration arrives later", func() {
 		config.Store(false)
 		start()
 		time.Sleep(100 * time.Millisecond)
@@ -64,7 +64,7 @@
 		Expect(late.Ready()).To(BeFalse())
 	})
 
-	It("uses no engine before it knows them all", func() {
+	It("uses no engine before the list is complete", func() {
 		start()
 		Eventually(status("/charge/", ""), soon, often).Should(Equal(http.StatusOK))
 		before := x.engines[0].Total()
--- a/gateway/storecalls_test.go
+++ b/gateway/storecalls_test.go
@@ -18,11 +18,11 @@
 	topicCrashes  = "keyed.wardturn.crashes"
 )
 
-// Before the upstreams have entered themselves no gateway hears another: each read the
-// configuration and the crashes each 1.2 s, twenty calls of the store for each host that
-// starts.
-var _ = Describe("A gateway that knows no upstream", func() {
-	It("asks the store little, and for crashes once there is one", func() {
+// Before upstreams are registered, gateways cannot receive each other's announcements. Each
+// gateway then read the configuration and the crashes every 1.2 s, which cost twenty store
+// calls for each host that started.
+var _ = Describe("A gateway without upstreams", func() {
+	It("reads the configuration rarely, and the crashes once there is an upstream", func() {
 		x := newRig()
 		store := standin.NewMetaStore()
 		ln := listen("127.0.0.1:0")
@@ -33,7 +33,7 @@
 		Expect(store.ReadsOf(topicOperator)).To(BeNumerically("<=", 3))
 		Expect(store.ReadsOf(topicCrashes)).To(BeZero())
 		store.PutConfig(config(2, newRoute))
-		Eventually(x.log.String, 500*time.Millisecond, often).Should(ContainSubstring("configuration in force: version=2"), "a change is seen at once")
+		Eventually(x.log.String, 500*time.Millisecond, often).Should(ContainSubstring("configuration in force: version=2"), "a change is applied immediately")
 		m := x.apps[0]
 		store.PutServer(m.ID(), m.Entry("app", x.addrs[m], "d", "ready"))
 		Eventually(func() int {
@@ -42,12 +42,13 @@
 	})
 })
 
-// A change of more upstreams than are told had all that heard of it read at once, and tell
-// the same: up to four readings a second of each gateway, while upstreams enter the list.
-var _ = Describe("Gateways before which many upstreams enter the list", func() {
-	It("read it in turn", func() {
+// When a change was too long to be announced in full, all gateways that received the
+// announcement read the list at once and announced the same change again: up to four reads per
+// second and gateway while upstreams registered.
+var _ = Describe("Gateways while many upstreams register", func() {
+	It("read the list as scheduled", func() {
 		const (
-			drain = 4 * time.Second // it is read each half of that
+			drain = 4 * time.Second // the list is read every half of that
 			span  = 3 * time.Second
 			more  = 5
 		)
@@ -56,7 +57,7 @@
 			g, _, _ := x.startGateway(wardturn.Incarnation(fmt.Sprint("more", i)), platform.NewStore(x.storeAddr, x.metrics))
 			Eventually(g.Ready, soon, often).Should(BeTrue())
 		}
-		time.Sleep(drain) // all have heard the one that reads
+		time.Sleep(drain) // all have received announcements of the one that reads
 		before := x.store.ReadsOf(topicServers)
 		n := 0
 		for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
--- a/gateway/storereturn_test.go
+++ b/gateway/storereturn_test.go
@@ -12,12 +12,12 @@
 	"wardturn/standin"
 )
 
-// applyBound is by when a change of the configuration is in force at each gateway.
+// applyBound is the time within which a configuration change must be in force at each gateway.
 const applyBound = 2 * time.Second
 
-// Gateways that compared positions across the return took what they had for the newest,
-// until the store had given out the offsets that they knew once more.
-var _ = Describe("A store that comes back from an older copy", func() {
+// Gateways that compared positions from before and after the restore considered their own state
+// newer, and ignored changes until the store had assigned the offsets they knew again.
+var _ = Describe("A store that is restored from an older copy", func() {
 	var x *rig
 	var fronts []string
 	version := 0
@@ -39,7 +39,7 @@
 		_, r := x.with(front, path, "", nil)
 		return r.status == http.StatusOK
 	}
-	// expectInForce expects that a route that was just added is served in time.
+	// expectInForce expects that a route that was just added is served within applyBound.
 	expectInForce := func(path string) {
 		GinkgoHelper()
 		within := time.Now().Add(applyBound)
@@ -50,13 +50,13 @@
 		}
 	}
 
-	It("has later changes in force at all gateways in time", func() {
+	It("has its later changes applied by all gateways in time", func() {
 		old := x.store.Copy()
 		for range 5 {
 			change("")
 			time.Sleep(50 * time.Millisecond)
 		}
-		time.Sleep(applyBound) // all gateways have read up to there
+		time.Sleep(applyBound) // all gateways have read these changes
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
@@ -68,7 +68,7 @@
 		expectInForce("/new/a")
 	})
 
-	It("has a change in force that took the place of a lost one", func() {
+	It("has a change applied that replaces a lost one", func() {
 		old := x.store.Copy()
 		change("")
 		time.Sleep(applyBound)
@@ -80,7 +80,7 @@
 		expectInForce("/new/a")
 	})
 
-	It("goes on serving by what was in force, and with upstreams that have not entered again", func() {
+	It("leaves the configuration and upstreams in use that were known before", func() {
 		old := x.store.Copy()
 		change(newRoute)
 		expectInForce("/new/a")
@@ -97,10 +97,10 @@
 				Expect(serves(front, "/new/a")).To(BeTrue())
 			}
 		}
-		Expect(arrivalsAfter(x.apps[0], after)).To(BeZero(), "it had left")
+		Expect(arrivalsAfter(x.apps[0], after)).To(BeZero(), "a0 had left")
 	})
 
-	It("has failure domains stay evacuated until the operator has evacuated them again", func() {
+	It("leaves domains evacuated until the operator has evacuated them again", func() {
 		old := x.store.Copy()
 		after := x.evacuate("d")
 		time.Sleep(time.Until(after))
@@ -111,7 +111,7 @@
 		Expect(x.arrivedAfter("d", after)).To(BeZero())
 	})
 
-	It("has them serve again if he does not", func() {
+	It("lets evacuated domains serve again if the operator does not", func() {
 		old := x.store.Copy()
 		after := x.evacuate("d")
 		time.Sleep(time.Until(after))
@@ -120,7 +120,7 @@
 		Expect(x.arrivedAfter("d", after)).To(BeNumerically(">", 0))
 	})
 
-	It("is followed through two returns, one shortly after the other", func() {
+	It("has changes applied after two restores in short succession", func() {
 		old := x.store.Copy()
 		change("")
 		x.store.ComeBack(old)
@@ -133,5 +133,5 @@
 	})
 })
 
-// leftIn is by when requests that were sent to an upstream before it left have arrived.
+// leftIn is the time within which requests sent to an upstream before it left arrive there.
 const leftIn = 100 * time.Millisecond
