--- a/gateway/caps.go
+++ b/gateway/caps.go
@@ -18,29 +18,29 @@
 
 	mu    sync.Mutex
 	teams *decide.TeamCaps
-	words int // messages sent so far
+	sent  int // messages sent so far
 
-	pressing chan struct{} // requests a message before the next interval
+	urgent chan struct{} // requests a message before the next interval
 }
 
-// capEvery is the interval at which it is checked whether a usage message is due.
-const capEvery = 200 * time.Millisecond
+// capInterval is the interval at which it is checked whether a usage message is due.
+const capInterval = 200 * time.Millisecond
 
-// capGroup is the number of gateways that send their usage messages through the same keepers,
+// capRelayGroup is the number of gateways that send their usage messages through the same keepers,
 // so that a keeper can merge several of them into one message. With a single group, two
 // keepers would carry the load of all gateways.
-const capGroup = 16
+const capRelayGroup = 16
 
 // relayKey returns the key that selects the keepers for this gateway's usage messages.
 func (c *caps) relayKey(gateways int) string {
-	groups := gateways/capGroup + 1
-	return "caps/" + strconv.Itoa(bucketOf(string(c.g.cfg.Process), groups))
+	groups := gateways/capRelayGroup + 1
+	return "caps/" + strconv.Itoa(hashBucket(string(c.g.cfg.Process), groups))
 }
 
 func newCaps(g *Gateway) *caps {
 	return &caps{
-		g:        g,
-		pressing: make(chan struct{}, 1),
+		g:      g,
+		urgent: make(chan struct{}, 1),
 		teams: decide.NewTeamCaps(g.clock.Now(), g.cfg.Process, decide.TeamCapConfig{
 			EqualShares: g.cfg.EqualCapShares,
 		}),
@@ -60,23 +60,23 @@
 	c.teams.Recall(c.g.clock.Now(), gateways)
 }
 
-// tellPressing sends a usage message whenever one cannot wait for the next interval, until the
+// sendUrgent sends a usage message whenever one cannot wait for the next interval, until the
 // gateway shuts down.
-func (c *caps) tellPressing() {
+func (c *caps) sendUrgent() {
 	for {
 		select {
-		case <-c.pressing:
-			c.tell()
+		case <-c.urgent:
+			c.announce()
 		case <-c.g.tasks.Context().Done():
 			return
 		}
 	}
 }
 
-// tell sends the usage at this gateway to the others if a message is due. Messages go to two
+// announce sends the usage at this gateway to the others if a message is due. Messages go to two
 // keepers in each failure domain alternately. Totals are cumulative, so the next message
 // makes up for a lost one.
-func (c *caps) tell() {
+func (c *caps) announce() {
 	if !c.g.keyed() {
 		return
 	}
@@ -87,9 +87,9 @@
 	now := c.g.clock.Now()
 	c.teams.SetGateways(now, counted)
 	w, due := c.teams.Word(now)
-	turn := c.words
+	turn := c.sent
 	if due {
-		c.words++
+		c.sent++
 	}
 	c.mu.Unlock()
 	if !due {
@@ -98,7 +98,7 @@
 	m := &peer.TeamUse{
 		Words: []decide.TeamWord{w},
 	}
-	for _, conn := range c.g.links.capConns(c.relayKey(counted), turn) {
+	for _, conn := range c.g.links.alternatingConns(c.relayKey(counted), turn) {
 		// Errors are ignored: the next message makes up for a lost one.
 		_ = conn.Send(m)
 	}
@@ -130,10 +130,10 @@
 	pressing := c.teams.Pressing(x.g.clock.Now(), x.team.ID)
 	c.mu.Unlock()
 	if pressing {
-		wake(c.pressing)
+		signal(c.urgent)
 	}
 	if !ok {
-		x.refuseBeyondCap(retryAfter, left)
+		x.rejectOverCap(retryAfter, left)
 	}
 	return ok
 }
@@ -149,9 +149,9 @@
 	c.teams.GiveBack(x.team.ID, x.units)
 }
 
-// refuseBeyondCap rejects a request that exceeds its team's cap. Left is the remainder of the
+// rejectOverCap rejects a request that exceeds its team's cap. Left is the remainder of the
 // cap, in seconds of its rate.
-func (x *exchange) refuseBeyondCap(retryAfter time.Duration, left float64) {
+func (x *exchange) rejectOverCap(retryAfter time.Duration, left float64) {
 	x.comeBack(retryAfter)
 	x.g.metrics.finished(x, "beyond_cap")
 	x.g.metrics.beyondCap(x.team.ID)
--- a/gateway/caps_internal_test.go
+++ b/gateway/caps_internal_test.go
@@ -58,7 +58,7 @@
 			t.Fatalf("%s tokens exceed the cap", tokens)
 		}
 		select {
-		case <-g.caps.pressing:
+		case <-g.caps.urgent:
 			return true
 		default:
 			return false
@@ -66,7 +66,7 @@
 	}
 	clock.now = clock.now.Add(5 * time.Second)
 	g.caps.teams.Word(clock.now)
-	clock.now = clock.now.Add(capEvery / 2)
+	clock.now = clock.now.Add(capInterval / 2)
 	if charge("1,0") {
 		t.Error("a single token requests a message")
 	}
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -21,71 +21,71 @@
 // cannot reach each other. Without this tracking, a request that crashes its upstream would
 // crash another one each time it is repeated.
 type crashes struct {
-	g      *Gateway
-	record wardturn.CrashRecord
-	reads  chan struct{} // requests a read of the store
-	writes chan struct{} // requests a write of the records that are due
-
-	mu       sync.Mutex
-	book     *decide.Crashes
-	checking map[wardturn.UpstreamID]bool
-	unsent   bool              // a crash could not be announced because no keeper was connected
-	readTo   wardturn.Position // position up to which the store was read
-	readAt   time.Time         // when readTo was last known to be current; zero before the first read
+	g           *Gateway
+	record      wardturn.CrashRecord
+	readSignal  chan struct{} // requests a read of the store
+	writeSignal chan struct{} // requests a write of the records that are due
+
+	mu           sync.Mutex
+	tracker      *decide.Crashes
+	checking     map[wardturn.UpstreamID]bool
+	unannounced  bool              // a crash could not be announced because no keeper was connected
+	readPosition wardturn.Position // position up to which the store was read
+	readAt       time.Time         // when readPosition was last known to be current; zero before the first read
 }
 
 func newCrashes(g *Gateway, record wardturn.CrashRecord) *crashes {
 	return &crashes{
-		g:        g,
-		record:   record,
-		reads:    make(chan struct{}, 1),
-		writes:   make(chan struct{}, 1),
-		book:     decide.NewCrashes(g.cfg.Crashes),
-		checking: make(map[wardturn.UpstreamID]bool),
+		g:           g,
+		record:      record,
+		readSignal:  make(chan struct{}, 1),
+		writeSignal: make(chan struct{}, 1),
+		tracker:     decide.NewCrashes(g.cfg.Crashes),
+		checking:    make(map[wardturn.UpstreamID]bool),
 	}
 }
 
-// wake signals the goroutine that waits on c, without blocking.
-func wake(c chan struct{}) {
+// signal signals the goroutine that waits on c, without blocking.
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// refuses reports whether requests with this content are rejected, and for how much longer.
-func (c *crashes) refuses(content wardturn.ContentID) (time.Duration, bool) {
+// rejects reports whether requests with this content are rejected, and for how much longer.
+func (c *crashes) rejects(content wardturn.ContentID) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.book.Refuses(c.g.clock.Now(), content)
+	return c.tracker.Refuses(c.g.clock.Now(), content)
 }
 
-// answered records that an upstream completed a request with this content.
-func (c *crashes) answered(content wardturn.ContentID) {
+// completed records that an upstream completed a request with this content.
+func (c *crashes) completed(content wardturn.ContentID) {
 	c.mu.Lock()
-	suspected := c.book.Answered(c.g.clock.Now(), content)
+	suspected := c.tracker.Answered(c.g.clock.Now(), content)
 	c.mu.Unlock()
 	if !suspected {
 		return
 	}
 	c.g.logger.Info("request not suspected any more, it was answered", "content", content)
-	c.tell(&peer.CrashNews{
+	c.announce(&peer.CrashNews{
 		Cleared: []wardturn.ContentID{content},
 	})
-	wake(c.writes)
+	signal(c.writeSignal)
 }
 
-// broke records that a send received no complete response. If check is set, the connection
+// interrupted records that a send received no complete response. If check is set, the connection
 // was not closed by this gateway, and it is checked whether the upstream has crashed.
-func (c *crashes) broke(m wardturn.Member, content wardturn.ContentID, check bool) {
+func (c *crashes) interrupted(m wardturn.Member, content wardturn.ContentID, check bool) {
 	c.mu.Lock()
-	fresh := c.book.Broke(c.g.clock.Now(), content, m.ID)
+	fresh := c.tracker.Broke(c.g.clock.Now(), content, m.ID)
 	check = check && !c.checking[m.ID]
 	if check {
 		c.checking[m.ID] = true
 	}
 	c.mu.Unlock()
-	c.saw(fresh)
+	c.observed(fresh)
 	if check {
 		c.g.tasks.Go(func() {
 			c.check(m)
@@ -113,76 +113,76 @@
 	c.mu.Lock()
 	now := c.g.clock.Now()
 	for _, id := range ids {
-		fresh = append(fresh, c.book.Ended(now, id)...)
+		fresh = append(fresh, c.tracker.Ended(now, id)...)
 	}
 	c.mu.Unlock()
-	c.saw(fresh)
+	c.observed(fresh)
 }
 
-// saw announces crashes that were observed here to the other gateways.
-func (c *crashes) saw(fresh []wardturn.Crash) {
+// observed announces crashes that were observed here to the other gateways.
+func (c *crashes) observed(fresh []wardturn.Crash) {
 	if len(fresh) == 0 {
 		return
 	}
 	c.g.metrics.crashes.Inc(int64(len(fresh)))
 	c.g.logger.Info("upstream ended under requests", "upstream", fresh[0].Upstream, "requests", len(fresh))
-	told := c.tell(&peer.CrashNews{
+	told := c.announce(&peer.CrashNews{
 		Crashes: fresh,
 	})
 	c.mu.Lock()
-	c.unsent = c.unsent || !told
+	c.unannounced = c.unannounced || !told
 	c.mu.Unlock()
-	c.counted(fresh)
+	c.handleNew(fresh)
 }
 
-// tell sends a message to the other gateways and reports whether any keeper is connected to
+// announce sends a message to the other gateways and reports whether any keeper is connected to
 // forward it. Gateways that miss the message read the crashes from the store once there are
 // enough of them to be recorded.
-func (c *crashes) tell(m *peer.CrashNews) bool {
-	conns := c.g.links.newsConns(string(c.g.cfg.Process) + "/crashes")
+func (c *crashes) announce(m *peer.CrashNews) bool {
+	conns := c.g.links.announcementConns(string(c.g.cfg.Process) + "/crashes")
 	for _, conn := range conns {
 		_ = conn.Send(m)
 	}
 	return len(conns) > 0
 }
 
-// counted handles newly known crashes. If a content is now rejected, its requests that no
+// handleNew handles newly known crashes. If a content is now rejected, its requests that no
 // upstream has started yet are aborted.
-func (c *crashes) counted(fresh []wardturn.Crash) {
+func (c *crashes) handleNew(fresh []wardturn.Crash) {
 	for _, crash := range fresh {
-		if _, refused := c.refuses(crash.Content); !refused {
+		if _, refused := c.rejects(crash.Content); !refused {
 			continue
 		}
 		n := c.g.notStarted.breakOffContent(crash.Content)
 		c.g.logger.Warn("request is refused, upstreams ended under it", "content", crash.Content, "latest", crash.Upstream, "broken_off", n)
 	}
 	if len(fresh) > 0 {
-		wake(c.writes)
+		signal(c.writeSignal)
 	}
 }
 
 // receive handles a message of another gateway.
 func (c *crashes) receive(m *peer.CrashNews) {
 	c.mu.Lock()
-	fresh := c.book.Heard(c.g.clock.Now(), m.Crashes)
-	c.book.Cleared(m.Cleared)
-	known := c.readTo
+	fresh := c.tracker.Heard(c.g.clock.Now(), m.Crashes)
+	c.tracker.Cleared(m.Cleared)
+	known := c.readPosition
 	c.mu.Unlock()
-	c.counted(fresh)
+	c.handleNew(fresh)
 	if m.Read == nil {
 		return
 	}
 	if m.Read.From > known {
-		wake(c.reads) // changes in between were missed
+		signal(c.readSignal) // changes in between were missed
 		return
 	}
-	c.read(*m.Read)
+	c.apply(*m.Read)
 }
 
 // refuseCrashing reports whether the request is rejected because its content crashes
 // upstreams, and records when it may be retried.
 func (x *exchange) refuseCrashing() bool {
-	left, refused := x.g.crashes.refuses(x.content)
+	left, refused := x.g.crashes.rejects(x.content)
 	if refused {
 		x.refusal = &refusal{
 			reason:     wardturn.ReasonCrashes,
@@ -199,10 +199,10 @@
 func (x *exchange) noteContent(a assignment, res result, limit error) {
 	switch res {
 	case passed:
-		x.g.crashes.answered(x.content)
+		x.g.crashes.completed(x.content)
 	case unknown, cut, left:
 		if !x.send.brokenOff && !x.slowCaller() {
-			x.g.crashes.broke(a.Member, x.content, res != left && limit == nil)
+			x.g.crashes.interrupted(a.Member, x.content, res != left && limit == nil)
 		}
 	}
 }
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -8,71 +8,71 @@
 )
 
 const (
-	// crashGather is how long crashes are batched into one write to the store.
-	crashGather = 50 * time.Millisecond
-	// crashRetry is the initial delay after a failed write, doubled up to crashMaxRetry.
+	// crashBatchDelay is how long crashes are batched into one write to the store.
+	crashBatchDelay = 50 * time.Millisecond
+	// crashRetryDelay is the initial delay after a failed write, doubled up to crashMaxRetryDelay.
 	// During a store outage all gateways may have crashes to write, and calls are costly.
-	crashRetry    = 500 * time.Millisecond
-	crashMaxRetry = 4 * time.Second
-	// crashReadEvery is the maximum age of the crash records at the gateway that reads the
+	crashRetryDelay    = 500 * time.Millisecond
+	crashMaxRetryDelay = 4 * time.Second
+	// crashMaxAge is the maximum age of the crash records at the gateway that reads the
 	// configuration on behalf of all. It is checked after each configuration read.
-	crashReadEvery = time.Second
-	// crashReadOthers is the maximum age at the other gateways. It is longer because all
+	crashMaxAge = time.Second
+	// crashMaxAgeOthers is the maximum age at the other gateways. It is longer because all
 	// gateways read the configuration after a change, and would all read the crashes too.
-	crashReadOthers = 3 * time.Second
+	crashMaxAgeOthers = 3 * time.Second
 )
 
-// reading describes the latest read of the crash records, for announcements. It returns nil
+// describeRead describes the latest read of the crash records, for announcements. It returns nil
 // before the first read.
-func (c *crashes) reading() *peer.CrashReading {
+func (c *crashes) describeRead() *peer.CrashReading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.readAt.IsZero() {
 		return nil
 	}
 	return &peer.CrashReading{
-		To:  c.readTo,
+		To:  c.readPosition,
 		Age: c.g.clock.Now().Sub(c.readAt),
 	}
 }
 
-// mergeReading handles another gateway's description of its latest read.
-func (c *crashes) mergeReading(r *peer.CrashReading) {
+// mergeRead handles another gateway's description of its latest read.
+func (c *crashes) mergeRead(r *peer.CrashReading) {
 	if r == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r.To > c.readTo {
-		wake(c.reads)
+	if r.To > c.readPosition {
+		signal(c.readSignal)
 		return
 	}
 	at := c.g.clock.Now().Add(-r.Age)
-	if r.To == c.readTo && !c.readAt.IsZero() && at.After(c.readAt) {
+	if r.To == c.readPosition && !c.readAt.IsZero() && at.After(c.readAt) {
 		c.readAt = at
 	}
 }
 
-// readIfOld requests a read of the crash records if they are older than the maximum age,
+// readIfStale requests a read of the crash records if they are older than the maximum age,
 // which depends on whether this gateway reads for all. It is called after a successful
 // configuration read.
-func (c *crashes) readIfOld(forAll bool) {
+func (c *crashes) readIfStale(forAll bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	bound := crashReadOthers
+	bound := crashMaxAgeOthers
 	if forAll {
-		bound = crashReadEvery
+		bound = crashMaxAge
 	}
 	if c.readAt.IsZero() || c.g.clock.Now().Sub(c.readAt) >= bound {
-		wake(c.reads)
+		signal(c.readSignal)
 	}
 }
 
-// follow reads the crash records whenever a read is requested, until the gateway shuts down.
-func (c *crashes) follow() {
+// readLoop reads the crash records whenever a read is requested, until the gateway shuts down.
+func (c *crashes) readLoop() {
 	failing := false
 	first := true
-	for c.await(c.reads) {
+	for c.awaitSignal(c.readSignal) {
 		change, err := c.record.Next()
 		if err != nil {
 			if !failing {
@@ -82,9 +82,9 @@
 			continue
 		}
 		failing = false
-		c.read(change)
+		c.apply(change)
 		if !first && change.To > change.From {
-			c.tell(&peer.CrashNews{
+			c.announce(&peer.CrashNews{
 				Read: &change,
 			})
 		}
@@ -92,8 +92,8 @@
 	}
 }
 
-// await waits for a signal on ask. It reports false when the gateway shuts down.
-func (c *crashes) await(ask chan struct{}) bool {
+// awaitSignal waits for a signal on ask. It reports false when the gateway shuts down.
+func (c *crashes) awaitSignal(ask chan struct{}) bool {
 	select {
 	case <-ask:
 		return true
@@ -102,32 +102,32 @@
 	}
 }
 
-// read applies a change that was read from the store, here or by another gateway.
-func (c *crashes) read(change wardturn.CrashChange) {
+// apply applies a change that was read from the store, here or by another gateway.
+func (c *crashes) apply(change wardturn.CrashChange) {
 	c.mu.Lock()
-	c.readTo = max(c.readTo, change.To)
+	c.readPosition = max(c.readPosition, change.To)
 	c.readAt = c.g.clock.Now()
 	if change.Returned {
-		c.book.RecordsLost(c.g.clock.Now())
+		c.tracker.RecordsLost(c.g.clock.Now())
 	}
-	fresh := c.book.Recorded(c.g.clock.Now(), change.Crashes)
-	c.book.TakenBack(change.Cleared)
+	fresh := c.tracker.Recorded(c.g.clock.Now(), change.Crashes)
+	c.tracker.TakenBack(change.Cleared)
 	c.mu.Unlock()
-	c.counted(fresh)
+	c.handleNew(fresh)
 	if change.Returned {
-		wake(c.writes)
+		signal(c.writeSignal)
 	}
 }
 
-// write writes due records to the store whenever requested, until the gateway shuts down.
-func (c *crashes) write() {
-	for c.await(c.writes) && c.g.tasks.Pause(crashGather) {
-		pause := crashRetry
+// writeLoop writes due records to the store whenever requested, until the gateway shuts down.
+func (c *crashes) writeLoop() {
+	for c.awaitSignal(c.writeSignal) && c.g.tasks.Pause(crashBatchDelay) {
+		pause := crashRetryDelay
 		for !c.writeDue() {
 			if !c.g.tasks.Pause(pause) {
 				return
 			}
-			pause = min(2*pause, crashMaxRetry)
+			pause = min(2*pause, crashMaxRetryDelay)
 		}
 	}
 }
@@ -135,9 +135,9 @@
 // writeDue writes the records that are due. It reports false if the write failed.
 func (c *crashes) writeDue() bool {
 	c.mu.Lock()
-	list, takeBack := c.book.Due(c.g.clock.Now(), c.unsent)
-	all := c.unsent
-	c.unsent = false
+	list, takeBack := c.tracker.Due(c.g.clock.Now(), c.unannounced)
+	all := c.unannounced
+	c.unannounced = false
 	c.mu.Unlock()
 	if len(list)+len(takeBack) == 0 {
 		return true
@@ -146,12 +146,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.unsent = c.unsent || all
+		c.unannounced = c.unannounced || all
 		c.g.logger.Warn("crashes not recorded", "crashes", len(list), "taken_back", len(takeBack), "error", err)
 		return false
 	}
 	c.g.logger.Info("crashes recorded", "crashes", len(list), "taken_back", len(takeBack))
-	c.book.Written(list, takeBack)
+	c.tracker.Written(list, takeBack)
 	return true
 }
 
@@ -159,10 +159,10 @@
 func (c *crashes) sweep() {
 	c.mu.Lock()
 	now := c.g.clock.Now()
-	c.book.Sweep(now)
-	crashes, takeBack := c.book.Due(now, false)
+	c.tracker.Sweep(now)
+	crashes, takeBack := c.tracker.Due(now, false)
 	c.mu.Unlock()
 	if len(crashes)+len(takeBack) > 0 {
-		wake(c.writes)
+		signal(c.writeSignal)
 	}
 }
--- a/gateway/crashrecord_internal_test.go
+++ b/gateway/crashrecord_internal_test.go
@@ -32,19 +32,19 @@
 		c := newCrashes(&Gateway{
 			clock: clock,
 		}, nil)
-		c.book = decide.NewCrashes(decide.CrashConfig{})
-		c.read(wardturn.CrashChange{})
+		c.tracker = decide.NewCrashes(decide.CrashConfig{})
+		c.apply(wardturn.CrashChange{})
 		gateways = append(gateways, c)
 	}
 	readAt := clock.now
 	for i := range 40 {
 		clock.now = clock.now.Add(configWait / 2)
 		c, other := gateways[i%2], gateways[(i+1)%2]
-		other.mergeReading(c.reading())
-		c.readIfOld(true)
+		other.mergeRead(c.describeRead())
+		c.readIfStale(true)
 		select {
-		case <-c.reads:
-			c.read(wardturn.CrashChange{})
+		case <-c.readSignal:
+			c.apply(wardturn.CrashChange{})
 			readAt = clock.now
 		default:
 		}
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -20,14 +20,14 @@
 	f(g.clock.Now(), &out)
 	readings := g.fleet.Readings()
 	g.mu.Unlock()
-	g.links.tellReadings(readings)
-	g.carry(out)
+	g.links.sendReadings(readings)
+	g.execute(out)
 }
 
-// carry carries out the moves of a decision. It must be called without g.mu held.
-func (g *Gateway) carry(out decide.Moves) {
+// execute carries out the moves of a decision. It must be called without g.mu held.
+func (g *Gateway) execute(out decide.Moves) {
 	for _, n := range out.Loads {
-		g.metrics.loaded(n)
+		g.metrics.loadDone(n)
 		g.logger.Info("adapter there", "adapter", n.Adapter.Adapter, "version", n.Adapter.Version, "upstream", n.Upstream, "took", n.Took, "waited", n.Waited, "warm", n.Warm, "cause", n.Cause, "window", n.Window, "under_way", n.Under)
 	}
 	for _, v := range out.Ended {
@@ -36,7 +36,7 @@
 	for _, id := range out.Leaving {
 		g.logger.Info("upstream says that it leaves", "upstream", id)
 	}
-	g.links.ask(out)
+	g.links.sendLoadRequests(out)
 }
 
 func (g *Gateway) admit(t *decide.Ticket) {
@@ -56,7 +56,7 @@
 	g.fleet.Began(id, prompt)
 	readings := g.fleet.Readings()
 	g.mu.Unlock()
-	g.links.tellReadings(readings)
+	g.links.sendReadings(readings)
 }
 
 // readPrompt records how long an upstream took to process prompts.
@@ -78,7 +78,7 @@
 	g.mu.Lock()
 	g.fleet.Misplaced(id)
 	g.mu.Unlock()
-	g.doubtMembers()
+	g.markMembersStale()
 }
 
 // timed records the response time of a plain upstream, or that it was at capacity.
@@ -103,7 +103,7 @@
 	g.mu.Lock()
 	g.fleet.Refused(g.clock.Now(), id)
 	g.mu.Unlock()
-	g.doubtMembers()
+	g.markMembersStale()
 }
 
 func (g *Gateway) notHeld(id wardturn.UpstreamID, key wardturn.ModelAdapter) {
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// maxEvent is the maximum size in bytes of an incomplete event that is buffered. Longer
+	// maxEventSize is the maximum size in bytes of an incomplete event that is buffered. Longer
 	// events are forwarded in parts, and their stream cannot be resumed.
-	maxEvent = 64 << 10
-	// maxSums is the maximum number of events per stream whose checksum (8 bytes) is kept.
+	maxEventSize = 64 << 10
+	// maxChecksums is the maximum number of events per stream whose checksum (8 bytes) is kept.
 	// Later events are not recognised as duplicates.
-	maxSums = 4096
+	maxChecksums = 4096
 )
 
 var (
@@ -27,13 +27,13 @@
 type misplacement string
 
 const (
-	// missing: events between the caller's last one and this one are missing.
-	missing misplacement = "missing"
-	// otherRun: a repeated event differs from the one the caller has, so the response is
+	// mismatchMissing: events between the caller's last one and this one are missing.
+	mismatchMissing misplacement = "missing"
+	// mismatchOtherRun: a repeated event differs from the one the caller has, so the response is
 	// from another run of the request.
-	otherRun misplacement = "other_run"
-	// noNumber: the event has no number, so its position is unknown.
-	noNumber misplacement = "no_number"
+	mismatchOtherRun misplacement = "other_run"
+	// mismatchNoNumber: the event has no number, so its position is unknown.
+	mismatchNoNumber misplacement = "no_number"
 	// repeated: the caller already has the event. It is dropped and the stream continues.
 	repeated misplacement = "repeated"
 )
@@ -46,21 +46,21 @@
 // has missing or duplicate events, or events of two different runs. Events that the caller
 // already has are dropped if their checksums match.
 type events struct {
-	part    []byte // incomplete event
-	long    bool   // the first part of the current event was already forwarded
-	last    string // ID of the last complete event that was forwarded
-	number  int64  // number of the caller's last complete event, if counted
-	counted bool   // IDs are consecutive numbers
-	resumed bool   // the response must continue after the last event
-	passed  bool   // an event was forwarded
-	stuck   bool   // the position at which to resume is unknown
-	skipped int    // duplicate events dropped from this response
-	first   int64  // number of the event that sums[0] belongs to
-	sums    []uint64
+	part        []byte // incomplete event
+	overflowed  bool   // the first part of the current event was already forwarded
+	last        string // ID of the last complete event that was forwarded
+	number      int64  // number of the caller's last complete event, if counted
+	counted     bool   // IDs are consecutive numbers
+	resumed     bool   // the response must continue after the last event
+	forwarded   bool   // an event was forwarded
+	unresumable bool   // the position at which to resume is unknown
+	skipped     int    // duplicate events dropped from this response
+	first       int64  // number of the event that sums[0] belongs to
+	checksums   []uint64
 }
 
-// sumSeed is the seed of the event checksums in this process.
-var sumSeed = maphash.MakeSeed()
+// checksumSeed is the seed of the event checksums in this process.
+var checksumSeed = maphash.MakeSeed()
 
 // startAfter sets the ID of the event after which the caller resumes its stream. If it is not
 // a number, the response is forwarded unchecked.
@@ -72,7 +72,7 @@
 // resume prepares for a response that continues after the last complete event. It reports
 // false if that could not be verified.
 func (e *events) resume() bool {
-	if e.stuck || e.passed && !e.counted {
+	if e.unresumable || e.forwarded && !e.counted {
 		return false
 	}
 	e.part = nil
@@ -105,7 +105,7 @@
 
 // overflow appends the incomplete event to out if it is too long to be buffered further.
 func (e *events) overflow(out []byte) ([]byte, misplacement) {
-	if len(e.part) < maxEvent {
+	if len(e.part) < maxEventSize {
 		return out, ""
 	}
 	pass, why := e.check(e.part)
@@ -115,8 +115,8 @@
 	if pass {
 		out = append(out, e.part...)
 	}
-	e.long = true
-	e.stuck = true
+	e.overflowed = true
+	e.unresumable = true
 	e.part = nil
 	return out, ""
 }
@@ -138,8 +138,8 @@
 // check records an event and reports whether it is to be forwarded, or why it does not
 // belong to the stream.
 func (e *events) check(event []byte) (bool, misplacement) {
-	if e.long {
-		e.long = false // end of an event whose first part was recorded
+	if e.overflowed {
+		e.overflowed = false // end of an event whose first part was recorded
 		return true, ""
 	}
 	id, data := fields(event)
@@ -152,7 +152,7 @@
 			return false, why
 		}
 	}
-	e.note(event, id, n, ok)
+	e.record(event, id, n, ok)
 	return true, ""
 }
 
@@ -161,37 +161,37 @@
 func (e *events) follows(event []byte, n int64, ok bool) (bool, misplacement) {
 	switch {
 	case !ok:
-		return false, noNumber
+		return false, mismatchNoNumber
 	case n == e.number+1:
 		return true, ""
 	case n > e.number:
-		return false, missing
+		return false, mismatchMissing
 	}
 	i := n - e.first
-	if i < 0 || i >= int64(len(e.sums)) || e.sums[i] != maphash.Bytes(sumSeed, event) {
-		return false, otherRun
+	if i < 0 || i >= int64(len(e.checksums)) || e.checksums[i] != maphash.Bytes(checksumSeed, event) {
+		return false, mismatchOtherRun
 	}
 	e.skipped++
 	return false, ""
 }
 
-// note records an event that is forwarded.
-func (e *events) note(event, id []byte, n int64, ok bool) {
-	counted := ok && (!e.passed && !e.resumed || e.counted && n == e.number+1)
+// record records an event that is forwarded.
+func (e *events) record(event, id []byte, n int64, ok bool) {
+	counted := ok && (!e.forwarded && !e.resumed || e.counted && n == e.number+1)
 	if !counted {
-		e.stuck = true
+		e.unresumable = true
 	}
-	if len(e.sums) == 0 {
+	if len(e.checksums) == 0 {
 		e.first = n
 	}
-	if len(e.sums) < maxSums {
-		e.sums = append(e.sums, maphash.Bytes(sumSeed, event))
+	if len(e.checksums) < maxChecksums {
+		e.checksums = append(e.checksums, maphash.Bytes(checksumSeed, event))
 	}
 	if id != nil {
 		e.last = string(id)
 	}
 	e.number, e.counted = n, counted
-	e.passed = true
+	e.forwarded = true
 }
 
 // fields returns the ID of an event, nil if it has none, and whether the event has data.
--- a/gateway/events_internal_test.go
+++ b/gateway/events_internal_test.go
@@ -28,7 +28,7 @@
 		three = "versions: 4\nid: 3\ndata: c\n\n"
 		ping  = ": ping\n\n"
 	)
-	long := "id: 3\ndata: " + strings.Repeat("x", maxEvent) + "\n\n"
+	long := "id: 3\ndata: " + strings.Repeat("x", maxEventSize) + "\n\n"
 	for _, c := range []struct {
 		name   string
 		answer string
@@ -42,16 +42,16 @@
 		{"last event repeated", two + three, three, ""},
 		{"from the start", one + two + three, three, ""},
 		{"from the start, incomplete", one, "", ""},
-		{"later event missing", three + "id: 5\ndata: e\n\n", three, missing},
+		{"later event missing", three + "id: 5\ndata: e\n\n", three, mismatchMissing},
 		{"back to the first", three + one, three, ""},
-		{"zero", "id: 0\ndata: z\n\n" + three, "", otherRun},
-		{"negative number", "id: -1\ndata: z\n\n" + three, "", noNumber},
-		{"data only", "data: c\n\n", "", noNumber},
-		{"id only", "id: 4\n\n", "", missing},
-		{"incomplete last event with a gap", "id: 4\ndata: d", "", missing},
+		{"zero", "id: 0\ndata: z\n\n" + three, "", mismatchOtherRun},
+		{"negative number", "id: -1\ndata: z\n\n" + three, "", mismatchNoNumber},
+		{"data only", "data: c\n\n", "", mismatchNoNumber},
+		{"id only", "id: 4\n\n", "", mismatchMissing},
+		{"incomplete last event with a gap", "id: 4\ndata: d", "", mismatchMissing},
 		{"incomplete last event", "id: 3\ndata: c", "id: 3\ndata: c", ""},
 		{"long", long, long, ""},
-		{"long, with a gap", strings.Replace(long, "id: 3", "id: 4", 1), "", missing},
+		{"long, with a gap", strings.Replace(long, "id: 3", "id: 4", 1), "", mismatchMissing},
 	} {
 		for size := 1; size <= len(c.answer)+1; size += 1 + len(c.answer)/40 {
 			e := &events{}
@@ -83,7 +83,7 @@
 		"first event without ID": "data: a\n\nid: 1\ndata: b\n\n",
 		"duplicate number":       "id: 1\ndata: a\n\nid: 1\ndata: b\n\n",
 		"decreasing numbers":     "id: 2\ndata: a\n\nid: 1\ndata: b\n\n",
-		"long event":             "id: 1\ndata: " + strings.Repeat("x", maxEvent) + "\n\n",
+		"long event":             "id: 1\ndata: " + strings.Repeat("x", maxEventSize) + "\n\n",
 	} {
 		e := &events{}
 		if got, why := passAll(e, split(answer, 8<<10)...); got != answer || why != "" {
@@ -98,7 +98,7 @@
 func TestEventsManyOfOneStream(t *testing.T) {
 	e := &events{}
 	var all strings.Builder
-	for i := range maxSums + 2 {
+	for i := range maxChecksums + 2 {
 		all.WriteString("id: ")
 		all.WriteString(strconv.Itoa(i))
 		all.WriteString("\ndata: x\n\n")
@@ -109,8 +109,8 @@
 	if !e.resume() {
 		t.Fatal("not resumed")
 	}
-	again := "id: " + strconv.Itoa(maxSums) + "\ndata: x\n\n"
-	if got, why := passAll(e, again); got != "" || why != otherRun {
+	again := "id: " + strconv.Itoa(maxChecksums) + "\ndata: x\n\n"
+	if got, why := passAll(e, again); got != "" || why != mismatchOtherRun {
 		t.Errorf("got %q, %q", got, why)
 	}
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -10,35 +10,35 @@
 
 // followConfig keeps the configuration up to date by long polls of the store.
 func (g *Gateway) followConfig() {
-	pause := configRetry
+	pause := configRetryDelay
 	away := false
 	first := true
 	for {
-		if !g.news.await(g.news.config) {
+		if !g.news.awaitRead(g.news.config) {
 			return
 		}
 		sent := g.clock.Now()
-		g.news.beganConfig(sent)
+		g.news.startConfigRead(sent)
 		wait := g.configWait()
 		change, err := g.source.Next(wait)
 		if err == nil {
-			g.metrics.config.read.Inc(1)
+			g.metrics.config.succeeded.Inc(1)
 			asOf := configAsOf(sent, wait, g.clock.Now(), change, first)
 			first = false
 			if away {
 				g.logger.Info("store answers again", "for", "configuration")
 			}
 			away = false
-			pause = configRetry
+			pause = configRetryDelay
 			if change.Returned {
-				g.storeReturned()
+				g.handleStoreRestored()
 			}
 			g.apply(change, g.news.configKnown())
 			// Recorded last, so that a configuration known as of a time is also in force
 			// as of that time.
-			g.news.readConfig(asOf, change.To)
-			if g.upstreams.Load() {
-				g.crashes.readIfOld(g.news.readsForAll())
+			g.news.finishConfigRead(asOf, change.To)
+			if g.hadUpstreams.Load() {
+				g.crashes.readIfStale(g.news.readsForAll())
 			}
 			continue
 		}
@@ -47,26 +47,26 @@
 			g.logger.Warn("store away, the present configuration stays", "error", err)
 		}
 		away = true
-		g.news.failed(g.news.config)
+		g.news.readFailed(g.news.config)
 		if !g.tasks.Pause(pause) {
 			return
 		}
-		pause = min(2*pause, configMaxRetry)
+		pause = min(2*pause, configMaxRetryDelay)
 	}
 }
 
-// storeReturned triggers a rewrite of records that the store may have lost when it was
+// handleStoreRestored triggers a rewrite of records that the store may have lost when it was
 // restored from an older copy.
-func (g *Gateway) storeReturned() {
+func (g *Gateway) handleStoreRestored() {
 	g.returned.Store(true)
-	wake(g.crashes.reads)
+	signal(g.crashes.readSignal)
 }
 
 // configWait returns the wait of a long poll of the configuration. While no upstream is
 // registered, there is no keeper to forward announcements, so every gateway polls; longer
 // waits then limit the load on the store.
 func (g *Gateway) configWait() time.Duration {
-	if g.listed.Load() && !g.upstreams.Load() {
+	if g.membersRead.Load() && !g.hadUpstreams.Load() {
 		return configIdleWait
 	}
 	return configWait
@@ -98,29 +98,29 @@
 		}
 		g.logger.Info("version named", line...)
 	}
-	g.evacuate(now, c, &out)
+	g.applyEvacuations(now, c, &out)
 	present := g.routes.Load()
 	if c.Table != nil && (present == nil || c.Table.Version > present.table.Version) {
 		g.fleet.SetTable(c.Table)
 		g.caps.setTeams(c.Table.Teams)
 		g.routes.Store(newRoutes(c.Table))
-		g.setPart()
+		g.applyPartialMembers()
 		g.logger.Info("configuration in force", "version", c.Table.Version, "routes", len(c.Table.Routes), "teams", len(c.Table.Teams))
 	}
 	g.mu.Unlock()
-	g.carry(out)
+	g.execute(out)
 	if c.Table == nil {
 		return
 	}
 	if present == nil {
-		g.limit(c.Table.Limits)
+		g.setCallerLimits(c.Table.Limits)
 	}
 	g.links.update()
 }
 
-// limit sets the limits of callers' connections and starts accepting requests.
-func (g *Gateway) limit(l wardturn.CallerLimits) {
-	g.served.Do(func() {
+// setCallerLimits sets the limits of callers' connections and starts accepting requests.
+func (g *Gateway) setCallerLimits(l wardturn.CallerLimits) {
+	g.serveOnce.Do(func() {
 		if l.MaxHeader > 0 {
 			g.server.MaxHeaderBytes = l.MaxHeader
 		}
@@ -130,7 +130,7 @@
 		if l.IdleTimeout > 0 {
 			g.server.IdleTimeout = l.IdleTimeout
 		}
-		g.takeCallers()
+		g.acceptRequests()
 	})
 }
 
@@ -138,25 +138,25 @@
 // changes.
 func (g *Gateway) followMembers() {
 	for {
-		told, due, ok := g.news.awaitMembers(g.list.nextLapse())
+		told, due, ok := g.news.awaitMembers(g.membership.nextRetentionEnd())
 		switch {
 		case !ok:
 			return
 		case due:
 			g.readMembers()
 		case told == nil:
-			g.setMembers(g.list.expire())
+			g.setMembers(g.membership.dropExpired())
 		default:
-			g.takeMembers(*told)
+			g.applyAnnounced(*told)
 		}
 	}
 }
 
-// takeMembers applies a change that another gateway announced.
-func (g *Gateway) takeMembers(told toldMembers) {
-	now, ok := g.list.take(told.change, told.asOf)
+// applyAnnounced applies a change that another gateway announced.
+func (g *Gateway) applyAnnounced(told announcedChange) {
+	now, ok := g.membership.apply(told.change, told.asOf)
 	if !ok {
-		g.doubtMembers()
+		g.markMembersStale()
 		return
 	}
 	g.setMembers(now)
@@ -164,63 +164,63 @@
 
 func (g *Gateway) readMembers() {
 	sent := g.clock.Now()
-	g.news.beganMembers(sent)
+	g.news.startMembersRead(sent)
 	var part func([]wardturn.Member)
-	if !g.listed.Load() {
-		part = g.takePart
+	if !g.membersRead.Load() {
+		part = g.receivePartialMembers
 	}
-	now, change, ok := g.list.read(part)
+	now, change, ok := g.membership.read(part)
 	if !ok {
 		g.metrics.members.failed.Inc(1)
-		g.news.failed(g.news.members)
+		g.news.readFailed(g.news.members)
 		return
 	}
-	g.metrics.members.read.Inc(1)
+	g.metrics.members.succeeded.Inc(1)
 	g.setMembers(now)
-	g.listed.Store(true)
-	g.news.readMembers(sent, change)
+	g.membersRead.Store(true)
+	g.news.finishMembersRead(sent, change)
 }
 
-func (g *Gateway) setMembers(now roll) {
-	if now.same {
+func (g *Gateway) setMembers(now membershipView) {
+	if now.unchanged {
 		return
 	}
 	g.mu.Lock()
-	g.part = nil
+	g.partialMembers = nil
 	lost := g.fleet.SetMembers(g.clock.Now(), now.members)
 	g.mu.Unlock()
 	g.crashes.ended(lost...)
 	g.links.update()
-	if len(now.members) > 0 && !g.upstreams.Swap(true) {
-		g.crashes.readIfOld(g.news.readsForAll())
+	if len(now.members) > 0 && !g.hadUpstreams.Swap(true) {
+		g.crashes.readIfStale(g.news.readsForAll())
 	}
 }
 
-// takePart applies the upstreams of plain services while the list is still being read, so
+// receivePartialMembers applies the upstreams of plain services while the list is still being read, so
 // that their requests need not wait for the rest of it. Reading thousands of upstreams takes
 // most of a second. Engines are applied only with the complete list: otherwise a request for
 // an adapter whose engine has not been read yet would load the adapter elsewhere.
-func (g *Gateway) takePart(list []wardturn.Member) {
+func (g *Gateway) receivePartialMembers(list []wardturn.Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.part = list
-	g.setPart()
+	g.partialMembers = list
+	g.applyPartialMembers()
 }
 
-// setPart applies the part of the list received so far, if there is a configuration. The
+// applyPartialMembers applies the part of the list received so far, if there is a configuration. The
 // caller must hold g.mu.
-func (g *Gateway) setPart() {
+func (g *Gateway) applyPartialMembers() {
 	rs := g.routes.Load()
-	if rs == nil || g.part == nil {
+	if rs == nil || g.partialMembers == nil {
 		return
 	}
-	plain := slices.DeleteFunc(slices.Clone(g.part), func(m wardturn.Member) bool {
+	plain := slices.DeleteFunc(slices.Clone(g.partialMembers), func(m wardturn.Member) bool {
 		return rs.table.Services[m.Service].Engine != nil
 	})
 	g.fleet.SetMembers(g.clock.Now(), plain)
 }
 
-// doubtMembers marks the list as possibly out of date, so that it is read soon.
-func (g *Gateway) doubtMembers() {
-	g.news.doubtMembers()
+// markMembersStale marks the list as possibly out of date, so that it is read soon.
+func (g *Gateway) markMembersStale() {
+	g.news.markMembersStale()
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	tickEvery  = 10 * time.Millisecond  // interval for rescheduling waiting requests
-	usageEvery = 100 * time.Millisecond // interval of adapter usage reports to keepers
-	checkEvery = 100 * time.Millisecond // interval of relay health checks
-	sweepEvery = time.Second            // interval for closing idle connections
+	tickInterval  = 10 * time.Millisecond  // interval for rescheduling waiting requests
+	usageInterval = 100 * time.Millisecond // interval of adapter usage reports to keepers
+	checkInterval = 100 * time.Millisecond // interval of relay health checks
+	sweepInterval = time.Second            // interval for closing idle connections
 	// configWait is how long a long poll of the configuration blocks in the store. A
 	// poll whose response was lost never completes, so polls must time out and be
 	// repeated within the 2 s in which a change must be in force. With the slack and
@@ -29,20 +29,20 @@
 	// configIdleWait replaces configWait while no upstream is registered and nothing can
 	// be served.
 	configIdleWait = 5 * time.Second
-	// configGather is the minimum interval between configuration reads triggered by
+	// configMinInterval is the minimum interval between configuration reads triggered by
 	// announcements of other gateways. Every gateway reads each change itself.
-	configGather = 800 * time.Millisecond
-	// configRetry is the initial delay after a failed read, doubled up to configMaxRetry.
+	configMinInterval = 800 * time.Millisecond
+	// configRetryDelay is the initial delay after a failed read, doubled up to configMaxRetryDelay.
 	// Together with the poll's wait and timeout margin, the first retry starts 1.9 s after
 	// a read whose response was lost.
-	configRetry    = 100 * time.Millisecond
-	configMaxRetry = 500 * time.Millisecond
-	membersLeast   = 250 * time.Millisecond // minimum interval between reads of the upstream list
-	membersPart    = 0.5                    // read interval as a fraction of the drain time: the last gateway scheduled to read still meets the drain time
-	serveLimit     = time.Second            // after this, requests are rejected instead of waiting for a configuration
-	defaultHeader  = 16 << 10
-	defaultIdle    = 15 * time.Second
-	defaultRead    = 3 * time.Second
+	configRetryDelay      = 100 * time.Millisecond
+	configMaxRetryDelay   = 500 * time.Millisecond
+	membersMinInterval    = 250 * time.Millisecond // minimum interval between reads of the upstream list
+	membersDrainFraction  = 0.5                    // read interval as a fraction of the drain time: the last gateway scheduled to read still meets the drain time
+	configStartTimeout    = time.Second            // after this, requests are rejected instead of waiting for a configuration
+	defaultMaxHeaderBytes = 16 << 10
+	defaultIdleTimeout    = 15 * time.Second
+	defaultReadTimeout    = 3 * time.Second
 )
 
 // Config holds the settings of a gateway.
@@ -99,36 +99,36 @@
 	source  wardturn.ConfigSource
 	memory  wardturn.FleetMemory
 	// remembered is the latest state saved to memory; used by a single goroutine.
-	remembered wardturn.FleetFacts
-	returned   atomic.Bool // the store was restored from an older copy and may have lost saved state
-	list       *roster
-	news       *news
-	caps       *caps
-	limits     *limits
-	unread     unreadHeaders
-	rests      atomic.Bool // an upstream has asked to be sent no requests for a while
-	crashes    *crashes
-	routes     atomic.Pointer[routes]
-	pool       *pool
-	links      *links
-	notStarted *notStarted
-	server     *http.Server
-	ready      *http.Server
-	front      net.Listener
-	open       atomic.Int64
-	held       heldBytes
-	leaving    atomic.Bool
-	listed     atomic.Bool // the list of upstreams has been read
-	upstreams  atomic.Bool // the list has contained an upstream
-	served     sync.Once
-	tasks      *process.Tasks
+	remembered   wardturn.FleetFacts
+	returned     atomic.Bool // the store was restored from an older copy and may have lost saved state
+	membership   *membership
+	news         *readCoordinator
+	caps         *caps
+	limits       *limits
+	unread       unreadHeaders
+	rests        atomic.Bool // an upstream has asked to be sent no requests for a while
+	crashes      *crashes
+	routes       atomic.Pointer[routes]
+	pool         *pool
+	links        *links
+	notStarted   *notStarted
+	server       *http.Server
+	ready        *http.Server
+	front        net.Listener
+	open         atomic.Int64
+	held         heldBytes
+	leaving      atomic.Bool
+	membersRead  atomic.Bool // the list of upstreams has been read
+	hadUpstreams atomic.Bool // the list has contained an upstream
+	serveOnce    sync.Once
+	tasks        *process.Tasks
 
-	mu        sync.Mutex
-	fleet     *decide.Fleet
-	evacuated evacuations
-	part      []wardturn.Member // pages received so far of the initial list; nil if none
-	budgets   map[wardturn.ServiceName]*decide.RetryBudget
-	counted   decide.GatewayCount // number of gateways that share the budgets
+	mu             sync.Mutex
+	fleet          *decide.Fleet
+	evacuations    evacuations
+	partialMembers []wardturn.Member // pages received so far of the initial list; nil if none
+	budgets        map[wardturn.ServiceName]*decide.RetryBudget
+	counted        decide.GatewayCount // number of gateways that share the budgets
 }
 
 // New starts a gateway. It accepts requests once it has a configuration, or after one
@@ -151,8 +151,8 @@
 		budgets:    make(map[wardturn.ServiceName]*decide.RetryBudget),
 	}
 	g.held.most = d.Config.MaxHeld
-	g.list = newRoster(d.Members, d.Clock, d.Logger, d.Config.LapseGrace)
-	g.news = newNews(g)
+	g.membership = newMembership(d.Members, d.Clock, d.Logger, d.Config.LapseGrace)
+	g.news = newReadCoordinator(g)
 	g.caps = newCaps(g)
 	g.limits = newLimits(g)
 	d.Config.Fleet.Limits = g.limits.state
@@ -161,19 +161,19 @@
 	g.links = newLinks(g)
 	g.server = &http.Server{
 		Handler:           g,
-		ReadHeaderTimeout: defaultRead,
-		IdleTimeout:       defaultIdle,
-		MaxHeaderBytes:    defaultHeader,
+		ReadHeaderTimeout: defaultReadTimeout,
+		IdleTimeout:       defaultIdleTimeout,
+		MaxHeaderBytes:    defaultMaxHeaderBytes,
 		ErrorLog:          d.Logger.StandardLogger(&hclog.StandardLoggerOptions{}),
 	}
 	if d.Ready != nil {
-		g.serveReady(d.Ready, d.ReadyPath)
+		g.serveReadiness(d.Ready, d.ReadyPath)
 	}
 	g.tasks.Go(g.followConfig)
 	g.tasks.Go(g.followMembers)
-	g.tasks.Go(g.crashes.follow)
-	g.tasks.Go(g.crashes.write)
-	g.tasks.Go(g.caps.tellPressing)
+	g.tasks.Go(g.crashes.readLoop)
+	g.tasks.Go(g.crashes.writeLoop)
+	g.tasks.Go(g.caps.sendUrgent)
 	g.tasks.Go(func() {
 		g.recallFleet()
 		for g.tasks.Pause(rememberEvery) {
@@ -181,24 +181,24 @@
 		}
 	})
 	g.tasks.Go(func() {
-		if g.tasks.Pause(serveLimit) {
-			g.serve()
+		if g.tasks.Pause(configStartTimeout) {
+			g.startServing()
 		}
 	})
-	g.tasks.Every(tickEvery, g.tick)
-	g.tasks.Every(usageEvery, g.links.report)
-	g.tasks.Every(checkEvery, g.links.check)
-	g.tasks.Every(checkEvery, g.endKept)
-	g.tasks.Every(capEvery, g.caps.tell)
-	g.tasks.Every(limitEvery, g.limits.tell)
+	g.tasks.Every(tickInterval, g.tick)
+	g.tasks.Every(usageInterval, g.links.reportUsage)
+	g.tasks.Every(checkInterval, g.links.checkRelays)
+	g.tasks.Every(checkInterval, g.endRetainedEvacuations)
+	g.tasks.Every(capInterval, g.caps.announce)
+	g.tasks.Every(limitInterval, g.limits.announce)
 	g.tasks.Every(startedQueryInterval, g.queryStarted)
-	g.tasks.Every(sweepEvery, g.sweep)
+	g.tasks.Every(sweepInterval, g.sweep)
 	g.tasks.Every(promptsEvery, g.logPrompts)
 	g.logger.Info("gateway started", "front", d.Front.Addr(), "process", d.Config.Process, "domain", d.Config.Domain)
 	return g
 }
 
-func (g *Gateway) serveReady(ln net.Listener, path string) {
+func (g *Gateway) serveReadiness(ln net.Listener, path string) {
 	mux := http.NewServeMux()
 	mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() {
@@ -207,7 +207,7 @@
 	})
 	g.ready = &http.Server{
 		Handler:           mux,
-		ReadHeaderTimeout: defaultRead,
+		ReadHeaderTimeout: defaultReadTimeout,
 	}
 	g.tasks.Go(func() {
 		if err := g.ready.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
@@ -216,12 +216,12 @@
 	})
 }
 
-// serve starts accepting callers' requests. Only the first call has an effect.
-func (g *Gateway) serve() {
-	g.served.Do(g.takeCallers)
+// startServing starts accepting callers' requests. Only the first call has an effect.
+func (g *Gateway) startServing() {
+	g.serveOnce.Do(g.acceptRequests)
 }
 
-func (g *Gateway) takeCallers() {
+func (g *Gateway) acceptRequests() {
 	g.tasks.Go(func() {
 		if err := g.server.Serve(g.front); !errors.Is(err, http.ErrServerClosed) {
 			g.logger.Error("request server failed", "error", err)
@@ -231,7 +231,7 @@
 
 // Ready reports whether the gateway can serve requests.
 func (g *Gateway) Ready() bool {
-	return !g.leaving.Load() && g.routes.Load() != nil && g.listed.Load()
+	return !g.leaving.Load() && g.routes.Load() != nil && g.membersRead.Load()
 }
 
 func (g *Gateway) sweep() {
@@ -240,8 +240,8 @@
 	levels := g.fleet.Levels()
 	g.resizeBudgets()
 	g.mu.Unlock()
-	g.metrics.levels(levels)
-	g.news.ages()
+	g.metrics.updateLevels(levels)
+	g.news.reportAges()
 	g.crashes.sweep()
 	g.pool.sweep(func(addr string) bool {
 		return addrs[addr]
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -9,9 +9,9 @@
 	"wardturn/peer"
 )
 
-// limitEvery is the interval at which it is checked whether a message on upstream limits is
+// limitInterval is the interval at which it is checked whether a message on upstream limits is
 // due.
-const limitEvery = 200 * time.Millisecond
+const limitInterval = 200 * time.Millisecond
 
 // limits enforces the request rate limits that overloaded upstreams announce in their
 // responses, and exchanges them with the other gateways through keepers.
@@ -19,7 +19,7 @@
 	g     *Gateway
 	state *decide.Limits // guarded by the gateway's lock
 	any   atomic.Bool    // an upstream has announced a limit
-	words atomic.Int64   // messages sent so far
+	sent  atomic.Int64   // messages sent so far
 }
 
 func newLimits(g *Gateway) *limits {
@@ -46,7 +46,7 @@
 	}
 	if changed {
 		l.g.logger.Info("upstream names a limit", "upstream", id, "per_second", float64(limit.Value), "status", status)
-		l.tell()
+		l.announce()
 	}
 }
 
@@ -57,13 +57,13 @@
 	l.g.mu.Unlock()
 	if ended {
 		l.g.logger.Info("upstream names no limit any more", "upstream", id, "status", status)
-		l.tell()
+		l.announce()
 	}
 }
 
-// tell sends the known limits to the other gateways if a message is due. New limits go through
+// announce sends the known limits to the other gateways if a message is due. New limits go through
 // two keepers in each failure domain, repeated ones through the two alternately.
-func (l *limits) tell() {
+func (l *limits) announce() {
 	l.g.mu.Lock()
 	now := l.g.clock.Now()
 	counted := l.g.fleet.CountedGateways()
@@ -73,11 +73,11 @@
 	if !due {
 		return
 	}
-	turn := int(l.words.Add(1))
+	turn := int(l.sent.Add(1))
 	key := l.g.caps.relayKey(counted)
-	conns := l.g.links.capConns(key, turn)
+	conns := l.g.links.alternatingConns(key, turn)
 	if fresh {
-		conns = l.g.links.newsConns(key)
+		conns = l.g.links.announcementConns(key)
 	}
 	m := &peer.LimitNews{
 		Words: []decide.LimitGossip{w},
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -13,41 +13,41 @@
 // on this connection or through a relay: a keeper in the gateway's own failure domain that
 // forwards them.
 type link struct {
-	links  *links
-	client *peer.Client
-	words  sync.Mutex // serializes the handling of updates, to keep them in order
+	links    *links
+	client   *peer.Client
+	updateMu sync.Mutex // serializes the handling of updates, to keep them in order
 
-	mu         sync.Mutex
-	member     wardturn.Member
-	notice     peer.EngineNotice
-	told       bool // the notice was sent on the current connection
-	conn       *peer.Conn
-	begun      time.Time    // when the link was created
-	via        *link        // the relay; nil if there is none
-	followed   *peer.Conn   // relay connection that carries the subscription; nil if not subscribed
-	viaSince   time.Time    // when the relay was selected
-	trust      decide.Trust // backoff after a relay failed
-	distrusted bool         // a relay failed; updates come directly until the backoff ends
-	synced     bool         // a full state was received
-	seq        uint64       // of the latest update
-	asked      time.Time    // when a full state was last requested
-	behind     peer.Mark    // mark that the relay had not reached when it arrived; zero if none
-	behindAt   time.Time
+	mu             sync.Mutex
+	member         wardturn.Member
+	notice         peer.EngineNotice
+	noticeSent     bool // the notice was sent on the current connection
+	conn           *peer.Conn
+	createdAt      time.Time    // when the link was created
+	relay          *link        // the relay; nil if there is none
+	subscribedConn *peer.Conn   // relay connection that carries the subscription; nil if not subscribed
+	relaySince     time.Time    // when the relay was selected
+	relayBackoff   decide.Trust // backoff after a relay failed
+	relaySuspended bool         // a relay failed; updates come directly until the backoff ends
+	synced         bool         // a full state was received
+	seq            uint64       // of the latest update
+	syncStartedAt  time.Time    // when a full state was last requested
+	pendingMark    peer.Mark    // mark that the relay had not reached when it arrived; zero if none
+	pendingMarkAt  time.Time
 }
 
-// tell sets the notice for the keeper, and sends it unless the keeper already has one with
+// setNotice sets the notice for the keeper, and sends it unless the keeper already has one with
 // the same engine specification. Most configuration changes do not affect an engine, and
 // sending a notice for each would cost one message per gateway and engine.
-func (l *link) tell(m wardturn.Member, n peer.EngineNotice) {
+func (l *link) setNotice(m wardturn.Member, n peer.EngineNotice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m.ID != l.member.ID {
-		l.unsync()
+		l.requestFullState()
 	}
 	l.member = m
 	n.Relayed = l.notice.Relayed
 	n.News = l.notice.News
-	l.told = l.told && l.notice.Upstream == n.Upstream && l.notice.Spec.Equal(n.Spec)
+	l.noticeSent = l.noticeSent && l.notice.Upstream == n.Upstream && l.notice.Spec.Equal(n.Spec)
 	l.notice = n
 	l.sendNotice()
 }
@@ -55,31 +55,31 @@
 // sendNotice sends the notice if it has not been sent on the current connection. The
 // caller must hold l.mu.
 func (l *link) sendNotice() {
-	if l.conn == nil || l.told || l.notice.Upstream == "" {
+	if l.conn == nil || l.noticeSent || l.notice.Upstream == "" {
 		return
 	}
 	n := l.notice
-	l.told = l.conn.Send(&n) == nil
+	l.noticeSent = l.conn.Send(&n) == nil
 }
 
 // Connected implements peer.ClientHandler.
 func (l *link) Connected(c *peer.Conn) {
 	l.mu.Lock()
 	l.conn = c
-	l.told = false
-	l.unsync()
+	l.noticeSent = false
+	l.requestFullState()
 	l.seq = 0 // the keeper may have restarted
 	l.sendNotice()
 	id := l.member.ID
 	l.mu.Unlock()
 	l.links.g.logger.Info("keeper connected", "upstream", id)
-	l.links.route(l)
+	l.links.updateRelay(l)
 }
 
 // Closed implements peer.Handler. The engine still serves the adapters it holds, since
 // only the keeper loads and unloads them.
 func (l *link) Closed(_ *peer.Conn, err error) {
-	l.words.Lock()
+	l.updateMu.Lock()
 	l.mu.Lock()
 	l.conn = nil
 	l.synced = false
@@ -89,9 +89,9 @@
 	l.links.g.decide(func(time.Time, *decide.Moves) {
 		l.links.g.fleet.KeeperLost(id)
 	})
-	l.words.Unlock()
-	l.links.g.doubtMembers()
-	l.links.route(l)
+	l.updateMu.Unlock()
+	l.links.g.markMembersStale()
+	l.links.updateRelay(l)
 }
 
 // Handle implements peer.Handler.
@@ -108,25 +108,25 @@
 	case *peer.StartedReport:
 		l.links.g.notStarted.markStarted(m.Upstream, m.IDs)
 	case *peer.Holding:
-		l.take(c.Peer().Process, m, false)
+		l.handleUpdate(c.Peer().Process, m, false)
 	case *peer.Relayed:
-		l.links.relayed(m)
+		l.links.handleRelayed(m)
 	case *peer.Mark:
-		l.mark(*m)
+		l.handleMark(*m)
 	}
 }
 
-// take handles an engine state update of a keeper process. Relayed reports whether the
+// handleUpdate handles an engine state update of a keeper process. Relayed reports whether the
 // update came through a relay.
-func (l *link) take(process wardturn.Incarnation, h *peer.Holding, relayed bool) {
-	l.words.Lock()
-	defer l.words.Unlock()
+func (l *link) handleUpdate(process wardturn.Incarnation, h *peer.Holding, relayed bool) {
+	l.updateMu.Lock()
+	defer l.updateMu.Unlock()
 	id, ok := l.accept(process, h)
 	if !ok {
 		return
 	}
 	g := l.links.g
-	g.metrics.told(relayed, h.Answer)
+	g.metrics.keeperUpdate(relayed, h.Answer)
 	if h.Limit > 0 {
 		g.limits.any.Store(true)
 	}
@@ -154,7 +154,7 @@
 	case !l.synced || h.Seq <= l.seq:
 		return "", false
 	case h.Seq > l.seq+1:
-		l.unsync()
+		l.requestFullState()
 		l.sendNotice()
 		return "", false
 	}
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -104,28 +104,28 @@
 	}
 }
 
-// A relay is behind if it has not reached a mark within relayLag. A later mark must not
+// A relay is behind if it has not reached a mark within relayMarkTimeout. A later mark must not
 // restart that period.
 func TestLinkLeavesARelayThatIsBehind(t *testing.T) {
 	l := newTestLink(t)
 	l.synced = true
 	l.seq = 3
-	l.mark(peer.Mark{
+	l.handleMark(peer.Mark{
 		Seq: 5,
 	})
-	first := l.behindAt
-	l.mark(peer.Mark{
+	first := l.pendingMarkAt
+	l.handleMark(peer.Mark{
 		Seq: 9,
 	})
-	if l.behind.Seq != 5 || l.behindAt != first {
-		t.Fatalf("a later mark replaced one that was not reached: %+v", l.behind)
+	if l.pendingMark.Seq != 5 || l.pendingMarkAt != first {
+		t.Fatalf("a later mark replaced one that was not reached: %+v", l.pendingMark)
 	}
 	l.seq = 5
-	l.mark(peer.Mark{
+	l.handleMark(peer.Mark{
 		Seq: 9,
 	})
-	if l.behind.Seq != 9 {
-		t.Fatalf("mark %+v, want 9", l.behind)
+	if l.pendingMark.Seq != 9 {
+		t.Fatalf("mark %+v, want 9", l.pendingMark)
 	}
 }
 
@@ -147,12 +147,12 @@
 	sent := func(n peer.EngineNotice) bool {
 		conn := l.conn
 		l.conn = nil // without a connection, a notice to be sent stays pending
-		l.told = true
-		l.tell(wardturn.Member{
+		l.noticeSent = true
+		l.setNotice(wardturn.Member{
 			ID: n.Upstream,
 		}, n)
 		l.conn = conn
-		return !l.told
+		return !l.noticeSent
 	}
 	for _, c := range []struct {
 		name   string
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -13,13 +13,13 @@
 type links struct {
 	g *Gateway
 
-	mu      sync.Mutex
-	byAddr  map[string]*link
-	byID    map[wardturn.UpstreamID]*link
-	keepers map[string]*link         // by the keeper's address
-	near    []*link                  // relay candidates at the latest routeAll
-	hears   []wardturn.FailureDomain // domains whose keepers deliver announcements, at the latest routeAll
-	closed  bool
+	mu                  sync.Mutex
+	byAddr              map[string]*link
+	byID                map[wardturn.UpstreamID]*link
+	keepers             map[string]*link         // by the keeper's address
+	relayCandidates     []*link                  // relay candidates at the latest updateRelays
+	announcementDomains []wardturn.FailureDomain // domains whose keepers deliver announcements, at the latest updateRelays
+	closed              bool
 }
 
 func newLinks(g *Gateway) *links {
@@ -63,7 +63,7 @@
 			l = ls.connect(m)
 		}
 		ls.byID[m.ID] = l
-		l.tell(m, peer.EngineNotice{
+		l.setNotice(m, peer.EngineNotice{
 			Config:   rs.table.Version,
 			Upstream: m.ID,
 			Seen:     m.Seen,
@@ -75,23 +75,23 @@
 			ls.disconnect(addr, l)
 		}
 	}
-	ls.routeAll()
+	ls.updateRelays()
 }
 
 // disconnect closes the link to a keeper. The caller must hold ls.mu.
 func (ls *links) disconnect(addr string, l *link) {
 	delete(ls.byAddr, addr)
 	delete(ls.keepers, l.client.Addr())
-	l.follow(ls.g.clock.Now(), nil)
+	l.setRelay(ls.g.clock.Now(), nil)
 	ls.g.tasks.Go(l.client.Close)
 }
 
 // connect creates the link to the keeper of an engine. The caller must hold ls.mu.
 func (ls *links) connect(m wardturn.Member) *link {
 	l := &link{
-		links:  ls,
-		member: m,
-		begun:  ls.g.clock.Now(),
+		links:     ls,
+		member:    m,
+		createdAt: ls.g.clock.Now(),
 	}
 	ls.byAddr[m.Addr] = l
 	host, _, err := net.SplitHostPort(m.Addr)
@@ -116,8 +116,8 @@
 	return wardturn.Offset(rs.table.Version)
 }
 
-// tellReadings reports to keepers the long prompts that their engines are processing.
-func (ls *links) tellReadings(notes []decide.ReadingNote) {
+// sendReadings reports to keepers the long prompts that their engines are processing.
+func (ls *links) sendReadings(notes []decide.ReadingNote) {
 	for _, n := range notes {
 		if l := ls.of(n.Upstream); l != nil {
 			l.send(&peer.Reading{
@@ -127,8 +127,8 @@
 	}
 }
 
-// ask sends the adapter load requests of a decision to the keepers.
-func (ls *links) ask(out decide.Moves) {
+// sendLoadRequests sends the adapter load requests of a decision to the keepers.
+func (ls *links) sendLoadRequests(out decide.Moves) {
 	for _, a := range out.Asks {
 		l := ls.of(a.Upstream)
 		if l == nil {
@@ -157,15 +157,15 @@
 	}
 }
 
-// present returns the current connection, or nil, and the keeper's failure domain.
-func (l *link) present() (*peer.Conn, wardturn.FailureDomain) {
+// current returns the current connection, or nil, and the keeper's failure domain.
+func (l *link) current() (*peer.Conn, wardturn.FailureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn, l.member.Domain
 }
 
-// report sends each keeper the current usage of its adapters.
-func (ls *links) report() {
+// reportUsage sends each keeper the current usage of its adapters.
+func (ls *links) reportUsage() {
 	ls.mu.Lock()
 	list := make(map[wardturn.UpstreamID]*link, len(ls.byID))
 	for id, l := range ls.byID {
--- a/gateway/list_bench_test.go
+++ b/gateway/list_bench_test.go
@@ -125,7 +125,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			g := newListGateway(b, logger)
-			if _, err := platform.NewMembers(store, process.Clock{}, logger).Next(g.takePart); err != nil {
+			if _, err := platform.NewMembers(store, process.Clock{}, logger).Next(g.receivePartialMembers); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -133,7 +133,7 @@
 	b.Run("roster", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			newRoster(nil, process.Clock{}, logger, time.Second).merge(time.Now(), list)
+			newMembership(nil, process.Clock{}, logger, time.Second).merge(time.Now(), list)
 		}
 	})
 	b.Run("fleet", func(b *testing.B) {
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -13,39 +13,39 @@
 // Metrics holds the gateway's counters, gauges and histograms. The series of requests are
 // cached, so that counting a request needs no label lookup.
 type Metrics struct {
-	scope      tally.Scope
-	resends    tally.Counter
-	denied     tally.Counter
-	loads      tally.Histogram
-	warm       tally.Histogram
-	waiting    tally.Gauge
-	under      tally.Gauge
-	evacuated  tally.Gauge
-	window     tally.Gauge
-	sends      tally.Counter
-	direct     tally.Counter   // keeper updates received directly
-	relayed    tally.Counter   // keeper updates received through relays
-	answers    tally.Counter   // keeper replies to requests of this gateway
-	oldBegan   tally.Histogram // time from the activation of a newer version to a start on an old one
-	oldEnded   tally.Counter   // requests aborted before they started on an old version
-	relaysLeft tally.Counter   // relays abandoned because they sent nothing, were behind, or lost the keeper
-	crashes    tally.Counter   // requests that were at an upstream when it crashed
-	staleKeys  tally.Counter   // requests rejected because the API keys were not refreshed in time
-	rests      tally.Counter   // responses in which an upstream asked to be sent no requests for a while
-	config     recordMetrics
-	members    recordMetrics
+	scope           tally.Scope
+	resends         tally.Counter
+	denied          tally.Counter
+	coldLoads       tally.Histogram
+	warmLoads       tally.Histogram
+	waiting         tally.Gauge
+	loading         tally.Gauge
+	evacuated       tally.Gauge
+	window          tally.Gauge
+	sends           tally.Counter
+	directUpdates   tally.Counter   // keeper updates received directly
+	relayedUpdates  tally.Counter   // keeper updates received through relays
+	replies         tally.Counter   // keeper replies to requests of this gateway
+	oldBegan        tally.Histogram // time from the activation of a newer version to a start on an old one
+	oldEnded        tally.Counter   // requests aborted before they started on an old version
+	relaysAbandoned tally.Counter   // relays abandoned because they sent nothing, were behind, or lost the keeper
+	crashes         tally.Counter   // requests that were at an upstream when it crashed
+	staleKeys       tally.Counter   // requests rejected because the API keys were not refreshed in time
+	rests           tally.Counter   // responses in which an upstream asked to be sent no requests for a while
+	config          recordMetrics
+	members         recordMetrics
 
 	mu       sync.RWMutex
-	requests map[series]outcomeSeries
+	requests map[seriesKey]outcomeSeries
 }
 
 // recordMetrics holds the metrics for reads of one record of the platform's store.
 type recordMetrics struct {
-	read   tally.Counter // successful reads by this gateway
-	failed tally.Counter
-	heard  tally.Counter // reads announced by other gateways
-	age    tally.Gauge   // age of the local state, in seconds
-	causes map[decide.ReadCause]tally.Counter
+	succeeded tally.Counter // successful reads by this gateway
+	failed    tally.Counter
+	announced tally.Counter // reads announced by other gateways
+	age       tally.Gauge   // age of the local state, in seconds
+	causes    map[decide.ReadCause]tally.Counter
 }
 
 func newRecordMetrics(scope tally.Scope, record string) recordMetrics {
@@ -63,9 +63,9 @@
 		}).Counter("store_read_causes")
 	}
 	return recordMetrics{
-		read:   reads("answered"),
-		failed: reads("failed"),
-		heard:  reads("by_another"),
+		succeeded: reads("answered"),
+		failed:    reads("failed"),
+		announced: reads("by_another"),
 		age: scope.Tagged(map[string]string{
 			"record": record,
 		}).Gauge("store_age_seconds"),
@@ -73,8 +73,8 @@
 	}
 }
 
-// series identifies the request metrics of one route and outcome.
-type series struct {
+// seriesKey identifies the request metrics of one route and outcome.
+type seriesKey struct {
 	route   string
 	outcome string
 }
@@ -95,32 +95,32 @@
 		}).Histogram("adapter_load_time", latencies)
 	}
 	return &Metrics{
-		scope:      scope,
-		resends:    scope.Counter("resends"),
-		denied:     scope.Counter("resends_denied"),
-		loads:      kind("store"),
-		warm:       kind("memory"),
-		waiting:    scope.Gauge("requests_waiting"),
-		under:      scope.Gauge("loads_under_way"),
-		evacuated:  scope.Gauge("requests_in_evacuated"),
-		window:     scope.Gauge("load_window"),
-		sends:      scope.Counter("sends"),
-		direct:     words(scope, "direct"),
-		relayed:    words(scope, "relay"),
-		answers:    words(scope, "answer"),
-		oldBegan:   scope.Histogram("old_version_begin_time", latencies),
-		oldEnded:   scope.Counter("old_version_broken_off"),
-		relaysLeft: scope.Counter("relays_left"),
-		crashes:    scope.Counter("crash_suspects"),
-		staleKeys:  scope.Counter("refused_stale_keys"),
-		rests:      scope.Counter("rests_asked"),
-		config:     newRecordMetrics(scope, "configuration"),
-		members:    newRecordMetrics(scope, "upstreams"),
-		requests:   make(map[series]outcomeSeries),
+		scope:           scope,
+		resends:         scope.Counter("resends"),
+		denied:          scope.Counter("resends_denied"),
+		coldLoads:       kind("store"),
+		warmLoads:       kind("memory"),
+		waiting:         scope.Gauge("requests_waiting"),
+		loading:         scope.Gauge("loads_under_way"),
+		evacuated:       scope.Gauge("requests_in_evacuated"),
+		window:          scope.Gauge("load_window"),
+		sends:           scope.Counter("sends"),
+		directUpdates:   keeperUpdates(scope, "direct"),
+		relayedUpdates:  keeperUpdates(scope, "relay"),
+		replies:         keeperUpdates(scope, "answer"),
+		oldBegan:        scope.Histogram("old_version_begin_time", latencies),
+		oldEnded:        scope.Counter("old_version_broken_off"),
+		relaysAbandoned: scope.Counter("relays_left"),
+		crashes:         scope.Counter("crash_suspects"),
+		staleKeys:       scope.Counter("refused_stale_keys"),
+		rests:           scope.Counter("rests_asked"),
+		config:          newRecordMetrics(scope, "configuration"),
+		members:         newRecordMetrics(scope, "upstreams"),
+		requests:        make(map[seriesKey]outcomeSeries),
 	}
 }
 
-func words(scope tally.Scope, way string) tally.Counter {
+func keeperUpdates(scope tally.Scope, way string) tally.Counter {
 	return scope.Tagged(map[string]string{
 		"way": way,
 	}).Counter("keeper_words")
@@ -140,21 +140,21 @@
 	}).Counter("beyond_cap").Inc(1)
 }
 
-// told counts an update from a keeper.
-func (m *Metrics) told(relayed, answer bool) {
+// keeperUpdate counts an update from a keeper.
+func (m *Metrics) keeperUpdate(relayed, answer bool) {
 	switch {
 	case relayed:
-		m.relayed.Inc(1)
+		m.relayedUpdates.Inc(1)
 	case answer:
-		m.answers.Inc(1)
+		m.replies.Inc(1)
 	default:
-		m.direct.Inc(1)
+		m.directUpdates.Inc(1)
 	}
 }
 
 // finished records the outcome and duration of a request.
 func (m *Metrics) finished(x *exchange, outcome string) {
-	key := series{
+	key := seriesKey{
 		outcome: outcome,
 	}
 	if x.route != nil {
@@ -164,13 +164,13 @@
 	s, ok := m.requests[key]
 	m.mu.RUnlock()
 	if !ok {
-		s = m.add(key)
+		s = m.addSeries(key)
 	}
 	s.count.Inc(1)
 	s.time.RecordDuration(x.g.clock.Now().Sub(x.arrived))
 }
 
-func (m *Metrics) add(key series) outcomeSeries {
+func (m *Metrics) addSeries(key seriesKey) outcomeSeries {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s, ok := m.requests[key]; ok {
@@ -188,19 +188,19 @@
 	return s
 }
 
-// loaded records the load time of an adapter.
-func (m *Metrics) loaded(n decide.LoadNote) {
+// loadDone records the load time of an adapter.
+func (m *Metrics) loadDone(n decide.LoadNote) {
 	if n.Warm {
-		m.warm.RecordDuration(n.Took)
+		m.warmLoads.RecordDuration(n.Took)
 		return
 	}
-	m.loads.RecordDuration(n.Took)
+	m.coldLoads.RecordDuration(n.Took)
 }
 
-// levels updates the gauges of queue and window sizes.
-func (m *Metrics) levels(l decide.Levels) {
+// updateLevels updates the gauges of queue and window sizes.
+func (m *Metrics) updateLevels(l decide.Levels) {
 	m.waiting.Update(float64(l.Waiting))
-	m.under.Update(float64(l.Under))
+	m.loading.Update(float64(l.Under))
 	m.evacuated.Update(float64(l.Evacuated))
 	m.window.Update(float64(l.Window))
 }
--- a/gateway/news_internal_test.go
+++ b/gateway/news_internal_test.go
@@ -10,15 +10,15 @@
 	short := &wardturn.MemberChange{
 		From:  3,
 		To:    9,
-		Ended: make([]wardturn.UpstreamID, mostTold),
+		Ended: make([]wardturn.UpstreamID, maxAnnounced),
 	}
 	if got := shortened(short); got != short {
-		t.Errorf("a change of %d upstreams is announced as %+v", mostTold, got)
+		t.Errorf("a change of %d upstreams is announced as %+v", maxAnnounced, got)
 	}
 	long := &wardturn.MemberChange{
 		From:    3,
 		To:      9,
-		Changed: make([]wardturn.Member, mostTold),
+		Changed: make([]wardturn.Member, maxAnnounced),
 		Ended:   make([]wardturn.UpstreamID, 1),
 	}
 	got := shortened(long)
--- a/gateway/newsways.go
+++ b/gateway/newsways.go
@@ -10,46 +10,46 @@
 	"wardturn/peer"
 )
 
-// newsKeepers is the number of keepers per failure domain that forward an announcement, so
+// keepersPerDomain is the number of keepers per failure domain that forward an announcement, so
 // that the loss of one loses no announcement.
-const newsKeepers = 2
+const keepersPerDomain = 2
 
-// newsConns returns the connections for an announcement: to two keepers in each failure
+// announcementConns returns the connections for an announcement: to two keepers in each failure
 // domain, which forward it within the domain. An announcement thus crosses to each other
 // domain twice, instead of once per gateway there. The keepers are selected by key.
 // Announcements of one kind from one gateway use the same keepers, which keeps them in
 // order. Other keys select other keepers, so that no two keepers carry the whole load.
-func (ls *links) newsConns(key string) []*peer.Conn {
-	byDomain := ls.waysByDomain()
-	conns := make([]*peer.Conn, 0, newsKeepers*len(byDomain))
+func (ls *links) announcementConns(key string) []*peer.Conn {
+	byDomain := ls.keepersByDomain()
+	conns := make([]*peer.Conn, 0, keepersPerDomain*len(byDomain))
 	for _, ways := range byDomain {
-		for _, w := range decide.FirstTwo(key, ways, newsWay.name) {
+		for _, w := range decide.FirstTwo(key, ways, connectedKeeper.name) {
 			conns = append(conns, w.conn)
 		}
 	}
 	return conns
 }
 
-// capConns returns the connections for a cap usage message: in each failure domain to one of
+// alternatingConns returns the connections for a cap usage message: in each failure domain to one of
 // the two keepers selected by key, alternating with turn.
-func (ls *links) capConns(key string, turn int) []*peer.Conn {
-	byDomain := ls.waysByDomain()
+func (ls *links) alternatingConns(key string, turn int) []*peer.Conn {
+	byDomain := ls.keepersByDomain()
 	conns := make([]*peer.Conn, 0, len(byDomain))
 	for _, ways := range byDomain {
-		two := decide.FirstTwo(key, ways, newsWay.name)
+		two := decide.FirstTwo(key, ways, connectedKeeper.name)
 		conns = append(conns, two[turn%len(two)].conn)
 	}
 	return conns
 }
 
-// waysByDomain returns the connected keepers by failure domain.
-func (ls *links) waysByDomain() map[wardturn.FailureDomain][]newsWay {
+// keepersByDomain returns the connected keepers by failure domain.
+func (ls *links) keepersByDomain() map[wardturn.FailureDomain][]connectedKeeper {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	byDomain := make(map[wardturn.FailureDomain][]newsWay)
+	byDomain := make(map[wardturn.FailureDomain][]connectedKeeper)
 	for _, l := range ls.byAddr {
-		if conn, domain := l.present(); conn != nil {
-			byDomain[domain] = append(byDomain[domain], newsWay{
+		if conn, domain := l.current(); conn != nil {
+			byDomain[domain] = append(byDomain[domain], connectedKeeper{
 				addr: l.addr(),
 				conn: conn,
 			})
@@ -58,28 +58,28 @@
 	return byDomain
 }
 
-// newsWay is a connected keeper.
-type newsWay struct {
+// connectedKeeper is a connected keeper.
+type connectedKeeper struct {
 	addr string
 	conn *peer.Conn
 }
 
-func (w newsWay) name() string {
+func (w connectedKeeper) name() string {
 	return w.addr
 }
 
-// hearsAt returns the failure domains whose keepers forward announcements to this gateway:
+// findAnnouncementDomains returns the failure domains whose keepers forward announcements to this gateway:
 // its own domain, and further ones until there are two keepers. If a domain has no keeper,
 // each announcement crosses to each gateway in it twice. The caller must hold ls.mu, and
 // ls.near must be up to date.
-func (ls *links) hearsAt(now time.Time) []wardturn.FailureDomain {
+func (ls *links) findAnnouncementDomains(now time.Time) []wardturn.FailureDomain {
 	at := []wardturn.FailureDomain{ls.g.cfg.Domain}
-	have := len(ls.near)
-	if have >= newsKeepers {
+	have := len(ls.relayCandidates)
+	if have >= keepersPerDomain {
 		return at
 	}
-	keepers := ls.otherKeepers(now)
-	for have < newsKeepers && len(keepers) > 0 {
+	keepers := ls.countRemoteKeepers(now)
+	for have < keepersPerDomain && len(keepers) > 0 {
 		domain, _ := decide.First(string(ls.g.cfg.Domain), slices.Collect(maps.Keys(keepers)), domainName)
 		at = append(at, domain)
 		have += keepers[domain]
@@ -92,26 +92,26 @@
 	return string(d)
 }
 
-// otherKeepers counts the reachable keepers in other failure domains. The caller must hold
+// countRemoteKeepers counts the reachable keepers in other failure domains. The caller must hold
 // ls.mu.
-func (ls *links) otherKeepers(now time.Time) map[wardturn.FailureDomain]int {
+func (ls *links) countRemoteKeepers(now time.Time) map[wardturn.FailureDomain]int {
 	keepers := make(map[wardturn.FailureDomain]int)
 	for _, l := range ls.byAddr {
-		if domain, ok := l.reached(now); ok && domain != ls.g.cfg.Domain {
+		if domain, ok := l.reachable(now); ok && domain != ls.g.cfg.Domain {
 			keepers[domain]++
 		}
 	}
 	return keepers
 }
 
-// hear subscribes to announcements at the keeper if its failure domain is in at, and
+// setAnnouncements subscribes to announcements at the keeper if its failure domain is in at, and
 // unsubscribes otherwise.
-func (l *link) hear(at []wardturn.FailureDomain) {
+func (l *link) setAnnouncements(at []wardturn.FailureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if news := slices.Contains(at, l.member.Domain); l.notice.News != news {
 		l.notice.News = news
-		l.told = false
+		l.noticeSent = false
 		l.sendNotice()
 	}
 }
--- a/gateway/newsways_internal_test.go
+++ b/gateway/newsways_internal_test.go
@@ -67,7 +67,7 @@
 	used := make(map[*peer.Conn]bool)
 	for i := range 40 {
 		told := make(map[wardturn.FailureDomain]int)
-		for _, c := range ls.newsConns(fmt.Sprint("reader", i)) {
+		for _, c := range ls.announcementConns(fmt.Sprint("reader", i)) {
 			told[domains[c]]++
 			used[c] = true
 		}
@@ -97,9 +97,9 @@
 		{keepers: nil, want: 1},
 	} {
 		ls := newTestLinks(t, c.keepers...)
-		ls.routeAll()
-		if len(ls.hears) != c.want || ls.hears[0] != "d0" {
-			t.Errorf("with %v keepers, announcements come from %v, want %d domains", c.keepers, ls.hears, c.want)
+		ls.updateRelays()
+		if len(ls.announcementDomains) != c.want || ls.announcementDomains[0] != "d0" {
+			t.Errorf("with %v keepers, announcements come from %v, want %d domains", c.keepers, ls.announcementDomains, c.want)
 		}
 		for _, l := range ls.byAddr {
 			if domain := l.domain(); domain == "d0" && !l.notice.News {
--- a/gateway/roster_internal_test.go
+++ b/gateway/roster_internal_test.go
@@ -51,7 +51,7 @@
 
 // rosterRig is a roster that has read a list with the upstreams u1 and u2.
 type rosterRig struct {
-	*roster
+	*membership
 	clock  *standin.Clock
 	source *listSource
 }
@@ -63,7 +63,7 @@
 			members: []wardturn.Member{{ID: "u1", Addr: "1"}, {ID: "u2", Addr: "2"}},
 		},
 	}
-	x.roster = newRoster(x.source, x.clock, hclog.NewNullLogger(), lapseGrace)
+	x.membership = newMembership(x.source, x.clock, hclog.NewNullLogger(), lapseGrace)
 	x.read(nil)
 	return x
 }
@@ -90,7 +90,7 @@
 	x := newRosterRig()
 	x.fail()
 	x.clock.Advance(10 * time.Millisecond)
-	x.take(wardturn.MemberChange{}, x.clock.Now())
+	x.apply(wardturn.MemberChange{}, x.clock.Now())
 	x.clock.Advance(24 * time.Second)
 	x.source.drop("u1")
 	if x.has("u1") {
@@ -108,7 +108,7 @@
 	x := newRosterRig()
 	x.fail()
 	x.clock.Advance(32 * time.Millisecond)
-	x.take(wardturn.MemberChange{}, x.clock.Now())
+	x.apply(wardturn.MemberChange{}, x.clock.Now())
 	x.clock.Advance(29 * time.Millisecond)
 	x.source.drop("u1")
 	if x.has("u1") {
@@ -124,7 +124,7 @@
 		x.clock.Advance(250 * time.Millisecond)
 	}
 	x.source.drop("u1")
-	x.take(wardturn.MemberChange{}, x.clock.Now())
+	x.apply(wardturn.MemberChange{}, x.clock.Now())
 	if !x.has("u1") {
 		t.Error("an entry that expired during an outage was not retained")
 	}
@@ -142,7 +142,7 @@
 			read = x.clock.Now().Add(asOf)
 		}
 		x.clock.Advance(100 * time.Millisecond)
-		x.take(wardturn.MemberChange{}, read)
+		x.apply(wardturn.MemberChange{}, read)
 		x.clock.Advance(time.Second)
 		x.source.drop("u1")
 		if !x.has("u1") {
@@ -160,7 +160,7 @@
 		x.clock.Advance(time.Second)
 		x.source.drop("u1")
 		if told {
-			x.take(wardturn.MemberChange{}, x.clock.Now())
+			x.apply(wardturn.MemberChange{}, x.clock.Now())
 		}
 		if !x.has("u1") {
 			t.Error("an expired entry was not retained; recovery announced by another gateway:", told)
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -66,7 +66,7 @@
 	if total <= 0 {
 		return r.Targets[0].Service
 	}
-	at := bucketOf(attempt, total)
+	at := hashBucket(attempt, total)
 	for _, t := range r.Targets {
 		if at < t.Weight {
 			return t.Service
@@ -76,8 +76,8 @@
 	return r.Targets[0].Service
 }
 
-// bucketOf hashes text into one of n buckets.
-func bucketOf(text string, n int) int {
+// hashBucket hashes text into one of n buckets.
+func hashBucket(text string, n int) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(text)) // never fails
 	return int(h.Sum32() % uint32(n))
