--- a/gateway/caps_internal_test.go
+++ b/gateway/caps_internal_test.go
@@ -10,23 +10,23 @@
 	"wardturn"
 )
 
-// stillClock is a clock that advances only when a test sets it.
-type stillClock struct {
+// manualClock is a clock that advances only when a test sets it.
+type manualClock struct {
 	now time.Time
 }
 
-func (c *stillClock) Now() time.Time {
+func (c *manualClock) Now() time.Time {
 	return c.now
 }
 
-func (c *stillClock) AfterFunc(time.Duration, func()) wardturn.Timer {
+func (c *manualClock) AfterFunc(time.Duration, func()) wardturn.Timer {
 	return nil
 }
 
 // If a sudden rise in a team's usage were announced only at the next interval, the team would
 // exceed its cap by what all gateways admit until then.
-func TestChargeAsksForMessageWhenTeamJumps(t *testing.T) {
-	clock := &stillClock{
+func TestChargeRequestsMessageOnUsageJump(t *testing.T) {
+	clock := &manualClock{
 		now: time.Unix(1000, 0),
 	}
 	g := &Gateway{
@@ -46,7 +46,7 @@
 		},
 	}
 	g.caps.setTeams([]wardturn.Team{team})
-	charge := func(tokens string) (asked bool) {
+	charge := func(tokens string) (requested bool) {
 		t.Helper()
 		x := &exchange{
 			g:    g,
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -17,29 +17,29 @@
 	"wardturn/standin"
 )
 
-// fatal is the body of a request that crashes each upstream that starts it.
-const fatal = "fatal"
+// crashBody is the body of a request that crashes each upstream that starts it.
+const crashBody = "fatal"
 
-// downFor is how long a crashed upstream is down.
-const downFor = 150 * time.Millisecond
+// downtime is how long a crashed upstream is down.
+const downtime = 150 * time.Millisecond
 
-// mortal is an upstream that can crash: its connections and listener close, and after downFor
+// crashingUpstream is an upstream that can crash: its connections and listener close, and after downFor
 // it restarts at the same address, without state and with a new ID.
-type mortal struct {
+type crashingUpstream struct {
 	x       *rig
 	service string
 	worker  *standin.ModelWorker
 
-	mu      sync.Mutex
-	server  *http.Server
-	lives   int
-	crashes int
-	id      string
+	mu       sync.Mutex
+	server   *http.Server
+	restarts int
+	crashes  int
+	id       string
 }
 
-// mortalWorker starts and registers a worker that crashes on a fatal request.
-func (x *rig) mortalWorker(service, host string, cfg standin.ModelWorkerConfig) *mortal {
-	m := &mortal{
+// crashingWorker starts and registers a worker that crashes on a fatal request.
+func (x *rig) crashingWorker(service, host string, cfg standin.ModelWorkerConfig) *crashingUpstream {
+	m := &crashingUpstream{
 		x:       x,
 		service: service,
 		id:      cfg.ID,
@@ -47,7 +47,7 @@
 	cfg.Crash = m.crash
 	m.worker = standin.NewModelWorker(cfg)
 	m.worker.SetFaults(standin.WorkerFaults{
-		CrashOn: fatal,
+		CrashOn: crashBody,
 	})
 	ln := listen(host + ":0")
 	x.addrs[m.worker] = ln.Addr().String()
@@ -62,7 +62,7 @@
 	return m
 }
 
-func (m *mortal) serve(ln net.Listener) {
+func (m *crashingUpstream) serve(ln net.Listener) {
 	m.server = &http.Server{
 		Handler: m.worker,
 	}
@@ -71,31 +71,31 @@
 	}(m.server)
 }
 
-func (m *mortal) crash(string) {
+func (m *crashingUpstream) crash(string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.crashes++
 	_ = m.server.Close()
-	time.AfterFunc(downFor, m.begin)
+	time.AfterFunc(downtime, m.restart)
 }
 
-func (m *mortal) begin() {
+func (m *crashingUpstream) restart() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	ln, err := net.Listen("tcp", m.x.addrs[m.worker])
 	if err != nil {
 		return // the test has ended
 	}
-	m.lives++
+	m.restarts++
 	old := m.id
-	m.id = fmt.Sprintf("%s-%d", m.worker.ID(), m.lives)
+	m.id = fmt.Sprintf("%s-%d", m.worker.ID(), m.restarts)
 	m.worker.Restart(m.id)
 	m.serve(ln)
 	m.x.list(m.worker, m.service, m.id, "ready")
 	m.x.store.DropServer(old)
 }
 
-func (m *mortal) count() int {
+func (m *crashingUpstream) crashCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.crashes
@@ -104,9 +104,9 @@
 // crashRig is a rig with two gateways and upstreams that can crash.
 type crashRig struct {
 	*rig
-	fronts  []string
-	second  *gateway.Gateway
-	mortals []*mortal
+	fronts    []string
+	second    *gateway.Gateway
+	upstreams []*crashingUpstream
 }
 
 func newCrashRig() *crashRig {
@@ -114,7 +114,7 @@
 		rig: newRig(),
 	}
 	for i := range 3 {
-		x.mortals = append(x.mortals, x.mortalWorker("app", "127.0.0.1", standin.ModelWorkerConfig{
+		x.upstreams = append(x.upstreams, x.crashingWorker("app", "127.0.0.1", standin.ModelWorkerConfig{
 			ID: fmt.Sprintf("b%d", i),
 		}))
 	}
@@ -126,7 +126,7 @@
 	x.second = second
 	x.fronts = []string{x.front, front}
 	for i := range x.fronts {
-		x.serves(i)
+		x.awaitServing(i)
 		// An engine serves once its keeper is connected; gateways also exchange messages
 		// through the keepers.
 		Eventually(func() int {
@@ -137,31 +137,31 @@
 	return x
 }
 
-// at sends a request through one of the gateways.
-func (x *crashRig) at(i int, path, body string) reply {
+// sendThrough sends a request through one of the gateways.
+func (x *crashRig) sendThrough(i int, path, body string) reply {
 	own := *x.rig
 	own.front = x.fronts[i]
 	return own.send("POST", fmt.Sprintf("crash-%d", attempts.Add(1)), path, "", body)
 }
 
-// serves waits until harmless requests through a gateway succeed.
-func (x *crashRig) serves(i int) {
+// awaitServing waits until harmless requests through a gateway succeed.
+func (x *crashRig) awaitServing(i int) {
 	Eventually(func() string {
-		return x.at(i, "/look/", "sound").body
+		return x.sendThrough(i, "/look/", "sound").body
 	}, soon, often).Should(Equal("echo:sound"))
 }
 
-// faultAll sets the faults of all upstreams.
-func (x *crashRig) faultAll(f standin.WorkerFaults) {
-	for _, m := range x.mortals {
+// setAllFaults sets the faults of all upstreams.
+func (x *crashRig) setAllFaults(f standin.WorkerFaults) {
+	for _, m := range x.upstreams {
 		m.worker.SetFaults(f)
 	}
 }
 
 func (x *crashRig) crashes() int {
 	n := 0
-	for _, m := range x.mortals {
-		n += m.count()
+	for _, m := range x.upstreams {
+		n += m.crashCount()
 	}
 	return n
 }
@@ -170,12 +170,12 @@
 // any gateway, would look like a new request and crash another upstream.
 var _ = Describe("A request that crashes its upstreams", func() {
 	const (
-		// crashesAllowed is how many upstreams one request may crash before it is rejected.
-		crashesAllowed = 3
-		tries          = 12
-		// refusedIn is the time within which a gateway that learns of the crashes only from
+		// maxCrashes is how many upstreams one request may crash before it is rejected.
+		maxCrashes = 3
+		tries      = 12
+		// rejectTimeout is the time within which a gateway that learns of the crashes only from
 		// the store rejects the request.
-		refusedIn = 3 * time.Second
+		rejectTimeout = 3 * time.Second
 	)
 	var x *crashRig
 	BeforeEach(func() {
@@ -184,17 +184,17 @@
 
 	It("is rejected by all gateways after three crashes, and other requests are served", func() {
 		for n := range tries {
-			x.serves(n % 2)
-			x.at(n%2, "/charge/", fatal)
+			x.awaitServing(n % 2)
+			x.sendThrough(n%2, "/charge/", crashBody)
 		}
-		Expect(x.crashes()).To(BeNumerically("<=", crashesAllowed))
+		Expect(x.crashes()).To(BeNumerically("<=", maxCrashes))
 		for i := range x.fronts {
 			began := time.Now()
-			r := x.at(i, "/charge/", fatal)
+			r := x.sendThrough(i, "/charge/", crashBody)
 			Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 			Expect(r.body).To(Equal(string(wardturn.ReasonCrashes)))
 			Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
-			Expect(x.at(i, "/charge/", "sound").status).To(Equal(http.StatusOK))
+			Expect(x.sendThrough(i, "/charge/", "sound").status).To(Equal(http.StatusOK))
 		}
 	})
 
@@ -202,44 +202,44 @@
 	// a response cleared the content, the content would never be rejected.
 	It("is rejected after three crashes even if faulty upstreams answer it with errors in between", func() {
 		for n := range tries {
-			x.serves(n % 2)
+			x.awaitServing(n % 2)
 			if n%3 == 2 {
-				x.faultAll(standin.WorkerFaults{
+				x.setAllFaults(standin.WorkerFaults{
 					Error: true,
 				})
 			}
-			x.at(n%2, "/charge/", fatal)
-			x.faultAll(standin.WorkerFaults{
-				CrashOn: fatal,
+			x.sendThrough(n%2, "/charge/", crashBody)
+			x.setAllFaults(standin.WorkerFaults{
+				CrashOn: crashBody,
 			})
 		}
-		Expect(x.crashes()).To(BeNumerically("<=", crashesAllowed))
+		Expect(x.crashes()).To(BeNumerically("<=", maxCrashes))
 	})
 
-	// crash sends the request through gateway i until it is rejected there. A repetition sent
+	// crashUntilRejected sends the request through gateway i until it is rejected there. A repetition sent
 	// before the previous crash is noticed goes to another upstream.
-	crash := func(i int) {
+	crashUntilRejected := func(i int) {
 		Eventually(func() string {
-			x.serves(i)
-			return x.at(i, "/charge/", fatal).body
+			x.awaitServing(i)
+			return x.sendThrough(i, "/charge/", crashBody).body
 		}, soon, 50*time.Millisecond).Should(Equal(string(wardturn.ReasonCrashes)))
 	}
 
 	It("is rejected by a gateway that starts after all others have stopped", func() {
-		crash(0)
+		crashUntilRejected(0)
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("crashes recorded"))
 		x.gateway.Close()
 		x.second.Close()
 		_, front, _ := x.startGateway("third", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = []string{front}
-		x.serves(0)
-		Eventually(x.log.String, refusedIn, often).Should(ContainSubstring("third: request is refused"))
-		Expect(x.at(0, "/charge/", fatal).body).To(Equal(string(wardturn.ReasonCrashes)))
-		Expect(x.crashes()).To(Equal(crashesAllowed))
+		x.awaitServing(0)
+		Eventually(x.log.String, rejectTimeout, often).Should(ContainSubstring("third: request is refused"))
+		Expect(x.sendThrough(0, "/charge/", crashBody).body).To(Equal(string(wardturn.ReasonCrashes)))
+		Expect(x.crashes()).To(Equal(maxCrashes))
 	})
 
 	It("is rejected by such a gateway even if the store was restored without the records", func() {
-		crash(0)
+		crashUntilRejected(0)
 		recorded := func() int {
 			return strings.Count(x.log.String(), "crashes recorded")
 		}
@@ -252,44 +252,44 @@
 		x.gateway.Close()
 		_, front, _ := x.startGateway("third", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = []string{front}
-		x.serves(0)
-		Eventually(x.log.String, refusedIn, often).Should(ContainSubstring("third: request is refused"))
-		Expect(x.at(0, "/charge/", fatal).body).To(Equal(string(wardturn.ReasonCrashes)))
-		Expect(x.crashes()).To(Equal(crashesAllowed))
+		x.awaitServing(0)
+		Eventually(x.log.String, rejectTimeout, often).Should(ContainSubstring("third: request is refused"))
+		Expect(x.sendThrough(0, "/charge/", crashBody).body).To(Equal(string(wardturn.ReasonCrashes)))
+		Expect(x.crashes()).To(Equal(maxCrashes))
 	})
 
 	It("is rejected by a gateway that reaches the others only through the store", func() {
 		x.keeper = "1" // no keeper listens there
 		_, front, _ := x.startGateway("alone", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = append(x.fronts, front)
-		x.serves(2)
-		crash(0)
-		Eventually(x.log.String, refusedIn, often).Should(ContainSubstring("alone: request is refused"))
-		Expect(x.at(2, "/charge/", fatal).body).To(Equal(string(wardturn.ReasonCrashes)))
-		Expect(x.crashes()).To(Equal(crashesAllowed))
+		x.awaitServing(2)
+		crashUntilRejected(0)
+		Eventually(x.log.String, rejectTimeout, often).Should(ContainSubstring("alone: request is refused"))
+		Expect(x.sendThrough(2, "/charge/", crashBody).body).To(Equal(string(wardturn.ReasonCrashes)))
+		Expect(x.crashes()).To(Equal(maxCrashes))
 	})
 
 	It("is recorded for the others from its first crash by a gateway that reaches no keeper", func() {
 		x.keeper = "1"
 		_, front, _ := x.startGateway("alone", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = append(x.fronts, front)
-		x.serves(2)
-		x.at(2, "/charge/", fatal)
+		x.awaitServing(2)
+		x.sendThrough(2, "/charge/", crashBody)
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("alone: crashes recorded: crashes=1"))
 		time.Sleep(1500 * time.Millisecond) // one of the others reads the record for both
-		crash(0)
-		Expect(x.crashes()).To(Equal(crashesAllowed))
+		crashUntilRejected(0)
+		Expect(x.crashes()).To(Equal(maxCrashes))
 	})
 
 	It("is recorded from its first crash even if the store was unavailable then", func() {
 		x.keeper = "1"
 		_, front, _ := x.startGateway("alone", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = append(x.fronts, front)
-		x.serves(2)
+		x.awaitServing(2)
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
-		x.at(2, "/charge/", fatal)
+		x.sendThrough(2, "/charge/", crashBody)
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("alone: crashes not recorded: crashes=1"))
 		x.store.SetFaults(standin.MetaFaults{})
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("alone: crashes recorded: crashes=1"))
@@ -297,36 +297,36 @@
 
 	It("does not cause other requests at the same upstreams to be rejected", func() {
 		const think = 300 * time.Millisecond
-		for _, m := range x.mortals {
+		for _, m := range x.upstreams {
 			m.worker.SetFaults(standin.WorkerFaults{
-				CrashOn: fatal,
+				CrashOn: crashBody,
 				Think:   think,
 			})
 		}
-		for range crashesAllowed {
-			x.serves(0)
+		for range maxCrashes {
+			x.awaitServing(0)
 			var done sync.WaitGroup
 			done.Go(func() {
 				defer GinkgoRecover()
-				x.at(0, "/charge/", fatal)
+				x.sendThrough(0, "/charge/", crashBody)
 			})
 			time.Sleep(think / 2)
-			for range 2 * len(x.mortals) { // present at all upstreams when one crashes
+			for range 2 * len(x.upstreams) { // present at all upstreams when one crashes
 				done.Go(func() {
 					defer GinkgoRecover()
-					x.at(0, "/charge/", "beside")
+					x.sendThrough(0, "/charge/", "beside")
 				})
 			}
 			done.Wait()
 		}
 		Expect(x.log.String()).To(ContainSubstring("not suspected any more"))
-		Expect(x.at(0, "/charge/", fatal).body).To(Equal(string(wardturn.ReasonCrashes)))
-		x.serves(0)
-		Expect(x.at(0, "/charge/", "beside").status).To(Equal(http.StatusOK))
+		Expect(x.sendThrough(0, "/charge/", crashBody).body).To(Equal(string(wardturn.ReasonCrashes)))
+		x.awaitServing(0)
+		Expect(x.sendThrough(0, "/charge/", "beside").status).To(Equal(http.StatusOK))
 	})
 
-	// record writes crashes of a request to the engines into the store.
-	record := func(path, body string) {
+	// recordCrashes writes crashes of a request to the engines into the store.
+	recordCrashes := func(path, body string) {
 		content := wardturn.Content{
 			Method: http.MethodPost,
 			Host:   "h.example",
@@ -336,7 +336,7 @@
 			},
 			Body: []byte(body),
 		}
-		for i := range crashesAllowed {
+		for i := range maxCrashes {
 			x.store.Put("keyed.wardturn.crashes", fmt.Sprintf("%s/u%d", content.ID(), i), fmt.Appendf(nil, `{"at_ms":%d}`, time.Now().UnixMilli()))
 		}
 	}
@@ -356,7 +356,7 @@
 			return x.engines[0].Held() + x.engines[1].Held()
 		}
 		Eventually(heldNow, soon, often).Should(Equal(1))
-		record("/ask/x", "held")
+		recordCrashes("/ask/x", "held")
 		Eventually(heldNow, 2*time.Second, often).Should(BeZero())
 		Expect((<-held).status).To(Equal(http.StatusBadGateway))
 		Expect(x.log.String()).To(ContainSubstring("broken_off=1"))
@@ -369,21 +369,21 @@
 				CutFresh: 3,
 			})
 		}
-		record("/resume/x", "resumed")
+		recordCrashes("/resume/x", "resumed")
 		r := x.send(http.MethodPost, "resumed", "/resume/x", "m0", "resumed")
 		Expect(r.err).To(HaveOccurred())
 		Expect(x.runs("resumed")).To(Equal(1))
 	})
 
 	It("is forwarded again after its records were removed from the store", func() {
-		crash(0)
+		crashUntilRejected(0)
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("crashes recorded"))
-		for _, m := range x.mortals {
+		for _, m := range x.upstreams {
 			m.worker.SetFaults(standin.WorkerFaults{})
 		}
 		x.store.DropAll("keyed.wardturn.crashes")
 		Eventually(func() int {
-			return x.at(1, "/charge/", fatal).status
+			return x.sendThrough(1, "/charge/", crashBody).status
 		}, soon, 50*time.Millisecond).Should(Equal(http.StatusOK))
 	})
 })
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -126,11 +126,11 @@
 	}
 	c.g.metrics.crashes.Inc(int64(len(fresh)))
 	c.g.logger.Info("upstream ended under requests", "upstream", fresh[0].Upstream, "requests", len(fresh))
-	told := c.announce(&peer.CrashNews{
+	announced := c.announce(&peer.CrashNews{
 		Crashes: fresh,
 	})
 	c.mu.Lock()
-	c.unannounced = c.unannounced || !told
+	c.unannounced = c.unannounced || !announced
 	c.mu.Unlock()
 	c.handleNew(fresh)
 }
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -135,23 +135,23 @@
 // writeDue writes the records that are due. It reports false if the write failed.
 func (c *crashes) writeDue() bool {
 	c.mu.Lock()
-	list, takeBack := c.tracker.Due(c.g.clock.Now(), c.unannounced)
+	crashes, takeBack := c.tracker.Due(c.g.clock.Now(), c.unannounced)
 	all := c.unannounced
 	c.unannounced = false
 	c.mu.Unlock()
-	if len(list)+len(takeBack) == 0 {
+	if len(crashes)+len(takeBack) == 0 {
 		return true
 	}
-	err := c.record.Write(c.g.clock.Now(), list, takeBack)
+	err := c.record.Write(c.g.clock.Now(), crashes, takeBack)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
 		c.unannounced = c.unannounced || all
-		c.g.logger.Warn("crashes not recorded", "crashes", len(list), "taken_back", len(takeBack), "error", err)
+		c.g.logger.Warn("crashes not recorded", "crashes", len(crashes), "taken_back", len(takeBack), "error", err)
 		return false
 	}
-	c.g.logger.Info("crashes recorded", "crashes", len(list), "taken_back", len(takeBack))
-	c.tracker.Written(list, takeBack)
+	c.g.logger.Info("crashes recorded", "crashes", len(crashes), "taken_back", len(takeBack))
+	c.tracker.Written(crashes, takeBack)
 	return true
 }
 
--- a/gateway/crashrecord_internal_test.go
+++ b/gateway/crashrecord_internal_test.go
@@ -8,23 +8,23 @@
 	"wardturn/decide"
 )
 
-// setClock is a clock that advances only when a test sets it.
-type setClock struct {
+// fixedClock is a clock that advances only when a test sets it.
+type fixedClock struct {
 	now time.Time
 }
 
-func (c *setClock) Now() time.Time {
+func (c *fixedClock) Now() time.Time {
 	return c.now
 }
 
-func (c *setClock) AfterFunc(time.Duration, func()) wardturn.Timer {
+func (c *fixedClock) AfterFunc(time.Duration, func()) wardturn.Timer {
 	panic("not used")
 }
 
 // An announced configuration read must not count as a read of the crash records: two gateways
 // that read the configuration alternately would never read the crashes.
-func TestCrashesAreReadByOneOfTwo(t *testing.T) {
-	clock := &setClock{
+func TestCrashRecordsAreReadByOneOfTwo(t *testing.T) {
+	clock := &fixedClock{
 		now: time.Unix(1000, 0),
 	}
 	gateways := []*crashes{}
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -13,24 +13,24 @@
 	"wardturn/standin"
 )
 
-// evacuateBound is the time after which upstreams of an evacuated failure domain must receive
+// evacuationBound is the time after which upstreams of an evacuated failure domain must receive
 // no requests.
-const evacuateBound = 2500 * time.Millisecond
+const evacuationBound = 2500 * time.Millisecond
 
 // evacuate evacuates a failure domain in the store. It returns the time from which its
 // upstreams must receive no requests.
 func (x *rig) evacuate(domain string) time.Time {
 	x.store.Evacuate(domain, true)
-	return time.Now().Add(evacuateBound)
+	return time.Now().Add(evacuationBound)
 }
 
-func (x *rig) takeBack(domain string) {
+func (x *rig) revokeEvacuation(domain string) {
 	x.store.Evacuate(domain, false)
 }
 
-// arrivedAfter counts the requests that reached workers of a failure domain after the given
+// domainArrivalsAfter counts the requests that reached workers of a failure domain after the given
 // time.
-func (x *rig) arrivedAfter(domain string, after time.Time) int {
+func (x *rig) domainArrivalsAfter(domain string, after time.Time) int {
 	n := 0
 	for _, m := range append(x.engines, x.apps...) {
 		for _, a := range m.Arrivals() {
@@ -59,7 +59,7 @@
 		statuses := x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, span)
 		Expect(statuses[http.StatusOK]).To(BeNumerically(">", 20))
 		x.callAll(fronts, "/ask/a", "m0", 1, 20*time.Millisecond, span/2)
-		Expect(x.arrivedAfter(domain, after)).To(BeZero())
+		Expect(x.domainArrivalsAfter(domain, after)).To(BeZero())
 	}
 
 	It("receives no requests after the bound, across a gateway start and a compaction of the store", func() {
@@ -74,7 +74,7 @@
 
 	It("receives none if the evacuation is revoked and repeated immediately", func() {
 		x.evacuate("d")
-		x.takeBack("d")
+		x.revokeEvacuation("d")
 		after := x.evacuate("d")
 		expectEmpty("d", after, 3*time.Second)
 	})
@@ -82,11 +82,11 @@
 	It("receives requests again once the evacuation is revoked", func() {
 		x.evacuate("d")
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("evacuations in force: domains=[\"d\"]"))
-		x.takeBack("d")
+		x.revokeEvacuation("d")
 		back := time.Now()
 		Eventually(func() int {
 			x.callAll(fronts, "/look/a", "", 2, 10*time.Millisecond, 50*time.Millisecond)
-			return x.arrivedAfter("d", back)
+			return x.domainArrivalsAfter("d", back)
 		}, soon, often).Should(BeNumerically(">", 5))
 	})
 
@@ -123,7 +123,7 @@
 				began.Add(1)
 			}
 		}
-		Expect(x.arrivedAfter("d", after)).To(BeZero())
+		Expect(x.domainArrivalsAfter("d", after)).To(BeZero())
 	})
 })
 
@@ -135,15 +135,15 @@
 			"d": "north",
 			"e": "south",
 		}
-		const homes = `,{"name":"local","host":"h.example","path_prefix":"/local/","type":"idempotent","timeout_ms":1000,"slo_ms":150,"service":"app","max_attempts":2,"regions_allowed":["south"]},
+		const restricted = `,{"name":"local","host":"h.example","path_prefix":"/local/","type":"idempotent","timeout_ms":1000,"slo_ms":150,"service":"app","max_attempts":2,"regions_allowed":["south"]},
 {"name":"none","host":"h.example","path_prefix":"/none/","type":"idempotent","timeout_ms":1000,"slo_ms":150,"service":"app","max_attempts":2,"regions_allowed":["west"]}`
-		x.store.PutConfig(config(2, homes))
+		x.store.PutConfig(config(2, restricted))
 		g, front, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
 		Eventually(g.Ready, soon, often).Should(BeTrue())
 		began := time.Now()
 		statuses := x.callAll([]string{front}, "/local/a", "", 2, 10*time.Millisecond, 500*time.Millisecond)
 		Expect(statuses[http.StatusOK]).To(BeNumerically(">", 20))
-		Expect(x.arrivedAfter("d", began)).To(BeZero())
+		Expect(x.domainArrivalsAfter("d", began)).To(BeZero())
 		id, r := x.with(front, "/none/a", "", nil)
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.body).To(Equal("no_upstream_in_regions"))
--- a/gateway/events_internal_test.go
+++ b/gateway/events_internal_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// passAll feeds the pieces of a response to e and returns what the caller receives.
-func passAll(e *events, pieces ...string) (string, misplacement) {
+// feedAll feeds the pieces of a response to e and returns what the caller receives.
+func feedAll(e *events, pieces ...string) (string, misplacement) {
 	var got strings.Builder
 	for _, p := range pieces {
 		data, why := e.take([]byte(p))
@@ -55,13 +55,13 @@
 	} {
 		for size := 1; size <= len(c.answer)+1; size += 1 + len(c.answer)/40 {
 			e := &events{}
-			if got, why := passAll(e, ping+one+two); got != ping+one+two || why != "" {
+			if got, why := feedAll(e, ping+one+two); got != ping+one+two || why != "" {
 				t.Fatalf("first run: %q, %q", got, why)
 			}
 			if !e.resume() {
 				t.Fatal("not resumed")
 			}
-			if got, why := passAll(e, split(c.answer, size)...); got != c.want || why != c.why {
+			if got, why := feedAll(e, split(c.answer, size)...); got != c.want || why != c.why {
 				t.Errorf("%s, pieces of %d bytes: got %.80q, %q, want %.80q, %q", c.name, size, got, why, c.want, c.why)
 			}
 		}
@@ -86,7 +86,7 @@
 		"long event":             "id: 1\ndata: " + strings.Repeat("x", maxEventSize) + "\n\n",
 	} {
 		e := &events{}
-		if got, why := passAll(e, split(answer, 8<<10)...); got != answer || why != "" {
+		if got, why := feedAll(e, split(answer, 8<<10)...); got != answer || why != "" {
 			t.Errorf("%s: got %.80q, %q", name, got, why)
 		}
 		if e.resume() {
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestEventsManyOfOneStream(t *testing.T) {
+func TestEventsBeyondChecksumLimit(t *testing.T) {
 	e := &events{}
 	var all strings.Builder
 	for i := range maxChecksums + 2 {
@@ -103,14 +103,14 @@
 		all.WriteString(strconv.Itoa(i))
 		all.WriteString("\ndata: x\n\n")
 	}
-	if got, why := passAll(e, all.String()); got != all.String() || why != "" {
+	if got, why := feedAll(e, all.String()); got != all.String() || why != "" {
 		t.Fatalf("got %d bytes, %q", len(got), why)
 	}
 	if !e.resume() {
 		t.Fatal("not resumed")
 	}
 	again := "id: " + strconv.Itoa(maxChecksums) + "\ndata: x\n\n"
-	if got, why := passAll(e, again); got != "" || why != mismatchOtherRun {
+	if got, why := feedAll(e, again); got != "" || why != mismatchOtherRun {
 		t.Errorf("got %q, %q", got, why)
 	}
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -11,7 +11,7 @@
 // followConfig keeps the configuration up to date by long polls of the store.
 func (g *Gateway) followConfig() {
 	pause := configRetryDelay
-	away := false
+	unavailable := false
 	first := true
 	for {
 		if !g.news.awaitRead(g.news.config) {
@@ -25,10 +25,10 @@
 			g.metrics.config.succeeded.Inc(1)
 			asOf := configAsOf(sent, wait, g.clock.Now(), change, first)
 			first = false
-			if away {
+			if unavailable {
 				g.logger.Info("store answers again", "for", "configuration")
 			}
-			away = false
+			unavailable = false
 			pause = configRetryDelay
 			if change.Returned {
 				g.handleStoreRestored()
@@ -43,10 +43,10 @@
 			continue
 		}
 		g.metrics.config.failed.Inc(1)
-		if !away {
+		if !unavailable {
 			g.logger.Warn("store away, the present configuration stays", "error", err)
 		}
-		away = true
+		unavailable = true
 		g.news.readFailed(g.news.config)
 		if !g.tasks.Pause(pause) {
 			return
@@ -138,28 +138,28 @@
 // changes.
 func (g *Gateway) followMembers() {
 	for {
-		told, due, ok := g.news.awaitMembers(g.membership.nextRetentionEnd())
+		change, due, ok := g.news.awaitMembers(g.membership.nextRetentionEnd())
 		switch {
 		case !ok:
 			return
 		case due:
 			g.readMembers()
-		case told == nil:
+		case change == nil:
 			g.setMembers(g.membership.dropExpired())
 		default:
-			g.applyAnnounced(*told)
+			g.applyAnnounced(*change)
 		}
 	}
 }
 
 // applyAnnounced applies a change that another gateway announced.
-func (g *Gateway) applyAnnounced(told announcedChange) {
-	now, ok := g.membership.apply(told.change, told.asOf)
+func (g *Gateway) applyAnnounced(change announcedChange) {
+	view, ok := g.membership.apply(change.change, change.asOf)
 	if !ok {
 		g.markMembersStale()
 		return
 	}
-	g.setMembers(now)
+	g.setMembers(view)
 }
 
 func (g *Gateway) readMembers() {
@@ -169,29 +169,29 @@
 	if !g.membersRead.Load() {
 		part = g.receivePartialMembers
 	}
-	now, change, ok := g.membership.read(part)
+	view, change, ok := g.membership.read(part)
 	if !ok {
 		g.metrics.members.failed.Inc(1)
 		g.news.readFailed(g.news.members)
 		return
 	}
 	g.metrics.members.succeeded.Inc(1)
-	g.setMembers(now)
+	g.setMembers(view)
 	g.membersRead.Store(true)
 	g.news.finishMembersRead(sent, change)
 }
 
-func (g *Gateway) setMembers(now membershipView) {
-	if now.unchanged {
+func (g *Gateway) setMembers(view membershipView) {
+	if view.unchanged {
 		return
 	}
 	g.mu.Lock()
 	g.partialMembers = nil
-	lost := g.fleet.SetMembers(g.clock.Now(), now.members)
+	lost := g.fleet.SetMembers(g.clock.Now(), view.members)
 	g.mu.Unlock()
 	g.crashes.ended(lost...)
 	g.links.update()
-	if len(now.members) > 0 && !g.hadUpstreams.Swap(true) {
+	if len(view.members) > 0 && !g.hadUpstreams.Swap(true) {
 		g.crashes.readIfStale(g.news.readsForAll())
 	}
 }
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -13,9 +13,9 @@
 	"wardturn/standin"
 )
 
-// stopWithin is the time within which an engine must stop a request whose caller has
+// stopTimeout is the time within which an engine must stop a request whose caller has
 // disconnected.
-const stopWithin = 500 * time.Millisecond
+const stopTimeout = 500 * time.Millisecond
 
 var _ = Describe("A request whose caller disconnects", func() {
 	var x *rig
@@ -29,7 +29,7 @@
 	// call sends a request and, if read is positive, waits for that many bytes of the response.
 	// The returned function closes the caller's connection.
 	call := func(path, model string, read int) context.CancelFunc {
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, x.front+path, strings.NewReader("prompt"))
 		Expect(err).NotTo(HaveOccurred())
 		req.Host = "h.example"
@@ -56,8 +56,8 @@
 		if read > 0 {
 			Eventually(begun, soon).Should(BeClosed())
 		}
-		DeferCleanup(leave)
-		return leave
+		DeferCleanup(disconnect)
+		return disconnect
 	}
 	faults := func(f standin.WorkerFaults) {
 		for _, m := range append(x.engines, x.apps...) {
@@ -80,7 +80,7 @@
 			leave := call(path, model, 0)
 			Eventually(active, soon, often).Should(Equal(1))
 			leave()
-			Eventually(active, stopWithin, often).Should(BeZero())
+			Eventually(active, stopTimeout, often).Should(BeZero())
 		})
 	}
 
@@ -91,7 +91,7 @@
 		leave := call("/ask/x", "m0", 5)
 		Expect(active()).To(Equal(1))
 		leave()
-		Eventually(active, stopWithin, often).Should(BeZero())
+		Eventually(active, stopTimeout, often).Should(BeZero())
 	})
 
 	It("reaches no engine if its adapter is loaded later", func() {
@@ -101,10 +101,10 @@
 		leave := call("/ask/x", "m0/late", 0)
 		time.Sleep(100 * time.Millisecond)
 		leave()
-		time.Sleep(stopWithin)
+		time.Sleep(stopTimeout)
 		faults(standin.WorkerFaults{})
 		Consistently(func() int {
 			return x.runs("leaves")
-		}, stopWithin, often).Should(BeZero())
+		}, stopTimeout, often).Should(BeZero())
 	})
 })
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -19,26 +19,26 @@
 	limitGrace  = 500 * time.Millisecond // after a response that carries a limit
 )
 
-// limitAllows returns how many requests an upstream with a limit may receive in any
+// maxArrivals returns how many requests an upstream with a limit may receive in any
 // limitWindow.
-func limitAllows(rate float64) int {
+func maxArrivals(rate float64) int {
 	return int(1.5*rate*limitWindow.Seconds()) + 5
 }
 
-// mostWithin returns the maximum number of arrivals within any interval of length span, of
+// maxArrivalsWithin returns the maximum number of arrivals within any interval of length span, of
 // those after the given time.
-func mostWithin(list []standin.Arrival, after time.Time, span time.Duration) int {
+func maxArrivalsWithin(list []standin.Arrival, after time.Time, span time.Duration) int {
 	list = slices.DeleteFunc(list, func(a standin.Arrival) bool {
 		return a.At.Before(after)
 	})
-	most, first := 0, 0
+	maxCount, first := 0, 0
 	for i, a := range list {
 		for a.At.Sub(list[first].At) >= span {
 			first++
 		}
-		most = max(most, i-first+1)
+		maxCount = max(maxCount, i-first+1)
 	}
-	return most
+	return maxCount
 }
 
 // callAll runs callers at each front that send sequential requests for the given span. It
@@ -77,12 +77,12 @@
 		Eventually(g.Ready, soon, often).Should(BeTrue())
 		fronts = []string{x.front, second}
 	})
-	// expectKept expects that a worker receives no more than its limit after it announced it,
+	// expectWithinLimit expects that a worker receives no more than its limit after it announced it,
 	// and not much less.
-	expectKept := func(m *standin.ModelWorker, named time.Time, rate float64) {
+	expectWithinLimit := func(m *standin.ModelWorker, named time.Time, rate float64) {
 		GinkgoHelper()
-		got := mostWithin(m.Arrivals(), named.Add(limitGrace), limitWindow)
-		Expect(got).To(BeNumerically("<=", limitAllows(rate)))
+		got := maxArrivalsWithin(m.Arrivals(), named.Add(limitGrace), limitWindow)
+		Expect(got).To(BeNumerically("<=", maxArrivals(rate)))
 		Expect(got).To(BeNumerically(">=", int(rate*limitWindow.Seconds())/2), "the limit is used")
 	}
 
@@ -92,7 +92,7 @@
 		})
 		named := time.Now()
 		statuses := x.callAll(fronts, "/look/a", "", 4, 30*time.Millisecond, 6*time.Second)
-		expectKept(x.apps[0], named, 4)
+		expectWithinLimit(x.apps[0], named, 4)
 		Expect(statuses[http.StatusOK]).To(BeNumerically(">", 500))
 		Expect(statuses[http.StatusServiceUnavailable]).To(BeZero(), "%v", statuses)
 	})
@@ -103,7 +103,7 @@
 		})
 		named := time.Now()
 		statuses := x.callAll(fronts, "/ask/a", "m0", 3, 30*time.Millisecond, 5*time.Second)
-		expectKept(x.engines[0], named, 5.5)
+		expectWithinLimit(x.engines[0], named, 5.5)
 		Expect(statuses[http.StatusServiceUnavailable]).To(BeZero(), "%v", statuses)
 	})
 
@@ -114,8 +114,8 @@
 		})
 		named := time.Now()
 		x.callAll(fronts, "/look/a", "", 4, 30*time.Millisecond, 5*time.Second)
-		got := mostWithin(x.apps[0].Arrivals(), named.Add(limitGrace), limitWindow)
-		Expect(got).To(BeNumerically("<=", limitAllows(4)))
+		got := maxArrivalsWithin(x.apps[0].Arrivals(), named.Add(limitGrace), limitWindow)
+		Expect(got).To(BeNumerically("<=", maxArrivals(4)))
 	})
 
 	It("receives at most that if some values are invalid, and one with only invalid values receives its share", func() {
@@ -131,7 +131,7 @@
 			Limit: "4000000000.-",
 		})
 		statuses := x.callAll(fronts, "/look/a", "", 4, 30*time.Millisecond, 4*time.Second)
-		expectKept(x.apps[0], named, 4)
+		expectWithinLimit(x.apps[0], named, 4)
 		Expect(statuses[http.StatusServiceUnavailable]).To(BeZero(), "%v", statuses)
 		Expect(x.log.String()).To(ContainSubstring("limit of an upstream not understood"))
 	})
@@ -192,6 +192,6 @@
 		g, third, _ := x.startGateway("third", platform.NewStore(x.storeAddr, x.metrics))
 		Eventually(g.Ready, soon, often).Should(BeTrue())
 		x.callAll(append(fronts, third), "/look/a", "", 2, 20*time.Millisecond, 4*time.Second)
-		expectKept(x.apps[0], named, 4)
+		expectWithinLimit(x.apps[0], named, 4)
 	})
 })
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -61,7 +61,7 @@
 // A link applies each update once and in order, whether it arrives directly or through a
 // relay, and none of another incarnation of the engine or its keeper.
 func TestLinkAccepts(t *testing.T) {
-	word := func(seq uint64, full bool) *peer.Holding {
+	update := func(seq uint64, full bool) *peer.Holding {
 		return &peer.Holding{
 			Seq:      seq,
 			Full:     full,
@@ -69,44 +69,44 @@
 		}
 	}
 	answer := func(seq uint64) *peer.Holding {
-		h := word(seq, false)
+		h := update(seq, false)
 		h.Answer = true
 		return h
 	}
-	other := word(9, true)
+	other := update(9, true)
 	other.Upstream = "i-0"
 	l := newTestLink(t)
 	for i, step := range []struct {
-		what    string
+		name    string
 		process wardturn.Incarnation
-		word    *peer.Holding
+		update  *peer.Holding
 		want    bool
 	}{
-		{what: "a change before the full state", process: "k", word: word(4, false)},
-		{what: "an answer before the full state", process: "k", word: answer(4)},
-		{what: "a full state of an earlier keeper process", process: "old", word: word(8, true)},
-		{what: "a full state of another incarnation of the engine", process: "k", word: other},
-		{what: "the full state", process: "k", word: word(5, true), want: true},
-		{what: "the next change", process: "k", word: word(6, false), want: true},
-		{what: "the same change through the relay", process: "k", word: word(6, false)},
-		{what: "an older full state from a relay that is behind", process: "k", word: word(5, true)},
-		{what: "an answer older than the current state", process: "k", word: answer(5)},
-		{what: "an answer ahead of the changes", process: "k", word: answer(8), want: true},
-		{what: "the change that comes after it", process: "k", word: word(7, false), want: true},
-		{what: "a change after a gap", process: "k", word: word(9, false)},
-		{what: "the next change, while the full state is requested", process: "k", word: word(10, false)},
-		{what: "the full state after the gap", process: "k", word: word(10, true), want: true},
-		{what: "the change after that", process: "k", word: word(11, false), want: true},
+		{name: "a change before the full state", process: "k", update: update(4, false)},
+		{name: "an answer before the full state", process: "k", update: answer(4)},
+		{name: "a full state of an earlier keeper process", process: "old", update: update(8, true)},
+		{name: "a full state of another incarnation of the engine", process: "k", update: other},
+		{name: "the full state", process: "k", update: update(5, true), want: true},
+		{name: "the next change", process: "k", update: update(6, false), want: true},
+		{name: "the same change through the relay", process: "k", update: update(6, false)},
+		{name: "an older full state from a relay that is behind", process: "k", update: update(5, true)},
+		{name: "an answer older than the current state", process: "k", update: answer(5)},
+		{name: "an answer ahead of the changes", process: "k", update: answer(8), want: true},
+		{name: "the change that comes after it", process: "k", update: update(7, false), want: true},
+		{name: "a change after a gap", process: "k", update: update(9, false)},
+		{name: "the next change, while the full state is requested", process: "k", update: update(10, false)},
+		{name: "the full state after the gap", process: "k", update: update(10, true), want: true},
+		{name: "the change after that", process: "k", update: update(11, false), want: true},
 	} {
-		if _, got := l.accept(step.process, step.word); got != step.want {
-			t.Errorf("step %d, %s: accepted %v, want %v", i, step.what, got, step.want)
+		if _, got := l.accept(step.process, step.update); got != step.want {
+			t.Errorf("step %d, %s: accepted %v, want %v", i, step.name, got, step.want)
 		}
 	}
 }
 
 // A relay is behind if it has not reached a mark within relayMarkTimeout. A later mark must not
 // restart that period.
-func TestLinkLeavesARelayThatIsBehind(t *testing.T) {
+func TestLinkKeepsPendingMark(t *testing.T) {
 	l := newTestLink(t)
 	l.synced = true
 	l.seq = 3
@@ -131,7 +131,7 @@
 
 // Regression test: each new configuration made each gateway send a notice to each keeper,
 // and the keeper reply with its full state.
-func TestLinkTellsWhatChanged(t *testing.T) {
+func TestLinkSendsChangedNotices(t *testing.T) {
 	spec := wardturn.EngineSpec{
 		Batch:        8,
 		AdapterSlots: 2,
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -89,7 +89,7 @@
 
 // NewMetrics returns metrics that report to scope.
 func NewMetrics(scope tally.Scope) *Metrics {
-	kind := func(k string) tally.Histogram {
+	loadTime := func(k string) tally.Histogram {
 		return scope.Tagged(map[string]string{
 			"from": k,
 		}).Histogram("adapter_load_time", latencies)
@@ -98,8 +98,8 @@
 		scope:           scope,
 		resends:         scope.Counter("resends"),
 		denied:          scope.Counter("resends_denied"),
-		coldLoads:       kind("store"),
-		warmLoads:       kind("memory"),
+		coldLoads:       loadTime("store"),
+		warmLoads:       loadTime("memory"),
 		waiting:         scope.Gauge("requests_waiting"),
 		loading:         scope.Gauge("loads_under_way"),
 		evacuated:       scope.Gauge("requests_in_evacuated"),
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -115,7 +115,7 @@
 // awaitMembers waits for an announced change of the list, until a read of the list is due,
 // or until the given time unless that is zero. Due reports whether a read is due. The result
 // ok is false when the gateway shuts down.
-func (n *readCoordinator) awaitMembers(until time.Time) (told *announcedChange, due, ok bool) {
+func (n *readCoordinator) awaitMembers(until time.Time) (change *announcedChange, due, ok bool) {
 	for n.g.tasks.Context().Err() == nil {
 		limit, cancel, woken, due := n.checkSchedule(n.members, until)
 		if due {
@@ -126,9 +126,9 @@
 			return nil, false, true
 		}
 		select {
-		case told := <-n.changes:
+		case change := <-n.changes:
 			cancel()
-			return &told, false, true
+			return &change, false, true
 		case <-woken:
 		case <-limit.Done():
 		}
--- a/gateway/news_internal_test.go
+++ b/gateway/news_internal_test.go
@@ -6,7 +6,7 @@
 	"wardturn"
 )
 
-func TestLongChangesAreNotTold(t *testing.T) {
+func TestLongChangesAreShortened(t *testing.T) {
 	short := &wardturn.MemberChange{
 		From:  3,
 		To:    9,
--- a/gateway/news_relays_test.go
+++ b/gateway/news_relays_test.go
@@ -15,50 +15,50 @@
 	"wardturn/standin"
 )
 
-// inForce is the time within which a change of the configuration is in force.
-const inForce = 2 * time.Second
+// announcedConfigBound is the time within which a change of the configuration is in force.
+const announcedConfigBound = 2 * time.Second
 
-// newsRig is a rig with a second gateway that reaches the store and the keepers through
+// secondGatewayRig is a rig with a second gateway that reaches the store and the keepers through
 // proxies of its own.
-type newsRig struct {
+type secondGatewayRig struct {
 	*rig
-	away *atomic.Bool // the store is unavailable to the second gateway
-	ways []*standin.Relay
+	unavailable *atomic.Bool // the store is unavailable to the second gateway
+	proxies     []*standin.Relay
 }
 
-// ownWays makes gateways started from now on reach the keepers through proxies of their own.
-func (x *rig) ownWays() []*standin.Relay {
+// proxyKeepers makes gateways started from now on reach the keepers through proxies of their own.
+func (x *rig) proxyKeepers() []*standin.Relay {
 	hosts := []string{"127.0.0.11", "127.0.0.12"}
 	list, port := listenAll(hosts...)
-	var ways []*standin.Relay
+	var proxies []*standin.Relay
 	for i, host := range hosts {
 		list[i].Close()
-		way, err := standin.NewRelayAt(net.JoinHostPort(host, port), net.JoinHostPort(host, x.keeper))
+		proxy, err := standin.NewRelayAt(net.JoinHostPort(host, port), net.JoinHostPort(host, x.keeper))
 		Expect(err).NotTo(HaveOccurred())
-		DeferCleanup(way.Close)
-		ways = append(ways, way)
+		DeferCleanup(proxy.Close)
+		proxies = append(proxies, proxy)
 	}
 	x.keeper = port
-	return ways
+	return proxies
 }
 
-// newNewsRig starts a gateway in failure domain d and one in the domain second. The second
+// newSecondGatewayRig starts a gateway in failure domain d and one in the domain second. The second
 // one relies on the reads of the first, since its ID is higher.
-func newNewsRig(keepers []string, second wardturn.FailureDomain) *newsRig {
-	x := &newsRig{
-		rig:  newRigIn(keepers...),
-		away: &atomic.Bool{},
+func newSecondGatewayRig(keepers []string, second wardturn.FailureDomain) *secondGatewayRig {
+	x := &secondGatewayRig{
+		rig:         newRigIn(keepers...),
+		unavailable: &atomic.Bool{},
 	}
 	ln := listen("127.0.0.1:0")
 	serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if x.away.Load() {
+		if x.unavailable.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		x.store.ServeHTTP(w, r)
 	}))
 	x.domain = second
-	x.ways = x.ownWays()
+	x.proxies = x.proxyKeepers()
 	other, front, ready := x.startGateway("second", platform.NewStore(ln.Addr().String(), tally.NoopScope))
 	x.front, x.ready = front, ready
 	Eventually(other.Ready, soon, often).Should(BeTrue())
@@ -68,22 +68,22 @@
 	return x
 }
 
-// takesNewRoute adds a route and waits until it is in force at the second gateway.
-func (x *newsRig) takesNewRoute() {
+// awaitNewRoute adds a route and waits until it is in force at the second gateway.
+func (x *secondGatewayRig) awaitNewRoute() {
 	GinkgoHelper()
 	x.store.PutConfig(config(2, newRoute))
 	Eventually(func() int {
 		return x.get("new", "/new/", "").status
-	}, inForce, often).Should(Equal(http.StatusOK))
+	}, announcedConfigBound, often).Should(Equal(http.StatusOK))
 }
 
 var _ = Describe("Announcements of store reads", func() {
 	DescribeTable("reach a gateway that cannot read the store",
-		func(keepers []string, second wardturn.FailureDomain, hurt func(*newsRig)) {
-			x := newNewsRig(keepers, second)
-			hurt(x)
-			x.takesNewRoute()
-			x.away.Store(true)
+		func(keepers []string, second wardturn.FailureDomain, injectFault func(*secondGatewayRig)) {
+			x := newSecondGatewayRig(keepers, second)
+			injectFault(x)
+			x.awaitNewRoute()
+			x.unavailable.Store(true)
 			time.Sleep(300 * time.Millisecond) // calls in progress have ended
 			x.list(x.apps[0], "app", "a0", "draining")
 			Eventually(func() int {
@@ -92,38 +92,38 @@
 					x.get("leave", "/charge/", "")
 				}
 				return x.apps[0].Total() - before
-			}, inForce, often).Should(BeZero())
+			}, announcedConfigBound, often).Should(BeZero())
 			Expect(x.apps[1].Total()).To(BeNumerically(">", 0))
 		},
-		Entry("through two keepers in its failure domain", []string{"d", "d"}, wardturn.FailureDomain("d"), func(*newsRig) {}),
-		Entry("when one of them is unreachable", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
+		Entry("through two keepers in its failure domain", []string{"d", "d"}, wardturn.FailureDomain("d"), func(*secondGatewayRig) {}),
+		Entry("when one of them is unreachable", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
 			x.way.Block(true)
 		}),
-		Entry("when one of them is frozen", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
+		Entry("when one of them is frozen", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
 			x.way.Freeze(true)
 		}),
-		Entry("when the other one is frozen for this gateway only", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
-			x.ways[1].Freeze(true)
+		Entry("when the other one is frozen for this gateway only", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
+			x.proxies[1].Freeze(true)
 		}),
-		Entry("when it is connected to only one of them", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *newsRig) {
-			x.ways[0].Block(true)
+		Entry("when it is connected to only one of them", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
+			x.proxies[0].Block(true)
 		}),
-		Entry("in another failure domain", []string{"f", "f"}, wardturn.FailureDomain("f"), func(*newsRig) {}),
-		Entry("in a failure domain with a single keeper", []string{"d", "f"}, wardturn.FailureDomain("f"), func(*newsRig) {}),
-		Entry("when the single keeper is unreachable", []string{"d", "f"}, wardturn.FailureDomain("f"), func(x *newsRig) {
-			x.ways[1].Block(true)
+		Entry("in another failure domain", []string{"f", "f"}, wardturn.FailureDomain("f"), func(*secondGatewayRig) {}),
+		Entry("in a failure domain with a single keeper", []string{"d", "f"}, wardturn.FailureDomain("f"), func(*secondGatewayRig) {}),
+		Entry("when the single keeper is unreachable", []string{"d", "f"}, wardturn.FailureDomain("f"), func(x *secondGatewayRig) {
+			x.proxies[1].Block(true)
 		}),
-		Entry("in a failure domain without keepers", []string{"f", "f"}, wardturn.FailureDomain("g"), func(*newsRig) {}),
-		Entry("when the keepers of its failure domain are unreachable", []string{"d", "f"}, wardturn.FailureDomain("d"), func(x *newsRig) {
+		Entry("in a failure domain without keepers", []string{"f", "f"}, wardturn.FailureDomain("g"), func(*secondGatewayRig) {}),
+		Entry("when the keepers of its failure domain are unreachable", []string{"d", "f"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
 			x.way.Block(true)
 		}),
 	)
 
 	It("are not required by a gateway that reaches no keeper", func() {
-		x := newNewsRig([]string{"d", "d"}, "d")
-		for _, way := range x.ways {
-			way.Block(true)
+		x := newSecondGatewayRig([]string{"d", "d"}, "d")
+		for _, proxy := range x.proxies {
+			proxy.Block(true)
 		}
-		x.takesNewRoute()
+		x.awaitNewRoute()
 	})
 })
--- a/gateway/news_test.go
+++ b/gateway/news_test.go
@@ -14,16 +14,16 @@
 
 var _ = Describe("Gateways that share a store", func() {
 	var (
-		x     *rig
-		other *gateway.Gateway
-		away  atomic.Bool // the store is unavailable to the other gateway
+		x           *rig
+		other       *gateway.Gateway
+		unavailable atomic.Bool // the store is unavailable to the other gateway
 	)
 	BeforeEach(func() {
 		x = newRig()
-		away.Store(false)
+		unavailable.Store(false)
 		ln := listen("127.0.0.1:0")
 		serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if away.Load() {
+			if unavailable.Load() {
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return
 			}
@@ -53,7 +53,7 @@
 
 	It("learn from each other that an upstream is draining", func() {
 		time.Sleep(600 * time.Millisecond)
-		away.Store(true)
+		unavailable.Store(true)
 		time.Sleep(300 * time.Millisecond)
 		x.list(x.apps[0], "app", "a0", "draining")
 		Eventually(func() int {
--- a/gateway/newsways.go
+++ b/gateway/newsways.go
@@ -22,8 +22,8 @@
 func (ls *links) announcementConns(key string) []*peer.Conn {
 	byDomain := ls.keepersByDomain()
 	conns := make([]*peer.Conn, 0, keepersPerDomain*len(byDomain))
-	for _, ways := range byDomain {
-		for _, w := range decide.FirstTwo(key, ways, connectedKeeper.name) {
+	for _, keepers := range byDomain {
+		for _, w := range decide.FirstTwo(key, keepers, connectedKeeper.name) {
 			conns = append(conns, w.conn)
 		}
 	}
@@ -35,8 +35,8 @@
 func (ls *links) alternatingConns(key string, turn int) []*peer.Conn {
 	byDomain := ls.keepersByDomain()
 	conns := make([]*peer.Conn, 0, len(byDomain))
-	for _, ways := range byDomain {
-		two := decide.FirstTwo(key, ways, connectedKeeper.name)
+	for _, keepers := range byDomain {
+		two := decide.FirstTwo(key, keepers, connectedKeeper.name)
 		conns = append(conns, two[turn%len(two)].conn)
 	}
 	return conns
@@ -73,19 +73,19 @@
 // each announcement crosses to each gateway in it twice. The caller must hold ls.mu, and
 // ls.near must be up to date.
 func (ls *links) findAnnouncementDomains(now time.Time) []wardturn.FailureDomain {
-	at := []wardturn.FailureDomain{ls.g.cfg.Domain}
-	have := len(ls.relayCandidates)
-	if have >= keepersPerDomain {
-		return at
+	domains := []wardturn.FailureDomain{ls.g.cfg.Domain}
+	count := len(ls.relayCandidates)
+	if count >= keepersPerDomain {
+		return domains
 	}
 	keepers := ls.countRemoteKeepers(now)
-	for have < keepersPerDomain && len(keepers) > 0 {
+	for count < keepersPerDomain && len(keepers) > 0 {
 		domain, _ := decide.First(string(ls.g.cfg.Domain), slices.Collect(maps.Keys(keepers)), domainName)
-		at = append(at, domain)
-		have += keepers[domain]
+		domains = append(domains, domain)
+		count += keepers[domain]
 		delete(keepers, domain)
 	}
-	return at
+	return domains
 }
 
 func domainName(d wardturn.FailureDomain) string {
--- a/gateway/newsways_internal_test.go
+++ b/gateway/newsways_internal_test.go
@@ -57,7 +57,7 @@
 
 // An announcement goes to two keepers in each failure domain. Different readers use different
 // keepers.
-func TestReadingIsToldTwiceInEachDomain(t *testing.T) {
+func TestAnnouncementsUseTwoKeepersPerDomain(t *testing.T) {
 	const each = 6
 	ls := newTestLinks(t, each, each, each, 1)
 	domains := make(map[*peer.Conn]wardturn.FailureDomain)
@@ -66,14 +66,14 @@
 	}
 	used := make(map[*peer.Conn]bool)
 	for i := range 40 {
-		told := make(map[wardturn.FailureDomain]int)
+		keepers := make(map[wardturn.FailureDomain]int)
 		for _, c := range ls.announcementConns(fmt.Sprint("reader", i)) {
-			told[domains[c]]++
+			keepers[domains[c]]++
 			used[c] = true
 		}
 		for domain, want := range map[wardturn.FailureDomain]int{"d0": 2, "d1": 2, "d2": 2, "d3": 1} {
-			if told[domain] != want {
-				t.Errorf("reader %d: %d keepers in %s, want %d", i, told[domain], domain, want)
+			if keepers[domain] != want {
+				t.Errorf("reader %d: %d keepers in %s, want %d", i, keepers[domain], domain, want)
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 
 // A gateway receives announcements from keepers in its own failure domain, and in others as
 // long as that gives fewer than two keepers.
-func TestWhereNewsIsHeard(t *testing.T) {
+func TestAnnouncementDomains(t *testing.T) {
 	for _, c := range []struct {
 		keepers []int
 		want    int // failure domains
--- a/gateway/parts_test.go
+++ b/gateway/parts_test.go
@@ -15,10 +15,10 @@
 
 var _ = Describe("A gateway that receives the list of upstreams in pages", func() {
 	var (
-		x      *rig
-		late   *gateway.Gateway
-		rest   atomic.Bool // the second page may be returned
-		config atomic.Bool // the configuration may be returned
+		x           *rig
+		late        *gateway.Gateway
+		secondPage  atomic.Bool // the second page may be returned
+		configReady atomic.Bool // the configuration may be returned
 	)
 	// start starts a gateway that receives the engine e0 with the plain upstreams in the first
 	// page and e1 in the second one.
@@ -26,7 +26,7 @@
 		ln := listen("127.0.0.1:0")
 		serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			q := r.URL.Query()
-			for q.Get("after") != "" && !rest.Load() || q.Get("topic") == "keyed.op" && !config.Load() {
+			for q.Get("after") != "" && !secondPage.Load() || q.Get("topic") == "keyed.op" && !configReady.Load() {
 				time.Sleep(often)
 			}
 			x.store.ServeHTTP(w, r)
@@ -41,11 +41,11 @@
 	}
 	BeforeEach(func() {
 		x = newRig()
-		rest.Store(false)
-		config.Store(true)
+		secondPage.Store(false)
+		configReady.Store(true)
 		DeferCleanup(func() { // let delayed calls complete
-			rest.Store(true)
-			config.Store(true)
+			secondPage.Store(true)
+			configReady.Store(true)
 		})
 	})
 
@@ -56,10 +56,10 @@
 	})
 
 	It("does so if the configuration arrives later", func() {
-		config.Store(false)
+		configReady.Store(false)
 		start()
 		time.Sleep(100 * time.Millisecond)
-		config.Store(true)
+		configReady.Store(true)
 		Eventually(status("/charge/", ""), soon, often).Should(Equal(http.StatusOK))
 		Expect(late.Ready()).To(BeFalse())
 	})
@@ -70,7 +70,7 @@
 		before := x.engines[0].Total()
 		Expect(status("/ask/x", "m0")()).NotTo(Equal(http.StatusOK))
 		Expect(x.engines[0].Total()).To(Equal(before))
-		rest.Store(true)
+		secondPage.Store(true)
 		Eventually(late.Ready, soon, often).Should(BeTrue())
 		Eventually(status("/ask/x", "m0"), soon, often).Should(Equal(http.StatusOK))
 	})
--- a/gateway/relays.go
+++ b/gateway/relays.go
@@ -59,8 +59,8 @@
 // to this gateway. The caller must hold ls.mu.
 func (ls *links) chooseRelay(now time.Time, l *link) {
 	l.setAnnouncements(ls.announcementDomains)
-	via, _ := decide.First(l.addr(), ls.relayCandidates, (*link).addr)
-	l.setRelay(now, via)
+	relay, _ := decide.First(l.addr(), ls.relayCandidates, (*link).addr)
+	l.setRelay(now, relay)
 }
 
 func (l *link) domain() wardturn.FailureDomain {
@@ -135,24 +135,24 @@
 
 // setRelay subscribes to the keeper's updates through the relay via. With nil the keeper
 // sends them directly.
-func (l *link) setRelay(now time.Time, via *link) {
+func (l *link) setRelay(now time.Time, relay *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.relaySuspended = l.relaySuspended && !l.relayBackoff.Allows(now)
 	if l.relaySuspended || l.member.Domain == l.links.g.cfg.Domain {
-		via = nil
+		relay = nil
 	}
-	if via != l.relay {
+	if relay != l.relay {
 		l.unsubscribe()
-		l.relay = via
+		l.relay = relay
 		l.relaySince = now
 		l.syncStartedAt = now
 		l.pendingMark = peer.Mark{}
 	}
-	if via != nil {
+	if relay != nil {
 		l.subscribe()
 	}
-	if relayed := via != nil; l.notice.Relayed != relayed {
+	if relayed := relay != nil; l.notice.Relayed != relayed {
 		l.notice.Relayed = relayed
 		l.noticeSent = false
 		l.sendNotice()
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -18,7 +18,7 @@
 		other *gateway.Gateway // in the engine's failure domain
 		front string           // address of other
 	)
-	words := func(way string) int64 {
+	updates := func(way string) int64 {
 		c := x.metrics.Snapshot().Counters()["keeper_words+way="+way]
 		if c == nil {
 			return 0
@@ -28,7 +28,7 @@
 	// load requests new adapters through the other gateway; some are loaded at the remote
 	// engine.
 	loads := 0
-	load := func() {
+	loadAdapters := func() {
 		own := x.front
 		x.front = front
 		defer func() {
@@ -54,48 +54,48 @@
 
 	It("is received through a relay in the own failure domain", func() {
 		Eventually(func() int64 {
-			load()
-			return words("relay")
+			loadAdapters()
+			return updates("relay")
 		}, soon, often).Should(BeNumerically(">", 5))
 	})
 
 	It("is received directly when the relay is unreachable", func() {
 		Eventually(func() int64 {
-			load()
-			return words("relay")
+			loadAdapters()
+			return updates("relay")
 		}, soon, often).Should(BeNumerically(">", 0))
 		x.way.Block(true)
-		before := words("direct")
+		before := updates("direct")
 		Eventually(func() int64 {
-			load()
-			return words("direct")
+			loadAdapters()
+			return updates("direct")
 		}, soon, often).Should(BeNumerically(">", before+3))
 	})
 
 	It("is received directly when the relay is frozen", func() {
 		Eventually(func() int64 {
-			load()
-			return words("relay")
+			loadAdapters()
+			return updates("relay")
 		}, soon, often).Should(BeNumerically(">", 0))
 		x.way.Freeze(true)
 		frozen := time.Now()
-		before := words("direct")
+		before := updates("direct")
 		Eventually(func() int64 {
-			load()
+			loadAdapters()
 			x.get("use", "/ask/x", fmt.Sprintf("m0/l%d", loads)) // an adapter that one of the engines holds
-			return words("direct")
+			return updates("direct")
 		}, soon, often).Should(BeNumerically(">", before+3))
 		Expect(time.Since(frozen)).To(BeNumerically("<", 3*time.Second)) // a missing heartbeat is noticed after 5 s
 	})
 
 	It("is received through the relay again once it is reachable", func() {
 		x.way.Block(true)
-		load()
+		loadAdapters()
 		x.way.Block(false)
-		before := words("relay")
+		before := updates("relay")
 		Eventually(func() int64 {
-			load()
-			return words("relay")
+			loadAdapters()
+			return updates("relay")
 		}, 2*soon, often).Should(BeNumerically(">", before+3))
 		Expect(x.get("after", "/ask/x", "m0").status).To(Equal(http.StatusOK))
 	})
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -109,11 +109,11 @@
 		return
 	}
 	r.failing = false
-	away := at.Sub(r.failingSince)
-	if away >= least {
+	outage := at.Sub(r.failingSince)
+	if outage >= least {
 		r.recoveredAt = at
 	}
-	r.logger.Info("store answers again", "for", "upstreams", "away_for", away)
+	r.logger.Info("store answers again", "for", "upstreams", "away_for", outage)
 }
 
 // recentlyRecovered reports whether the store recovered from an outage within recoveryWindow.
--- a/gateway/roster_internal_test.go
+++ b/gateway/roster_internal_test.go
@@ -11,74 +11,74 @@
 	"wardturn/standin"
 )
 
-// listSource is a MemberSource whose reads can be made to fail.
-type listSource struct {
-	away    bool
-	members []wardturn.Member
-	lapsed  []wardturn.UpstreamID // expired since the latest read or change
+// fakeMemberSource is a MemberSource whose reads can be made to fail.
+type fakeMemberSource struct {
+	unavailable bool
+	members     []wardturn.Member
+	expired     []wardturn.UpstreamID // expired since the latest read or change
 }
 
-func (s *listSource) Next(func([]wardturn.Member)) (wardturn.MemberList, error) {
-	if s.away {
+func (s *fakeMemberSource) Next(func([]wardturn.Member)) (wardturn.MemberList, error) {
+	if s.unavailable {
 		return wardturn.MemberList{}, wardturn.ErrUnavailable
 	}
 	return s.list(), nil
 }
 
-func (s *listSource) Take(wardturn.MemberChange) (wardturn.MemberList, bool) {
+func (s *fakeMemberSource) Take(wardturn.MemberChange) (wardturn.MemberList, bool) {
 	return s.list(), true
 }
 
-func (s *listSource) list() wardturn.MemberList {
+func (s *fakeMemberSource) list() wardturn.MemberList {
 	l := wardturn.MemberList{
 		Members: slices.Clone(s.members),
-		Lapsed:  s.lapsed,
+		Lapsed:  s.expired,
 	}
-	s.lapsed = nil
+	s.expired = nil
 	return l
 }
 
 // drop removes the entry of an upstream.
-func (s *listSource) drop(id wardturn.UpstreamID) {
+func (s *fakeMemberSource) drop(id wardturn.UpstreamID) {
 	s.members = slices.DeleteFunc(s.members, func(m wardturn.Member) bool {
 		return m.ID == id
 	})
-	s.lapsed = append(s.lapsed, id)
+	s.expired = append(s.expired, id)
 }
 
-// lapseGrace is how long entries that expired during an outage are retained.
-const lapseGrace = 2200 * time.Millisecond
+// expiryGrace is how long entries that expired during an outage are retained.
+const expiryGrace = 2200 * time.Millisecond
 
-// rosterRig is a roster that has read a list with the upstreams u1 and u2.
-type rosterRig struct {
+// membershipRig is a roster that has read a list with the upstreams u1 and u2.
+type membershipRig struct {
 	*membership
 	clock  *standin.Clock
-	source *listSource
+	source *fakeMemberSource
 }
 
-func newRosterRig() *rosterRig {
-	x := &rosterRig{
+func newMembershipRig() *membershipRig {
+	x := &membershipRig{
 		clock: standin.NewClock(),
-		source: &listSource{
+		source: &fakeMemberSource{
 			members: []wardturn.Member{{ID: "u1", Addr: "1"}, {ID: "u2", Addr: "2"}},
 		},
 	}
-	x.membership = newMembership(x.source, x.clock, hclog.NewNullLogger(), lapseGrace)
+	x.membership = newMembership(x.source, x.clock, hclog.NewNullLogger(), expiryGrace)
 	x.read(nil)
 	return x
 }
 
 // fail performs a read that fails.
-func (x *rosterRig) fail() {
-	x.source.away = true
+func (x *membershipRig) fail() {
+	x.source.unavailable = true
 	x.read(nil)
-	x.source.away = false
+	x.source.unavailable = false
 }
 
 // has performs a read and reports whether the upstream is considered present.
-func (x *rosterRig) has(id wardturn.UpstreamID) bool {
-	now, _, _ := x.read(nil)
-	return slices.ContainsFunc(now.members, func(m wardturn.Member) bool {
+func (x *membershipRig) has(id wardturn.UpstreamID) bool {
+	view, _, _ := x.read(nil)
+	return slices.ContainsFunc(view.members, func(m wardturn.Member) bool {
 		return m.ID == id
 	})
 }
@@ -86,8 +86,8 @@
 // After one failed read, a gateway may rely on others' reads for a long time. If the outage
 // lasted until its own next read, it would retain upstreams that left just before that read
 // and send them requests.
-func TestRosterStoreThatAnswersOthers(t *testing.T) {
-	x := newRosterRig()
+func TestMembershipRecoverySeenByAnother(t *testing.T) {
+	x := newMembershipRig()
 	x.fail()
 	x.clock.Advance(10 * time.Millisecond)
 	x.apply(wardturn.MemberChange{}, x.clock.Now())
@@ -104,8 +104,8 @@
 //
 //	9.4464 store answers again: for=upstreams away_for=32.168869ms
 //	9.4754 upstream left the list: upstream=i-63e878534d store_was_away=true
-func TestRosterTurnedAway(t *testing.T) {
-	x := newRosterRig()
+func TestMembershipRejectedReadIsNoOutage(t *testing.T) {
+	x := newMembershipRig()
 	x.fail()
 	x.clock.Advance(32 * time.Millisecond)
 	x.apply(wardturn.MemberChange{}, x.clock.Now())
@@ -117,8 +117,8 @@
 }
 
 // An outage is measured from the first failed read.
-func TestRosterAwayForLong(t *testing.T) {
-	x := newRosterRig()
+func TestMembershipOutageSinceFirstFailure(t *testing.T) {
+	x := newMembershipRig()
 	for range 10 {
 		x.fail()
 		x.clock.Advance(250 * time.Millisecond)
@@ -132,17 +132,17 @@
 
 // An announcement that arrives late, of a read made before this gateway's read failed, does
 // not show that the store has recovered.
-func TestRosterLateWord(t *testing.T) {
+func TestMembershipLateAnnouncement(t *testing.T) {
 	for _, asOf := range []time.Duration{-time.Second, 0} {
-		x := newRosterRig()
+		x := newMembershipRig()
 		x.clock.Advance(10 * time.Second)
 		x.fail()
-		read := time.Time{} // unknown
+		announcedAsOf := time.Time{} // unknown
 		if asOf != 0 {
-			read = x.clock.Now().Add(asOf)
+			announcedAsOf = x.clock.Now().Add(asOf)
 		}
 		x.clock.Advance(100 * time.Millisecond)
-		x.apply(wardturn.MemberChange{}, read)
+		x.apply(wardturn.MemberChange{}, announcedAsOf)
 		x.clock.Advance(time.Second)
 		x.source.drop("u1")
 		if !x.has("u1") {
@@ -153,21 +153,21 @@
 
 // Expired entries are retained for the grace period after the store's recovery, whether this
 // gateway or another one noticed the recovery first.
-func TestRosterLapsedWhileAway(t *testing.T) {
-	for _, told := range []bool{false, true} {
-		x := newRosterRig()
+func TestMembershipRetainsExpiredEntries(t *testing.T) {
+	for _, announced := range []bool{false, true} {
+		x := newMembershipRig()
 		x.fail()
 		x.clock.Advance(time.Second)
 		x.source.drop("u1")
-		if told {
+		if announced {
 			x.apply(wardturn.MemberChange{}, x.clock.Now())
 		}
 		if !x.has("u1") {
-			t.Error("an expired entry was not retained; recovery announced by another gateway:", told)
+			t.Error("an expired entry was not retained; recovery announced by another gateway:", announced)
 		}
-		x.clock.Advance(lapseGrace)
+		x.clock.Advance(expiryGrace)
 		if x.has("u1") {
-			t.Error("an expired entry is retained beyond the grace period; recovery announced by another gateway:", told)
+			t.Error("an expired entry is retained beyond the grace period; recovery announced by another gateway:", announced)
 		}
 	}
 }
--- a/gateway/storecalls_test.go
+++ b/gateway/storecalls_test.go
@@ -48,12 +48,12 @@
 var _ = Describe("Gateways while many upstreams register", func() {
 	It("read the list as scheduled", func() {
 		const (
-			drain = 4 * time.Second // the list is read every half of that
-			span  = 3 * time.Second
-			more  = 5
+			drain         = 4 * time.Second // the list is read every half of that
+			span          = 3 * time.Second
+			extraGateways = 5
 		)
 		x := newRigDraining(drain, "d", "d")
-		for i := range more {
+		for i := range extraGateways {
 			g, _, _ := x.startGateway(wardturn.Incarnation(fmt.Sprint("more", i)), platform.NewStore(x.storeAddr, x.metrics))
 			Eventually(g.Ready, soon, often).Should(BeTrue())
 		}
@@ -66,7 +66,7 @@
 				n++
 			}
 		}
-		each := int(span/(drain/2)) + 1
-		Expect(x.store.ReadsOf(topicServers) - before).To(BeNumerically("<=", each*(1+more)))
+		readsEach := int(span/(drain/2)) + 1
+		Expect(x.store.ReadsOf(topicServers) - before).To(BeNumerically("<=", readsEach*(1+extraGateways)))
 	})
 })
--- a/gateway/storereturn_test.go
+++ b/gateway/storereturn_test.go
@@ -12,8 +12,8 @@
 	"wardturn/standin"
 )
 
-// applyBound is the time within which a configuration change must be in force at each gateway.
-const applyBound = 2 * time.Second
+// configBound is the time within which a configuration change must be in force at each gateway.
+const configBound = 2 * time.Second
 
 // Gateways that compared positions from before and after the restore considered their own state
 // newer, and ignored changes until the store had assigned the offsets they knew again.
@@ -21,7 +21,7 @@
 	var x *rig
 	var fronts []string
 	version := 0
-	change := func(more string) {
+	putConfig := func(more string) {
 		version++
 		x.store.PutConfig(config(version, more))
 	}
@@ -42,38 +42,38 @@
 	// expectInForce expects that a route that was just added is served within applyBound.
 	expectInForce := func(path string) {
 		GinkgoHelper()
-		within := time.Now().Add(applyBound)
+		deadline := time.Now().Add(configBound)
 		for _, front := range fronts {
 			Eventually(func() bool {
 				return serves(front, path)
-			}, time.Until(within), often).Should(BeTrue(), front)
+			}, time.Until(deadline), often).Should(BeTrue(), front)
 		}
 	}
 
 	It("has its later changes applied by all gateways in time", func() {
 		old := x.store.Copy()
 		for range 5 {
-			change("")
+			putConfig("")
 			time.Sleep(50 * time.Millisecond)
 		}
-		time.Sleep(applyBound) // all gateways have read these changes
+		time.Sleep(configBound) // all gateways have read these changes
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
 		time.Sleep(time.Second)
 		x.store.ComeBack(old)
 		x.store.SetFaults(standin.MetaFaults{})
-		time.Sleep(applyBound)
-		change(newRoute)
+		time.Sleep(configBound)
+		putConfig(newRoute)
 		expectInForce("/new/a")
 	})
 
 	It("has a change applied that replaces a lost one", func() {
 		old := x.store.Copy()
-		change("")
-		time.Sleep(applyBound)
+		putConfig("")
+		time.Sleep(configBound)
 		x.store.ComeBack(old)
-		change(newRoute)
+		putConfig(newRoute)
 		for i := range 4 {
 			x.store.PutVersion("m0", "a9", int64(2+i))
 		}
@@ -82,17 +82,17 @@
 
 	It("leaves the configuration and upstreams in use that were known before", func() {
 		old := x.store.Copy()
-		change(newRoute)
+		putConfig(newRoute)
 		expectInForce("/new/a")
 		x.list(x.apps[0], "app", "a0", "draining")
-		time.Sleep(applyBound)
+		time.Sleep(configBound)
 		x.store.DropServer("a0")
 		x.list(x.apps[1], "app", "a1", "ready")
-		time.Sleep(applyBound)
+		time.Sleep(configBound)
 		x.store.ComeBack(old)
 		began := time.Now()
-		after := began.Add(leftIn)
-		for time.Since(began) < applyBound {
+		after := began.Add(arrivalLag)
+		for time.Since(began) < configBound {
 			for _, front := range fronts {
 				Expect(serves(front, "/new/a")).To(BeTrue())
 			}
@@ -107,8 +107,8 @@
 		x.store.ComeBack(old)
 		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, lapseGrace/2)
 		x.evacuate("d")
-		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, 2*lapseGrace+applyBound)
-		Expect(x.arrivedAfter("d", after)).To(BeZero())
+		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, 2*lapseGrace+configBound)
+		Expect(x.domainArrivalsAfter("d", after)).To(BeZero())
 	})
 
 	It("lets evacuated domains serve again if the operator does not", func() {
@@ -116,22 +116,22 @@
 		after := x.evacuate("d")
 		time.Sleep(time.Until(after))
 		x.store.ComeBack(old)
-		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, applyBound+lapseGrace+time.Second)
-		Expect(x.arrivedAfter("d", after)).To(BeNumerically(">", 0))
+		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, configBound+lapseGrace+time.Second)
+		Expect(x.domainArrivalsAfter("d", after)).To(BeNumerically(">", 0))
 	})
 
 	It("has changes applied after two restores in short succession", func() {
 		old := x.store.Copy()
-		change("")
+		putConfig("")
 		x.store.ComeBack(old)
-		change("")
+		putConfig("")
 		time.Sleep(50 * time.Millisecond)
 		x.store.ComeBack(old)
 		time.Sleep(50 * time.Millisecond)
-		change(newRoute)
+		putConfig(newRoute)
 		expectInForce("/new/a")
 	})
 })
 
-// leftIn is the time within which requests sent to an upstream before it left arrive there.
-const leftIn = 100 * time.Millisecond
+// arrivalLag is the time within which requests sent to an upstream before it left arrive there.
+const arrivalLag = 100 * time.Millisecond
