--- a/gateway/caps.go
+++ b/gateway/caps.go
@@ -26,9 +26,9 @@
 // capInterval is the interval at which it is checked whether a usage message is due.
 const capInterval = 200 * time.Millisecond
 
-// capRelayGroup is the number of gateways that send their usage messages through the same keepers,
-// so that a keeper can merge several of them into one message. With a single group, two
-// keepers would carry the load of all gateways.
+// capRelayGroup is the number of gateways that send their usage messages through the same
+// keepers, so that a keeper can merge several of them into one message. With a single
+// group, two keepers would carry the load of all gateways.
 const capRelayGroup = 16
 
 // relayKey returns the key that selects the keepers for this gateway's usage messages.
@@ -73,9 +73,9 @@
 	}
 }
 
-// announce sends the usage at this gateway to the others if a message is due. Messages go to two
-// keepers in each failure domain alternately. Totals are cumulative, so the next message
-// makes up for a lost one.
+// announce sends the usage at this gateway to the others if a message is due. Messages go
+// to two keepers in each failure domain alternately. Totals are cumulative, so the next
+// message makes up for a lost one.
 func (c *caps) announce() {
 	if !c.g.keyed() {
 		return
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -23,8 +23,8 @@
 // downtime is how long a crashed upstream is down.
 const downtime = 150 * time.Millisecond
 
-// crashingUpstream is an upstream that can crash: its connections and listener close, and after downFor
-// it restarts at the same address, without state and with a new ID.
+// crashingUpstream is an upstream that can crash: its connections and listener close, and
+// after downtime it restarts at the same address, without state and with a new ID.
 type crashingUpstream struct {
 	x       *rig
 	service string
@@ -173,8 +173,8 @@
 		// maxCrashes is how many upstreams one request may crash before it is rejected.
 		maxCrashes = 3
 		tries      = 12
-		// rejectTimeout is the time within which a gateway that learns of the crashes only from
-		// the store rejects the request.
+		// rejectTimeout is the time within which a gateway that learns of the crashes only
+		// from the store rejects the request.
 		rejectTimeout = 3 * time.Second
 	)
 	var x *crashRig
@@ -216,8 +216,8 @@
 		Expect(x.crashes()).To(BeNumerically("<=", maxCrashes))
 	})
 
-	// crashUntilRejected sends the request through gateway i until it is rejected there. A repetition sent
-	// before the previous crash is noticed goes to another upstream.
+	// crashUntilRejected sends the request through gateway i until it is rejected there. A
+	// repetition sent before the previous crash is noticed goes to another upstream.
 	crashUntilRejected := func(i int) {
 		Eventually(func() string {
 			x.awaitServing(i)
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// signal signals the goroutine that waits on c, without blocking.
+// signal wakes the goroutine that waits on c. It does not block.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -53,7 +53,7 @@
 	}
 }
 
-// rejects reports whether requests with this content are rejected, and for how much longer.
+// rejects reports whether requests with this content are to be rejected, and for how long.
 func (c *crashes) rejects(content wardturn.ContentID) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,8 +75,9 @@
 	signal(c.writeSignal)
 }
 
-// interrupted records that a send received no complete response. If check is set, the connection
-// was not closed by this gateway, and it is checked whether the upstream has crashed.
+// interrupted records that a send received no complete response. If check is set, the
+// connection was not closed by this gateway, and it is checked whether the upstream has
+// crashed.
 func (c *crashes) interrupted(m wardturn.Member, content wardturn.ContentID, check bool) {
 	c.mu.Lock()
 	fresh := c.tracker.Broke(c.g.clock.Now(), content, m.ID)
@@ -135,9 +136,9 @@
 	c.handleNew(fresh)
 }
 
-// announce sends a message to the other gateways and reports whether any keeper is connected to
-// forward it. Gateways that miss the message read the crashes from the store once there are
-// enough of them to be recorded.
+// announce sends a message to the other gateways and reports whether any keeper is
+// connected to forward it. Gateways that miss the message read the crashes from the store
+// once there are enough of them to be recorded.
 func (c *crashes) announce(m *peer.CrashNews) bool {
 	conns := c.g.links.announcementConns(string(c.g.cfg.Process) + "/crashes")
 	for _, conn := range conns {
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -10,8 +10,9 @@
 const (
 	// crashBatchDelay is how long crashes are batched into one write to the store.
 	crashBatchDelay = 50 * time.Millisecond
-	// crashRetryDelay is the initial delay after a failed write, doubled up to crashMaxRetryDelay.
-	// During a store outage all gateways may have crashes to write, and calls are costly.
+	// crashRetryDelay is the initial delay after a failed write, doubled up to
+	// crashMaxRetryDelay. During a store outage all gateways may have crashes to write, and
+	// calls are costly.
 	crashRetryDelay    = 500 * time.Millisecond
 	crashMaxRetryDelay = 4 * time.Second
 	// crashMaxAge is the maximum age of the crash records at the gateway that reads the
@@ -22,8 +23,8 @@
 	crashMaxAgeOthers = 3 * time.Second
 )
 
-// describeRead describes the latest read of the crash records, for announcements. It returns nil
-// before the first read.
+// describeRead describes the latest read of the crash records, for announcements. It
+// returns nil before the first read.
 func (c *crashes) describeRead() *peer.CrashReading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -28,7 +28,8 @@
 	return domains
 }
 
-// applyEvacuations applies the evacuations in a configuration change. The caller must hold g.mu.
+// applyEvacuations applies the evacuations in a configuration change. The caller must hold
+// g.mu.
 func (g *Gateway) applyEvacuations(now time.Time, c wardturn.ConfigChange, out *decide.Moves) {
 	if c.Returned {
 		g.evacuations.retained = g.evacuations.inForce()
@@ -48,7 +49,8 @@
 	g.logger.Info("evacuations in force", "domains", slices.Sorted(maps.Keys(domains)))
 }
 
-// endRetainedEvacuations ends retained evacuations that the operator has not written again in time.
+// endRetainedEvacuations drops the retained evacuations once the operator has had time to
+// write them again.
 func (g *Gateway) endRetainedEvacuations() {
 	g.decide(func(now time.Time, out *decide.Moves) {
 		e := &g.evacuations
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -13,8 +13,8 @@
 	"wardturn/standin"
 )
 
-// evacuationBound is the time after which upstreams of an evacuated failure domain must receive
-// no requests.
+// evacuationBound is the time after which upstreams of an evacuated failure domain must
+// receive no requests.
 const evacuationBound = 2500 * time.Millisecond
 
 // evacuate evacuates a failure domain in the store. It returns the time from which its
@@ -28,8 +28,8 @@
 	x.store.Evacuate(domain, false)
 }
 
-// domainArrivalsAfter counts the requests that reached workers of a failure domain after the given
-// time.
+// domainArrivalsAfter counts the requests that reached workers of a failure domain after
+// the given time.
 func (x *rig) domainArrivalsAfter(domain string, after time.Time) int {
 	n := 0
 	for _, m := range append(x.engines, x.apps...) {
@@ -42,7 +42,8 @@
 	return n
 }
 
-// A gateway that does not apply an evacuation keeps sending requests to the domain's upstreams.
+// A gateway that does not apply an evacuation keeps sending requests to the domain's
+// upstreams.
 var _ = Describe("An evacuated failure domain", func() {
 	var x *rig
 	var fronts []string
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// maxEventSize is the maximum size in bytes of an incomplete event that is buffered. Longer
-	// events are forwarded in parts, and their stream cannot be resumed.
+	// maxEventSize is the maximum size in bytes of an incomplete event that is buffered.
+	// Longer events are forwarded in parts, and their stream cannot be resumed.
 	maxEventSize = 64 << 10
-	// maxChecksums is the maximum number of events per stream whose checksum (8 bytes) is kept.
-	// Later events are not recognised as duplicates.
+	// maxChecksums is the maximum number of events per stream whose checksum (8 bytes) is
+	// kept. Later events are not recognised as duplicates.
 	maxChecksums = 4096
 )
 
@@ -29,8 +29,8 @@
 const (
 	// mismatchMissing: events between the caller's last one and this one are missing.
 	mismatchMissing misplacement = "missing"
-	// mismatchOtherRun: a repeated event differs from the one the caller has, so the response is
-	// from another run of the request.
+	// mismatchOtherRun: a repeated event differs from the one the caller has, so the
+	// response is from another run of the request.
 	mismatchOtherRun misplacement = "other_run"
 	// mismatchNoNumber: the event has no number, so its position is unknown.
 	mismatchNoNumber misplacement = "no_number"
@@ -55,7 +55,7 @@
 	forwarded   bool   // an event was forwarded
 	unresumable bool   // the position at which to resume is unknown
 	skipped     int    // duplicate events dropped from this response
-	first       int64  // number of the event that sums[0] belongs to
+	first       int64  // number of the event that checksums[0] belongs to
 	checksums   []uint64
 }
 
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -196,10 +196,11 @@
 	}
 }
 
-// receivePartialMembers applies the upstreams of plain services while the list is still being read, so
-// that their requests need not wait for the rest of it. Reading thousands of upstreams takes
-// most of a second. Engines are applied only with the complete list: otherwise a request for
-// an adapter whose engine has not been read yet would load the adapter elsewhere.
+// receivePartialMembers applies the upstreams of plain services while the list is still
+// being read, so that their requests need not wait for the rest of it. Reading thousands of
+// upstreams takes most of a second. Engines are applied only with the complete list:
+// otherwise a request for an adapter whose engine has not been read yet would load the
+// adapter elsewhere.
 func (g *Gateway) receivePartialMembers(list []wardturn.Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,8 +208,8 @@
 	g.applyPartialMembers()
 }
 
-// applyPartialMembers applies the part of the list received so far, if there is a configuration. The
-// caller must hold g.mu.
+// applyPartialMembers applies the part of the list received so far, if there is a
+// configuration. The caller must hold g.mu.
 func (g *Gateway) applyPartialMembers() {
 	rs := g.routes.Load()
 	if rs == nil || g.partialMembers == nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -32,9 +32,9 @@
 	// configMinInterval is the minimum interval between configuration reads triggered by
 	// announcements of other gateways. Every gateway reads each change itself.
 	configMinInterval = 800 * time.Millisecond
-	// configRetryDelay is the initial delay after a failed read, doubled up to configMaxRetryDelay.
-	// Together with the poll's wait and timeout margin, the first retry starts 1.9 s after
-	// a read whose response was lost.
+	// configRetryDelay is the initial delay after a failed read, doubled up to
+	// configMaxRetryDelay. Together with the poll's wait and timeout margin, the first
+	// retry starts 1.9 s after a read whose response was lost.
 	configRetryDelay      = 100 * time.Millisecond
 	configMaxRetryDelay   = 500 * time.Millisecond
 	membersMinInterval    = 250 * time.Millisecond // minimum interval between reads of the upstream list
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -26,8 +26,8 @@
 		}
 		return n
 	}
-	// call sends a request and, if read is positive, waits for that many bytes of the response.
-	// The returned function closes the caller's connection.
+	// call sends a request and, if read is positive, waits for that many bytes of the
+	// response. The returned function closes the caller's connection.
 	call := func(path, model string, read int) context.CancelFunc {
 		ctx, disconnect := context.WithCancel(context.Background())
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, x.front+path, strings.NewReader("prompt"))
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -13,7 +13,7 @@
 // due.
 const limitInterval = 200 * time.Millisecond
 
-// limits enforces the request rate limits that overloaded upstreams announce in their
+// limits tracks the request rate limits that overloaded upstreams announce in their
 // responses, and exchanges them with the other gateways through keepers.
 type limits struct {
 	g     *Gateway
@@ -50,7 +50,8 @@
 	}
 }
 
-// observeNone records a response without a limit, to a request that was sent at the given time.
+// observeNone records a response without a limit, to a request that was sent at the given
+// time.
 func (l *limits) observeNone(id wardturn.UpstreamID, sent time.Time, status int) {
 	l.g.mu.Lock()
 	ended := l.state.ObserveNone(l.g.clock.Now(), id, sent)
@@ -61,8 +62,8 @@
 	}
 }
 
-// announce sends the known limits to the other gateways if a message is due. New limits go through
-// two keepers in each failure domain, repeated ones through the two alternately.
+// announce sends the known limits to the other gateways if a message is due. New limits go
+// through two keepers in each failure domain, repeated ones through the two alternately.
 func (l *limits) announce() {
 	l.g.mu.Lock()
 	now := l.g.clock.Now()
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -25,8 +25,8 @@
 	return int(1.5*rate*limitWindow.Seconds()) + 5
 }
 
-// maxArrivalsWithin returns the maximum number of arrivals within any interval of length span, of
-// those after the given time.
+// maxArrivalsWithin returns the maximum number of arrivals within any interval of length
+// span, of those after the given time.
 func maxArrivalsWithin(list []standin.Arrival, after time.Time, span time.Duration) int {
 	list = slices.DeleteFunc(list, func(a standin.Arrival) bool {
 		return a.At.Before(after)
@@ -77,8 +77,8 @@
 		Eventually(g.Ready, soon, often).Should(BeTrue())
 		fronts = []string{x.front, second}
 	})
-	// expectWithinLimit expects that a worker receives no more than its limit after it announced it,
-	// and not much less.
+	// expectWithinLimit expects that a worker receives no more than its limit after it
+	// announced it, and not much less.
 	expectWithinLimit := func(m *standin.ModelWorker, named time.Time, rate float64) {
 		GinkgoHelper()
 		got := maxArrivalsWithin(m.Arrivals(), named.Add(limitGrace), limitWindow)
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -35,9 +35,9 @@
 	pendingMarkAt  time.Time
 }
 
-// setNotice sets the notice for the keeper, and sends it unless the keeper already has one with
-// the same engine specification. Most configuration changes do not affect an engine, and
-// sending a notice for each would cost one message per gateway and engine.
+// setNotice sets the notice for the keeper, and sends it unless the keeper already has one
+// with the same engine specification. Most configuration changes do not affect an engine,
+// and sending a notice for each would cost one message per gateway and engine.
 func (l *link) setNotice(m wardturn.Member, n peer.EngineNotice) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// A relay is behind if it has not reached a mark within relayMarkTimeout. A later mark must not
-// restart that period.
+// A relay is behind if it has not reached a mark within relayMarkTimeout. A later mark must
+// not restart that period.
 func TestLinkKeepsPendingMark(t *testing.T) {
 	l := newTestLink(t)
 	l.synced = true
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -10,10 +10,10 @@
 	"wardturn/peer"
 )
 
-// readCoordinator coordinates the reads of the platform's store among gateways. Each gateway announces
-// its reads to the others, through two keepers in each failure domain, and reads itself only
-// when its schedule says so. This only reduces the number of store calls: a gateway that
-// receives no announcements reads as if it were the only one.
+// readCoordinator coordinates the reads of the platform's store among gateways. Each
+// gateway announces its reads to the others, through two keepers in each failure domain,
+// and reads itself only when its schedule says so. This only reduces the number of store
+// calls: a gateway that receives no announcements reads as if it were the only one.
 type readCoordinator struct {
 	g       *Gateway
 	changes chan announcedChange // consumed by followMembers
@@ -35,9 +35,9 @@
 // changes are dropped and the gateway reads the list itself.
 const maxQueuedChanges = 32
 
-// maxAnnounced is the maximum number of upstreams in an announced change. Longer changes queued
-// for all gateways would exceed the keepers' memory limit, and one store read per gateway is
-// cheaper.
+// maxAnnounced is the maximum number of upstreams in an announced change. Longer changes
+// queued for all gateways would exceed the keepers' memory limit, and one store read per
+// gateway is cheaper.
 const maxAnnounced = 64
 
 // shortened returns the change to announce. For a long change, that is only its end
@@ -71,7 +71,8 @@
 	}
 }
 
-// notifySchedules makes waiting goroutines re-evaluate their schedules. The caller must hold n.mu.
+// notifySchedules makes waiting goroutines re-evaluate their schedules. The caller must
+// hold n.mu.
 func (n *readCoordinator) notifySchedules() {
 	close(n.scheduleChanged)
 	n.scheduleChanged = make(chan struct{})
@@ -94,9 +95,9 @@
 	return false
 }
 
-// checkSchedule reports whether a read is due by the schedule t. If not, it returns a context that
-// expires when the read is due or at the time at, unless that is zero, and a channel that is
-// closed when the schedule has to be evaluated again.
+// checkSchedule reports whether a read is due by the schedule t. If not, it returns a
+// context that expires when the read is due or at the time at, unless that is zero, and a
+// channel that is closed when the schedule has to be evaluated again.
 func (n *readCoordinator) checkSchedule(t *decide.ReadTurn, at time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/gateway/news_relays_test.go
+++ b/gateway/news_relays_test.go
@@ -18,15 +18,16 @@
 // announcedConfigBound is the time within which a change of the configuration is in force.
 const announcedConfigBound = 2 * time.Second
 
-// secondGatewayRig is a rig with a second gateway that reaches the store and the keepers through
-// proxies of its own.
+// secondGatewayRig is a rig with a second gateway that reaches the store and the keepers
+// through proxies of its own.
 type secondGatewayRig struct {
 	*rig
 	unavailable *atomic.Bool // the store is unavailable to the second gateway
 	proxies     []*standin.Relay
 }
 
-// proxyKeepers makes gateways started from now on reach the keepers through proxies of their own.
+// proxyKeepers makes gateways started from now on reach the keepers through proxies of
+// their own.
 func (x *rig) proxyKeepers() []*standin.Relay {
 	hosts := []string{"127.0.0.11", "127.0.0.12"}
 	list, port := listenAll(hosts...)
@@ -42,8 +43,8 @@
 	return proxies
 }
 
-// newSecondGatewayRig starts a gateway in failure domain d and one in the domain second. The second
-// one relies on the reads of the first, since its ID is higher.
+// newSecondGatewayRig starts a gateway in failure domain d and one in the domain second.
+// The second one relies on the reads of the first, since its ID is higher.
 func newSecondGatewayRig(keepers []string, second wardturn.FailureDomain) *secondGatewayRig {
 	x := &secondGatewayRig{
 		rig:         newRigIn(keepers...),
--- a/gateway/newsways.go
+++ b/gateway/newsways.go
@@ -10,13 +10,13 @@
 	"wardturn/peer"
 )
 
-// keepersPerDomain is the number of keepers per failure domain that forward an announcement, so
-// that the loss of one loses no announcement.
+// keepersPerDomain is the number of keepers per failure domain that forward an
+// announcement, so that the loss of one loses no announcement.
 const keepersPerDomain = 2
 
-// announcementConns returns the connections for an announcement: to two keepers in each failure
-// domain, which forward it within the domain. An announcement thus crosses to each other
-// domain twice, instead of once per gateway there. The keepers are selected by key.
+// announcementConns returns the connections for an announcement: to two keepers in each
+// failure domain, which forward it within the domain. An announcement thus crosses to each
+// other domain twice, instead of once per gateway there. The keepers are selected by key.
 // Announcements of one kind from one gateway use the same keepers, which keeps them in
 // order. Other keys select other keepers, so that no two keepers carry the whole load.
 func (ls *links) announcementConns(key string) []*peer.Conn {
@@ -30,8 +30,8 @@
 	return conns
 }
 
-// alternatingConns returns the connections for a cap usage message: in each failure domain to one of
-// the two keepers selected by key, alternating with turn.
+// alternatingConns returns the connections for a cap usage message: in each failure domain
+// to one of the two keepers selected by key, alternating with turn.
 func (ls *links) alternatingConns(key string, turn int) []*peer.Conn {
 	byDomain := ls.keepersByDomain()
 	conns := make([]*peer.Conn, 0, len(byDomain))
@@ -68,10 +68,10 @@
 	return w.addr
 }
 
-// findAnnouncementDomains returns the failure domains whose keepers forward announcements to this gateway:
-// its own domain, and further ones until there are two keepers. If a domain has no keeper,
-// each announcement crosses to each gateway in it twice. The caller must hold ls.mu, and
-// ls.near must be up to date.
+// findAnnouncementDomains returns the failure domains whose keepers forward announcements
+// to this gateway: its own domain, and further ones until there are two keepers. If a
+// domain has no keeper, each announcement crosses to each gateway in it twice. The caller
+// must hold ls.mu, and ls.near must be up to date.
 func (ls *links) findAnnouncementDomains(now time.Time) []wardturn.FailureDomain {
 	domains := []wardturn.FailureDomain{ls.g.cfg.Domain}
 	count := len(ls.relayCandidates)
@@ -92,8 +92,8 @@
 	return string(d)
 }
 
-// countRemoteKeepers counts the reachable keepers in other failure domains. The caller must hold
-// ls.mu.
+// countRemoteKeepers counts the reachable keepers in other failure domains. The caller must
+// hold ls.mu.
 func (ls *links) countRemoteKeepers(now time.Time) map[wardturn.FailureDomain]int {
 	keepers := make(map[wardturn.FailureDomain]int)
 	for _, l := range ls.byAddr {
@@ -104,8 +104,8 @@
 	return keepers
 }
 
-// setAnnouncements subscribes to announcements at the keeper if its failure domain is in at, and
-// unsubscribes otherwise.
+// setAnnouncements subscribes to announcements at the keeper if its failure domain is in
+// domains, and unsubscribes otherwise.
 func (l *link) setAnnouncements(at []wardturn.FailureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/relays.go
+++ b/gateway/relays.go
@@ -73,8 +73,8 @@
 	return l.client.Addr()
 }
 
-// findRelayCandidates returns the links that are relay candidates now, sorted by address. The caller
-// must hold ls.mu.
+// findRelayCandidates returns the links that are relay candidates now, sorted by address.
+// The caller must hold ls.mu.
 func (ls *links) findRelayCandidates(now time.Time) []*link {
 	var list []*link
 	for _, l := range ls.byAddr {
@@ -229,8 +229,8 @@
 	l.links.g.metrics.relaysAbandoned.Inc(1)
 }
 
-// handleMark handles a mark: the sequence number of the keeper's latest change, sent directly so
-// that a relay that falls behind is noticed.
+// handleMark handles a mark: the sequence number of the keeper's latest change, sent
+// directly so that a relay that falls behind is noticed.
 func (l *link) handleMark(m peer.Mark) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -27,8 +27,8 @@
 	recoveredAt  time.Time // first successful read after the latest outage
 }
 
-// retainedEntry is an entry that expired during a store outage or shortly after it and is still
-// treated as present.
+// retainedEntry is an entry that expired during a store outage or shortly after it and is
+// still treated as present.
 type retainedEntry struct {
 	member wardturn.Member
 	until  time.Time // when it is removed
@@ -166,7 +166,8 @@
 	r.byID = current
 }
 
-// nextRetentionEnd returns when the next retained entry is to be removed, or zero if there is none.
+// nextRetentionEnd returns when the next retained entry is to be removed, or zero if there
+// is none.
 func (r *membership) nextRetentionEnd() time.Time {
 	var first time.Time
 	for _, l := range r.retained {
--- a/gateway/roster_internal_test.go
+++ b/gateway/roster_internal_test.go
@@ -49,7 +49,7 @@
 // expiryGrace is how long entries that expired during an outage are retained.
 const expiryGrace = 2200 * time.Millisecond
 
-// membershipRig is a roster that has read a list with the upstreams u1 and u2.
+// membershipRig is a membership that has read a list with the upstreams u1 and u2.
 type membershipRig struct {
 	*membership
 	clock  *standin.Clock
--- a/gateway/storereturn_test.go
+++ b/gateway/storereturn_test.go
@@ -12,11 +12,13 @@
 	"wardturn/standin"
 )
 
-// configBound is the time within which a configuration change must be in force at each gateway.
+// configBound is the time within which a configuration change must be in force at each
+// gateway.
 const configBound = 2 * time.Second
 
-// Gateways that compared positions from before and after the restore considered their own state
-// newer, and ignored changes until the store had assigned the offsets they knew again.
+// Gateways that compared positions from before and after the restore considered their own
+// state newer, and ignored changes until the store had assigned the offsets they knew
+// again.
 var _ = Describe("A store that is restored from an older copy", func() {
 	var x *rig
 	var fronts []string
@@ -133,5 +135,6 @@
 	})
 })
 
-// arrivalLag is the time within which requests sent to an upstream before it left arrive there.
+// arrivalLag is the time within which requests sent to an upstream before it left arrive
+// there.
 const arrivalLag = 100 * time.Millisecond
