--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -77,9 +77,9 @@
 			if path == "/look/" {
 				model = ""
 			}
-			leave := call(path, model, 0)
+			disconnect := call(path, model, 0)
 			Eventually(active, soon, often).Should(Equal(1))
-			leave()
+			disconnect()
 			Eventually(active, stopTimeout, often).Should(BeZero())
 		})
 	}
@@ -88,9 +88,9 @@
 		faults(standin.WorkerFaults{
 			Linger: soon,
 		})
-		leave := call("/ask/x", "m0", 5)
+		disconnect := call("/ask/x", "m0", 5)
 		Expect(active()).To(Equal(1))
-		leave()
+		disconnect()
 		Eventually(active, stopTimeout, often).Should(BeZero())
 	})
 
@@ -98,9 +98,9 @@
 		faults(standin.WorkerFaults{
 			LoseOrders: true,
 		})
-		leave := call("/ask/x", "m0/late", 0)
+		disconnect := call("/ask/x", "m0/late", 0)
 		time.Sleep(100 * time.Millisecond)
-		leave()
+		disconnect()
 		time.Sleep(stopTimeout)
 		faults(standin.WorkerFaults{})
 		Consistently(func() int {
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -98,7 +98,7 @@
 // checkSchedule reports whether a read is due by the schedule t. If not, it returns a
 // context that expires when the read is due or at the time at, unless that is zero, and a
 // channel that is closed when the schedule has to be evaluated again.
-func (n *readCoordinator) checkSchedule(t *decide.ReadTurn, at time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
+func (n *readCoordinator) checkSchedule(t *decide.ReadTurn, until time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.g.clock.Now()
@@ -106,8 +106,8 @@
 	if left <= 0 {
 		return nil, nil, nil, true
 	}
-	if !at.IsZero() {
-		left = min(left, at.Sub(now))
+	if !until.IsZero() {
+		left = min(left, until.Sub(now))
 	}
 	limit, cancel = n.g.tasks.Limit(left)
 	return limit, cancel, n.scheduleChanged, false
--- a/gateway/news_test.go
+++ b/gateway/news_test.go
@@ -45,8 +45,8 @@
 		// In 3 s, one gateway alone makes 2.5 configuration and 12 list reads, two 5 and 24.
 		Expect(operatorNow - operator).To(BeNumerically("<=", 4))
 		Expect(serversNow - servers).To(BeNumerically("<=", 16))
-		heard := x.metrics.Snapshot().Counters()["store_reads+record=upstreams,result=by_another"]
-		Expect(heard.Value()).To(BeNumerically(">", 0))
+		announced := x.metrics.Snapshot().Counters()["store_reads+record=upstreams,result=by_another"]
+		Expect(announced.Value()).To(BeNumerically(">", 0))
 		causes := x.metrics.Snapshot().Counters()
 		Expect(causes["store_read_causes+cause=for_all,record=upstreams"].Value()).To(BeNumerically(">", 0))
 	})
--- a/gateway/newsways.go
+++ b/gateway/newsways.go
@@ -106,10 +106,10 @@
 
 // setAnnouncements subscribes to announcements at the keeper if its failure domain is in
 // domains, and unsubscribes otherwise.
-func (l *link) setAnnouncements(at []wardturn.FailureDomain) {
+func (l *link) setAnnouncements(domains []wardturn.FailureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if news := slices.Contains(at, l.member.Domain); l.notice.News != news {
+	if news := slices.Contains(domains, l.member.Domain); l.notice.News != news {
 		l.notice.News = news
 		l.noticeSent = false
 		l.sendNotice()
--- a/gateway/storereturn_test.go
+++ b/gateway/storereturn_test.go
@@ -41,7 +41,7 @@
 		_, r := x.with(front, path, "", nil)
 		return r.status == http.StatusOK
 	}
-	// expectInForce expects that a route that was just added is served within applyBound.
+	// expectInForce expects that a route that was just added is served within configBound.
 	expectInForce := func(path string) {
 		GinkgoHelper()
 		deadline := time.Now().Add(configBound)
