--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -31,7 +31,7 @@
 	checking     map[wardturn.UpstreamID]bool
 	unannounced  bool              // a crash could not be announced because no keeper was connected
 	readPosition wardturn.Position // position up to which the store was read
-	readAt       time.Time         // when readPosition was last known to be current; zero before the first read
+	readAt       time.Time         // time as of which readPosition was current; zero before the first read
 }
 
 func newCrashes(g *Gateway, record wardturn.CrashRecord) *crashes {
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -96,8 +96,8 @@
 }
 
 // checkSchedule reports whether a read is due by the schedule t. If not, it returns a
-// context that expires when the read is due or at the time at, unless that is zero, and a
-// channel that is closed when the schedule has to be evaluated again.
+// context that expires when the read is due or at the time until, unless that is zero, and
+// a channel that is closed when the schedule has to be evaluated again.
 func (n *readCoordinator) checkSchedule(t *decide.ReadTurn, until time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/gateway/newsways.go
+++ b/gateway/newsways.go
@@ -30,8 +30,8 @@
 	return conns
 }
 
-// alternatingConns returns the connections for a cap usage message: in each failure domain
-// to one of the two keepers selected by key, alternating with turn.
+// alternatingConns returns the connections for a message that is sent periodically: in each
+// failure domain to one of the two keepers selected by key, alternating with turn.
 func (ls *links) alternatingConns(key string, turn int) []*peer.Conn {
 	byDomain := ls.keepersByDomain()
 	conns := make([]*peer.Conn, 0, len(byDomain))
@@ -58,7 +58,7 @@
 	return byDomain
 }
 
-// connectedKeeper is a connected keeper.
+// connectedKeeper is the address and connection of a keeper that is currently connected.
 type connectedKeeper struct {
 	addr string
 	conn *peer.Conn
@@ -71,7 +71,7 @@
 // findAnnouncementDomains returns the failure domains whose keepers forward announcements
 // to this gateway: its own domain, and further ones until there are two keepers. If a
 // domain has no keeper, each announcement crosses to each gateway in it twice. The caller
-// must hold ls.mu, and ls.near must be up to date.
+// must hold ls.mu, and ls.relayCandidates must be up to date.
 func (ls *links) findAnnouncementDomains(now time.Time) []wardturn.FailureDomain {
 	domains := []wardturn.FailureDomain{ls.g.cfg.Domain}
 	count := len(ls.relayCandidates)
--- a/gateway/relays.go
+++ b/gateway/relays.go
@@ -133,8 +133,8 @@
 	return true
 }
 
-// setRelay subscribes to the keeper's updates through the relay via. With nil the keeper
-// sends them directly.
+// setRelay subscribes to the keeper's updates through relay. If relay is nil, or is not
+// used because of the backoff or the keeper's domain, the keeper sends them directly.
 func (l *link) setRelay(now time.Time, relay *link) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
