--- a/gateway/caps.go
+++ b/gateway/caps.go
@@ -81,11 +81,11 @@
 		return
 	}
 	c.g.mu.Lock()
-	counted := c.g.fleet.CountedGateways()
+	gateways := c.g.fleet.CountedGateways()
 	c.g.mu.Unlock()
 	c.mu.Lock()
 	now := c.g.clock.Now()
-	c.teams.SetGateways(now, counted)
+	c.teams.SetGateways(now, gateways)
 	w, due := c.teams.Word(now)
 	turn := c.sent
 	if due {
@@ -98,7 +98,7 @@
 	m := &peer.TeamUse{
 		Words: []decide.TeamWord{w},
 	}
-	for _, conn := range c.g.links.alternatingConns(c.relayKey(counted), turn) {
+	for _, conn := range c.g.links.alternatingConns(c.relayKey(gateways), turn) {
 		// Errors are ignored: the next message makes up for a lost one.
 		_ = conn.Send(m)
 	}
@@ -127,9 +127,9 @@
 	if !ok {
 		left = c.teams.Left(x.g.clock.Now(), x.team.ID)
 	}
-	pressing := c.teams.Pressing(x.g.clock.Now(), x.team.ID)
+	urgent := c.teams.Pressing(x.g.clock.Now(), x.team.ID)
 	c.mu.Unlock()
-	if pressing {
+	if urgent {
 		signal(c.urgent)
 	}
 	if !ok {
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -151,7 +151,7 @@
 // upstream has started yet are aborted.
 func (c *crashes) handleNew(fresh []wardturn.Crash) {
 	for _, crash := range fresh {
-		if _, refused := c.rejects(crash.Content); !refused {
+		if _, rejected := c.rejects(crash.Content); !rejected {
 			continue
 		}
 		n := c.g.notStarted.breakOffContent(crash.Content)
@@ -183,14 +183,14 @@
 // refuseCrashing reports whether the request is rejected because its content crashes
 // upstreams, and records when it may be retried.
 func (x *exchange) refuseCrashing() bool {
-	left, refused := x.g.crashes.rejects(x.content)
-	if refused {
+	left, rejected := x.g.crashes.rejects(x.content)
+	if rejected {
 		x.refusal = &refusal{
 			reason:     wardturn.ReasonCrashes,
 			retryAfter: left,
 		}
 	}
-	return refused
+	return rejected
 }
 
 // noteContent records what the end of a send shows about the request's content. A complete
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -19,7 +19,7 @@
 const (
 	tickInterval  = 10 * time.Millisecond  // interval for rescheduling waiting requests
 	usageInterval = 100 * time.Millisecond // interval of adapter usage reports to keepers
-	checkInterval = 100 * time.Millisecond // interval of relay health checks
+	checkInterval = 100 * time.Millisecond // interval for checking relays and retained evacuations
 	sweepInterval = time.Second            // interval for closing idle connections
 	// configWait is how long a long poll of the configuration blocks in the store. A
 	// poll whose response was lost never completes, so polls must time out and be
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -67,15 +67,15 @@
 func (l *limits) announce() {
 	l.g.mu.Lock()
 	now := l.g.clock.Now()
-	counted := l.g.fleet.CountedGateways()
-	l.state.SetGateways(now, counted)
+	gateways := l.g.fleet.CountedGateways()
+	l.state.SetGateways(now, gateways)
 	w, fresh, due := l.state.Word(now)
 	l.g.mu.Unlock()
 	if !due {
 		return
 	}
 	turn := int(l.sent.Add(1))
-	key := l.g.caps.relayKey(counted)
+	key := l.g.caps.relayKey(gateways)
 	conns := l.g.links.alternatingConns(key, turn)
 	if fresh {
 		conns = l.g.links.announcementConns(key)
--- a/gateway/newsways.go
+++ b/gateway/newsways.go
@@ -23,8 +23,8 @@
 	byDomain := ls.keepersByDomain()
 	conns := make([]*peer.Conn, 0, keepersPerDomain*len(byDomain))
 	for _, keepers := range byDomain {
-		for _, w := range decide.FirstTwo(key, keepers, connectedKeeper.name) {
-			conns = append(conns, w.conn)
+		for _, k := range decide.FirstTwo(key, keepers, connectedKeeper.name) {
+			conns = append(conns, k.conn)
 		}
 	}
 	return conns
@@ -64,8 +64,8 @@
 	conn *peer.Conn
 }
 
-func (w connectedKeeper) name() string {
-	return w.addr
+func (k connectedKeeper) name() string {
+	return k.addr
 }
 
 // findAnnouncementDomains returns the failure domains whose keepers forward announcements
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -140,7 +140,7 @@
 
 // update records a list that may have changed, and logs upstreams that entered or left.
 func (r *membership) update(now time.Time, list wardturn.MemberList) {
-	disturbed := r.recentlyRecovered(now)
+	recovered := r.recentlyRecovered(now)
 	current := make(map[wardturn.UpstreamID]wardturn.Member, len(list.Members))
 	for _, m := range list.Members {
 		current[m.ID] = m
@@ -153,8 +153,8 @@
 	}
 	for _, id := range list.Lapsed {
 		m, ok := r.byID[id]
-		r.logger.Info("upstream left the list", "upstream", id, "store_was_away", disturbed)
-		if !ok || !disturbed {
+		r.logger.Info("upstream left the list", "upstream", id, "store_was_away", recovered)
+		if !ok || !recovered {
 			continue
 		}
 		r.retained[id] = retainedEntry{
