--- a/gateway/caps_internal_test.go
+++ b/gateway/caps_internal_test.go
@@ -10,23 +10,23 @@
 	"wardturn"
 )
 
-// stillClock is a clock that a test sets.
-type stillClock struct {
+// manualClock is a clock that advances only when a test sets it.
+type manualClock struct {
 	now time.Time
 }
 
-func (c *stillClock) Now() time.Time {
+func (c *manualClock) Now() time.Time {
 	return c.now
 }
 
-func (c *stillClock) AfterFunc(time.Duration, func()) wardturn.Timer {
+func (c *manualClock) AfterFunc(time.Duration, func()) wardturn.Timer {
 	return nil
 }
 
-// Told at the next look only, a team that jumps to many times its cap goes over it by what
-// all gateways let through until then.
-func TestChargeAsksForMessageWhenTeamJumps(t *testing.T) {
-	clock := &stillClock{
+// If a sudden rise in a team's usage were announced only at the next interval, the team would
+// exceed its cap by what all gateways admit until then.
+func TestChargeRequestsMessageOnUsageJump(t *testing.T) {
+	clock := &manualClock{
 		now: time.Unix(1000, 0),
 	}
 	g := &Gateway{
@@ -46,7 +46,7 @@
 		},
 	}
 	g.caps.setTeams([]wardturn.Team{team})
-	charge := func(tokens string) (asked bool) {
+	charge := func(tokens string) (requested bool) {
 		t.Helper()
 		x := &exchange{
 			g:    g,
@@ -55,10 +55,10 @@
 		}
 		x.r.Header.Set("Tokens", tokens)
 		if !x.charge() {
-			t.Fatalf("%s tokens are beyond the cap", tokens)
+			t.Fatalf("%s tokens exceed the cap", tokens)
 		}
 		select {
-		case <-g.caps.pressing:
+		case <-g.caps.urgent:
 			return true
 		default:
 			return false
@@ -66,11 +66,11 @@
 	}
 	clock.now = clock.now.Add(5 * time.Second)
 	g.caps.teams.Word(clock.now)
-	clock.now = clock.now.Add(capEvery / 2)
+	clock.now = clock.now.Add(capInterval / 2)
 	if charge("1,0") {
-		t.Error("a single token asks for a message")
+		t.Error("a single token requests a message")
 	}
 	if !charge("3000,0") {
-		t.Error("most of the cap at once asks for none")
+		t.Error("using most of the cap at once requests no message")
 	}
 }
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -10,81 +10,83 @@
 )
 
 const (
-	// crashCheckPause is how long after a connection broke it is looked whether the
-	// upstream still listens: all connections of a process end within a millisecond.
+	// crashCheckPause is the delay between a broken connection and the check whether the
+	// upstream still listens. All connections of a crashed process end within a millisecond.
 	crashCheckPause = 20 * time.Millisecond
 )
 
-// crashes knows under which requests upstreams have ended: by what this gateway sees, by
-// the words of others, and by the store. There lie the contents under which two have
-// ended, so that all gateways may end or be cut off from each other. Without it a request
-// that crashes upstreams goes on to one after another for as long as it comes.
+// crashes tracks which request contents crash upstreams, from crashes that this gateway
+// observes, that other gateways announce, and that are recorded in the store. Contents with
+// two crashes are recorded in the store, so that they stay known if all gateways stop or
+// cannot reach each other. Without this tracking, a request that crashes its upstream would
+// crash another one each time it is repeated.
 type crashes struct {
-	g      *Gateway
-	record wardturn.CrashRecord
-	reads  chan struct{} // asks for a reading of the store
-	writes chan struct{} // asks for what is due there to be written
-
-	mu       sync.Mutex
-	book     *decide.Crashes
-	checking map[wardturn.UpstreamID]bool
-	unsent   bool              // a crash could be told to nobody
-	readTo   wardturn.Position // of the store
-	readAt   time.Time         // when that was known to be the latest; zero: nothing was read
+	g           *Gateway
+	record      wardturn.CrashRecord
+	readSignal  chan struct{} // requests a read of the store
+	writeSignal chan struct{} // requests a write of the records that are due
+
+	mu           sync.Mutex
+	tracker      *decide.Crashes
+	checking     map[wardturn.UpstreamID]bool
+	unannounced  bool              // a crash could not be announced because no keeper was connected
+	readPosition wardturn.Position // position up to which the store was read
+	readAt       time.Time         // time as of which readPosition was current; zero before the first read
 }
 
 func newCrashes(g *Gateway, record wardturn.CrashRecord) *crashes {
 	return &crashes{
-		g:        g,
-		record:   record,
-		reads:    make(chan struct{}, 1),
-		writes:   make(chan struct{}, 1),
-		book:     decide.NewCrashes(g.cfg.Crashes),
-		checking: make(map[wardturn.UpstreamID]bool),
+		g:           g,
+		record:      record,
+		readSignal:  make(chan struct{}, 1),
+		writeSignal: make(chan struct{}, 1),
+		tracker:     decide.NewCrashes(g.cfg.Crashes),
+		checking:    make(map[wardturn.UpstreamID]bool),
 	}
 }
 
-// wake asks the goroutine that waits on a channel to look again.
-func wake(c chan struct{}) {
+// signal wakes the goroutine that waits on c. It does not block.
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// refuses reports whether a content is refused, and for how long yet.
-func (c *crashes) refuses(content wardturn.ContentID) (time.Duration, bool) {
+// rejects reports whether requests with this content are to be rejected, and for how long.
+func (c *crashes) rejects(content wardturn.ContentID) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.book.Refuses(c.g.clock.Now(), content)
+	return c.tracker.Refuses(c.g.clock.Now(), content)
 }
 
-// answered records that an upstream answered a request.
-func (c *crashes) answered(content wardturn.ContentID) {
+// completed records that an upstream completed a request with this content.
+func (c *crashes) completed(content wardturn.ContentID) {
 	c.mu.Lock()
-	suspected := c.book.Answered(c.g.clock.Now(), content)
+	suspected := c.tracker.Answered(c.g.clock.Now(), content)
 	c.mu.Unlock()
 	if !suspected {
 		return
 	}
 	c.g.logger.Info("request not suspected any more, it was answered", "content", content)
-	c.tell(&peer.CrashNews{
+	c.announce(&peer.CrashNews{
 		Cleared: []wardturn.ContentID{content},
 	})
-	wake(c.writes)
+	signal(c.writeSignal)
 }
 
-// broke records that a send got no whole answer. With check, the connection broke without
-// this gateway's doing, and it is looked whether the upstream has ended.
-func (c *crashes) broke(m wardturn.Member, content wardturn.ContentID, check bool) {
+// interrupted records that a send received no complete response. If check is set, the
+// connection was not closed by this gateway, and it is checked whether the upstream has
+// crashed.
+func (c *crashes) interrupted(m wardturn.Member, content wardturn.ContentID, check bool) {
 	c.mu.Lock()
-	fresh := c.book.Broke(c.g.clock.Now(), content, m.ID)
+	fresh := c.tracker.Broke(c.g.clock.Now(), content, m.ID)
 	check = check && !c.checking[m.ID]
 	if check {
 		c.checking[m.ID] = true
 	}
 	c.mu.Unlock()
-	c.saw(fresh)
+	c.observed(fresh)
 	if check {
 		c.g.tasks.Go(func() {
 			c.check(m)
@@ -92,7 +94,7 @@
 	}
 }
 
-// check looks whether an upstream still listens.
+// check records a crash if the upstream no longer listens.
 func (c *crashes) check(m wardturn.Member) {
 	defer func() {
 		c.mu.Lock()
@@ -106,101 +108,102 @@
 	c.ended(m.ID)
 }
 
-// ended records that upstreams have ended without notice.
+// ended records that upstreams have disappeared without draining.
 func (c *crashes) ended(ids ...wardturn.UpstreamID) {
 	var fresh []wardturn.Crash
 	c.mu.Lock()
 	now := c.g.clock.Now()
 	for _, id := range ids {
-		fresh = append(fresh, c.book.Ended(now, id)...)
+		fresh = append(fresh, c.tracker.Ended(now, id)...)
 	}
 	c.mu.Unlock()
-	c.saw(fresh)
+	c.observed(fresh)
 }
 
-// saw tells the other gateways of crashes that were seen here.
-func (c *crashes) saw(fresh []wardturn.Crash) {
+// observed announces crashes that were observed here to the other gateways.
+func (c *crashes) observed(fresh []wardturn.Crash) {
 	if len(fresh) == 0 {
 		return
 	}
 	c.g.metrics.crashes.Inc(int64(len(fresh)))
 	c.g.logger.Info("upstream ended under requests", "upstream", fresh[0].Upstream, "requests", len(fresh))
-	told := c.tell(&peer.CrashNews{
+	announced := c.announce(&peer.CrashNews{
 		Crashes: fresh,
 	})
 	c.mu.Lock()
-	c.unsent = c.unsent || !told
+	c.unannounced = c.unannounced || !announced
 	c.mu.Unlock()
-	c.counted(fresh)
+	c.handleNew(fresh)
 }
 
-// tell tells the other gateways, and reports whether a keeper is there to pass it on.
-// What gets lost on the way is read in the store once it matters.
-func (c *crashes) tell(m *peer.CrashNews) bool {
-	conns := c.g.links.newsConns(string(c.g.cfg.Process) + "/crashes")
+// announce sends a message to the other gateways and reports whether any keeper is
+// connected to forward it. Gateways that miss the message read the crashes from the store
+// once there are enough of them to be recorded.
+func (c *crashes) announce(m *peer.CrashNews) bool {
+	conns := c.g.links.announcementConns(string(c.g.cfg.Process) + "/crashes")
 	for _, conn := range conns {
 		_ = conn.Send(m)
 	}
 	return len(conns) > 0
 }
 
-// counted acts on crashes that were not known: where they make a content refused, its
-// requests that have not begun are broken off.
-func (c *crashes) counted(fresh []wardturn.Crash) {
+// handleNew handles newly known crashes. If a content is now rejected, its requests that no
+// upstream has started yet are aborted.
+func (c *crashes) handleNew(fresh []wardturn.Crash) {
 	for _, crash := range fresh {
-		if _, refused := c.refuses(crash.Content); !refused {
+		if _, rejected := c.rejects(crash.Content); !rejected {
 			continue
 		}
 		n := c.g.notStarted.breakOffContent(crash.Content)
 		c.g.logger.Warn("request is refused, upstreams ended under it", "content", crash.Content, "latest", crash.Upstream, "broken_off", n)
 	}
 	if len(fresh) > 0 {
-		wake(c.writes)
+		signal(c.writeSignal)
 	}
 }
 
-// receive takes a message of another gateway.
+// receive handles a message of another gateway.
 func (c *crashes) receive(m *peer.CrashNews) {
 	c.mu.Lock()
-	fresh := c.book.Heard(c.g.clock.Now(), m.Crashes)
-	c.book.Cleared(m.Cleared)
-	known := c.readTo
+	fresh := c.tracker.Heard(c.g.clock.Now(), m.Crashes)
+	c.tracker.Cleared(m.Cleared)
+	known := c.readPosition
 	c.mu.Unlock()
-	c.counted(fresh)
+	c.handleNew(fresh)
 	if m.Read == nil {
 		return
 	}
 	if m.Read.From > known {
-		wake(c.reads) // what lies between was not heard
+		signal(c.readSignal) // changes in between were missed
 		return
 	}
-	c.read(*m.Read)
+	c.apply(*m.Read)
 }
 
-// refuseCrashing reports whether the request is refused since upstreams end under what it
-// asks, and notes when it may be tried again.
+// refuseCrashing reports whether the request is rejected because its content crashes
+// upstreams, and records when it may be retried.
 func (x *exchange) refuseCrashing() bool {
-	left, refused := x.g.crashes.refuses(x.content)
-	if refused {
+	left, rejected := x.g.crashes.rejects(x.content)
+	if rejected {
 		x.refusal = &refusal{
 			reason:     wardturn.ReasonCrashes,
 			retryAfter: left,
 		}
 	}
-	return refused
+	return rejected
 }
 
-// noteContent tells what the end of a send says of what the request asks. An answer that
-// the upstream gave whole speaks for it, an error of the upstream's own says nothing: one
-// that fails by itself answers so whatever is asked. If that cleared a content, a request
-// that crashes upstreams would be let through again by any that fails now and then.
+// noteContent records what the end of a send shows about the request's content. A complete
+// response clears the content. An error response of the upstream does not, since a faulty
+// upstream returns errors whatever the request: if those cleared it, any upstream that fails
+// occasionally would let a request that crashes upstreams pass again.
 func (x *exchange) noteContent(a assignment, res result, limit error) {
 	switch res {
 	case passed:
-		x.g.crashes.answered(x.content)
+		x.g.crashes.completed(x.content)
 	case unknown, cut, left:
 		if !x.send.brokenOff && !x.slowCaller() {
-			x.g.crashes.broke(a.Member, x.content, res != left && limit == nil)
+			x.g.crashes.interrupted(a.Member, x.content, res != left && limit == nil)
 		}
 	}
 }
--- a/gateway/crashrecord_internal_test.go
+++ b/gateway/crashrecord_internal_test.go
@@ -8,23 +8,23 @@
 	"wardturn/decide"
 )
 
-// setClock is a clock that stands where it was set.
-type setClock struct {
+// fixedClock is a clock that advances only when a test sets it.
+type fixedClock struct {
 	now time.Time
 }
 
-func (c *setClock) Now() time.Time {
+func (c *fixedClock) Now() time.Time {
 	return c.now
 }
 
-func (c *setClock) AfterFunc(time.Duration, func()) wardturn.Timer {
+func (c *fixedClock) AfterFunc(time.Duration, func()) wardturn.Timer {
 	panic("not used")
 }
 
-// News of the configuration is no reading of crashes: two gateways that take turns at the
-// configuration would read none.
-func TestCrashesAreReadByOneOfTwo(t *testing.T) {
-	clock := &setClock{
+// An announced configuration read must not count as a read of the crash records: two gateways
+// that read the configuration alternately would never read the crashes.
+func TestCrashRecordsAreReadByOneOfTwo(t *testing.T) {
+	clock := &fixedClock{
 		now: time.Unix(1000, 0),
 	}
 	gateways := []*crashes{}
@@ -32,24 +32,24 @@
 		c := newCrashes(&Gateway{
 			clock: clock,
 		}, nil)
-		c.book = decide.NewCrashes(decide.CrashConfig{})
-		c.read(wardturn.CrashChange{})
+		c.tracker = decide.NewCrashes(decide.CrashConfig{})
+		c.apply(wardturn.CrashChange{})
 		gateways = append(gateways, c)
 	}
 	readAt := clock.now
 	for i := range 40 {
 		clock.now = clock.now.Add(configWait / 2)
 		c, other := gateways[i%2], gateways[(i+1)%2]
-		other.mergeReading(c.reading())
-		c.readIfOld(true)
+		other.mergeRead(c.describeRead())
+		c.readIfStale(true)
 		select {
-		case <-c.reads:
-			c.read(wardturn.CrashChange{})
+		case <-c.readSignal:
+			c.apply(wardturn.CrashChange{})
 			readAt = clock.now
 		default:
 		}
 		if age := clock.now.Sub(readAt); age > 2*configWait {
-			t.Fatalf("nobody has read the crashes for %v", age)
+			t.Fatalf("no gateway has read the crashes for %v", age)
 		}
 	}
 }
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -9,56 +9,58 @@
 	"wardturn/decide"
 )
 
-// evacuations are the failure domains that the operator has evacuated. Guarded by the
-// gateway's lock.
+// evacuations holds the failure domains that the operator has evacuated: their upstreams
+// receive no requests. It is guarded by Gateway.mu.
 type evacuations struct {
-	named wardturn.Evacuations // as the store has them
-	// kept were in force when the store came back from an older copy, which may lack them.
-	// Until the operator has had time to write them again they stay so: else requests would
-	// go where he has been told that none do.
-	kept  wardturn.Evacuations
-	until time.Time
+	recorded wardturn.Evacuations // as recorded in the store
+	// retained were in force when the store was restored from an older copy, which may lack
+	// them. They stay in force until the operator has had time to write them again.
+	// Otherwise requests would go to domains that were reported to the operator as empty.
+	retained      wardturn.Evacuations
+	retainedUntil time.Time
 }
 
-// inForce returns the failure domains whose upstreams are to get no requests.
+// inForce returns the failure domains whose upstreams must receive no requests.
 func (e *evacuations) inForce() wardturn.Evacuations {
-	domains := make(wardturn.Evacuations, len(e.named)+len(e.kept))
-	maps.Copy(domains, e.named)
-	maps.Copy(domains, e.kept)
+	domains := make(wardturn.Evacuations, len(e.recorded)+len(e.retained))
+	maps.Copy(domains, e.recorded)
+	maps.Copy(domains, e.retained)
 	return domains
 }
 
-// evacuate puts a change of the operator's evacuations in force; the lock is held.
-func (g *Gateway) evacuate(now time.Time, c wardturn.ConfigChange, out *decide.Moves) {
+// applyEvacuations applies the evacuations in a configuration change. The caller must hold
+// g.mu.
+func (g *Gateway) applyEvacuations(now time.Time, c wardturn.ConfigChange, out *decide.Moves) {
 	if c.Returned {
-		g.evacuated.kept = g.evacuated.inForce()
-		g.evacuated.until = now.Add(g.cfg.LapseGrace)
+		g.evacuations.retained = g.evacuations.inForce()
+		g.evacuations.retainedUntil = now.Add(g.cfg.LapseGrace)
 	}
 	if c.Evacuated == nil {
 		return
 	}
-	g.evacuated.named = c.Evacuated
-	g.setEvacuated(now, out)
+	g.evacuations.recorded = c.Evacuated
+	g.setEvacuations(now, out)
 }
 
-// setEvacuated puts the evacuations in force; the lock is held.
-func (g *Gateway) setEvacuated(now time.Time, out *decide.Moves) {
-	domains := g.evacuated.inForce()
+// setEvacuations applies the evacuations in force to the fleet. The caller must hold g.mu.
+func (g *Gateway) setEvacuations(now time.Time, out *decide.Moves) {
+	domains := g.evacuations.inForce()
 	g.fleet.SetEvacuated(now, domains, out)
 	g.logger.Info("evacuations in force", "domains", slices.Sorted(maps.Keys(domains)))
 }
 
-// endKept ends the evacuations that were kept and that the operator has not written again.
-func (g *Gateway) endKept() {
+// endRetainedEvacuations drops the retained evacuations once the operator has had time to
+// write them again.
+func (g *Gateway) endRetainedEvacuations() {
 	g.decide(func(now time.Time, out *decide.Moves) {
-		e := &g.evacuated
-		if e.kept == nil || now.Before(e.until) {
+		e := &g.evacuations
+		if e.retained == nil || now.Before(e.retainedUntil) {
 			return
 		}
-		changed := !maps.Equal(e.inForce(), e.named)
-		e.kept = nil
+		changed := !maps.Equal(e.inForce(), e.recorded)
+		e.retained = nil
 		if changed {
-			g.setEvacuated(now, out)
+			g.setEvacuations(now, out)
 		}
 	})
 }
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -13,22 +13,24 @@
 	"wardturn/standin"
 )
 
-// evacuateBound is by when the upstreams of an evacuated failure domain get nothing more.
-const evacuateBound = 2500 * time.Millisecond
+// evacuationBound is the time after which upstreams of an evacuated failure domain must
+// receive no requests.
+const evacuationBound = 2500 * time.Millisecond
 
-// evacuate writes the operator's word that a failure domain is to get nothing, and returns
-// when its upstreams must get no more.
+// evacuate evacuates a failure domain in the store. It returns the time from which its
+// upstreams must receive no requests.
 func (x *rig) evacuate(domain string) time.Time {
 	x.store.Evacuate(domain, true)
-	return time.Now().Add(evacuateBound)
+	return time.Now().Add(evacuationBound)
 }
 
-func (x *rig) takeBack(domain string) {
+func (x *rig) revokeEvacuation(domain string) {
 	x.store.Evacuate(domain, false)
 }
 
-// arrivedAfter counts the requests that reached workers of a failure domain after a time.
-func (x *rig) arrivedAfter(domain string, after time.Time) int {
+// domainArrivalsAfter counts the requests that reached workers of a failure domain after
+// the given time.
+func (x *rig) domainArrivalsAfter(domain string, after time.Time) int {
 	n := 0
 	for _, m := range append(x.engines, x.apps...) {
 		for _, a := range m.Arrivals() {
@@ -40,7 +42,8 @@
 	return n
 }
 
-// Unread, the operator's evacuation leaves upstreams there with their usual requests.
+// A gateway that does not apply an evacuation keeps sending requests to the domain's
+// upstreams.
 var _ = Describe("An evacuated failure domain", func() {
 	var x *rig
 	var fronts []string
@@ -50,17 +53,17 @@
 		Eventually(g.Ready, soon, often).Should(BeTrue())
 		fronts = []string{x.front, second}
 	})
-	// expectEmpty sends requests to all gateways and expects none at the upstreams of a
-	// failure domain after a time.
+	// expectEmpty sends requests to all gateways and expects that none reach the upstreams of
+	// a failure domain after the given time.
 	expectEmpty := func(domain string, after time.Time, span time.Duration) {
 		GinkgoHelper()
 		statuses := x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, span)
 		Expect(statuses[http.StatusOK]).To(BeNumerically(">", 20))
 		x.callAll(fronts, "/ask/a", "m0", 1, 20*time.Millisecond, span/2)
-		Expect(x.arrivedAfter(domain, after)).To(BeZero())
+		Expect(x.domainArrivalsAfter(domain, after)).To(BeZero())
 	}
 
-	It("gets no requests after the bound, through a restart and a store that drops its history", func() {
+	It("receives no requests after the bound, across a gateway start and a compaction of the store", func() {
 		after := x.evacuate("d")
 		expectEmpty("d", after, 3*time.Second)
 		x.store.CompactConfig()
@@ -70,25 +73,25 @@
 		expectEmpty("d", after, time.Second)
 	})
 
-	It("gets none if it is taken back and evacuated again at once", func() {
+	It("receives none if the evacuation is revoked and repeated immediately", func() {
 		x.evacuate("d")
-		x.takeBack("d")
+		x.revokeEvacuation("d")
 		after := x.evacuate("d")
 		expectEmpty("d", after, 3*time.Second)
 	})
 
-	It("gets requests again once it is taken back", func() {
+	It("receives requests again once the evacuation is revoked", func() {
 		x.evacuate("d")
 		Eventually(x.log.String, soon, often).Should(ContainSubstring("evacuations in force: domains=[\"d\"]"))
-		x.takeBack("d")
+		x.revokeEvacuation("d")
 		back := time.Now()
 		Eventually(func() int {
 			x.callAll(fronts, "/look/a", "", 2, 10*time.Millisecond, 50*time.Millisecond)
-			return x.arrivedAfter("d", back)
+			return x.domainArrivalsAfter("d", back)
 		}, soon, often).Should(BeNumerically(">", 5))
 	})
 
-	It("has its requests refused at once where no other has upstreams", func() {
+	It("has its requests rejected immediately if no other domain has upstreams", func() {
 		x.evacuate("d")
 		x.evacuate("e")
 		var refused reply
@@ -104,7 +107,7 @@
 		Expect(x.runs(id)).To(BeZero())
 	})
 
-	It("does not get a stream that goes on elsewhere", func() {
+	It("does not receive a stream that is resumed at another upstream", func() {
 		x.get("hold", "/resume/x", "m0/a1")
 		var began atomic.Int64
 		for _, e := range x.engines {
@@ -121,27 +124,27 @@
 				began.Add(1)
 			}
 		}
-		Expect(x.arrivedAfter("d", after)).To(BeZero())
+		Expect(x.domainArrivalsAfter("d", after)).To(BeZero())
 	})
 })
 
-// Where requests may be served is read from their routes and teams.
-var _ = Describe("A route with homes", func() {
-	It("is served in their regions only, and refused in plain words where none can", func() {
+// Routes and teams restrict the regions in which their requests may be served.
+var _ = Describe("A route with allowed regions", func() {
+	It("is served only there, and rejected with a specific reason if no upstream is there", func() {
 		x := newRigIn("d", "e")
 		x.regions = map[wardturn.FailureDomain]wardturn.Region{
 			"d": "north",
 			"e": "south",
 		}
-		const homes = `,{"name":"local","host":"h.example","path_prefix":"/local/","type":"idempotent","timeout_ms":1000,"slo_ms":150,"service":"app","max_attempts":2,"regions_allowed":["south"]},
+		const restricted = `,{"name":"local","host":"h.example","path_prefix":"/local/","type":"idempotent","timeout_ms":1000,"slo_ms":150,"service":"app","max_attempts":2,"regions_allowed":["south"]},
 {"name":"none","host":"h.example","path_prefix":"/none/","type":"idempotent","timeout_ms":1000,"slo_ms":150,"service":"app","max_attempts":2,"regions_allowed":["west"]}`
-		x.store.PutConfig(config(2, homes))
+		x.store.PutConfig(config(2, restricted))
 		g, front, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
 		Eventually(g.Ready, soon, often).Should(BeTrue())
 		began := time.Now()
 		statuses := x.callAll([]string{front}, "/local/a", "", 2, 10*time.Millisecond, 500*time.Millisecond)
 		Expect(statuses[http.StatusOK]).To(BeNumerically(">", 20))
-		Expect(x.arrivedAfter("d", began)).To(BeZero())
+		Expect(x.domainArrivalsAfter("d", began)).To(BeZero())
 		id, r := x.with(front, "/none/a", "", nil)
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.body).To(Equal("no_upstream_in_regions"))
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// maxEvent bounds what is kept of an event that is not whole yet, in bytes;
-	// longer ones are passed on in parts, and their stream cannot be resumed.
-	maxEvent = 64 << 10
-	// maxSums bounds the events of a stream of which a sum of 8 bytes is kept;
-	// later ones are not recognised when they come again.
-	maxSums = 4096
+	// maxEventSize is the maximum size in bytes of an incomplete event that is buffered.
+	// Longer events are forwarded in parts, and their stream cannot be resumed.
+	maxEventSize = 64 << 10
+	// maxChecksums is the maximum number of events per stream whose checksum (8 bytes) is
+	// kept. Later events are not recognised as duplicates.
+	maxChecksums = 4096
 )
 
 var (
@@ -22,56 +22,57 @@
 	eventData = []byte("data:")
 )
 
-// misplacement says why an answer that resumes a stream does not go on where it
-// should; empty if it does.
+// misplacement is the reason why a response that resumes a stream does not continue after the
+// caller's last event. It is empty if the response does.
 type misplacement string
 
 const (
-	// missing: events between the caller's last one and this one did not come.
-	missing misplacement = "missing"
-	// otherRun: an event comes again that is not the one the caller has.
-	otherRun misplacement = "other_run"
-	// noNumber: nobody can tell whether the event is the next one.
-	noNumber misplacement = "no_number"
-	// repeated: the caller has the event; it is left out and the stream goes on.
+	// mismatchMissing: events between the caller's last one and this one are missing.
+	mismatchMissing misplacement = "missing"
+	// mismatchOtherRun: a repeated event differs from the one the caller has, so the
+	// response is from another run of the request.
+	mismatchOtherRun misplacement = "other_run"
+	// mismatchNoNumber: the event has no number, so its position is unknown.
+	mismatchNoNumber misplacement = "no_number"
+	// repeated: the caller already has the event. It is dropped and the stream continues.
 	repeated misplacement = "repeated"
 )
 
-// events passes a resumable stream on event by event, so that it can go on at
-// another upstream after the last whole one.
+// events forwards a resumable stream of server-sent events event by event, so that it can
+// be resumed at another upstream after the last complete event.
 //
-// Each event of an answer that resumes a stream must have the number after that
-// of the caller's last event. Without that a caller gets streams with events
-// missing or doubled, or joined from two runs, that look whole. Events that the
-// caller has are left out if they are the same by their sums.
+// In a response that resumes a stream, each event's number must follow that of the caller's
+// last event. Without this check, a caller could receive a stream that looks complete but
+// has missing or duplicate events, or events of two different runs. Events that the caller
+// already has are dropped if their checksums match.
 type events struct {
-	part    []byte // of an event that is not whole
-	long    bool   // the event's first part was passed on
-	last    string // id of the last whole event that was passed on
-	number  int64  // of the caller's last whole event, if counted
-	counted bool   // ids are numbers that rise by one
-	resumed bool   // the answer must go on after the last event
-	passed  bool   // an event was passed on
-	stuck   bool   // nobody can tell where the stream has to go on
-	skipped int    // events left out of this answer
-	first   int64  // number of the event of the first sum
-	sums    []uint64
+	part        []byte // incomplete event
+	overflowed  bool   // the first part of the current event was already forwarded
+	last        string // ID of the last complete event that was forwarded
+	number      int64  // number of the caller's last complete event, if counted
+	counted     bool   // IDs are consecutive numbers
+	resumed     bool   // the response must continue after the last event
+	forwarded   bool   // an event was forwarded
+	unresumable bool   // the position at which to resume is unknown
+	skipped     int    // duplicate events dropped from this response
+	first       int64  // number of the event that checksums[0] belongs to
+	checksums   []uint64
 }
 
-// sumSeed is that of the sums of events, in this process.
-var sumSeed = maphash.MakeSeed()
+// checksumSeed is the seed of the event checksums in this process.
+var checksumSeed = maphash.MakeSeed()
 
-// startAfter notes the event after which a caller resumes its stream. An id that
-// is no number is the caller's and the upstream's matter.
+// startAfter sets the ID of the event after which the caller resumes its stream. If it is not
+// a number, the response is forwarded unchecked.
 func (e *events) startAfter(id string) {
 	e.number, e.counted = eventNumber([]byte(id))
 	e.resumed = e.counted
 }
 
-// resume prepares for an answer that goes on after the last whole event. It
-// reports false if nobody could tell whether it does.
+// resume prepares for a response that continues after the last complete event. It reports
+// false if that could not be verified.
 func (e *events) resume() bool {
-	if e.stuck || e.passed && !e.counted {
+	if e.unresumable || e.forwarded && !e.counted {
 		return false
 	}
 	e.part = nil
@@ -80,8 +81,8 @@
 	return true
 }
 
-// take returns the events that may be passed on of what arrived so far. What
-// comes after a misplaced event is worth nothing.
+// take adds received data and returns the events that may be forwarded. After a misplaced
+// event the rest of the response must be discarded.
 func (e *events) take(data []byte) ([]byte, misplacement) {
 	e.part = append(e.part, data...)
 	var out []byte
@@ -102,9 +103,9 @@
 	}
 }
 
-// overflow adds the part of an event that is too long to be kept.
+// overflow appends the incomplete event to out if it is too long to be buffered further.
 func (e *events) overflow(out []byte) ([]byte, misplacement) {
-	if len(e.part) < maxEvent {
+	if len(e.part) < maxEventSize {
 		return out, ""
 	}
 	pass, why := e.check(e.part)
@@ -114,13 +115,13 @@
 	if pass {
 		out = append(out, e.part...)
 	}
-	e.long = true
-	e.stuck = true
+	e.overflowed = true
+	e.unresumable = true
 	e.part = nil
 	return out, ""
 }
 
-// rest returns what came after the last whole event, at the stream's end.
+// rest returns the data after the last complete event, at the end of the stream.
 func (e *events) rest() ([]byte, misplacement) {
 	data := e.part
 	e.part = nil
@@ -134,16 +135,16 @@
 	return data, ""
 }
 
-// check notes an event and reports whether it is passed on, or why it does not
+// check records an event and reports whether it is to be forwarded, or why it does not
 // belong to the stream.
 func (e *events) check(event []byte) (bool, misplacement) {
-	if e.long {
-		e.long = false // its end; the first part was noted
+	if e.overflowed {
+		e.overflowed = false // end of an event whose first part was recorded
 		return true, ""
 	}
 	id, data := fields(event)
 	if id == nil && !data {
-		return true, "" // a comment, which may come twice
+		return true, "" // a comment; duplicates do no harm
 	}
 	n, ok := eventNumber(id)
 	if e.resumed {
@@ -151,49 +152,49 @@
 			return false, why
 		}
 	}
-	e.note(event, id, n, ok)
+	e.record(event, id, n, ok)
 	return true, ""
 }
 
-// follows reports whether an event of an answer that resumes a stream is the
-// next one, or else why not; it says nothing of one that is left out.
+// follows reports whether an event of a resumed response is the next one, or else why not.
+// For a duplicate that is to be dropped, it returns false without a reason.
 func (e *events) follows(event []byte, n int64, ok bool) (bool, misplacement) {
 	switch {
 	case !ok:
-		return false, noNumber
+		return false, mismatchNoNumber
 	case n == e.number+1:
 		return true, ""
 	case n > e.number:
-		return false, missing
+		return false, mismatchMissing
 	}
 	i := n - e.first
-	if i < 0 || i >= int64(len(e.sums)) || e.sums[i] != maphash.Bytes(sumSeed, event) {
-		return false, otherRun
+	if i < 0 || i >= int64(len(e.checksums)) || e.checksums[i] != maphash.Bytes(checksumSeed, event) {
+		return false, mismatchOtherRun
 	}
 	e.skipped++
 	return false, ""
 }
 
-// note remembers an event that is passed on.
-func (e *events) note(event, id []byte, n int64, ok bool) {
-	counted := ok && (!e.passed && !e.resumed || e.counted && n == e.number+1)
+// record records an event that is forwarded.
+func (e *events) record(event, id []byte, n int64, ok bool) {
+	counted := ok && (!e.forwarded && !e.resumed || e.counted && n == e.number+1)
 	if !counted {
-		e.stuck = true
+		e.unresumable = true
 	}
-	if len(e.sums) == 0 {
+	if len(e.checksums) == 0 {
 		e.first = n
 	}
-	if len(e.sums) < maxSums {
-		e.sums = append(e.sums, maphash.Bytes(sumSeed, event))
+	if len(e.checksums) < maxChecksums {
+		e.checksums = append(e.checksums, maphash.Bytes(checksumSeed, event))
 	}
 	if id != nil {
 		e.last = string(id)
 	}
 	e.number, e.counted = n, counted
-	e.passed = true
+	e.forwarded = true
 }
 
-// fields returns the id of an event, nil if it has none, and whether it has data.
+// fields returns the ID of an event, nil if it has none, and whether the event has data.
 func fields(event []byte) (id []byte, data bool) {
 	for line := range bytes.Lines(event) {
 		if rest, ok := bytes.CutPrefix(line, eventID); ok {
@@ -204,7 +205,7 @@
 	return id, data
 }
 
-// eventNumber returns the number that an id is.
+// eventNumber parses an event ID as a number.
 func eventNumber(id []byte) (int64, bool) {
 	n, err := strconv.ParseInt(string(id), 10, 64)
 	return n, err == nil && n >= 0 && n < math.MaxInt64
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -8,72 +8,73 @@
 	"wardturn/decide"
 )
 
-// followConfig keeps the configuration up to date.
+// followConfig keeps the configuration up to date by long polls of the store.
 func (g *Gateway) followConfig() {
-	pause := configRetry
-	away := false
+	pause := configRetryDelay
+	unavailable := false
 	first := true
 	for {
-		if !g.news.await(g.news.config) {
+		if !g.news.awaitRead(g.news.config) {
 			return
 		}
 		sent := g.clock.Now()
-		g.news.beganConfig(sent)
+		g.news.startConfigRead(sent)
 		wait := g.configWait()
 		change, err := g.source.Next(wait)
 		if err == nil {
-			g.metrics.config.read.Inc(1)
+			g.metrics.config.succeeded.Inc(1)
 			asOf := configAsOf(sent, wait, g.clock.Now(), change, first)
 			first = false
-			if away {
+			if unavailable {
 				g.logger.Info("store answers again", "for", "configuration")
 			}
-			away = false
-			pause = configRetry
+			unavailable = false
+			pause = configRetryDelay
 			if change.Returned {
-				g.storeReturned()
+				g.handleStoreRestored()
 			}
 			g.apply(change, g.news.configKnown())
-			// Recorded last: whoever finds the configuration known as of a time has
-			// it in force up to then.
-			g.news.readConfig(asOf, change.To)
-			if g.upstreams.Load() {
-				g.crashes.readIfOld(g.news.readsForAll())
+			// Recorded last, so that a configuration known as of a time is also in force
+			// as of that time.
+			g.news.finishConfigRead(asOf, change.To)
+			if g.hadUpstreams.Load() {
+				g.crashes.readIfStale(g.news.readsForAll())
 			}
 			continue
 		}
 		g.metrics.config.failed.Inc(1)
-		if !away {
+		if !unavailable {
 			g.logger.Warn("store away, the present configuration stays", "error", err)
 		}
-		away = true
-		g.news.failed(g.news.config)
+		unavailable = true
+		g.news.readFailed(g.news.config)
 		if !g.tasks.Pause(pause) {
 			return
 		}
-		pause = min(2*pause, configMaxRetry)
+		pause = min(2*pause, configMaxRetryDelay)
 	}
 }
 
-// storeReturned has records of this gateway that the store may have lost written again.
-func (g *Gateway) storeReturned() {
+// handleStoreRestored triggers a rewrite of records that the store may have lost when it was
+// restored from an older copy.
+func (g *Gateway) handleStoreRestored() {
 	g.returned.Store(true)
-	wake(g.crashes.reads)
+	signal(g.crashes.readSignal)
 }
 
-// configWait returns the time of a waiting read of the configuration. While no upstream is
-// listed, no keeper is known by whom another gateway could pass its readings on, and all
-// read: the fewer the better.
+// configWait returns the wait of a long poll of the configuration. While no upstream is
+// registered, there is no keeper to forward announcements, so every gateway polls; longer
+// waits then limit the load on the store.
 func (g *Gateway) configWait() time.Duration {
-	if g.listed.Load() && !g.upstreams.Load() {
+	if g.membersRead.Load() && !g.hadUpstreams.Load() {
 		return configIdleWait
 	}
 	return configWait
 }
 
-// configAsOf returns a time at which the answer to a read of the configuration
-// was true: a waiting read that found nothing ended with its wait. One that ended
-// sooner met a record, also if that changes nothing here.
+// configAsOf returns a time as of which the result of a configuration read is current. A long
+// poll that found nothing is current as of the end of its wait. One that returned sooner
+// found a record, even if that changes nothing here, and counts as of the time it was sent.
 func configAsOf(sent time.Time, wait time.Duration, answered time.Time, c wardturn.ConfigChange, first bool) time.Time {
 	waited := sent.Add(wait)
 	if first || c.Table != nil || len(c.Versions) > 0 || answered.Before(waited) {
@@ -82,9 +83,9 @@
 	return waited
 }
 
-// apply puts a change of the configuration in force. An older version than the
-// present one is passed over. What changed was not so yet at the time known; zero:
-// nothing was known then.
+// apply applies a change of the configuration. A route table older than the current one is
+// ignored. The change was made after the time known, which is zero if no configuration was
+// known before.
 func (g *Gateway) apply(c wardturn.ConfigChange, known time.Time) {
 	now := g.clock.Now()
 	var out decide.Moves
@@ -97,29 +98,29 @@
 		}
 		g.logger.Info("version named", line...)
 	}
-	g.evacuate(now, c, &out)
+	g.applyEvacuations(now, c, &out)
 	present := g.routes.Load()
 	if c.Table != nil && (present == nil || c.Table.Version > present.table.Version) {
 		g.fleet.SetTable(c.Table)
 		g.caps.setTeams(c.Table.Teams)
 		g.routes.Store(newRoutes(c.Table))
-		g.setPart()
+		g.applyPartialMembers()
 		g.logger.Info("configuration in force", "version", c.Table.Version, "routes", len(c.Table.Routes), "teams", len(c.Table.Teams))
 	}
 	g.mu.Unlock()
-	g.carry(out)
+	g.execute(out)
 	if c.Table == nil {
 		return
 	}
 	if present == nil {
-		g.limit(c.Table.Limits)
+		g.setCallerLimits(c.Table.Limits)
 	}
 	g.links.update()
 }
 
-// limit sets the limits of callers' connections and starts to take them.
-func (g *Gateway) limit(l wardturn.CallerLimits) {
-	g.served.Do(func() {
+// setCallerLimits sets the limits of callers' connections and starts accepting requests.
+func (g *Gateway) setCallerLimits(l wardturn.CallerLimits) {
+	g.serveOnce.Do(func() {
 		if l.MaxHeader > 0 {
 			g.server.MaxHeaderBytes = l.MaxHeader
 		}
@@ -129,98 +130,98 @@
 		if l.IdleTimeout > 0 {
 			g.server.IdleTimeout = l.IdleTimeout
 		}
-		g.takeCallers()
+		g.acceptRequests()
 	})
 }
 
-// followMembers keeps the list of upstreams up to date, by own readings and by
-// those of other gateways.
+// followMembers keeps the list of upstreams up to date from its own reads and from announced
+// changes.
 func (g *Gateway) followMembers() {
 	for {
-		told, due, ok := g.news.awaitMembers(g.list.nextLapse())
+		change, due, ok := g.news.awaitMembers(g.membership.nextRetentionEnd())
 		switch {
 		case !ok:
 			return
 		case due:
 			g.readMembers()
-		case told == nil:
-			g.setMembers(g.list.expire())
+		case change == nil:
+			g.setMembers(g.membership.dropExpired())
 		default:
-			g.takeMembers(*told)
+			g.applyAnnounced(*change)
 		}
 	}
 }
 
-// takeMembers takes the word of another gateway.
-func (g *Gateway) takeMembers(told toldMembers) {
-	now, ok := g.list.take(told.change, told.asOf)
+// applyAnnounced applies a change that another gateway announced.
+func (g *Gateway) applyAnnounced(change announcedChange) {
+	view, ok := g.membership.apply(change.change, change.asOf)
 	if !ok {
-		g.doubtMembers()
+		g.markMembersStale()
 		return
 	}
-	g.setMembers(now)
+	g.setMembers(view)
 }
 
 func (g *Gateway) readMembers() {
 	sent := g.clock.Now()
-	g.news.beganMembers(sent)
+	g.news.startMembersRead(sent)
 	var part func([]wardturn.Member)
-	if !g.listed.Load() {
-		part = g.takePart
+	if !g.membersRead.Load() {
+		part = g.receivePartialMembers
 	}
-	now, change, ok := g.list.read(part)
+	view, change, ok := g.membership.read(part)
 	if !ok {
 		g.metrics.members.failed.Inc(1)
-		g.news.failed(g.news.members)
+		g.news.readFailed(g.news.members)
 		return
 	}
-	g.metrics.members.read.Inc(1)
-	g.setMembers(now)
-	g.listed.Store(true)
-	g.news.readMembers(sent, change)
+	g.metrics.members.succeeded.Inc(1)
+	g.setMembers(view)
+	g.membersRead.Store(true)
+	g.news.finishMembersRead(sent, change)
 }
 
-func (g *Gateway) setMembers(now roll) {
-	if now.same {
+func (g *Gateway) setMembers(view membershipView) {
+	if view.unchanged {
 		return
 	}
 	g.mu.Lock()
-	g.part = nil
-	lost := g.fleet.SetMembers(g.clock.Now(), now.members)
+	g.partialMembers = nil
+	lost := g.fleet.SetMembers(g.clock.Now(), view.members)
 	g.mu.Unlock()
 	g.crashes.ended(lost...)
 	g.links.update()
-	if len(now.members) > 0 && !g.upstreams.Swap(true) {
-		g.crashes.readIfOld(g.news.readsForAll())
+	if len(view.members) > 0 && !g.hadUpstreams.Swap(true) {
+		g.crashes.readIfStale(g.news.readsForAll())
 	}
 }
 
-// takePart takes the upstreams of plain services from a list that is still being
-// read, so that their requests need not wait for the rest, which takes most of a second
-// with thousands of upstreams.
-// Engines are taken all at once: requests for an adapter whose holder has not been
-// read yet would have it loaded elsewhere.
-func (g *Gateway) takePart(list []wardturn.Member) {
+// receivePartialMembers applies the upstreams of plain services while the list is still
+// being read, so that their requests need not wait for the rest of it. Reading thousands of
+// upstreams takes most of a second. Engines are applied only with the complete list:
+// otherwise a request for an adapter whose engine has not been read yet would load the
+// adapter elsewhere.
+func (g *Gateway) receivePartialMembers(list []wardturn.Member) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.part = list
-	g.setPart()
+	g.partialMembers = list
+	g.applyPartialMembers()
 }
 
-// setPart puts the part of the list in force that came so far, once there is a
-// configuration; the lock is held.
-func (g *Gateway) setPart() {
+// applyPartialMembers applies the part of the list received so far, if there is a
+// configuration. The caller must hold g.mu.
+func (g *Gateway) applyPartialMembers() {
 	rs := g.routes.Load()
-	if rs == nil || g.part == nil {
+	if rs == nil || g.partialMembers == nil {
 		return
 	}
-	plain := slices.DeleteFunc(slices.Clone(g.part), func(m wardturn.Member) bool {
+	plain := slices.DeleteFunc(slices.Clone(g.partialMembers), func(m wardturn.Member) bool {
 		return rs.table.Services[m.Service].Engine != nil
 	})
 	g.fleet.SetMembers(g.clock.Now(), plain)
 }
 
-// doubtMembers has the list read soon.
-func (g *Gateway) doubtMembers() {
-	g.news.doubtMembers()
+// markMembersStale marks the list as possibly out of date, so that it is read soon.
+func (g *Gateway) markMembersStale() {
+	g.news.markMembersStale()
 }
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -13,11 +13,11 @@
 	"wardturn/standin"
 )
 
-// stopWithin is how soon an engine must stop when the caller of its request has
-// left.
-const stopWithin = 500 * time.Millisecond
+// stopTimeout is the time within which an engine must stop a request whose caller has
+// disconnected.
+const stopTimeout = 500 * time.Millisecond
 
-var _ = Describe("A request whose caller leaves", func() {
+var _ = Describe("A request whose caller disconnects", func() {
 	var x *rig
 	active := func() int {
 		n := 0
@@ -26,9 +26,10 @@
 		}
 		return n
 	}
-	// call sends a request and returns what ends its caller's connection.
+	// call sends a request and, if read is positive, waits for that many bytes of the
+	// response. The returned function closes the caller's connection.
 	call := func(path, model string, read int) context.CancelFunc {
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, x.front+path, strings.NewReader("prompt"))
 		Expect(err).NotTo(HaveOccurred())
 		req.Host = "h.example"
@@ -45,7 +46,7 @@
 			defer GinkgoRecover()
 			res, err := client.Do(req)
 			if err != nil {
-				return // it has left
+				return // disconnected
 			}
 			defer res.Body.Close()
 			_, _ = io.ReadFull(res.Body, make([]byte, read))
@@ -55,8 +56,8 @@
 		if read > 0 {
 			Eventually(begun, soon).Should(BeClosed())
 		}
-		DeferCleanup(leave)
-		return leave
+		DeferCleanup(disconnect)
+		return disconnect
 	}
 	faults := func(f standin.WorkerFaults) {
 		for _, m := range append(x.engines, x.apps...) {
@@ -68,7 +69,7 @@
 	})
 
 	for _, path := range []string{"/ask/x", "/resume/x", "/look/"} {
-		It("ends at its upstream before the first byte, on "+path, func() {
+		It("is canceled at its upstream before the first byte, on "+path, func() {
 			faults(standin.WorkerFaults{
 				Think: soon,
 			})
@@ -76,34 +77,34 @@
 			if path == "/look/" {
 				model = ""
 			}
-			leave := call(path, model, 0)
+			disconnect := call(path, model, 0)
 			Eventually(active, soon, often).Should(Equal(1))
-			leave()
-			Eventually(active, stopWithin, often).Should(BeZero())
+			disconnect()
+			Eventually(active, stopTimeout, often).Should(BeZero())
 		})
 	}
 
-	It("ends at its engine in the middle of a stream", func() {
+	It("is canceled at its engine in the middle of a stream", func() {
 		faults(standin.WorkerFaults{
 			Linger: soon,
 		})
-		leave := call("/ask/x", "m0", 5)
+		disconnect := call("/ask/x", "m0", 5)
 		Expect(active()).To(Equal(1))
-		leave()
-		Eventually(active, stopWithin, often).Should(BeZero())
+		disconnect()
+		Eventually(active, stopTimeout, often).Should(BeZero())
 	})
 
-	It("reaches no engine when its adapter comes later", func() {
+	It("reaches no engine if its adapter is loaded later", func() {
 		faults(standin.WorkerFaults{
 			LoseOrders: true,
 		})
-		leave := call("/ask/x", "m0/late", 0)
+		disconnect := call("/ask/x", "m0/late", 0)
 		time.Sleep(100 * time.Millisecond)
-		leave()
-		time.Sleep(stopWithin)
+		disconnect()
+		time.Sleep(stopTimeout)
 		faults(standin.WorkerFaults{})
 		Consistently(func() int {
 			return x.runs("leaves")
-		}, stopWithin, often).Should(BeZero())
+		}, stopTimeout, often).Should(BeZero())
 	})
 })
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -9,17 +9,17 @@
 	"wardturn/peer"
 )
 
-// limitEvery is how often it is looked whether the other gateways have to be told of limits
-// that upstreams name.
-const limitEvery = 200 * time.Millisecond
+// limitInterval is the interval at which it is checked whether a message on upstream limits is
+// due.
+const limitInterval = 200 * time.Millisecond
 
-// limits are the requests a second that upstreams in need say they take, and the words on
-// them that go to and come from the other gateways through keepers.
+// limits tracks the request rate limits that overloaded upstreams announce in their
+// responses, and exchanges them with the other gateways through keepers.
 type limits struct {
 	g     *Gateway
 	state *decide.Limits // guarded by the gateway's lock
-	any   atomic.Bool    // some upstream has named one
-	words atomic.Int64   // told so far
+	any   atomic.Bool    // an upstream has announced a limit
+	sent  atomic.Int64   // messages sent so far
 }
 
 func newLimits(g *Gateway) *limits {
@@ -29,7 +29,7 @@
 	}
 }
 
-// observe takes an answer that names a limit.
+// observe records a response that carries a limit.
 func (l *limits) observe(id wardturn.UpstreamID, limit wardturn.Figure[wardturn.RequestRate], status int) {
 	l.any.Store(true)
 	now := l.g.clock.Now()
@@ -46,49 +46,50 @@
 	}
 	if changed {
 		l.g.logger.Info("upstream names a limit", "upstream", id, "per_second", float64(limit.Value), "status", status)
-		l.tell()
+		l.announce()
 	}
 }
 
-// observeNone takes an answer that names no limit, to a request sent at a time.
+// observeNone records a response without a limit, to a request that was sent at the given
+// time.
 func (l *limits) observeNone(id wardturn.UpstreamID, sent time.Time, status int) {
 	l.g.mu.Lock()
 	ended := l.state.ObserveNone(l.g.clock.Now(), id, sent)
 	l.g.mu.Unlock()
 	if ended {
 		l.g.logger.Info("upstream names no limit any more", "upstream", id, "status", status)
-		l.tell()
+		l.announce()
 	}
 }
 
-// tell tells the other gateways what is known here, if that is due. What is new goes to two
-// keepers in each failure domain, the rest to one of them, by turns.
-func (l *limits) tell() {
+// announce sends the known limits to the other gateways if a message is due. New limits go
+// through two keepers in each failure domain, repeated ones through the two alternately.
+func (l *limits) announce() {
 	l.g.mu.Lock()
 	now := l.g.clock.Now()
-	counted := l.g.fleet.CountedGateways()
-	l.state.SetGateways(now, counted)
+	gateways := l.g.fleet.CountedGateways()
+	l.state.SetGateways(now, gateways)
 	w, fresh, due := l.state.Word(now)
 	l.g.mu.Unlock()
 	if !due {
 		return
 	}
-	turn := int(l.words.Add(1))
-	key := l.g.caps.relayKey(counted)
-	conns := l.g.links.capConns(key, turn)
+	turn := int(l.sent.Add(1))
+	key := l.g.caps.relayKey(gateways)
+	conns := l.g.links.alternatingConns(key, turn)
 	if fresh {
-		conns = l.g.links.newsConns(key)
+		conns = l.g.links.announcementConns(key)
 	}
 	m := &peer.LimitNews{
 		Words: []decide.LimitGossip{w},
 	}
 	for _, conn := range conns {
-		// A word that is lost is told again by another gateway.
+		// Errors are ignored: another gateway repeats what a lost message carried.
 		_ = conn.Send(m)
 	}
 }
 
-// receive takes a message of another gateway.
+// receive handles a message of another gateway.
 func (l *limits) receive(m *peer.LimitNews) {
 	l.any.Store(true)
 	var changes []decide.LimitUpdate
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -10,7 +10,7 @@
 	"wardturn/process"
 )
 
-// connected hands out the connection of a client.
+// connected is a client handler that delivers each new connection on the channel.
 type connected chan *peer.Conn
 
 func (c connected) Connected(conn *peer.Conn)       { c <- conn }
@@ -26,7 +26,7 @@
 	}
 }
 
-// newTestLink returns a link that is connected to a keeper of process k.
+// newTestLink returns a link that is connected to a keeper with process ID k.
 func newTestLink(t *testing.T) *link {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -58,10 +58,10 @@
 	}
 }
 
-// A link takes each change once and in order, whichever way it comes, and nothing
-// of another lifetime of the engine or of its keeper.
+// A link applies each update once and in order, whether it arrives directly or through a
+// relay, and none of another incarnation of the engine or its keeper.
 func TestLinkAccepts(t *testing.T) {
-	word := func(seq uint64, full bool) *peer.Holding {
+	update := func(seq uint64, full bool) *peer.Holding {
 		return &peer.Holding{
 			Seq:      seq,
 			Full:     full,
@@ -69,69 +69,69 @@
 		}
 	}
 	answer := func(seq uint64) *peer.Holding {
-		h := word(seq, false)
+		h := update(seq, false)
 		h.Answer = true
 		return h
 	}
-	other := word(9, true)
+	other := update(9, true)
 	other.Upstream = "i-0"
 	l := newTestLink(t)
 	for i, step := range []struct {
-		what    string
+		name    string
 		process wardturn.Incarnation
-		word    *peer.Holding
+		update  *peer.Holding
 		want    bool
 	}{
-		{what: "a change before the full holding", process: "k", word: word(4, false)},
-		{what: "an answer before it", process: "k", word: answer(4)},
-		{what: "a full holding of an earlier keeper", process: "old", word: word(8, true)},
-		{what: "one of another lifetime of the engine", process: "k", word: other},
-		{what: "the full holding", process: "k", word: word(5, true), want: true},
-		{what: "the next change", process: "k", word: word(6, false), want: true},
-		{what: "it again by the other way", process: "k", word: word(6, false)},
-		{what: "an older full holding of a mirror that is behind", process: "k", word: word(5, true)},
-		{what: "an answer that is older than what is known", process: "k", word: answer(5)},
-		{what: "an answer ahead of the changes", process: "k", word: answer(8), want: true},
-		{what: "the change that comes after it", process: "k", word: word(7, false), want: true},
-		{what: "a change after a gap", process: "k", word: word(9, false)},
-		{what: "the next one, while everything is asked for", process: "k", word: word(10, false)},
-		{what: "the full holding after the gap", process: "k", word: word(10, true), want: true},
-		{what: "the change after that", process: "k", word: word(11, false), want: true},
+		{name: "a change before the full state", process: "k", update: update(4, false)},
+		{name: "an answer before the full state", process: "k", update: answer(4)},
+		{name: "a full state of an earlier keeper process", process: "old", update: update(8, true)},
+		{name: "a full state of another incarnation of the engine", process: "k", update: other},
+		{name: "the full state", process: "k", update: update(5, true), want: true},
+		{name: "the next change", process: "k", update: update(6, false), want: true},
+		{name: "the same change through the relay", process: "k", update: update(6, false)},
+		{name: "an older full state from a relay that is behind", process: "k", update: update(5, true)},
+		{name: "an answer older than the current state", process: "k", update: answer(5)},
+		{name: "an answer ahead of the changes", process: "k", update: answer(8), want: true},
+		{name: "the change that comes after it", process: "k", update: update(7, false), want: true},
+		{name: "a change after a gap", process: "k", update: update(9, false)},
+		{name: "the next change, while the full state is requested", process: "k", update: update(10, false)},
+		{name: "the full state after the gap", process: "k", update: update(10, true), want: true},
+		{name: "the change after that", process: "k", update: update(11, false), want: true},
 	} {
-		if _, got := l.accept(step.process, step.word); got != step.want {
-			t.Errorf("step %d, %s: taken %v, want %v", i, step.what, got, step.want)
+		if _, got := l.accept(step.process, step.update); got != step.want {
+			t.Errorf("step %d, %s: accepted %v, want %v", i, step.name, got, step.want)
 		}
 	}
 }
 
-// A mark that is not reached within relayLag shows a relay that is behind; a
-// later one does not put that off.
-func TestLinkLeavesARelayThatIsBehind(t *testing.T) {
+// A relay is behind if it has not reached a mark within relayMarkTimeout. A later mark must
+// not restart that period.
+func TestLinkKeepsPendingMark(t *testing.T) {
 	l := newTestLink(t)
 	l.synced = true
 	l.seq = 3
-	l.mark(peer.Mark{
+	l.handleMark(peer.Mark{
 		Seq: 5,
 	})
-	first := l.behindAt
-	l.mark(peer.Mark{
+	first := l.pendingMarkAt
+	l.handleMark(peer.Mark{
 		Seq: 9,
 	})
-	if l.behind.Seq != 5 || l.behindAt != first {
-		t.Fatalf("a later mark took the place of one that was not reached: %+v", l.behind)
+	if l.pendingMark.Seq != 5 || l.pendingMarkAt != first {
+		t.Fatalf("a later mark replaced one that was not reached: %+v", l.pendingMark)
 	}
 	l.seq = 5
-	l.mark(peer.Mark{
+	l.handleMark(peer.Mark{
 		Seq: 9,
 	})
-	if l.behind.Seq != 9 {
-		t.Fatalf("mark %+v, want 9", l.behind)
+	if l.pendingMark.Seq != 9 {
+		t.Fatalf("mark %+v, want 9", l.pendingMark)
 	}
 }
 
-// Each configuration had each gateway tell each keeper of its engine, and the keeper answer
-// with all that it holds.
-func TestLinkTellsWhatChanged(t *testing.T) {
+// Regression test: each new configuration made each gateway send a notice to each keeper,
+// and the keeper reply with its full state.
+func TestLinkSendsChangedNotices(t *testing.T) {
 	spec := wardturn.EngineSpec{
 		Batch:        8,
 		AdapterSlots: 2,
@@ -146,13 +146,13 @@
 	l := newTestLink(t)
 	sent := func(n peer.EngineNotice) bool {
 		conn := l.conn
-		l.conn = nil // nothing can be sent now: what has to be stays to be told
-		l.told = true
-		l.tell(wardturn.Member{
+		l.conn = nil // without a connection, a notice to be sent stays pending
+		l.noticeSent = true
+		l.setNotice(wardturn.Member{
 			ID: n.Upstream,
 		}, n)
 		l.conn = conn
-		return !l.told
+		return !l.noticeSent
 	}
 	for _, c := range []struct {
 		name   string
@@ -162,13 +162,13 @@
 		{"the first", peer.EngineNotice{Config: 1, Upstream: "i-1", Spec: spec}, true},
 		{"a version that changes nothing", peer.EngineNotice{Config: 2, Upstream: "i-1", Spec: spec}, false},
 		{"another specification", peer.EngineNotice{Config: 3, Upstream: "i-1", Spec: larger}, true},
-		{"another lifetime", peer.EngineNotice{Config: 3, Upstream: "i-2", Spec: larger}, true},
+		{"another incarnation", peer.EngineNotice{Config: 3, Upstream: "i-2", Spec: larger}, true},
 	} {
 		if got := sent(c.notice); got != c.want {
-			t.Errorf("%s: told %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: notice to be sent: %v, want %v", c.name, got, c.want)
 		}
 	}
 	if l.notice.Config != 3 {
-		t.Errorf("a new connection would carry version %d", l.notice.Config)
+		t.Errorf("notice for the next connection has version %d, want 3", l.notice.Config)
 	}
 }
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -9,18 +9,17 @@
 	"wardturn/peer"
 )
 
-// links are the connections to the keepers beside the engines, one for each
-// address of an engine.
+// links holds the connections to keepers, one for each engine address.
 type links struct {
 	g *Gateway
 
-	mu      sync.Mutex
-	byAddr  map[string]*link
-	byID    map[wardturn.UpstreamID]*link
-	keepers map[string]*link         // by the keeper's address
-	near    []*link                  // that may relay, as of the latest routing
-	hears   []wardturn.FailureDomain // at whose keepers news is heard, as of then
-	closed  bool
+	mu                  sync.Mutex
+	byAddr              map[string]*link
+	byID                map[wardturn.UpstreamID]*link
+	keepers             map[string]*link         // by the keeper's address
+	relayCandidates     []*link                  // relay candidates at the latest updateRelays
+	announcementDomains []wardturn.FailureDomain // domains whose keepers deliver announcements, at the latest updateRelays
+	closed              bool
 }
 
 func newLinks(g *Gateway) *links {
@@ -32,8 +31,8 @@
 	}
 }
 
-// update follows the list of upstreams and the configuration: it connects to
-// the keepers of new engines, and tells keepers what changed.
+// update applies the current list of upstreams and configuration: it connects to the
+// keepers of new engines, closes the links of removed ones, and sends changed notices.
 func (ls *links) update() {
 	rs := ls.g.routes.Load()
 	if rs == nil {
@@ -64,7 +63,7 @@
 			l = ls.connect(m)
 		}
 		ls.byID[m.ID] = l
-		l.tell(m, peer.EngineNotice{
+		l.setNotice(m, peer.EngineNotice{
 			Config:   rs.table.Version,
 			Upstream: m.ID,
 			Seen:     m.Seen,
@@ -76,28 +75,28 @@
 			ls.disconnect(addr, l)
 		}
 	}
-	ls.routeAll()
+	ls.updateRelays()
 }
 
-// disconnect ends the link to a keeper; the lock is held.
+// disconnect closes the link to a keeper. The caller must hold ls.mu.
 func (ls *links) disconnect(addr string, l *link) {
 	delete(ls.byAddr, addr)
 	delete(ls.keepers, l.client.Addr())
-	l.follow(ls.g.clock.Now(), nil)
+	l.setRelay(ls.g.clock.Now(), nil)
 	ls.g.tasks.Go(l.client.Close)
 }
 
-// connect returns the link to the keeper of an engine; the lock is held.
+// connect creates the link to the keeper of an engine. The caller must hold ls.mu.
 func (ls *links) connect(m wardturn.Member) *link {
 	l := &link{
-		links:  ls,
-		member: m,
-		begun:  ls.g.clock.Now(),
+		links:     ls,
+		member:    m,
+		createdAt: ls.g.clock.Now(),
 	}
 	ls.byAddr[m.Addr] = l
 	host, _, err := net.SplitHostPort(m.Addr)
 	if err != nil {
-		ls.g.logger.Error("address of an upstream not understood", "upstream", m.ID, "addr", m.Addr, "error", err)
+		ls.g.logger.Error("invalid upstream address", "upstream", m.ID, "addr", m.Addr, "error", err)
 	}
 	l.client = peer.NewClient(net.JoinHostPort(host, ls.g.cfg.KeeperPort), nil, ls.g.clock, peer.Identity{
 		Role:    peer.RoleEntry,
@@ -117,8 +116,8 @@
 	return wardturn.Offset(rs.table.Version)
 }
 
-// tellReadings tells keepers of the long prompts that their engines read.
-func (ls *links) tellReadings(notes []decide.ReadingNote) {
+// sendReadings reports to keepers the long prompts that their engines are processing.
+func (ls *links) sendReadings(notes []decide.ReadingNote) {
 	for _, n := range notes {
 		if l := ls.of(n.Upstream); l != nil {
 			l.send(&peer.Reading{
@@ -128,8 +127,8 @@
 	}
 }
 
-// ask sends the asks of a decision to the keepers.
-func (ls *links) ask(out decide.Moves) {
+// sendLoadRequests sends the adapter load requests of a decision to the keepers.
+func (ls *links) sendLoadRequests(out decide.Moves) {
 	for _, a := range out.Asks {
 		l := ls.of(a.Upstream)
 		if l == nil {
@@ -153,20 +152,20 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn != nil {
-		// A lost message is repeated while it matters.
+		// Errors are ignored: these messages are repeated as long as they are relevant.
 		_ = l.conn.Send(m)
 	}
 }
 
-// present returns the connection, or nil, and the failure domain of its keeper.
-func (l *link) present() (*peer.Conn, wardturn.FailureDomain) {
+// current returns the current connection, or nil, and the keeper's failure domain.
+func (l *link) current() (*peer.Conn, wardturn.FailureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conn, l.member.Domain
 }
 
-// report tells each keeper which of its adapters are in use.
-func (ls *links) report() {
+// reportUsage sends each keeper the current usage of its adapters.
+func (ls *links) reportUsage() {
 	ls.mu.Lock()
 	list := make(map[wardturn.UpstreamID]*link, len(ls.byID))
 	for id, l := range ls.byID {
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -10,40 +10,40 @@
 	"wardturn/peer"
 )
 
-// news shares what the gateways read from the platform's store: each tells the
-// others of its readings, through two keepers in each failure domain, and reads itself only when its
-// turn comes. Nothing depends on it but the number of calls: a gateway that hears
-// nothing reads as if it were alone.
-type news struct {
+// readCoordinator coordinates the reads of the platform's store among gateways. Each
+// gateway announces its reads to the others, through two keepers in each failure domain,
+// and reads itself only when its schedule says so. This only reduces the number of store
+// calls: a gateway that receives no announcements reads as if it were the only one.
+type readCoordinator struct {
 	g       *Gateway
-	changes chan toldMembers // for the goroutine that follows the list
+	changes chan announcedChange // consumed by followMembers
 
-	mu       sync.Mutex
-	woken    chan struct{} // closed and replaced when a turn may have changed
-	config   *decide.ReadTurn
-	configTo wardturn.Position // up to which the configuration was read
-	members  *decide.ReadTurn
+	mu              sync.Mutex
+	scheduleChanged chan struct{} // closed and replaced when a schedule may have changed
+	config          *decide.ReadTurn
+	configPosition  wardturn.Position // position up to which the configuration was read
+	members         *decide.ReadTurn
 }
 
-// toldMembers is a change of the list that another gateway has read.
-type toldMembers struct {
+// announcedChange is a change of the list that another gateway has read.
+type announcedChange struct {
 	change wardturn.MemberChange
-	asOf   time.Time // of that reading; zero: not known
+	asOf   time.Time // time of that read; zero if unknown
 }
 
-// changesKept is how many changes heard may wait; one more is dropped, and the
-// gap makes the gateway read.
-const changesKept = 32
+// maxQueuedChanges is the capacity of the queue of announced changes. If the queue is full,
+// changes are dropped and the gateway reads the list itself.
+const maxQueuedChanges = 32
 
-// mostTold is how many upstreams a change may have that is told to others: long ones
-// that wait to be passed on to all gateways take keepers beyond their memory, and one
-// reading of the store each costs less.
-const mostTold = 64
+// maxAnnounced is the maximum number of upstreams in an announced change. Longer changes
+// queued for all gateways would exceed the keepers' memory limit, and one store read per
+// gateway is cheaper.
+const maxAnnounced = 64
 
-// shortened returns a change as it is told: of a long one only how far it goes, so
-// that others read it themselves.
+// shortened returns the change to announce. For a long change, that is only its end
+// position, so that other gateways read the change themselves.
 func shortened(c *wardturn.MemberChange) *wardturn.MemberChange {
-	if len(c.Changed)+len(c.Ended) <= mostTold {
+	if len(c.Changed)+len(c.Ended) <= maxAnnounced {
 		return c
 	}
 	return &wardturn.MemberChange{
@@ -52,35 +52,37 @@
 	}
 }
 
-func newNews(g *Gateway) *news {
+func newReadCoordinator(g *Gateway) *readCoordinator {
 	now := g.clock.Now()
-	every := time.Duration(membersPart * float64(g.cfg.Drain))
-	return &news{
-		g:       g,
-		changes: make(chan toldMembers, changesKept),
-		woken:   make(chan struct{}),
+	every := time.Duration(membersDrainFraction * float64(g.cfg.Drain))
+	return &readCoordinator{
+		g:               g,
+		changes:         make(chan announcedChange, maxQueuedChanges),
+		scheduleChanged: make(chan struct{}),
 		config: decide.NewReadTurn(now, g.cfg.Process, decide.ReadTurnConfig{
 			Every:  configWait,
-			Gather: configGather,
+			Gather: configMinInterval,
 		}),
 		members: decide.NewReadTurn(now, g.cfg.Process, decide.ReadTurnConfig{
 			Every: every,
 			Pause: every,
-			Least: membersLeast,
+			Least: membersMinInterval,
 		}),
 	}
 }
 
-// wake has the waiting goroutines look at their turns again; the lock is held.
-func (n *news) wake() {
-	close(n.woken)
-	n.woken = make(chan struct{})
+// notifySchedules makes waiting goroutines re-evaluate their schedules. The caller must
+// hold n.mu.
+func (n *readCoordinator) notifySchedules() {
+	close(n.scheduleChanged)
+	n.scheduleChanged = make(chan struct{})
 }
 
-// await waits until a turn is due. It reports false when the gateway ends.
-func (n *news) await(t *decide.ReadTurn) bool {
+// awaitRead blocks until a read is due by the schedule t. It reports false when the gateway
+// shuts down.
+func (n *readCoordinator) awaitRead(t *decide.ReadTurn) bool {
 	for n.g.tasks.Context().Err() == nil {
-		limit, cancel, woken, due := n.look(t, time.Time{})
+		limit, cancel, woken, due := n.checkSchedule(t, time.Time{})
 		if due {
 			return true
 		}
@@ -93,10 +95,10 @@
 	return false
 }
 
-// look returns whether a turn is due; if not, a context that ends when it is, or at a
-// time, if that is not zero, and a channel that is closed when that has to be looked at
-// again.
-func (n *news) look(t *decide.ReadTurn, at time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
+// checkSchedule reports whether a read is due by the schedule t. If not, it returns a
+// context that expires when the read is due or at the time until, unless that is zero, and
+// a channel that is closed when the schedule has to be evaluated again.
+func (n *readCoordinator) checkSchedule(t *decide.ReadTurn, until time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.g.clock.Now()
@@ -104,19 +106,19 @@
 	if left <= 0 {
 		return nil, nil, nil, true
 	}
-	if !at.IsZero() {
-		left = min(left, at.Sub(now))
+	if !until.IsZero() {
+		left = min(left, until.Sub(now))
 	}
 	limit, cancel = n.g.tasks.Limit(left)
-	return limit, cancel, n.woken, false
+	return limit, cancel, n.scheduleChanged, false
 }
 
-// awaitMembers waits for a change of the list that another gateway has read, or until the
-// list has to be read here, which due reports, or until a time, if that is not zero. It
-// reports false when the gateway ends.
-func (n *news) awaitMembers(until time.Time) (told *toldMembers, due, ok bool) {
+// awaitMembers waits for an announced change of the list, until a read of the list is due,
+// or until the given time unless that is zero. Due reports whether a read is due. The result
+// ok is false when the gateway shuts down.
+func (n *readCoordinator) awaitMembers(until time.Time) (change *announcedChange, due, ok bool) {
 	for n.g.tasks.Context().Err() == nil {
-		limit, cancel, woken, due := n.look(n.members, until)
+		limit, cancel, woken, due := n.checkSchedule(n.members, until)
 		if due {
 			return nil, true, true
 		}
@@ -125,9 +127,9 @@
 			return nil, false, true
 		}
 		select {
-		case told := <-n.changes:
+		case change := <-n.changes:
 			cancel()
-			return &told, false, true
+			return &change, false, true
 		case <-woken:
 		case <-limit.Done():
 		}
@@ -136,82 +138,81 @@
 	return nil, false, false
 }
 
-// configKnown returns a time at which the configuration was as it is known here;
-// zero before the first reading.
-func (n *news) configKnown() time.Time {
+// configKnown returns the latest time at which the local configuration is known to have been
+// current, or zero before the first read.
+func (n *readCoordinator) configKnown() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.config.AsOf()
 }
 
-// readsForAll reports whether this gateway reads the configuration for the others.
-func (n *news) readsForAll() bool {
+// readsForAll reports whether this gateway reads the configuration on behalf of the others.
+func (n *readCoordinator) readsForAll() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.config.Reads(n.g.clock.Now())
 }
 
-// readConfig records and tells that the configuration was read up to a position.
-func (n *news) readConfig(asOf time.Time, to wardturn.Position) {
+// finishConfigRead records and announces that the configuration was read up to a position.
+func (n *readCoordinator) finishConfigRead(asOf time.Time, to wardturn.Position) {
 	n.mu.Lock()
-	n.configTo = to
+	n.configPosition = to
 	stamp := n.config.Read(asOf)
 	n.mu.Unlock()
-	n.tell(&peer.StoreNews{
+	n.announce(&peer.StoreNews{
 		Reader:  n.g.cfg.Process,
 		Stamp:   stamp,
 		Config:  to,
-		Crashes: n.g.crashes.reading(),
+		Crashes: n.g.crashes.describeRead(),
 	})
 }
 
-// beganConfig records that a reading of the configuration begins.
-func (n *news) beganConfig(now time.Time) {
+// startConfigRead records the start of a configuration read.
+func (n *readCoordinator) startConfigRead(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.g.metrics.config.causes[n.config.Cause(now)].Inc(1)
 	n.config.Began(now)
 }
 
-func (n *news) beganMembers(now time.Time) {
+func (n *readCoordinator) startMembersRead(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.g.metrics.members.causes[n.members.Cause(now)].Inc(1)
 	n.members.Began(now)
 }
 
-// readMembers records a reading of the list and tells the change, unless it is
-// nil.
-func (n *news) readMembers(asOf time.Time, c *wardturn.MemberChange) {
+// finishMembersRead records a read of the list and announces the change, unless it is nil.
+func (n *readCoordinator) finishMembersRead(asOf time.Time, c *wardturn.MemberChange) {
 	n.mu.Lock()
 	stamp := n.members.Read(asOf)
 	n.mu.Unlock()
 	if c == nil {
 		return
 	}
-	n.tell(&peer.StoreNews{
+	n.announce(&peer.StoreNews{
 		Reader:  n.g.cfg.Process,
 		Stamp:   stamp,
 		Members: shortened(c),
 	})
 }
 
-// failed records that a reading had no answer.
-func (n *news) failed(t *decide.ReadTurn) {
+// readFailed records that a read failed.
+func (n *readCoordinator) readFailed(t *decide.ReadTurn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	t.Failed(n.g.clock.Now())
 }
 
-func (n *news) doubtMembers() {
+func (n *readCoordinator) markMembersStale() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.members.Doubt(n.g.clock.Now())
-	n.wake()
+	n.notifySchedules()
 }
 
-// ages tells the metrics how old the knowledge of the records is.
-func (n *news) ages() {
+// reportAges updates the metrics for the age of the configuration and the list.
+func (n *readCoordinator) reportAges() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.g.clock.Now()
@@ -219,57 +220,57 @@
 	n.g.metrics.members.age.Update(n.members.Age(now).Seconds())
 }
 
-func (n *news) tell(m *peer.StoreNews) {
+func (n *readCoordinator) announce(m *peer.StoreNews) {
 	kind := "config"
 	if m.Members != nil {
 		kind = "members"
 	}
-	for _, c := range n.g.links.newsConns(string(m.Reader) + "/" + kind) {
-		// A gateway that does not get it reads by itself.
+	for _, c := range n.g.links.announcementConns(string(m.Reader) + "/" + kind) {
+		// Errors are ignored: a gateway that misses an announcement reads the store itself.
 		_ = c.Send(m)
 	}
 }
 
-// receive takes a message of another gateway.
-func (n *news) receive(m *peer.StoreNews) {
+// receive handles an announcement of another gateway.
+func (n *readCoordinator) receive(m *peer.StoreNews) {
 	if m.Reader == n.g.cfg.Process {
 		return
 	}
-	n.g.crashes.mergeReading(m.Crashes)
+	n.g.crashes.mergeRead(m.Crashes)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.g.clock.Now()
 	if m.Members != nil {
-		n.receiveMembers(now, m)
+		n.queueMembers(now, m)
 		return
 	}
-	if m.Config > n.configTo {
-		n.config.Doubt(now) // a change that is not in force here
-		n.wake()
+	if m.Config > n.configPosition {
+		n.config.Doubt(now) // a change that has not been applied here
+		n.notifySchedules()
 		return
 	}
-	n.g.metrics.config.heard.Inc(1)
+	n.g.metrics.config.announced.Inc(1)
 	n.config.Heard(now, m.Reader, m.Stamp)
-	n.wake()
+	n.notifySchedules()
 }
 
-// receiveMembers hands a change of the list on; the lock is held. If that cannot be
-// taken, the list counts as out of date.
-func (n *news) receiveMembers(now time.Time, m *peer.StoreNews) {
+// queueMembers queues an announced change of the list. If the queue is full, the list is
+// marked as out of date. The caller must hold n.mu.
+func (n *readCoordinator) queueMembers(now time.Time, m *peer.StoreNews) {
 	if m.Members.From < 0 {
-		// The change is too long to be told. The list is read when its turn comes: read at
-		// once by all that hear of it, while hundreds of upstreams enter, it would have all
-		// tell the same and read again.
+		// The change was too long to announce, so the list is read as scheduled. If all
+		// gateways read it at once while hundreds of upstreams register, each would announce
+		// the same change and trigger another round of reads.
 		n.members.Present(now, m.Reader)
 		return
 	}
-	defer n.wake()
-	if len(n.changes) == cap(n.changes) { // nobody else adds to them while the lock is held
+	defer n.notifySchedules()
+	if len(n.changes) == cap(n.changes) { // no other goroutine sends on the channel while the lock is held
 		n.members.Doubt(now)
 		return
 	}
-	n.g.metrics.members.heard.Inc(1)
-	n.changes <- toldMembers{
+	n.g.metrics.members.announced.Inc(1)
+	n.changes <- announcedChange{
 		change: *m.Members,
 		asOf:   n.members.Heard(now, m.Reader, m.Stamp),
 	}
--- a/gateway/news_internal_test.go
+++ b/gateway/news_internal_test.go
@@ -6,23 +6,23 @@
 	"wardturn"
 )
 
-func TestLongChangesAreNotTold(t *testing.T) {
+func TestLongChangesAreShortened(t *testing.T) {
 	short := &wardturn.MemberChange{
 		From:  3,
 		To:    9,
-		Ended: make([]wardturn.UpstreamID, mostTold),
+		Ended: make([]wardturn.UpstreamID, maxAnnounced),
 	}
 	if got := shortened(short); got != short {
-		t.Errorf("a change of %d upstreams is told as %+v", mostTold, got)
+		t.Errorf("a change of %d upstreams is announced as %+v", maxAnnounced, got)
 	}
 	long := &wardturn.MemberChange{
 		From:    3,
 		To:      9,
-		Changed: make([]wardturn.Member, mostTold),
+		Changed: make([]wardturn.Member, maxAnnounced),
 		Ended:   make([]wardturn.UpstreamID, 1),
 	}
 	got := shortened(long)
 	if got.From >= 0 || got.To != 9 || len(got.Changed)+len(got.Ended) > 0 {
-		t.Errorf("a long change is told as %+v", got)
+		t.Errorf("a long change is announced as %+v", got)
 	}
 }
--- a/gateway/newsways.go
+++ b/gateway/newsways.go
@@ -10,46 +10,46 @@
 	"wardturn/peer"
 )
 
-// newsKeepers is how many keepers pass a reading on in each failure domain, so that
-// the loss of one hides nothing.
-const newsKeepers = 2
+// keepersPerDomain is the number of keepers per failure domain that forward an
+// announcement, so that the loss of one loses no announcement.
+const keepersPerDomain = 2
 
-// newsConns returns the connections on which a reading is told: to two keepers in
-// each failure domain, which pass it on inside. So it crosses to each other domain
-// twice, and not to each gateway there. Key chooses them; the readings of one kind of
-// one gateway go the same ways, and so stay in order, and those of others by others:
-// with two keepers for all, these two would carry everything.
-func (ls *links) newsConns(key string) []*peer.Conn {
-	byDomain := ls.waysByDomain()
-	conns := make([]*peer.Conn, 0, newsKeepers*len(byDomain))
-	for _, ways := range byDomain {
-		for _, w := range decide.FirstTwo(key, ways, newsWay.name) {
-			conns = append(conns, w.conn)
+// announcementConns returns the connections for an announcement: to two keepers in each
+// failure domain, which forward it within the domain. An announcement thus crosses to each
+// other domain twice, instead of once per gateway there. The keepers are selected by key.
+// Announcements of one kind from one gateway use the same keepers, which keeps them in
+// order. Other keys select other keepers, so that no two keepers carry the whole load.
+func (ls *links) announcementConns(key string) []*peer.Conn {
+	byDomain := ls.keepersByDomain()
+	conns := make([]*peer.Conn, 0, keepersPerDomain*len(byDomain))
+	for _, keepers := range byDomain {
+		for _, k := range decide.FirstTwo(key, keepers, connectedKeeper.name) {
+			conns = append(conns, k.conn)
 		}
 	}
 	return conns
 }
 
-// capConns returns the connections on which a word on caps is told: in each failure
-// domain to one of two keepers, by turns. Key chooses them.
-func (ls *links) capConns(key string, turn int) []*peer.Conn {
-	byDomain := ls.waysByDomain()
+// alternatingConns returns the connections for a message that is sent periodically: in each
+// failure domain to one of the two keepers selected by key, alternating with turn.
+func (ls *links) alternatingConns(key string, turn int) []*peer.Conn {
+	byDomain := ls.keepersByDomain()
 	conns := make([]*peer.Conn, 0, len(byDomain))
-	for _, ways := range byDomain {
-		two := decide.FirstTwo(key, ways, newsWay.name)
+	for _, keepers := range byDomain {
+		two := decide.FirstTwo(key, keepers, connectedKeeper.name)
 		conns = append(conns, two[turn%len(two)].conn)
 	}
 	return conns
 }
 
-// waysByDomain returns the keepers that are connected, by failure domain.
-func (ls *links) waysByDomain() map[wardturn.FailureDomain][]newsWay {
+// keepersByDomain returns the connected keepers by failure domain.
+func (ls *links) keepersByDomain() map[wardturn.FailureDomain][]connectedKeeper {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	byDomain := make(map[wardturn.FailureDomain][]newsWay)
+	byDomain := make(map[wardturn.FailureDomain][]connectedKeeper)
 	for _, l := range ls.byAddr {
-		if conn, domain := l.present(); conn != nil {
-			byDomain[domain] = append(byDomain[domain], newsWay{
+		if conn, domain := l.current(); conn != nil {
+			byDomain[domain] = append(byDomain[domain], connectedKeeper{
 				addr: l.addr(),
 				conn: conn,
 			})
@@ -58,59 +58,60 @@
 	return byDomain
 }
 
-// newsWay is a keeper that is connected.
-type newsWay struct {
+// connectedKeeper is the address and connection of a keeper that is currently connected.
+type connectedKeeper struct {
 	addr string
 	conn *peer.Conn
 }
 
-func (w newsWay) name() string {
-	return w.addr
+func (k connectedKeeper) name() string {
+	return k.addr
 }
 
-// hearsAt returns the failure domains at whose keepers this gateway hears news: its
-// own, and more while those have fewer than two keepers; the lock is held, and near
-// is up to date. Where there is no keeper at all, one gateway's readings cross to each
-// gateway twice.
-func (ls *links) hearsAt(now time.Time) []wardturn.FailureDomain {
-	at := []wardturn.FailureDomain{ls.g.cfg.Domain}
-	have := len(ls.near)
-	if have >= newsKeepers {
-		return at
+// findAnnouncementDomains returns the failure domains whose keepers forward announcements
+// to this gateway: its own domain, and further ones until there are two keepers. If a
+// domain has no keeper, each announcement crosses to each gateway in it twice. The caller
+// must hold ls.mu, and ls.relayCandidates must be up to date.
+func (ls *links) findAnnouncementDomains(now time.Time) []wardturn.FailureDomain {
+	domains := []wardturn.FailureDomain{ls.g.cfg.Domain}
+	count := len(ls.relayCandidates)
+	if count >= keepersPerDomain {
+		return domains
 	}
-	keepers := ls.otherKeepers(now)
-	for have < newsKeepers && len(keepers) > 0 {
+	keepers := ls.countRemoteKeepers(now)
+	for count < keepersPerDomain && len(keepers) > 0 {
 		domain, _ := decide.First(string(ls.g.cfg.Domain), slices.Collect(maps.Keys(keepers)), domainName)
-		at = append(at, domain)
-		have += keepers[domain]
+		domains = append(domains, domain)
+		count += keepers[domain]
 		delete(keepers, domain)
 	}
-	return at
+	return domains
 }
 
 func domainName(d wardturn.FailureDomain) string {
 	return string(d)
 }
 
-// otherKeepers counts the keepers that can be reached in other failure domains; the
-// lock is held.
-func (ls *links) otherKeepers(now time.Time) map[wardturn.FailureDomain]int {
+// countRemoteKeepers counts the reachable keepers in other failure domains. The caller must
+// hold ls.mu.
+func (ls *links) countRemoteKeepers(now time.Time) map[wardturn.FailureDomain]int {
 	keepers := make(map[wardturn.FailureDomain]int)
 	for _, l := range ls.byAddr {
-		if domain, ok := l.reached(now); ok && domain != ls.g.cfg.Domain {
+		if domain, ok := l.reachable(now); ok && domain != ls.g.cfg.Domain {
 			keepers[domain]++
 		}
 	}
 	return keepers
 }
 
-// hear has the gateway hear news at the keeper, or no longer.
-func (l *link) hear(at []wardturn.FailureDomain) {
+// setAnnouncements subscribes to announcements at the keeper if its failure domain is in
+// domains, and unsubscribes otherwise.
+func (l *link) setAnnouncements(domains []wardturn.FailureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if news := slices.Contains(at, l.member.Domain); l.notice.News != news {
+	if news := slices.Contains(domains, l.member.Domain); l.notice.News != news {
 		l.notice.News = news
-		l.told = false
+		l.noticeSent = false
 		l.sendNotice()
 	}
 }
--- a/gateway/parts_test.go
+++ b/gateway/parts_test.go
@@ -13,20 +13,20 @@
 	"wardturn/platform"
 )
 
-var _ = Describe("A gateway whose list of upstreams comes in parts", func() {
+var _ = Describe("A gateway that receives the list of upstreams in pages", func() {
 	var (
-		x      *rig
-		late   *gateway.Gateway
-		rest   atomic.Bool // the second part may come
-		config atomic.Bool // the configuration may come
+		x           *rig
+		late        *gateway.Gateway
+		secondPage  atomic.Bool // the second page may be returned
+		configReady atomic.Bool // the configuration may be returned
 	)
-	// start starts a gateway to which the engine e0 comes with the plain upstreams, and
-	// e1 with the second part.
+	// start starts a gateway that receives the engine e0 with the plain upstreams in the first
+	// page and e1 in the second one.
 	start := func() {
 		ln := listen("127.0.0.1:0")
 		serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			q := r.URL.Query()
-			for q.Get("after") != "" && !rest.Load() || q.Get("topic") == "keyed.op" && !config.Load() {
+			for q.Get("after") != "" && !secondPage.Load() || q.Get("topic") == "keyed.op" && !configReady.Load() {
 				time.Sleep(often)
 			}
 			x.store.ServeHTTP(w, r)
@@ -41,36 +41,36 @@
 	}
 	BeforeEach(func() {
 		x = newRig()
-		rest.Store(false)
-		config.Store(true)
-		DeferCleanup(func() { // calls that are held back end
-			rest.Store(true)
-			config.Store(true)
+		secondPage.Store(false)
+		configReady.Store(true)
+		DeferCleanup(func() { // let delayed calls complete
+			secondPage.Store(true)
+			configReady.Store(true)
 		})
 	})
 
-	It("serves plain requests before the rest is there", func() {
+	It("serves requests for plain services before the list is complete", func() {
 		start()
 		Eventually(status("/charge/", ""), soon, often).Should(Equal(http.StatusOK))
 		Expect(late.Ready()).To(BeFalse())
 	})
 
-	It("does so also if the configuration comes later", func() {
-		config.Store(false)
+	It("does so if the configuration arrives later", func() {
+		configReady.Store(false)
 		start()
 		time.Sleep(100 * time.Millisecond)
-		config.Store(true)
+		configReady.Store(true)
 		Eventually(status("/charge/", ""), soon, often).Should(Equal(http.StatusOK))
 		Expect(late.Ready()).To(BeFalse())
 	})
 
-	It("uses no engine before it knows them all", func() {
+	It("uses no engine before the list is complete", func() {
 		start()
 		Eventually(status("/charge/", ""), soon, often).Should(Equal(http.StatusOK))
 		before := x.engines[0].Total()
 		Expect(status("/ask/x", "m0")()).NotTo(Equal(http.StatusOK))
 		Expect(x.engines[0].Total()).To(Equal(before))
-		rest.Store(true)
+		secondPage.Store(true)
 		Eventually(late.Ready, soon, often).Should(BeTrue())
 		Eventually(status("/ask/x", "m0"), soon, often).Should(Equal(http.StatusOK))
 	})
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -9,164 +9,168 @@
 	"wardturn"
 )
 
-// roster reads the platform's list of upstreams and keeps entries that lapsed
-// only because the store was away, or came back from an older copy: their upstreams could
-// not renew them.
-type roster struct {
+// membership reads the platform's list of upstreams. It retains entries that expired only
+// because their upstreams could not renew them: while the store was unavailable, or after
+// it was restored from an older copy.
+type membership struct {
 	source wardturn.MemberSource
 	clock  wardturn.Clock
 	logger hclog.Logger
 	grace  time.Duration
 
-	list     []wardturn.Member                       // as the latest reading had it
-	last     map[wardturn.UpstreamID]wardturn.Member // the same by id
-	lapsed   map[wardturn.UpstreamID]lapse
-	failing  bool      // the latest reading failed, and the store has not been seen to answer since
-	since    time.Time // of the first such reading in a row
-	failedAt time.Time // of the latest
-	backAt   time.Time // when the store was first seen to answer after an absence
+	current      []wardturn.Member                       // members in the latest list
+	byID         map[wardturn.UpstreamID]wardturn.Member // the same, by ID
+	retained     map[wardturn.UpstreamID]retainedEntry
+	failing      bool      // the latest read failed and no gateway has read the store successfully since
+	failingSince time.Time // first failure in the current run of failed reads
+	lastFailure  time.Time // latest failure
+	recoveredAt  time.Time // first successful read after the latest outage
 }
 
-// lapse is an entry that ended while the store was away, or just after.
-type lapse struct {
+// retainedEntry is an entry that expired during a store outage or shortly after it and is
+// still treated as present.
+type retainedEntry struct {
 	member wardturn.Member
-	until  time.Time // when it counts as gone
+	until  time.Time // when it is removed
 }
 
-// disturbedFor is how long after the store's return an entry that ends may still
-// have lapsed during its absence.
-const disturbedFor = 500 * time.Millisecond
-
-func newRoster(s wardturn.MemberSource, clock wardturn.Clock, logger hclog.Logger, grace time.Duration) *roster {
-	return &roster{
-		source: s,
-		clock:  clock,
-		logger: logger,
-		grace:  grace,
-		last:   make(map[wardturn.UpstreamID]wardturn.Member),
-		lapsed: make(map[wardturn.UpstreamID]lapse),
+// recoveryWindow is how long after a store outage an entry that expires may have expired
+// because of the outage.
+const recoveryWindow = 500 * time.Millisecond
+
+func newMembership(s wardturn.MemberSource, clock wardturn.Clock, logger hclog.Logger, grace time.Duration) *membership {
+	return &membership{
+		source:   s,
+		clock:    clock,
+		logger:   logger,
+		grace:    grace,
+		byID:     make(map[wardturn.UpstreamID]wardturn.Member),
+		retained: make(map[wardturn.UpstreamID]retainedEntry),
 	}
 }
 
-// roll is what is known of the upstreams after a reading.
-type roll struct {
-	members []wardturn.Member // that are taken to be there
-	same    bool              // as before; members is nil
+// membershipView is the set of upstreams that are considered present after a read.
+type membershipView struct {
+	members   []wardturn.Member
+	unchanged bool // nothing changed; members is nil
 }
 
-// read returns the upstreams that are taken to be there, and what other gateways
-// may be told of the reading, or nil. It reports false if the store gave no list:
-// then the present one stays. Part is told what has come of a long list; nil: nobody.
-func (r *roster) read(part func([]wardturn.Member)) (roll, *wardturn.MemberChange, bool) {
+// read reads the list from the store. It returns the upstreams that are considered
+// present, and the change to announce to other gateways, or nil if there is nothing to
+// announce. It reports false if the read failed; the current list then stays in use.
+// If part is not nil, it is called with the members received so far of a paged list.
+func (r *membership) read(part func([]wardturn.Member)) (membershipView, *wardturn.MemberChange, bool) {
 	list, err := r.source.Next(part)
 	now := r.clock.Now()
 	if err != nil {
 		if !r.failing {
-			r.logger.Warn("store away, the present list of upstreams stays", "error", err)
+			r.logger.Warn("store unavailable, keeping the current list of upstreams", "error", err)
 		}
 		if !r.failing {
-			r.since = now
+			r.failingSince = now
 		}
 		r.failing = true
-		r.failedAt = now
-		return roll{}, nil, false
+		r.lastFailure = now
+		return membershipView{}, nil, false
 	}
-	r.answered(now, 0)
+	r.noteStoreRead(now, 0)
 	members := r.merge(now, list)
-	if r.disturbed(now) {
-		// Other gateways have to see for themselves that the store is back, or
-		// they would take lapsed entries for gone.
+	if r.recentlyRecovered(now) {
+		// Other gateways must see for themselves that the store has recovered. Given
+		// this change, they would remove the expired entries instead of retaining them.
 		return members, nil, true
 	}
 	return members, &list.Change, true
 }
 
-// take returns the upstreams with a change that another gateway has read at a time; zero:
-// not known. It reports false if the change does not follow what is known.
-func (r *roster) take(c wardturn.MemberChange, asOf time.Time) (roll, bool) {
-	r.answered(asOf, leastAbsence)
+// apply applies a change that another gateway read from the store at time asOf, which is
+// zero if unknown. It reports false if the change does not directly follow the local state.
+func (r *membership) apply(c wardturn.MemberChange, asOf time.Time) (membershipView, bool) {
+	r.noteStoreRead(asOf, minOutage)
 	list, ok := r.source.Take(c)
 	if !ok {
-		return roll{}, false
+		return membershipView{}, false
 	}
 	return r.merge(r.clock.Now(), list), true
 }
 
-// leastAbsence is how long this gateway's readings must have failed for the store to count
-// as away, when it then answers another gateway: that one reads each 1 to 1.5 s, and tells
-// nothing for the first half second after an absence that it saw itself.
-const leastAbsence = time.Second
-
-// answered records that the store answered this gateway or another; an absence shorter than
-// the least is none. A gateway that the store turned away once may hear of others' readings
-// for long before it reads by itself: counted until its own next reading, an upstream that
-// left meanwhile would be kept as lapsed and get requests.
-func (r *roster) answered(at time.Time, least time.Duration) {
-	if !r.failing || !at.After(r.failedAt) {
+// minOutage is how long reads must have failed here before a successful read at another
+// gateway counts as the end of an outage. Another gateway reads every 1 to 1.5 s and
+// announces nothing in the first 500 ms after an outage that it noticed itself.
+const minOutage = time.Second
+
+// noteStoreRead records a successful read, by this gateway or another, at the given time. If
+// reads had failed here for less than least, that was not an outage. Reads by others must
+// count: a gateway with one rejected read may rely on others' reads for a long time, and
+// if the outage lasted until its own next read, it would retain upstreams that left
+// meanwhile and send them requests.
+func (r *membership) noteStoreRead(at time.Time, least time.Duration) {
+	if !r.failing || !at.After(r.lastFailure) {
 		return
 	}
 	r.failing = false
-	away := at.Sub(r.since)
-	if away >= least {
-		r.backAt = at
+	outage := at.Sub(r.failingSince)
+	if outage >= least {
+		r.recoveredAt = at
 	}
-	r.logger.Info("store answers again", "for", "upstreams", "away_for", away)
+	r.logger.Info("store answers again", "for", "upstreams", "away_for", outage)
 }
 
-// disturbed reports whether the store has come back just now.
-func (r *roster) disturbed(now time.Time) bool {
-	return !r.backAt.IsZero() && now.Sub(r.backAt) < disturbedFor
+// recentlyRecovered reports whether the store recovered from an outage within recoveryWindow.
+func (r *membership) recentlyRecovered(now time.Time) bool {
+	return !r.recoveredAt.IsZero() && now.Sub(r.recoveredAt) < recoveryWindow
 }
 
-func (r *roster) merge(now time.Time, list wardturn.MemberList) roll {
+func (r *membership) merge(now time.Time, list wardturn.MemberList) membershipView {
 	if list.Returned {
-		r.backAt = now
+		r.recoveredAt = now
 	}
-	if list.Same && len(r.lapsed) == 0 {
-		return roll{
-			same: true,
+	if list.Same && len(r.retained) == 0 {
+		return membershipView{
+			unchanged: true,
 		}
 	}
 	if !list.Same {
-		r.note(now, list)
+		r.update(now, list)
 	}
-	return roll{
-		members: r.withLapsed(now),
+	return membershipView{
+		members: r.withRetained(now),
 	}
 }
 
-// note takes a list that may have changed.
-func (r *roster) note(now time.Time, list wardturn.MemberList) {
-	disturbed := r.disturbed(now)
+// update records a list that may have changed, and logs upstreams that entered or left.
+func (r *membership) update(now time.Time, list wardturn.MemberList) {
+	recovered := r.recentlyRecovered(now)
 	current := make(map[wardturn.UpstreamID]wardturn.Member, len(list.Members))
 	for _, m := range list.Members {
 		current[m.ID] = m
-		delete(r.lapsed, m.ID)
-		if _, ok := r.last[m.ID]; !ok {
+		delete(r.retained, m.ID)
+		if _, ok := r.byID[m.ID]; !ok {
 			r.logger.Info("upstream listed", "upstream", m.ID, "addr", m.Addr, "service", m.Service, "domain", m.Domain)
-		} else if m.Draining && !r.last[m.ID].Draining {
+		} else if m.Draining && !r.byID[m.ID].Draining {
 			r.logger.Info("upstream leaving", "upstream", m.ID, "gone_at", m.GoneAt)
 		}
 	}
 	for _, id := range list.Lapsed {
-		m, ok := r.last[id]
-		r.logger.Info("upstream left the list", "upstream", id, "store_was_away", disturbed)
-		if !ok || !disturbed {
+		m, ok := r.byID[id]
+		r.logger.Info("upstream left the list", "upstream", id, "store_was_away", recovered)
+		if !ok || !recovered {
 			continue
 		}
-		r.lapsed[id] = lapse{
+		r.retained[id] = retainedEntry{
 			member: m,
-			until:  r.backAt.Add(r.grace),
+			until:  r.recoveredAt.Add(r.grace),
 		}
 	}
-	r.list = list.Members
-	r.last = current
+	r.current = list.Members
+	r.byID = current
 }
 
-// nextLapse returns when the first kept entry counts as gone; zero: none is kept.
-func (r *roster) nextLapse() time.Time {
+// nextRetentionEnd returns when the next retained entry is to be removed, or zero if there
+// is none.
+func (r *membership) nextRetentionEnd() time.Time {
 	var first time.Time
-	for _, l := range r.lapsed {
+	for _, l := range r.retained {
 		if first.IsZero() || l.until.Before(first) {
 			first = l.until
 		}
@@ -174,24 +178,24 @@
 	return first
 }
 
-// expire returns the upstreams without the kept entries whose time is over. Left to the
-// next reading, an upstream that has left would get requests for that much longer.
-func (r *roster) expire() roll {
-	return roll{
-		members: r.withLapsed(r.clock.Now()),
+// dropExpired removes the retained entries whose grace period is over. Waiting for the next
+// read of the list instead would keep sending requests to upstreams that have left.
+func (r *membership) dropExpired() membershipView {
+	return membershipView{
+		members: r.withRetained(r.clock.Now()),
 	}
 }
 
-// withLapsed returns the list with the entries that lapsed only because the store was
-// away, as long as that may be so.
-func (r *roster) withLapsed(now time.Time) []wardturn.Member {
-	members := slices.Clone(r.list)
-	for id, l := range r.lapsed {
-		listed := slices.ContainsFunc(r.list, func(m wardturn.Member) bool {
+// withRetained returns the list together with the retained entries. It drops retained
+// entries whose grace period is over or whose address is registered again.
+func (r *membership) withRetained(now time.Time) []wardturn.Member {
+	members := slices.Clone(r.current)
+	for id, l := range r.retained {
+		listed := slices.ContainsFunc(r.current, func(m wardturn.Member) bool {
 			return m.Addr == l.member.Addr
 		})
 		if listed || !now.Before(l.until) {
-			delete(r.lapsed, id)
+			delete(r.retained, id)
 			continue
 		}
 		members = append(members, l.member)
--- a/gateway/roster_internal_test.go
+++ b/gateway/roster_internal_test.go
@@ -11,163 +11,163 @@
 	"wardturn/standin"
 )
 
-// listSource is a list of upstreams whose readings may fail.
-type listSource struct {
-	away    bool
-	members []wardturn.Member
-	lapsed  []wardturn.UpstreamID // since the latest reading or word
+// fakeMemberSource is a MemberSource whose reads can be made to fail.
+type fakeMemberSource struct {
+	unavailable bool
+	members     []wardturn.Member
+	expired     []wardturn.UpstreamID // expired since the latest read or change
 }
 
-func (s *listSource) Next(func([]wardturn.Member)) (wardturn.MemberList, error) {
-	if s.away {
+func (s *fakeMemberSource) Next(func([]wardturn.Member)) (wardturn.MemberList, error) {
+	if s.unavailable {
 		return wardturn.MemberList{}, wardturn.ErrUnavailable
 	}
 	return s.list(), nil
 }
 
-func (s *listSource) Take(wardturn.MemberChange) (wardturn.MemberList, bool) {
+func (s *fakeMemberSource) Take(wardturn.MemberChange) (wardturn.MemberList, bool) {
 	return s.list(), true
 }
 
-func (s *listSource) list() wardturn.MemberList {
+func (s *fakeMemberSource) list() wardturn.MemberList {
 	l := wardturn.MemberList{
 		Members: slices.Clone(s.members),
-		Lapsed:  s.lapsed,
+		Lapsed:  s.expired,
 	}
-	s.lapsed = nil
+	s.expired = nil
 	return l
 }
 
-// drop ends the entry of an upstream.
-func (s *listSource) drop(id wardturn.UpstreamID) {
+// drop removes the entry of an upstream.
+func (s *fakeMemberSource) drop(id wardturn.UpstreamID) {
 	s.members = slices.DeleteFunc(s.members, func(m wardturn.Member) bool {
 		return m.ID == id
 	})
-	s.lapsed = append(s.lapsed, id)
+	s.expired = append(s.expired, id)
 }
 
-// lapseGrace is how long entries are kept that lapsed while the store was away.
-const lapseGrace = 2200 * time.Millisecond
+// expiryGrace is how long entries that expired during an outage are retained.
+const expiryGrace = 2200 * time.Millisecond
 
-// rosterRig is a roster that has read the upstreams u1 and u2.
-type rosterRig struct {
-	*roster
+// membershipRig is a membership that has read a list with the upstreams u1 and u2.
+type membershipRig struct {
+	*membership
 	clock  *standin.Clock
-	source *listSource
+	source *fakeMemberSource
 }
 
-func newRosterRig() *rosterRig {
-	x := &rosterRig{
+func newMembershipRig() *membershipRig {
+	x := &membershipRig{
 		clock: standin.NewClock(),
-		source: &listSource{
+		source: &fakeMemberSource{
 			members: []wardturn.Member{{ID: "u1", Addr: "1"}, {ID: "u2", Addr: "2"}},
 		},
 	}
-	x.roster = newRoster(x.source, x.clock, hclog.NewNullLogger(), lapseGrace)
+	x.membership = newMembership(x.source, x.clock, hclog.NewNullLogger(), expiryGrace)
 	x.read(nil)
 	return x
 }
 
-// fail has a reading fail.
-func (x *rosterRig) fail() {
-	x.source.away = true
+// fail performs a read that fails.
+func (x *membershipRig) fail() {
+	x.source.unavailable = true
 	x.read(nil)
-	x.source.away = false
+	x.source.unavailable = false
 }
 
-// has reports whether an upstream is taken to be there after a reading.
-func (x *rosterRig) has(id wardturn.UpstreamID) bool {
-	now, _, _ := x.read(nil)
-	return slices.ContainsFunc(now.members, func(m wardturn.Member) bool {
+// has performs a read and reports whether the upstream is considered present.
+func (x *membershipRig) has(id wardturn.UpstreamID) bool {
+	view, _, _ := x.read(nil)
+	return slices.ContainsFunc(view.members, func(m wardturn.Member) bool {
 		return m.ID == id
 	})
 }
 
-// A gateway that the store turned away once may hear of others' readings for long. If its
-// next own reading counts as the store's return, upstreams that left just before are kept as
-// lapsed and get requests.
-func TestRosterStoreThatAnswersOthers(t *testing.T) {
-	x := newRosterRig()
+// After one failed read, a gateway may rely on others' reads for a long time. If the outage
+// lasted until its own next read, it would retain upstreams that left just before that read
+// and send them requests.
+func TestMembershipRecoverySeenByAnother(t *testing.T) {
+	x := newMembershipRig()
 	x.fail()
 	x.clock.Advance(10 * time.Millisecond)
-	x.take(wardturn.MemberChange{}, x.clock.Now())
+	x.apply(wardturn.MemberChange{}, x.clock.Now())
 	x.clock.Advance(24 * time.Second)
 	x.source.drop("u1")
 	if x.has("u1") {
-		t.Error("an entry that ended long after the store was back is taken to have lapsed")
+		t.Error("an entry that ended long after the store recovered is retained")
 	}
 }
 
-// A gateway that the store turned away while it answered another one within milliseconds
-// took what ended in the next half second for lapsed. One gateway saw nine such absences, of 8
-// to 257 ms, on a day on which the store turned gateways away:
+// If the store rejects one gateway's read but answers another's within milliseconds, that is
+// no outage: entries that end in the next 500 ms must not be retained. One gateway logged
+// nine such intervals, of 8 to 257 ms, on a day on which the store rejected reads:
 //
 //	9.4464 store answers again: for=upstreams away_for=32.168869ms
 //	9.4754 upstream left the list: upstream=i-63e878534d store_was_away=true
-func TestRosterTurnedAway(t *testing.T) {
-	x := newRosterRig()
+func TestMembershipRejectedReadIsNoOutage(t *testing.T) {
+	x := newMembershipRig()
 	x.fail()
 	x.clock.Advance(32 * time.Millisecond)
-	x.take(wardturn.MemberChange{}, x.clock.Now())
+	x.apply(wardturn.MemberChange{}, x.clock.Now())
 	x.clock.Advance(29 * time.Millisecond)
 	x.source.drop("u1")
 	if x.has("u1") {
-		t.Error("an entry that ended is taken to have lapsed, though the store was not away")
+		t.Error("an entry that ended is retained although there was no outage")
 	}
 }
 
-// An absence counts from the first reading that failed.
-func TestRosterAwayForLong(t *testing.T) {
-	x := newRosterRig()
+// An outage is measured from the first failed read.
+func TestMembershipOutageSinceFirstFailure(t *testing.T) {
+	x := newMembershipRig()
 	for range 10 {
 		x.fail()
 		x.clock.Advance(250 * time.Millisecond)
 	}
 	x.source.drop("u1")
-	x.take(wardturn.MemberChange{}, x.clock.Now())
+	x.apply(wardturn.MemberChange{}, x.clock.Now())
 	if !x.has("u1") {
-		t.Error("an entry that lapsed is gone at once")
+		t.Error("an entry that expired during an outage was not retained")
 	}
 }
 
-// What another gateway read before this one's reading failed says nothing of the store's
-// return, when its word comes late.
-func TestRosterLateWord(t *testing.T) {
+// An announcement that arrives late, of a read made before this gateway's read failed, does
+// not show that the store has recovered.
+func TestMembershipLateAnnouncement(t *testing.T) {
 	for _, asOf := range []time.Duration{-time.Second, 0} {
-		x := newRosterRig()
+		x := newMembershipRig()
 		x.clock.Advance(10 * time.Second)
 		x.fail()
-		read := time.Time{} // not known
+		announcedAsOf := time.Time{} // unknown
 		if asOf != 0 {
-			read = x.clock.Now().Add(asOf)
+			announcedAsOf = x.clock.Now().Add(asOf)
 		}
 		x.clock.Advance(100 * time.Millisecond)
-		x.take(wardturn.MemberChange{}, read)
+		x.apply(wardturn.MemberChange{}, announcedAsOf)
 		x.clock.Advance(time.Second)
 		x.source.drop("u1")
 		if !x.has("u1") {
-			t.Errorf("an entry that lapsed while the store was away is gone at once (word of a reading at %v)", asOf)
+			t.Errorf("an entry that expired during an outage was not retained (announced read at %v)", asOf)
 		}
 	}
 }
 
-// Entries that lapsed are kept for their time after the store's return, as this gateway or
-// another first saw it.
-func TestRosterLapsedWhileAway(t *testing.T) {
-	for _, told := range []bool{false, true} {
-		x := newRosterRig()
+// Expired entries are retained for the grace period after the store's recovery, whether this
+// gateway or another one noticed the recovery first.
+func TestMembershipRetainsExpiredEntries(t *testing.T) {
+	for _, announced := range []bool{false, true} {
+		x := newMembershipRig()
 		x.fail()
 		x.clock.Advance(time.Second)
 		x.source.drop("u1")
-		if told {
-			x.take(wardturn.MemberChange{}, x.clock.Now())
+		if announced {
+			x.apply(wardturn.MemberChange{}, x.clock.Now())
 		}
 		if !x.has("u1") {
-			t.Error("an entry that lapsed is gone at once, told of the return:", told)
+			t.Error("an expired entry was not retained; recovery announced by another gateway:", announced)
 		}
-		x.clock.Advance(lapseGrace)
+		x.clock.Advance(expiryGrace)
 		if x.has("u1") {
-			t.Error("an entry that lapsed is still there after its time, told of the return:", told)
+			t.Error("an expired entry is retained beyond the grace period; recovery announced by another gateway:", announced)
 		}
 	}
 }
--- a/gateway/storereturn_test.go
+++ b/gateway/storereturn_test.go
@@ -12,16 +12,18 @@
 	"wardturn/standin"
 )
 
-// applyBound is by when a change of the configuration is in force at each gateway.
-const applyBound = 2 * time.Second
+// configBound is the time within which a configuration change must be in force at each
+// gateway.
+const configBound = 2 * time.Second
 
-// Gateways that compared positions across the return took what they had for the newest,
-// until the store had given out the offsets that they knew once more.
-var _ = Describe("A store that comes back from an older copy", func() {
+// Gateways that compared positions from before and after the restore considered their own
+// state newer, and ignored changes until the store had assigned the offsets they knew
+// again.
+var _ = Describe("A store that is restored from an older copy", func() {
 	var x *rig
 	var fronts []string
 	version := 0
-	change := func(more string) {
+	putConfig := func(more string) {
 		version++
 		x.store.PutConfig(config(version, more))
 	}
@@ -39,99 +41,100 @@
 		_, r := x.with(front, path, "", nil)
 		return r.status == http.StatusOK
 	}
-	// expectInForce expects that a route that was just added is served in time.
+	// expectInForce expects that a route that was just added is served within configBound.
 	expectInForce := func(path string) {
 		GinkgoHelper()
-		within := time.Now().Add(applyBound)
+		deadline := time.Now().Add(configBound)
 		for _, front := range fronts {
 			Eventually(func() bool {
 				return serves(front, path)
-			}, time.Until(within), often).Should(BeTrue(), front)
+			}, time.Until(deadline), often).Should(BeTrue(), front)
 		}
 	}
 
-	It("has later changes in force at all gateways in time", func() {
+	It("has its later changes applied by all gateways in time", func() {
 		old := x.store.Copy()
 		for range 5 {
-			change("")
+			putConfig("")
 			time.Sleep(50 * time.Millisecond)
 		}
-		time.Sleep(applyBound) // all gateways have read up to there
+		time.Sleep(configBound) // all gateways have read these changes
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
 		time.Sleep(time.Second)
 		x.store.ComeBack(old)
 		x.store.SetFaults(standin.MetaFaults{})
-		time.Sleep(applyBound)
-		change(newRoute)
+		time.Sleep(configBound)
+		putConfig(newRoute)
 		expectInForce("/new/a")
 	})
 
-	It("has a change in force that took the place of a lost one", func() {
+	It("has a change applied that replaces a lost one", func() {
 		old := x.store.Copy()
-		change("")
-		time.Sleep(applyBound)
+		putConfig("")
+		time.Sleep(configBound)
 		x.store.ComeBack(old)
-		change(newRoute)
+		putConfig(newRoute)
 		for i := range 4 {
 			x.store.PutVersion("m0", "a9", int64(2+i))
 		}
 		expectInForce("/new/a")
 	})
 
-	It("goes on serving by what was in force, and with upstreams that have not entered again", func() {
+	It("leaves the configuration and upstreams in use that were known before", func() {
 		old := x.store.Copy()
-		change(newRoute)
+		putConfig(newRoute)
 		expectInForce("/new/a")
 		x.list(x.apps[0], "app", "a0", "draining")
-		time.Sleep(applyBound)
+		time.Sleep(configBound)
 		x.store.DropServer("a0")
 		x.list(x.apps[1], "app", "a1", "ready")
-		time.Sleep(applyBound)
+		time.Sleep(configBound)
 		x.store.ComeBack(old)
 		began := time.Now()
-		after := began.Add(leftIn)
-		for time.Since(began) < applyBound {
+		after := began.Add(arrivalLag)
+		for time.Since(began) < configBound {
 			for _, front := range fronts {
 				Expect(serves(front, "/new/a")).To(BeTrue())
 			}
 		}
-		Expect(arrivalsAfter(x.apps[0], after)).To(BeZero(), "it had left")
+		Expect(arrivalsAfter(x.apps[0], after)).To(BeZero(), "a0 had left")
 	})
 
-	It("has failure domains stay evacuated until the operator has evacuated them again", func() {
+	It("leaves domains evacuated until the operator has evacuated them again", func() {
 		old := x.store.Copy()
 		after := x.evacuate("d")
 		time.Sleep(time.Until(after))
 		x.store.ComeBack(old)
 		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, lapseGrace/2)
 		x.evacuate("d")
-		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, 2*lapseGrace+applyBound)
-		Expect(x.arrivedAfter("d", after)).To(BeZero())
+		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, 2*lapseGrace+configBound)
+		Expect(x.domainArrivalsAfter("d", after)).To(BeZero())
 	})
 
-	It("has them serve again if he does not", func() {
+	It("lets evacuated domains serve again if the operator does not", func() {
 		old := x.store.Copy()
 		after := x.evacuate("d")
 		time.Sleep(time.Until(after))
 		x.store.ComeBack(old)
-		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, applyBound+lapseGrace+time.Second)
-		Expect(x.arrivedAfter("d", after)).To(BeNumerically(">", 0))
+		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, configBound+lapseGrace+time.Second)
+		Expect(x.domainArrivalsAfter("d", after)).To(BeNumerically(">", 0))
 	})
 
-	It("is followed through two returns, one shortly after the other", func() {
+	It("has changes applied after two restores in short succession", func() {
 		old := x.store.Copy()
-		change("")
+		putConfig("")
 		x.store.ComeBack(old)
-		change("")
+		putConfig("")
 		time.Sleep(50 * time.Millisecond)
 		x.store.ComeBack(old)
 		time.Sleep(50 * time.Millisecond)
-		change(newRoute)
+		putConfig(newRoute)
 		expectInForce("/new/a")
 	})
 })
 
-// leftIn is by when requests that were sent to an upstream before it left have arrived.
-const leftIn = 100 * time.Millisecond
+// arrivalLag is the time within which requests sent to an upstream before it left arrive
+// there.
+const arrivalLag = 100 * time.Millisecond
