--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -17,10 +17,10 @@
 		Arrived:   x.arrived,
 		Objective: cmp.Or(x.route.Objective, defaultObjective),
 		Pause:     x.route.MaxPause,
-		Deadline:  x.end,
+		Deadline:  x.deadline,
 		Prompt:    x.prompt,
 		Body:      len(x.body),
-		Bytes:     len(x.body) + answerGuess,
+		Bytes:     len(x.body) + responseSizeEstimate,
 		Tried:     x.tried,
 		Regions:   x.regions,
 		Assign: func(a assignment) {
@@ -30,32 +30,32 @@
 	x.g.admit(t)
 	select {
 	case a := <-got:
-		return x.assigned(a)
+		return x.handleAssignment(a)
 	case <-ctx.Done():
 	}
 	x.g.withdraw(t)
 	select {
 	case a := <-got: // assigned just before the ticket was withdrawn
 		if a.Member.ID != "" {
-			x.reading = a.Member.ID
-			x.putBack(a)
+			x.prefilling = a.Member.ID
+			x.releaseAssignment(a)
 		}
 	default:
 	}
 	return assignment{}, false
 }
 
-// putBack releases an assignment to whose upstream nothing was sent.
-func (x *exchange) putBack(a assignment) {
-	x.began(a)
+// releaseAssignment releases an assignment to whose upstream nothing was sent.
+func (x *exchange) releaseAssignment(a assignment) {
+	x.endPrefill(a)
 	x.g.ended(a.Member.ID, x.key, len(x.body), decide.EndedUnseen)
 }
 
-// assigned records the assignment, or the reason why no upstream was assigned. It
+// handleAssignment records the assignment, or the reason why no upstream was assigned. It
 // reports whether there is an upstream.
-func (x *exchange) assigned(a assignment) (assignment, bool) {
+func (x *exchange) handleAssignment(a assignment) (assignment, bool) {
 	if a.Member.ID != "" {
-		x.reading = a.Member.ID
+		x.prefilling = a.Member.ID
 		return a, true
 	}
 	x.refusal = &refusal{
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -9,18 +9,18 @@
 	"wardturn"
 )
 
-// take handles a response by its status and headers: it forwards the response to the
-// caller, or discards it and returns what that means for the request.
-func (x *exchange) take(a assignment, ans *answer) result {
+// handleResponse handles a response by its status and headers: it forwards the response
+// to the caller, or discards it and returns what that means for the request.
+func (x *exchange) handleResponse(a assignment, ans *response) result {
 	res := ans.res
 	switch {
 	case res.StatusCode == http.StatusMisdirectedRequest:
-		x.misdirected(a, ans.head)
+		x.handleMisdirected(a, ans.head)
 		x.drain(ans)
-		return notRun
+		return resultNotRun
 	case ans.head.NotExecuted && res.StatusCode != http.StatusBadRequest:
 		x.drain(ans)
-		return notRun
+		return resultNotRun
 	case res.StatusCode < http.StatusMultipleChoices && !ans.head.Receipt:
 		x.g.logger.Warn("success response without the upstream's receipt header", "id", x.attempt, "upstream", a.Member.ID)
 		ans.discard()
@@ -30,27 +30,27 @@
 		// which the upstream has not confirmed.
 		ans.discard()
 		return unknown
-	case x.begun && res.StatusCode != http.StatusOK:
+	case x.headerWritten && res.StatusCode != http.StatusOK:
 		x.drain(ans)
 		return cut
-	case res.StatusCode >= http.StatusInternalServerError && x.tryAgain():
+	case res.StatusCode >= http.StatusInternalServerError && x.mayRetryFailed():
 		x.drain(ans)
-		return failed
+		return resultFailed
 	case x.route.Streaming && res.StatusCode < http.StatusMultipleChoices:
-		return x.stream(a, ans)
+		return x.forwardStream(a, ans)
 	}
-	return x.whole(a, ans)
+	return x.forwardBuffered(a, ans)
 }
 
-// tryAgain reports whether a request that ran and failed may run once more, and charges
-// the retry budget for it.
-func (x *exchange) tryAgain() bool {
-	return x.repeatable() && x.ran+1 < x.route.MaxUpstreams && x.g.clock.Now().Before(x.end) && x.g.mayResend(x.service)
+// mayRetryFailed reports whether a request that ran and failed may run once more, and
+// charges the retry budget for it.
+func (x *exchange) mayRetryFailed() bool {
+	return x.repeatable() && x.possibleRuns+1 < x.route.MaxUpstreams && x.g.clock.Now().Before(x.deadline) && x.g.allowRetry(x.service)
 }
 
-// misdirected handles a 421 response: either another instance now listens at the address,
-// or the upstream does not hold the adapter.
-func (x *exchange) misdirected(a assignment, head wardturn.AnswerHead) {
+// handleMisdirected handles a 421 response: either another instance now listens at the
+// address, or the upstream does not hold the adapter.
+func (x *exchange) handleMisdirected(a assignment, head wardturn.AnswerHead) {
 	if got := head.Instance; got != "" && got != a.Member.ID.Instance() {
 		x.g.logger.Info("another upstream at the address", "upstream", a.Member.ID, "found", got, "addr", a.Member.Addr)
 		x.g.misplaced(a.Member.ID)
@@ -62,23 +62,23 @@
 
 // drain reads the rest of a response that is not forwarded, so that its connection can be
 // reused.
-func (x *exchange) drain(ans *answer) {
-	if _, err := io.Copy(io.Discard, io.LimitReader(ans.res.Body, plainAnswerLimit)); err != nil {
+func (x *exchange) drain(ans *response) {
+	if _, err := io.Copy(io.Discard, io.LimitReader(ans.res.Body, maxBufferedResponse)); err != nil {
 		ans.discard()
 		return
 	}
 	ans.release()
 }
 
-// whole reads a response completely before it forwards any of it to the caller.
-func (x *exchange) whole(a assignment, ans *answer) result {
+// forwardBuffered reads a response completely before it forwards any of it to the caller.
+func (x *exchange) forwardBuffered(a assignment, ans *response) result {
 	x.unwatch() // the upstream responds, so the request has started
 	res := ans.res
-	if res.ContentLength > plainAnswerLimit {
-		return x.stream(a, ans)
+	if res.ContentLength > maxBufferedResponse {
+		return x.forwardStream(a, ans)
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, plainAnswerLimit+1))
-	if err != nil || len(body) > plainAnswerLimit {
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedResponse+1))
+	if err != nil || len(body) > maxBufferedResponse {
 		ans.discard()
 		if x.r.Context().Err() != nil {
 			return left
@@ -86,19 +86,19 @@
 		return unknown
 	}
 	ans.release()
-	x.arrivedBytes()
-	x.copyHead(res)
+	x.recordBytes()
+	x.copyHeader(res)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.w.WriteHeader(res.StatusCode)
 	_, _ = x.w.Write(body) // fails only if the caller is gone
 	if res.StatusCode >= http.StatusInternalServerError {
-		return erred
+		return resultErrorForwarded
 	}
 	return passed
 }
 
-// copyHead copies the headers of a response for the caller, without the hop-by-hop ones.
-func (x *exchange) copyHead(res *http.Response) {
+// copyHeader copies the headers of a response for the caller, without the hop-by-hop ones.
+func (x *exchange) copyHeader(res *http.Response) {
 	h := x.w.Header()
 	for name, values := range res.Header {
 		if !slices.Contains(hopHeaders, name) {
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -5,43 +5,43 @@
 	"wardturn/decide"
 )
 
-// The fractions of the allowed retries that the gateway uses. The remainder covers requests
-// counted in another window and gateways that the keepers do not know yet.
+// The fractions of the allowed retries that the gateway uses. The remainder covers
+// requests counted in another window and gateways that the keepers do not know yet.
 const (
-	budgetPart = 0.5  // of the retries allowed as a share of requests
-	burstPart  = 0.25 // of the extra retries, as a burst
-	floorPart  = 0.25 // of the extra retries, spread over the window
+	budgetFraction = 0.5  // of the retries allowed as a share of requests
+	burstFraction  = 0.25 // of the extra retries, as a burst
+	floorFraction  = 0.25 // of the extra retries, spread over the window
 )
 
 // budget returns the retry budget of a service. The caller holds g.mu.
 func (g *Gateway) budget(s wardturn.ServiceName) *decide.RetryBudget {
 	b := g.budgets[s]
 	if b == nil {
-		floor, burst := g.extraResends()
-		b = decide.NewRetryBudget(g.cfg.RetryShare*budgetPart, floor, burst)
+		floor, burst := g.extraRetries()
+		b = decide.NewRetryBudget(g.cfg.RetryShare*budgetFraction, floor, burst)
 		g.budgets[s] = b
 	}
 	return b
 }
 
-// extraResends returns this gateway's part of the retries that are allowed beyond the
-// share of requests: a rate per second (floor) and a burst. Until a keeper has reported the
-// number of gateways the rate is zero: gateways that assume to be the only one would each
-// use the full allowance. The caller holds g.mu.
-func (g *Gateway) extraResends() (floor, burst float64) {
+// extraRetries returns this gateway's part of the retries that are allowed beyond the
+// share of requests: a rate per second (floor) and a burst. Until a keeper has reported
+// the number of gateways the rate is zero: gateways that assume to be the only one would
+// each use the full allowance. The caller holds g.mu.
+func (g *Gateway) extraRetries() (floor, burst float64) {
 	n := g.counted.Take(g.clock.Now(), g.fleet.CountedGateways())
 	if n == 0 {
 		return 0, 1
 	}
 	own := g.cfg.RetryExtra / float64(n)
-	return floorPart * own / g.cfg.RetryWindow.Seconds(), max(1, burstPart*own)
+	return floorFraction * own / g.cfg.RetryWindow.Seconds(), max(1, burstFraction*own)
 }
 
 // resizeBudgets adapts the retry budgets to the number of gateways. The caller holds g.mu.
 func (g *Gateway) resizeBudgets() {
-	floor, burst := g.extraResends()
+	floor, burst := g.extraRetries()
 	for _, b := range g.budgets {
-		b.Resize(g.cfg.RetryShare*budgetPart, floor, burst)
+		b.Resize(g.cfg.RetryShare*budgetFraction, floor, burst)
 	}
 }
 
@@ -64,8 +64,8 @@
 	g.budget(s).Request(g.clock.Now())
 }
 
-// mayResend reports whether the retry budget allows one more send, and charges it.
-func (g *Gateway) mayResend(s wardturn.ServiceName) bool {
+// allowRetry reports whether the retry budget allows one more send, and charges it.
+func (g *Gateway) allowRetry(s wardturn.ServiceName) bool {
 	g.mu.Lock()
 	ok := g.budget(s).Retry(g.clock.Now())
 	g.mu.Unlock()
--- a/gateway/budget_internal_test.go
+++ b/gateway/budget_internal_test.go
@@ -22,7 +22,7 @@
 		fleet: decide.NewFleet(decide.FleetConfig{}),
 	}
 	inWindow := func() float64 {
-		floor, burst := g.extraResends()
+		floor, burst := g.extraRetries()
 		return floor*g.cfg.RetryWindow.Seconds() + burst
 	}
 	if got := gateways * inWindow(); got > allowed {
--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	dialLimit    = 800 * time.Millisecond // allows a few retransmissions; upstreams are a millisecond away
-	userTimeout  = 3 * time.Second        // TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged
-	probeIdle    = 2 * time.Second        // idle time before, and interval between, TCP keep-alive probes
-	probeCount   = 2
-	keepMargin   = 500 * time.Millisecond // closes idle connections this long before the upstream does
-	keepUnknown  = 4 * time.Second        // idle time if the upstream sends no Keep-Alive timeout
-	idlePerHost  = 32
-	readBuffer   = 4 << 10
-	maxStrangers = 3 // responses to other requests that are skipped
+	dialTimeout         = 800 * time.Millisecond // allows a few retransmissions; upstreams are a millisecond away
+	userTimeout         = 3 * time.Second        // TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged
+	keepAliveIdle       = 2 * time.Second        // idle time before, and interval between, TCP keep-alive probes
+	keepAliveCount      = 2
+	idleMargin          = 500 * time.Millisecond // closes idle connections this long before the upstream does
+	defaultIdleTime     = 4 * time.Second        // idle time if the upstream sends no Keep-Alive timeout
+	maxIdlePerAddr      = 32
+	readBufferSize      = 4 << 10
+	maxForeignResponses = 3 // responses to other requests that are skipped
 )
 
 // upstreamConn is a connection to an upstream. It carries one request at a time.
@@ -60,7 +60,7 @@
 		if c == nil {
 			return p.dial(ctx, addr)
 		}
-		if c.idleUntil.After(p.clock.Now()) && c.quiet() {
+		if c.idleUntil.After(p.clock.Now()) && c.isReusable() {
 			c.reused = true
 			return c, nil
 		}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return !errors.Is(err, syscall.ECONNREFUSED)
 	}
-	c.keep(p)
+	c.returnUnused(p)
 	return true
 }
 
@@ -94,13 +94,13 @@
 
 func (p *pool) dial(ctx context.Context, addr string) (*upstreamConn, error) {
 	d := net.Dialer{
-		Timeout: dialLimit,
+		Timeout: dialTimeout,
 		Control: process.UserTimeout(userTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     probeIdle,
-			Interval: probeIdle,
-			Count:    probeCount,
+			Idle:     keepAliveIdle,
+			Interval: keepAliveIdle,
+			Count:    keepAliveCount,
 		},
 	}
 	nc, err := d.DialContext(ctx, "tcp", addr)
@@ -109,14 +109,14 @@
 	}
 	return &upstreamConn{
 		Conn: nc,
-		br:   bufio.NewReaderSize(nc, readBuffer),
+		br:   bufio.NewReaderSize(nc, readBufferSize),
 		addr: addr,
 	}, nil
 }
 
-// quiet reports whether an idle connection is open and has nothing to read. After
+// isReusable reports whether an idle connection is open and has nothing to read. After
 // unsolicited bytes or the end of the stream it cannot be reused.
-func (c *upstreamConn) quiet() bool {
+func (c *upstreamConn) isReusable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -148,9 +148,9 @@
 	c.Close()
 }
 
-// keep returns a connection on which nothing was sent to the pool.
-func (c *upstreamConn) keep(p *pool) {
-	d := keepUnknown
+// returnUnused returns a connection on which nothing was sent to the pool.
+func (c *upstreamConn) returnUnused(p *pool) {
+	d := defaultIdleTime
 	if c.reused {
 		d = c.idleUntil.Sub(p.clock.Now())
 	}
@@ -162,7 +162,7 @@
 	c.idleUntil = p.clock.Now().Add(keep)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.addr]) >= idlePerHost {
+	if len(p.idle[c.addr]) >= maxIdlePerAddr {
 		c.Close()
 		return
 	}
@@ -198,9 +198,9 @@
 	})
 }
 
-// keepTime returns how long a connection may stay idle after a response; zero or less
+// idleTimeAfter returns how long a connection may stay idle after a response; zero or less
 // means that it cannot be reused.
-func keepTime(res *http.Response) time.Duration {
+func idleTimeAfter(res *http.Response) time.Duration {
 	if res.Close || res.ContentLength < 0 && !chunked(res) && bodyAllowed(res.StatusCode) {
 		return 0
 	}
@@ -213,9 +213,9 @@
 		if err != nil {
 			return 0
 		}
-		return time.Duration(n)*time.Second - keepMargin
+		return time.Duration(n)*time.Second - idleMargin
 	}
-	return keepUnknown
+	return defaultIdleTime
 }
 
 func chunked(res *http.Response) bool {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -12,78 +12,79 @@
 )
 
 const (
-	// answerMargin is how long the gateway waits for a response after the deadline that it
-	// sent to the upstream.
-	answerMargin = 80 * time.Millisecond
-	// bodyChunk is the read size for streamed responses.
-	bodyChunk = 8 << 10
-	// plainAnswerLimit bounds the responses that are buffered completely before they are
-	// forwarded; longer ones are streamed.
-	plainAnswerLimit = 256 << 10
-	// answerGuess is the estimated size of a request's headers and its response, in bytes.
-	answerGuess = 1500
+	// responseMargin is how long the gateway waits for a response after the deadline that
+	// it sent to the upstream.
+	responseMargin = 80 * time.Millisecond
+	// readChunk is the read size for streamed responses.
+	readChunk = 8 << 10
+	// maxBufferedResponse bounds the responses that are buffered completely before they
+	// are forwarded; longer ones are streamed.
+	maxBufferedResponse = 256 << 10
+	// responseSizeEstimate is the estimated size of a request's headers and its response,
+	// in bytes.
+	responseSizeEstimate = 1500
 	// defaultTimeout applies to routes that set none.
 	defaultTimeout = 30 * time.Second
 	// defaultObjective applies to routes that set none. It bounds how long their requests
 	// wait for an adapter.
 	defaultObjective = time.Second
-	// unreadyPause is the Retry-After of refusals by a gateway that has no current
+	// unreadyRetryAfter is the Retry-After of refusals by a gateway that has no current
 	// configuration, or no room for the request's body.
-	unreadyPause = 500 * time.Millisecond
-	// resendPause is the Retry-After of requests that upstreams turned away and that may
-	// not be sent again, unless a refusal names another.
-	resendPause = 200 * time.Millisecond
+	unreadyRetryAfter = 500 * time.Millisecond
+	// resendRetryAfter is the Retry-After of requests that upstreams turned away and that
+	// may not be sent again, unless a refusal names another.
+	resendRetryAfter = 200 * time.Millisecond
 )
 
 type assignment = decide.Assignment
 
 // exchange is the handling of one request of a caller.
 type exchange struct {
-	g           *Gateway
-	w           http.ResponseWriter
-	r           *http.Request
-	route       *wardturn.Route
-	service     wardturn.ServiceName
-	engine      bool             // the service's upstreams are model engines
-	keyed       bool             // the configuration has teams: API keys are not forwarded
-	team        *wardturn.Team   // nil: the route is public, or there are no teams
-	regions     wardturn.Regions // where the request may be served
-	units       int64            // charged to the team's cap
-	routeLevels int              // number of priority levels of the routes
-	mayHaveRun  bool             // at an upstream; then the units are not refunded
-	key         wardturn.ModelAdapter
-	prompt      wardturn.Tokens // zero if the caller does not state it
-	attempt     string
-	body        []byte
-	heldBody    int64 // bytes reserved for the body
-	content     wardturn.ContentID
-	arrived     time.Time
-	end         time.Time // deadline of the caller or the route
-	tried       []wardturn.UpstreamID
-	ran         int  // number of upstreams that may have run the request
-	begun       bool // the response header was written to the caller
-	refusal     *refusal
-	events      events
-	reading     wardturn.UpstreamID // the upstream that is prefilling the prompt
-	timing      timing
-	send        sendTimes
-	waiting     *waitingSend // the latest send; nil once it has started or ended
+	g               *Gateway
+	w               http.ResponseWriter
+	r               *http.Request
+	route           *wardturn.Route
+	service         wardturn.ServiceName
+	engine          bool             // the service's upstreams are model engines
+	teamsConfigured bool             // the configuration has teams: API keys are not forwarded
+	team            *wardturn.Team   // nil: the route is public, or there are no teams
+	regions         wardturn.Regions // where the request may be served
+	units           int64            // charged to the team's cap
+	routeLevels     int              // number of priority levels of the routes
+	mayHaveRun      bool             // at an upstream; then the units are not refunded
+	key             wardturn.ModelAdapter
+	prompt          wardturn.Tokens // zero if the caller does not state it
+	attempt         string
+	body            []byte
+	reservedBody    int64 // bytes reserved for the body
+	content         wardturn.ContentID
+	arrived         time.Time
+	deadline        time.Time // deadline of the caller or the route
+	tried           []wardturn.UpstreamID
+	possibleRuns    int  // number of upstreams that may have run the request
+	headerWritten   bool // the response header was written to the caller
+	refusal         *refusal
+	events          events
+	prefilling      wardturn.UpstreamID // the upstream that is prefilling the prompt
+	timing          timing
+	send            sendState
+	pending         *pendingSend // the latest send; nil once it has started or ended
 }
 
 // timing records when the parts of a response came.
 type timing struct {
-	placed time.Duration // from the arrival to the choice of the latest upstream
-	first  time.Duration // from the arrival to the first bytes of the response
-	last   time.Time     // when the latest bytes came
-	pause  time.Duration // longest gap between bytes
-	write  time.Duration // longest write to the caller during the latest send
+	assignedAfter time.Duration // from the arrival to the choice of the latest upstream
+	firstByte     time.Duration // from the arrival to the first bytes of the response
+	lastByte      time.Time     // when the latest bytes came
+	maxGap        time.Duration // longest gap between bytes
+	maxWrite      time.Duration // longest write to the caller during the latest send
 }
 
-// sendTimes is when the latest send went to its upstream and when the first bytes of the
+// sendState is when the latest send went to its upstream and when the first bytes of the
 // response came; zero times are not reached yet.
-type sendTimes struct {
+type sendState struct {
 	sent      time.Time
-	began     time.Time
+	firstByte time.Time
 	brokenOff bool // the gateway aborted the send before it started
 }
 
@@ -99,22 +100,22 @@
 const (
 	// passed: the complete response was forwarded.
 	passed result = iota
-	// notRun: the upstream did not run the request.
-	notRun
-	// outdated: nothing was sent, because since the upstream was chosen the adapter version
-	// was retired or the upstream stopped accepting requests.
-	outdated
+	// resultNotRun: the upstream did not run the request.
+	resultNotRun
+	// resultNotSent: nothing was sent, because since the upstream was chosen the adapter
+	// version was retired or the upstream stopped accepting requests.
+	resultNotSent
 	// unknown: the request may have run, and the caller has no byte of a response.
 	unknown
-	// failed: the request ran and the upstream responded with an error of its own. It may
-	// run once more; the retry budget has been charged.
-	failed
+	// resultFailed: the request ran and the upstream responded with an error of its own.
+	// It may run once more; the retry budget has been charged.
+	resultFailed
 	// cut: the response ended early, after a part of it was forwarded.
 	cut
 	// left: the caller closed its connection.
 	left
-	// erred: the upstream's error response was forwarded.
-	erred
+	// resultErrorForwarded: the upstream's error response was forwarded.
+	resultErrorForwarded
 )
 
 // ending returns what the result of the latest send says about its upstream: nothing if
@@ -124,11 +125,11 @@
 		return decide.EndedUnseen
 	}
 	switch r {
-	case failed, erred:
+	case resultFailed, resultErrorForwarded:
 		return decide.EndedInError
 	case unknown, cut:
 		return decide.EndedBroken
-	case left, outdated:
+	case left, resultNotSent:
 		return decide.EndedUnseen
 	}
 	return decide.EndedWell
@@ -150,12 +151,12 @@
 		w.Header().Set("Connection", "close")
 	}
 	defer func() {
-		g.held.give(x.heldBody)
+		g.held.release(x.reservedBody)
 	}()
 	if !x.resolve() || !x.readBody() {
 		return
 	}
-	x.name()
+	x.identifyContent()
 	if x.refuseCrashing() {
 		x.refuse(x.refusal.reason, x.refusal.retryAfter, "content", x.content)
 		return
@@ -170,7 +171,7 @@
 // run sends the request to upstreams until one has responded or no further send is
 // allowed.
 func (x *exchange) run() {
-	ctx, cancel := wardturn.WithLimit(x.r.Context(), x.g.clock, x.end.Add(answerMargin).Sub(x.g.clock.Now()))
+	ctx, cancel := wardturn.WithLimit(x.r.Context(), x.g.clock, x.deadline.Add(responseMargin).Sub(x.g.clock.Now()))
 	defer cancel()
 	x.g.countRequest(x.service)
 	for {
@@ -180,95 +181,96 @@
 			return
 		}
 		if x.refuseCrashing() { // may have become known while the request waited
-			x.putBack(a)
+			x.releaseAssignment(a)
 			x.giveUp(ctx)
 			return
 		}
-		res := x.try(ctx, a)
-		x.began(a)
-		x.noteOldVersion(a)
+		res := x.trySend(ctx, a)
+		x.endPrefill(a)
+		x.logOldVersion(a)
 		x.noteContent(a, res, ctx.Err())
 		x.g.ended(a.Member.ID, x.key, len(x.body), x.ending(res))
-		if res == outdated {
+		if res == resultNotSent {
 			continue
 		}
-		x.mayHaveRun = x.mayHaveRun || res != notRun
+		x.mayHaveRun = x.mayHaveRun || res != resultNotRun
 		x.tried = append(x.tried, a.Member.ID)
 		switch res {
 		case passed:
-			x.noteLate(a)
+			x.logLate(a)
 			x.g.metrics.finished(x, "done")
 			return
-		case erred:
+		case resultErrorForwarded:
 			x.g.metrics.finished(x, "upstream_error")
 			return
 		case left:
 			x.g.metrics.finished(x, "caller_left")
 			return
 		case cut:
-			x.ran++
-			if x.resume() {
+			x.possibleRuns++
+			if x.mayResume() {
 				continue
 			}
 			x.g.logger.Warn("answer cut", "id", x.attempt, "route", x.route.Name, "upstream", a.Member.ID, "content", x.content, "sent_ago", x.g.clock.Now().Sub(x.send.sent))
 			x.g.metrics.finished(x, "cut")
 			panic(http.ErrAbortHandler)
-		case failed:
-			x.ran++
+		case resultFailed:
+			x.possibleRuns++
 			continue
 		case unknown:
-			x.ran++
+			x.possibleRuns++
 			if !x.mayRunAgain() {
-				x.lost(ctx)
+				x.failUnknown(ctx)
 				return
 			}
 		}
-		if !x.g.mayResend(x.service) {
+		if !x.g.allowRetry(x.service) {
 			x.giveUp(ctx)
 			return
 		}
 	}
 }
 
-// noteLate logs a response that missed the route's latency objective, with what took the
+// logLate logs a response that missed the route's latency objective, with what took the
 // time.
-func (x *exchange) noteLate(a assignment) {
+func (x *exchange) logLate(a assignment) {
 	t := x.timing
-	if t.first <= x.route.Objective && (x.route.MaxPause == 0 || t.pause <= x.route.MaxPause) {
+	if t.firstByte <= x.route.Objective && (x.route.MaxPause == 0 || t.maxGap <= x.route.MaxPause) {
 		return
 	}
-	x.g.logger.Info("late", "id", x.attempt, "route", x.route.Name, "adapter", x.key.Adapter, "upstream", a.Member.ID, "placed", t.placed, "first", t.first, "pause", t.pause, "load", a.Load, "prefill", a.Prefill, "prompt", x.prompt, "sends", len(x.tried))
+	x.g.logger.Info("late", "id", x.attempt, "route", x.route.Name, "adapter", x.key.Adapter, "upstream", a.Member.ID, "placed", t.assignedAfter, "first", t.firstByte, "pause", t.maxGap, "load", a.Load, "prefill", a.Prefill, "prompt", x.prompt, "sends", len(x.tried))
 }
 
-// began records, once for each send, that the upstream has finished the prefill of the
-// prompt or will not do it.
-func (x *exchange) began(a assignment) {
-	if x.reading == a.Member.ID {
-		x.reading = ""
+// endPrefill records, once for each send, that the upstream has finished the prefill of
+// the prompt or will not do it.
+func (x *exchange) endPrefill(a assignment) {
+	if x.prefilling == a.Member.ID {
+		x.prefilling = ""
 		x.g.began(a.Member.ID, x.prompt)
 	}
 }
 
-// noteRead records how long the upstream's prefill took. It must be called before began.
-func (x *exchange) noteRead(a assignment) {
-	if x.reading == a.Member.ID && x.prompt > 0 {
+// recordPrefill records how long the upstream's prefill took. It must be called before
+// began.
+func (x *exchange) recordPrefill(a assignment) {
+	if x.prefilling == a.Member.ID && x.prompt > 0 {
 		x.g.readPrompt(x.service, a.Prefill+int(x.prompt), x.g.clock.Now().Sub(x.send.sent))
 	}
 }
 
-// arrivedBytes records the arrival of bytes of the response.
-func (x *exchange) arrivedBytes() {
+// recordBytes records the arrival of bytes of the response.
+func (x *exchange) recordBytes() {
 	now := x.g.clock.Now()
-	if x.send.began.IsZero() {
-		x.send.began = now
+	if x.send.firstByte.IsZero() {
+		x.send.firstByte = now
 		x.unwatch()
 	}
-	if x.timing.last.IsZero() {
-		x.timing.first = now.Sub(x.arrived)
+	if x.timing.lastByte.IsZero() {
+		x.timing.firstByte = now.Sub(x.arrived)
 	} else {
-		x.timing.pause = max(x.timing.pause, now.Sub(x.timing.last))
+		x.timing.maxGap = max(x.timing.maxGap, now.Sub(x.timing.lastByte))
 	}
-	x.timing.last = now
+	x.timing.lastByte = now
 }
 
 // repeatable reports whether the request may run more than once.
@@ -278,13 +280,13 @@
 
 // mayRunAgain reports whether a request whose outcome is unknown may be sent once more.
 func (x *exchange) mayRunAgain() bool {
-	return x.repeatable() && x.ran < x.route.MaxUpstreams && x.g.clock.Now().Before(x.end)
+	return x.repeatable() && x.possibleRuns < x.route.MaxUpstreams && x.g.clock.Now().Before(x.deadline)
 }
 
 // giveUp ends a request that is not sent any more. It reports it as not run, or as unknown
 // if an earlier send may have run it.
 func (x *exchange) giveUp(ctx context.Context) {
-	if x.begun {
+	if x.headerWritten {
 		x.g.metrics.finished(x, "cut")
 		panic(http.ErrAbortHandler)
 	}
@@ -292,55 +294,55 @@
 		x.g.metrics.finished(x, "caller_left")
 		return
 	}
-	if x.ran > 0 {
-		x.lost(ctx)
+	if x.possibleRuns > 0 {
+		x.failUnknown(ctx)
 		return
 	}
 	if x.refusal == nil {
 		x.refusal = &refusal{
 			reason:     wardturn.ReasonQueueFull,
-			retryAfter: resendPause,
+			retryAfter: resendRetryAfter,
 		}
 	}
 	x.refuse(x.refusal.reason, x.refusal.retryAfter)
 }
 
-// lost ends a request that may have run and has no response.
-func (x *exchange) lost(ctx context.Context) {
+// failUnknown ends a request that may have run and has no response.
+func (x *exchange) failUnknown(ctx context.Context) {
 	if x.r.Context().Err() != nil {
 		x.g.metrics.finished(x, "caller_left")
 		return
 	}
 	status := http.StatusBadGateway
-	if ctx.Err() != nil || !x.g.clock.Now().Before(x.end) {
+	if ctx.Err() != nil || !x.g.clock.Now().Before(x.deadline) {
 		status = http.StatusGatewayTimeout
 	}
 	x.fail(status, "the answer was lost")
 }
 
-// try sends the request to one upstream and forwards its response.
-func (x *exchange) try(ctx context.Context, a assignment) result {
+// trySend sends the request to one upstream and forwards its response.
+func (x *exchange) trySend(ctx context.Context, a assignment) result {
 	now := x.g.clock.Now()
-	x.send = sendTimes{}
-	x.timing.write = 0
-	x.timing.placed = now.Sub(x.arrived)
-	leftTime := x.end.Sub(now)
+	x.send = sendState{}
+	x.timing.maxWrite = 0
+	x.timing.assignedAfter = now.Sub(x.arrived)
+	leftTime := x.deadline.Sub(now)
 	if leftTime <= 0 {
-		return notRun
+		return resultNotRun
 	}
-	ctx, stop, ok := x.watchBegin(ctx, a)
+	ctx, stop, ok := x.watchStart(ctx, a)
 	defer stop()
 	if !ok {
-		return outdated
+		return resultNotSent
 	}
 	x.g.metrics.sends.Inc(1)
 	x.send.sent = now
-	ans, err := x.g.send(ctx, x, a.Member, x.head(a, leftTime))
-	if why := context.Cause(ctx); err != nil && (errors.Is(why, errVersionEnded) || errors.Is(why, errContentCrashes)) {
+	ans, err := x.g.send(ctx, x, a.Member, x.encodeHeader(a, leftTime))
+	if why := context.Cause(ctx); err != nil && (errors.Is(why, errVersionRetired) || errors.Is(why, errCrashingContent)) {
 		err = errors.Wrap(err, why.Error())
 	}
-	if errors.Is(err, errWithdrawn) {
-		return outdated
+	if errors.Is(err, errNotAccepting) {
+		return resultNotSent
 	}
 	if err != nil {
 		return x.sendFailed(a, err)
@@ -349,7 +351,7 @@
 	if !x.engine || turnedAway {
 		x.g.timed(a.Member.ID, x.g.clock.Now().Sub(now), turnedAway)
 	}
-	return x.take(a, ans)
+	return x.handleResponse(a, ans)
 }
 
 // sendFailed classifies and logs an error of a send.
@@ -357,7 +359,7 @@
 	if x.r.Context().Err() != nil {
 		return left
 	}
-	if x.begun && !errors.Is(err, errNotSent) {
+	if x.headerWritten && !errors.Is(err, errNotSent) {
 		return cut
 	}
 	x.g.logger.Info("send failed", "id", x.attempt, "upstream", a.Member.ID, "addr", a.Member.Addr, "content", x.content, "sent_ago", x.g.clock.Now().Sub(x.send.sent), "error", err)
@@ -366,7 +368,7 @@
 		x.g.crashes.ended(a.Member.ID)
 	}
 	if errors.Is(err, errNotSent) {
-		return notRun
+		return resultNotRun
 	}
 	return unknown
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -16,7 +16,7 @@
 	"wardturn/standin"
 )
 
-const wholeStream = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"
+const completeStream = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"
 
 var _ = Describe("Gateway", func() {
 	var x *rig
@@ -36,7 +36,7 @@
 		r := x.get("ask", "/ask/x", "m0/a7")
 		Expect(r.err).NotTo(HaveOccurred())
 		Expect(r.status).To(Equal(http.StatusOK))
-		Expect(r.body).To(Equal(wholeStream))
+		Expect(r.body).To(Equal(completeStream))
 	})
 
 	It("never asks an engine for more adapters than it has slots", func() {
@@ -164,7 +164,8 @@
 	})
 
 	It("resumes a resumable stream after its last complete event", func() {
-		// Both engines hold the adapter; the first to run the request truncates its stream.
+		// Both engines hold the adapter; the first to run the request truncates its
+		// stream.
 		x.get("hold", "/resume/x", "m0/a1")
 		for _, e := range x.engines {
 			e.SetFaults(standin.WorkerFaults{
@@ -184,7 +185,7 @@
 		}()
 		r := x.send("POST", id, "/resume/x", "m0/a1", "prompt")
 		Expect(r.err).NotTo(HaveOccurred())
-		Expect(r.body).To(Equal(wholeStream))
+		Expect(r.body).To(Equal(completeStream))
 		Expect(r.header.Get("X-Wardturn-Server-Seal")).To(Equal("seal-" + id))
 		Expect(x.runs(id)).To(Equal(2))
 	})
@@ -332,7 +333,7 @@
 		Expect(x.gateway.Ready()).To(BeFalse())
 		r := <-done
 		Expect(r.err).NotTo(HaveOccurred())
-		Expect(r.body).To(Equal(wholeStream))
+		Expect(r.body).To(Equal(completeStream))
 	})
 
 	It("responds to readiness checks of the load balancer", func() {
--- a/gateway/held.go
+++ b/gateway/held.go
@@ -5,47 +5,47 @@
 	"sync/atomic"
 )
 
-// heldBytes limits the bytes of request bodies that the process buffers. Without the limit,
-// many callers that send long bodies slowly could exhaust the memory of the host.
+// heldBytes limits the bytes of request bodies that the process buffers. Without the
+// limit, many callers that send long bodies slowly could exhaust the memory of the host.
 type heldBytes struct {
-	most int64 // zero: no limit
-	held atomic.Int64
+	most     int64 // zero: no limit
+	reserved atomic.Int64
 }
 
-// take reserves bytes and reports whether they fit in the limit.
-func (h *heldBytes) take(n int64) bool {
-	if held := h.held.Add(n); h.most == 0 || held <= h.most {
+// reserve reserves bytes and reports whether they fit in the limit.
+func (h *heldBytes) reserve(n int64) bool {
+	if held := h.reserved.Add(n); h.most == 0 || held <= h.most {
 		return true
 	}
-	h.held.Add(-n)
+	h.reserved.Add(-n)
 	return false
 }
 
-// give releases reserved bytes.
-func (h *heldBytes) give(n int64) {
-	h.held.Add(-n)
+// release releases reserved bytes.
+func (h *heldBytes) release(n int64) {
+	h.reserved.Add(-n)
 }
 
-// bodyStep is how many bytes are reserved at a time for a body of unknown length.
-const bodyStep = 64 << 10
+// reserveStep is how many bytes are reserved at a time for a body of unknown length.
+const reserveStep = 64 << 10
 
-// heldReader reads a body of unknown length and reserves bytes for it as it grows.
-type heldReader struct {
-	r     io.Reader
-	held  *heldBytes
-	taken int64 // bytes reserved for this body
-	read  int64
-	full  bool // the limit was reached
+// reservingReader reads a body of unknown length and reserves bytes for it as it grows.
+type reservingReader struct {
+	r         io.Reader
+	limiter   *heldBytes
+	reserved  int64 // bytes reserved for this body
+	read      int64
+	exhausted bool // the limit was reached
 }
 
 // Read implements io.Reader. It fails with io.ErrShortBuffer when the limit is reached.
-func (r *heldReader) Read(p []byte) (int, error) {
-	for r.taken-r.read < int64(len(p)) {
-		if !r.held.take(bodyStep) {
-			r.full = true
+func (r *reservingReader) Read(p []byte) (int, error) {
+	for r.reserved-r.read < int64(len(p)) {
+		if !r.limiter.reserve(reserveStep) {
+			r.exhausted = true
 			return 0, io.ErrShortBuffer
 		}
-		r.taken += bodyStep
+		r.reserved += reserveStep
 	}
 	n, err := r.r.Read(p)
 	r.read += int64(n)
--- a/gateway/identify.go
+++ b/gateway/identify.go
@@ -10,26 +10,26 @@
 const (
 	headerAuthorization = "Authorization"
 	headerAuthenticate  = "Www-Authenticate"
-	// keySlack is subtracted from the bound on the age of keys. The age of what another
-	// gateway has read is derived from the smaller delay of two successive messages, which
-	// are one waiting read apart. If both were held up until the same moment, the age is
-	// wrong by the time of that read.
-	keySlack = configWait + 100*time.Millisecond
+	// keyAgeMargin is subtracted from the bound on the age of keys. The age of what
+	// another gateway has read is derived from the smaller delay of two successive
+	// messages, which are one waiting read apart. If both were held up until the same
+	// moment, the age is wrong by the time of that read.
+	keyAgeMargin = configWait + 100*time.Millisecond
 )
 
-// identify finds the team whose API key the request carries. It reports false after it has
-// answered the request: with 401 if the key is missing or not valid, and with a refusal if
-// the keys known here are too old, so that one may have been revoked for longer than
-// KeyBound.
-func (x *exchange) identify(rs *routes, known time.Time) bool {
-	x.keyed = rs.table.Keyed
+// authenticate finds the team whose API key the request carries. It reports false after
+// it has answered the request: with 401 if the key is missing or not valid, and with a
+// refusal if the keys known here are too old, so that one may have been revoked for
+// longer than KeyBound.
+func (x *exchange) authenticate(rs *routes, known time.Time) bool {
+	x.teamsConfigured = rs.table.Keyed
 	x.routeLevels = rs.levels
-	if !x.keyed || x.route.Public {
+	if !x.teamsConfigured || x.route.Public {
 		return true
 	}
-	if !x.g.keysHold(x.arrived, known) {
+	if !x.g.keysFresh(x.arrived, known) {
 		x.g.metrics.staleKeys.Inc(1)
-		x.refuse(wardturn.ReasonStaleConfig, unreadyPause, "keys_known_ago", x.arrived.Sub(known))
+		x.refuse(wardturn.ReasonStaleConfig, unreadyRetryAfter, "keys_known_ago", x.arrived.Sub(known))
 		return false
 	}
 	why := ""
@@ -42,12 +42,12 @@
 	return true
 }
 
-// keysHold reports whether a request that arrived at a time may run with the keys that
+// keysFresh reports whether a request that arrived at a time may run with the keys that
 // were current at the time known. A key that was revoked after that may still be used for
 // requests sent up to KeyBound later. The request was sent before it arrived, so the check
 // holds however long it waits afterwards, also on a host that froze in between.
-func (g *Gateway) keysHold(arrived, known time.Time) bool {
-	return g.cfg.KeyBound <= 0 || arrived.Sub(known) <= g.cfg.KeyBound-keySlack
+func (g *Gateway) keysFresh(arrived, known time.Time) bool {
+	return g.cfg.KeyBound <= 0 || arrived.Sub(known) <= g.cfg.KeyBound-keyAgeMargin
 }
 
 // teamOf returns the team of the API key in a request's headers, or why there is none.
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -20,29 +20,29 @@
 	"wardturn/standin"
 )
 
-// channel is a caller's persistent connection.
-type channel struct {
+// callerConn is a caller's persistent connection.
+type callerConn struct {
 	net.Conn
 	br *bufio.Reader
 }
 
-func openChannel(front string) *channel {
+func openCallerConn(front string) *callerConn {
 	nc, err := net.Dial("tcp", strings.TrimPrefix(front, "http://"))
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(nc.Close)
 	Expect(nc.SetDeadline(time.Now().Add(2 * soon))).To(Succeed())
-	return &channel{
+	return &callerConn{
 		Conn: nc,
 		br:   bufio.NewReader(nc),
 	}
 }
 
-func (c *channel) ask(path, model string) {
+func (c *callerConn) sendRequest(path, model string) {
 	_, err := fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h.example\r\nX-Wardturn-Attempt-Id: kept-%d\r\nX-Wardturn-Model: %s\r\nX-Wardturn-Deadline-Ms: 3000\r\nContent-Length: 6\r\n\r\nprompt", path, attempts.Add(1), model)
 	Expect(err).NotTo(HaveOccurred())
 }
 
-func (c *channel) answer() reply {
+func (c *callerConn) readResponse() reply {
 	res, err := http.ReadResponse(c.br, nil)
 	Expect(err).NotTo(HaveOccurred())
 	if res.Close { // net/http removes the header
@@ -58,7 +58,7 @@
 }
 
 // closed reports whether the gateway has closed the connection.
-func (c *channel) closed() bool {
+func (c *callerConn) closed() bool {
 	Expect(c.SetReadDeadline(time.Now().Add(often))).To(Succeed())
 	_, err := c.br.Peek(1)
 	Expect(c.SetReadDeadline(time.Now().Add(2 * soon))).To(Succeed())
@@ -96,21 +96,21 @@
 		res.Body.Close()
 		Expect(res.StatusCode).To(Equal(http.StatusServiceUnavailable))
 	}
-	usedChannel := func() *channel {
-		c := openChannel(x.front)
-		c.ask("/charge/", "")
-		Expect(c.answer().status).To(Equal(http.StatusOK))
+	usedChannel := func() *callerConn {
+		c := openCallerConn(x.front)
+		c.sendRequest("/charge/", "")
+		Expect(c.readResponse().status).To(Equal(http.StatusOK))
 		return c
 	}
 
 	It("serves persistent connections after the readiness check has failed", func() {
 		first, second := usedChannel(), usedChannel()
 		leave()
-		for _, c := range []*channel{first, second} {
+		for _, c := range []*callerConn{first, second} {
 			balancerAsks()
 			Consistently(c.closed, 300*time.Millisecond, often).Should(BeFalse())
-			c.ask("/charge/", "")
-			r := c.answer()
+			c.sendRequest("/charge/", "")
+			r := c.readResponse()
 			Expect(r.status).To(Equal(http.StatusOK))
 			Expect(r.header.Get("Connection")).To(Equal("close"))
 		}
@@ -122,16 +122,16 @@
 				Linger: 600 * time.Millisecond,
 			})
 		}
-		c := openChannel(x.front)
-		c.ask("/ask/x", "m0/a1")
+		c := openCallerConn(x.front)
+		c.sendRequest("/ask/x", "m0/a1")
 		_, err := c.br.Peek(1)
 		Expect(err).NotTo(HaveOccurred())
 		rests := usedChannel()
 		leave()
 		Eventually(rests.closed, soon, often).Should(BeTrue())
 		Expect(left).NotTo(BeClosed())
-		r := c.answer()
+		r := c.readResponse()
 		Expect(r.err).NotTo(HaveOccurred())
-		Expect(r.body).To(Equal(wholeStream))
+		Expect(r.body).To(Equal(completeStream))
 	})
 })
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -9,12 +9,12 @@
 const (
 	// rememberEvery is the least time between two writes of the fleet facts to the store.
 	rememberEvery = 10 * time.Second
-	// rememberChange is the fraction by which a fact must have changed to be written again.
-	rememberChange = 0.25
-	// recallTries is the number of attempts to read the record; without it the facts are
-	// learned anew.
-	recallTries = 3
-	recallPause = 300 * time.Millisecond
+	// saveThreshold is the fraction by which a fact must have changed to be written again.
+	saveThreshold = 0.25
+	// restoreAttempts is the number of attempts to read the record; without it the facts
+	// are learned anew.
+	restoreAttempts      = 3
+	restoreRetryInterval = 300 * time.Millisecond
 )
 
 // recallFleet restores what earlier gateways knew about the fleet from the store. After a
@@ -23,7 +23,7 @@
 // gateways a new one knows its share of usage caps before it has received messages of the
 // others.
 func (g *Gateway) recallFleet() {
-	for range recallTries {
+	for range restoreAttempts {
 		facts, err := g.memory.RecallFleet()
 		if err == nil {
 			g.mu.Lock()
@@ -36,7 +36,7 @@
 			return
 		}
 		g.logger.Warn("failed to read the window of loads from the store", "error", err)
-		if !g.tasks.Pause(recallPause) {
+		if !g.tasks.Pause(restoreRetryInterval) {
 			return
 		}
 	}
@@ -57,11 +57,11 @@
 	if window, learned := g.fleet.LearnedWindow(); learned {
 		facts.Window = window
 	}
-	if n := g.fleet.CountedGateways(); n > 0 && g.sharesByNumber() {
+	if n := g.fleet.CountedGateways(); n > 0 && g.dividesByGateways() {
 		facts.Gateways = n
 	}
 	g.mu.Unlock()
-	if !changedMuch(facts.Window, g.remembered.Window) && !changedMuch(facts.Gateways, g.remembered.Gateways) {
+	if !changedSignificantly(facts.Window, g.remembered.Window) && !changedSignificantly(facts.Gateways, g.remembered.Gateways) {
 		return
 	}
 	if err := g.memory.RememberFleet(facts); err != nil {
@@ -72,10 +72,10 @@
 	g.logger.Info("window of loads remembered", "window", facts.Window, "gateways", facts.Gateways)
 }
 
-// sharesByNumber reports whether the gateways divide something by their number from their
-// start on: usage caps of teams, or the request rate of cold upstreams. Otherwise the number
-// of gateways is not worth a call to the store.
-func (g *Gateway) sharesByNumber() bool {
+// dividesByGateways reports whether the gateways divide something by their number from
+// their start on: usage caps of teams, or the request rate of cold upstreams. Otherwise
+// the number of gateways is not worth a call to the store.
+func (g *Gateway) dividesByGateways() bool {
 	rs := g.routes.Load()
 	if rs == nil {
 		return false
@@ -95,8 +95,9 @@
 	return rs != nil && rs.table.Keyed
 }
 
-// changedMuch reports whether a fact has changed enough to be written to the store.
-func changedMuch(now, before int) bool {
+// changedSignificantly reports whether a fact has changed enough to be written to the
+// store.
+func changedSignificantly(now, before int) bool {
 	change := max(now-before, before-now)
-	return float64(change) > rememberChange*float64(before)
+	return float64(change) > saveThreshold*float64(before)
 }
--- a/gateway/misplaced_test.go
+++ b/gateway/misplaced_test.go
@@ -18,8 +18,8 @@
 	noID     = ": event %d\n" // a comment line in place of the id line
 )
 
-// bothHold waits until the adapter is loaded and sets the faults of both engines.
-func (x *rig) bothHold(f standin.WorkerFaults) {
+// loadAndSetFaults waits until the adapter is loaded and sets the faults of both engines.
+func (x *rig) loadAndSetFaults(f standin.WorkerFaults) {
 	Eventually(func() bool {
 		x.get("hold", "/resume/x", "m0/a1")
 		return x.engines[0].Adapters() > 0 || x.engines[1].Adapters() > 0
@@ -29,9 +29,9 @@
 	}
 }
 
-// misplaced returns how often a resumed stream did not continue after the last event, for a
-// reason.
-func (x *rig) misplaced(reason string) int64 {
+// resumeMismatches returns how often a resumed stream did not continue after the last
+// event, for a reason.
+func (x *rig) resumeMismatches(reason string) int64 {
 	for _, c := range x.metrics.Snapshot().Counters() {
 		if c.Name() == "streams_misplaced" && c.Tags()["reason"] == reason {
 			return c.Value()
@@ -68,7 +68,7 @@
 
 	DescribeTable("is complete if the other engine repeats events that were forwarded",
 		func(shift int) {
-			x.bothHold(standin.WorkerFaults{
+			x.loadAndSetFaults(standin.WorkerFaults{
 				CutFresh: 2,
 				Resumed: standin.StreamShape{
 					Shift: shift,
@@ -76,8 +76,8 @@
 			})
 			r := x.get("repeats", "/resume/x", "m0/a1")
 			Expect(r.err).NotTo(HaveOccurred())
-			Expect(r.body).To(Equal(wholeStream))
-			Expect(x.misplaced("repeated")).To(BeEquivalentTo(1))
+			Expect(r.body).To(Equal(completeStream))
+			Expect(x.resumeMismatches("repeated")).To(BeEquivalentTo(1))
 		},
 		Entry("the last one", -1),
 		Entry("all", -2),
@@ -85,7 +85,7 @@
 
 	DescribeTable("is truncated visibly after the last valid event",
 		func(reason string, resumed standin.StreamShape) {
-			x.bothHold(standin.WorkerFaults{
+			x.loadAndSetFaults(standin.WorkerFaults{
 				CutFresh: 2,
 				Resumed:  resumed,
 			})
@@ -93,7 +93,7 @@
 			Expect(r.status).To(Equal(http.StatusOK))
 			Expect(r.err).To(HaveOccurred())
 			Expect(r.body).To(Equal(firstTwo))
-			Expect(x.misplaced(reason)).To(BeEquivalentTo(1))
+			Expect(x.resumeMismatches(reason)).To(BeEquivalentTo(1))
 		},
 		Entry("an event is missing", "missing", standin.StreamShape{
 			Shift: 1,
@@ -116,7 +116,7 @@
 
 	DescribeTable("is not requested if the position to resume from is not known",
 		func(fresh standin.StreamShape) {
-			x.bothHold(standin.WorkerFaults{
+			x.loadAndSetFaults(standin.WorkerFaults{
 				CutFresh: 2,
 				Fresh:    fresh,
 			})
@@ -145,22 +145,22 @@
 	})
 
 	It("continues after the caller's last event", func() {
-		x.bothHold(standin.WorkerFaults{})
+		x.loadAndSetFaults(standin.WorkerFaults{})
 		r := x.resumeFrom("2")
 		Expect(r.err).NotTo(HaveOccurred())
 		Expect(r.body).To(Equal(lastTwo))
 	})
 
 	It("is forwarded unchecked if the id of the caller's last event is not a number", func() {
-		x.bothHold(standin.WorkerFaults{})
+		x.loadAndSetFaults(standin.WorkerFaults{})
 		r := x.resumeFrom("e2")
 		Expect(r.err).NotTo(HaveOccurred())
-		Expect(r.body).To(Equal(wholeStream))
+		Expect(r.body).To(Equal(completeStream))
 	})
 
 	DescribeTable("is truncated before an event that does not follow the caller's last one",
 		func(reason string, shift int) {
-			x.bothHold(standin.WorkerFaults{
+			x.loadAndSetFaults(standin.WorkerFaults{
 				Resumed: standin.StreamShape{
 					Shift: shift,
 				},
@@ -168,14 +168,14 @@
 			r := x.resumeFrom("2")
 			Expect(r.err).To(HaveOccurred())
 			Expect(r.body).To(BeEmpty())
-			Expect(x.misplaced(reason)).To(BeEquivalentTo(2), "both engines are tried")
+			Expect(x.resumeMismatches(reason)).To(BeEquivalentTo(2), "both engines are tried")
 		},
 		Entry("an event is missing", "missing", 1),
 		Entry("it starts over", "other_run", -2),
 	)
 
 	It("is resumed at another engine if the first does not continue after the last event", func() {
-		x.bothHold(standin.WorkerFaults{})
+		x.loadAndSetFaults(standin.WorkerFaults{})
 		tries := 0
 		Eventually(func() int64 { // until the faulty engine was the first to be asked
 			x.engines[tries%2].SetFaults(standin.WorkerFaults{})
@@ -188,7 +188,7 @@
 			r := x.resumeFrom("2")
 			Expect(r.err).NotTo(HaveOccurred())
 			Expect(r.body).To(Equal(lastTwo))
-			return x.misplaced("missing")
+			return x.resumeMismatches("missing")
 		}, soon, often).Should(BeNumerically(">", 0))
 	})
 })
--- a/gateway/notstarted.go
+++ b/gateway/notstarted.go
@@ -12,47 +12,47 @@
 )
 
 var (
-	// errVersionEnded is the cause with which a send is aborted that has not started when
-	// its adapter version is retired.
-	errVersionEnded = errors.New("gateway: adapter version retired")
-	// errContentCrashes is the cause with which a send is aborted that has not started when
-	// it becomes known that requests of the same content crash upstreams.
-	errContentCrashes = errors.New("gateway: requests of this content crash upstreams")
+	// errVersionRetired is the cause with which a send is aborted that has not started
+	// when its adapter version is retired.
+	errVersionRetired = errors.New("gateway: adapter version retired")
+	// errCrashingContent is the cause with which a send is aborted that has not started
+	// when it becomes known that requests of the same content crash upstreams.
+	errCrashingContent = errors.New("gateway: requests of this content crash upstreams")
 )
 
-// notStarted tracks the sends that have not started, as far as the gateway knows. A request
-// may be delayed in the network, in the queue of a slow engine or on a frozen host. Unless
-// it is aborted it may start on an old adapter version after that was retired, or crash one
-// more upstream.
+// notStarted tracks the sends that have not started, as far as the gateway knows. A
+// request may be delayed in the network, in the queue of a slow engine or on a frozen
+// host. Unless it is aborted it may start on an old adapter version after that was
+// retired, or crash one more upstream.
 type notStarted struct {
 	mu    sync.Mutex
-	sends map[*waitingSend]bool
+	sends map[*pendingSend]bool
 }
 
-// waitingSend is a send that is not known to have started.
-type waitingSend struct {
-	attempt  string
-	upstream wardturn.UpstreamID
-	key      wardturn.ModelAdapter
-	version  wardturn.Version // zero: none
-	content  wardturn.ContentID
-	whole    bool // no streamed response: only the upstream's keeper can tell whether it started
-	cancel   context.CancelCauseFunc
+// pendingSend is a send that is not known to have started.
+type pendingSend struct {
+	attempt      string
+	upstream     wardturn.UpstreamID
+	key          wardturn.ModelAdapter
+	version      wardturn.Version // zero: none
+	content      wardturn.ContentID
+	nonStreaming bool // no streamed response: only the upstream's keeper can tell whether it started
+	cancel       context.CancelCauseFunc
 
 	started bool      // the keeper has reported the start
-	until   time.Time // aborted then unless the keeper reports the start; zero: the version is in use
-	ended   bool      // was aborted
+	abortAt time.Time // aborted then unless the keeper reports the start; zero: the version is in use
+	aborted bool      // was aborted
 }
 
 func newNotStarted() *notStarted {
 	return &notStarted{
-		sends: make(map[*waitingSend]bool),
+		sends: make(map[*pendingSend]bool),
 	}
 }
 
 // add tracks a send until remove. The returned context is canceled with the cause if the
 // send is aborted before.
-func (u *notStarted) add(ctx context.Context, s *waitingSend) context.Context {
+func (u *notStarted) add(ctx context.Context, s *pendingSend) context.Context {
 	ctx, s.cancel = context.WithCancelCause(ctx)
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -62,24 +62,24 @@
 
 // remove stops tracking a send that has started or ended, and reports whether it was
 // aborted.
-func (u *notStarted) remove(s *waitingSend) bool {
+func (u *notStarted) remove(s *pendingSend) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	delete(u.sends, s)
-	return s.ended
+	return s.aborted
 }
 
-// breakOffOlder aborts the sends to older versions of an adapter and returns how many. Those
+// abortOlder aborts the sends to older versions of an adapter and returns how many. Those
 // without a streamed response may have started unnoticed: they are aborted startedGrace
 // later, unless their keepers report the start. Their number is returned as unknown.
-func (u *notStarted) breakOffOlder(newer wardturn.AdapterVersion, now time.Time) (n, unknown int) {
-	n = u.breakOff(errVersionEnded, func(s *waitingSend) bool {
+func (u *notStarted) abortOlder(newer wardturn.AdapterVersion, now time.Time) (n, unknown int) {
+	n = u.abort(errVersionRetired, func(s *pendingSend) bool {
 		old := s.version > 0 && s.key == newer.Key() && s.version < newer.Version
-		if !old || !s.whole {
+		if !old || !s.nonStreaming {
 			return old
 		}
-		if !s.started && s.until.IsZero() {
-			s.until = now.Add(startedGrace)
+		if !s.started && s.abortAt.IsZero() {
+			s.abortAt = now.Add(startedGrace)
 			unknown++
 		}
 		return false
@@ -87,21 +87,22 @@
 	return n, unknown
 }
 
-// breakOffDue aborts the sends whose start was not reported in time, and returns how many.
-func (u *notStarted) breakOffDue(now time.Time) int {
-	return u.breakOff(errVersionEnded, func(s *waitingSend) bool {
-		return !s.started && !s.until.IsZero() && !now.Before(s.until)
+// abortOverdue aborts the sends whose start was not reported in time, and returns how
+// many.
+func (u *notStarted) abortOverdue(now time.Time) int {
+	return u.abort(errVersionRetired, func(s *pendingSend) bool {
+		return !s.started && !s.abortAt.IsZero() && !now.Before(s.abortAt)
 	})
 }
 
-// unknown returns the sends to an adapter version whose start only a keeper can report and
-// none has reported yet.
-func (u *notStarted) unknown() []*waitingSend {
+// unconfirmed returns the sends to an adapter version whose start only a keeper can
+// report and none has reported yet.
+func (u *notStarted) unconfirmed() []*pendingSend {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	var list []*waitingSend
+	var list []*pendingSend
 	for s := range u.sends {
-		if s.whole && !s.started && !s.ended && s.version > 0 {
+		if s.nonStreaming && !s.started && !s.aborted && s.version > 0 {
 			list = append(list, s)
 		}
 	}
@@ -119,21 +120,22 @@
 	}
 }
 
-// breakOffContent aborts the sends of requests with the same content, and returns how many.
+// breakOffContent aborts the sends of requests with the same content, and returns how
+// many.
 func (u *notStarted) breakOffContent(content wardturn.ContentID) int {
-	return u.breakOff(errContentCrashes, func(s *waitingSend) bool {
+	return u.abort(errCrashingContent, func(s *pendingSend) bool {
 		return s.content == content
 	})
 }
 
-// breakOff aborts the matching sends with a cause, and returns how many.
-func (u *notStarted) breakOff(why error, match func(*waitingSend) bool) int {
+// abort aborts the matching sends with a cause, and returns how many.
+func (u *notStarted) abort(why error, match func(*pendingSend) bool) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
 	for s := range u.sends {
-		if !s.ended && match(s) {
-			s.ended = true
+		if !s.aborted && match(s) {
+			s.aborted = true
 			s.cancel(why)
 			n++
 		}
--- a/gateway/notstarted_internal_test.go
+++ b/gateway/notstarted_internal_test.go
@@ -9,16 +9,16 @@
 )
 
 // oldSend is a request to version 1 of adapter a at upstream u.
-func oldSend(attempt string, whole bool) *waitingSend {
-	return &waitingSend{
+func oldSend(attempt string, whole bool) *pendingSend {
+	return &pendingSend{
 		attempt:  attempt,
 		upstream: "u",
 		key: wardturn.ModelAdapter{
 			Model:   "m",
 			Adapter: "a",
 		},
-		version: 1,
-		whole:   whole,
+		version:      1,
+		nonStreaming: whole,
 	}
 }
 
@@ -28,7 +28,7 @@
 	Version: 2,
 }
 
-func TestNotStartedEndOfAVersion(t *testing.T) {
+func TestPendingSendsRetiredVersion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := []struct {
 		name  string
@@ -51,15 +51,15 @@
 			if !tt.late {
 				u.markStarted(tt.told, []string{"r"})
 			}
-			u.breakOffOlder(newerVersion, now)
+			u.abortOlder(newerVersion, now)
 			if tt.late {
 				u.markStarted(tt.told, []string{"r"})
 			}
-			u.breakOffDue(now.Add(startedGrace - time.Millisecond))
+			u.abortOverdue(now.Add(startedGrace - time.Millisecond))
 			if tt.whole && ctx.Err() != nil {
 				t.Error("aborted before the keeper could report the start")
 			}
-			u.breakOffDue(now.Add(startedGrace))
+			u.abortOverdue(now.Add(startedGrace))
 			if got := ctx.Err() != nil; got != tt.want {
 				t.Errorf("aborted: %v, want %v", got, tt.want)
 			}
@@ -72,13 +72,13 @@
 
 // Keepers are asked only for sends whose response is not streamed and whose start was not
 // reported.
-func TestNotStartedUnknown(t *testing.T) {
+func TestPendingSendsUnconfirmed(t *testing.T) {
 	u := newNotStarted()
-	for _, s := range []*waitingSend{oldSend("stream", false), oldSend("told", true), oldSend("asked for", true)} {
+	for _, s := range []*pendingSend{oldSend("stream", false), oldSend("told", true), oldSend("asked for", true)} {
 		u.add(context.Background(), s)
 	}
 	u.markStarted("u", []string{"told"})
-	list := u.unknown()
+	list := u.unconfirmed()
 	if len(list) != 1 || list[0].attempt != "asked for" {
 		t.Errorf("got %d sends to ask for, want the one named \"asked for\"", len(list))
 	}
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -9,19 +9,20 @@
 )
 
 // observe processes what the headers of a response say about its upstream, also of
-// responses that are not forwarded. own reports whether it is the response to this request.
-// Any other may be old, so it ends no back-off or limit that the upstream asked for before.
+// responses that are not forwarded. own reports whether it is the response to this
+// request. Any other may be old, so it ends no back-off or limit that the upstream asked
+// for before.
 func (x *exchange) observe(m wardturn.Member, head wardturn.AnswerHead, status int, own bool) {
 	g := x.g
 	for _, name := range head.Unread {
-		if g.unread.first(name) {
+		if g.unread.shouldLog(name) {
 			g.logger.Info("header of upstreams is not read", "header", name, "status", status, "upstream", m.ID)
 		}
 	}
 	id := m.ID
 	if head.Instance != "" && head.Instance != id.Instance() {
 		// Another instance listens at the address.
-		if id, own = g.lifetime(head.Instance), false; id == "" {
+		if id, own = g.upstreamOfInstance(head.Instance), false; id == "" {
 			return
 		}
 	}
@@ -31,9 +32,9 @@
 		})
 	}
 	if head.Rest.Named {
-		g.observeRest(id, head.Rest)
+		g.observeBackoff(id, head.Rest)
 	} else if own && g.rests.Load() {
-		g.rested(id, x.send.sent)
+		g.endBackoff(id, x.send.sent)
 	}
 	if head.Cold.Named && own {
 		g.observeCold(id, head.Cold)
@@ -46,16 +47,16 @@
 	}
 }
 
-// lifetime returns the listed upstream of an instance; empty if none is listed. An
-// instance that restarts is listed as a new upstream.
-func (g *Gateway) lifetime(instance string) wardturn.UpstreamID {
+// upstreamOfInstance returns the listed upstream of an instance; empty if none is listed.
+// An instance that restarts is listed as a new upstream.
+func (g *Gateway) upstreamOfInstance(instance string) wardturn.UpstreamID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fleet.Lifetime(instance)
 }
 
-// observeRest processes a Retry-After: the upstream asks this gateway to back off.
-func (g *Gateway) observeRest(id wardturn.UpstreamID, asked wardturn.Figure[time.Duration]) {
+// observeBackoff processes a Retry-After: the upstream asks this gateway to back off.
+func (g *Gateway) observeBackoff(id wardturn.UpstreamID, asked wardturn.Figure[time.Duration]) {
 	g.rests.Store(true)
 	g.mu.Lock()
 	now := g.clock.Now()
@@ -72,8 +73,8 @@
 	}
 }
 
-// rested records a response without a Retry-After to a request sent at a time.
-func (g *Gateway) rested(id wardturn.UpstreamID, sent time.Time) {
+// endBackoff records a response without a Retry-After to a request sent at a time.
+func (g *Gateway) endBackoff(id wardturn.UpstreamID, sent time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fleet.Rested(id, sent)
@@ -90,8 +91,8 @@
 	g.fleet.SawCold(g.clock.Now(), id, cold.Value)
 }
 
-// maxUnread bounds the header names that are kept as logged.
-const maxUnread = 32
+// maxUnknownHeaders bounds the header names that are kept as logged.
+const maxUnknownHeaders = 32
 
 // unreadHeaders is the set of response headers of upstreams that the gateway does not
 // know and has logged. The zero value is an empty set.
@@ -100,11 +101,11 @@
 	logged map[string]bool
 }
 
-// first reports whether a header has to be logged: once for each name.
-func (u *unreadHeaders) first(name string) bool {
+// shouldLog reports whether a header has to be logged: once for each name.
+func (u *unreadHeaders) shouldLog(name string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.logged[name] || len(u.logged) >= maxUnread {
+	if u.logged[name] || len(u.logged) >= maxUnknownHeaders {
 		return false
 	}
 	if u.logged == nil {
--- a/gateway/old_version_test.go
+++ b/gateway/old_version_test.go
@@ -22,34 +22,34 @@
 // oldVersionLimit.
 const longRoute = `,{"name":"long","host":"h.example","path_prefix":"/long/","type":"streaming","timeout_ms":20000,"slo_ms":1500,"priority":1,"service":"llm","max_attempts":1}`
 
-// longWholeRoute is the same without streamed responses.
-const longWholeRoute = `,{"name":"whole","host":"h.example","path_prefix":"/whole/","type":"idempotent","timeout_ms":20000,"slo_ms":1500,"priority":1,"service":"llm","max_attempts":2}`
+// longBufferedRoute is the same without streamed responses.
+const longBufferedRoute = `,{"name":"whole","host":"h.example","path_prefix":"/whole/","type":"idempotent","timeout_ms":20000,"slo_ms":1500,"priority":1,"service":"llm","max_attempts":2}`
 
 // newOldVersionRig returns a rig with routes for long requests, and an engine that holds
 // version 1 of adapter a1.
 func newOldVersionRig() *rig {
 	x := newRig()
-	x.store.PutConfig(config(2, longRoute+longWholeRoute))
+	x.store.PutConfig(config(2, longRoute+longBufferedRoute))
 	Eventually(func() int {
 		return x.get("first", "/long/x", "m0/a1").status
 	}, soon, often).Should(Equal(http.StatusOK))
 	return x
 }
 
-// nameNewer publishes version 2 of adapter a1.
-func (x *rig) nameNewer() {
+// publishNewer publishes version 2 of adapter a1.
+func (x *rig) publishNewer() {
 	x.store.Put("keyed.op", "version/m0.a1", []byte(`{"model":"m0","adapter":"a1","version":2}`))
 }
 
-// fault sets the faults of both engines.
-func (x *rig) fault(f standin.WorkerFaults) {
+// setFaults sets the faults of both engines.
+func (x *rig) setFaults(f standin.WorkerFaults) {
 	for _, e := range x.engines {
 		e.SetFaults(f)
 	}
 }
 
-// held returns the number of requests that have arrived at the engines and not started.
-func (x *rig) held() int {
+// delayed returns the number of requests that have arrived at the engines and not started.
+func (x *rig) delayed() int {
 	return x.engines[0].Held() + x.engines[1].Held()
 }
 
@@ -87,16 +87,16 @@
 	return got
 }
 
-// expectNoLateBegin delays a request at the engine until after its version is retired, and
+// expectNoLateStart delays a request at the engine until after its version is retired, and
 // expects that it does not run.
-func (x *rig) expectNoLateBegin(id, path string) {
-	x.fault(standin.WorkerFaults{
+func (x *rig) expectNoLateStart(id, path string) {
+	x.setFaults(standin.WorkerFaults{
 		HoldUp:     oldVersionLimit + time.Second,
 		LoseOrders: true, // the newer version is never loaded
 	})
 	ended := x.sendLong(id, path, "m0/a1")
-	Eventually(x.held, soon, often).Should(Equal(1))
-	x.nameNewer()
+	Eventually(x.delayed, soon, often).Should(Equal(1))
+	x.publishNewer()
 	Eventually(ended, 4*soon).Should(Receive())
 	Expect(x.runs(id)).To(Equal(0))
 }
@@ -118,21 +118,21 @@
 var _ = Describe("A request that is delayed on its way to an old version", func() {
 	It("does not start after the version is retired", func() {
 		x := newOldVersionRig()
-		x.expectNoLateBegin("held-up", "/long/x")
+		x.expectNoLateStart("held-up", "/long/x")
 	})
 })
 
 var _ = Describe("A request without a streamed response that is delayed on its way to an old version", func() {
 	It("does not start after the version is retired, if it may run again", func() {
 		x := newOldVersionRig()
-		x.expectNoLateBegin("held-up-whole", "/whole/x")
+		x.expectNoLateStart("held-up-whole", "/whole/x")
 	})
 })
 
-// When a gateway learns of a newer version after the store was unavailable, it cannot tell
-// how long ago that was published, so the time for starts on older ones counts as over. If it
-// aborted the requests that wait at engines then, they would be lost though the version may
-// have been published only just now.
+// When a gateway learns of a newer version after the store was unavailable, it cannot
+// tell how long ago that was published, so the time for starts on older ones counts as
+// over. If it aborted the requests that wait at engines then, they would be lost though
+// the version may have been published only just now.
 var _ = Describe("A request that waits at an engine when a newer version is read from a store that was unavailable", func() {
 	It("is not lost", func() {
 		x := newOldVersionRig()
@@ -140,18 +140,18 @@
 			Away: true,
 		})
 		Eventually(x.configAge, 3*soon, often).Should(BeNumerically(">", oldVersionLimit.Seconds()))
-		x.fault(standin.WorkerFaults{
+		x.setFaults(standin.WorkerFaults{
 			HoldUp:     2 * time.Second, // gateways read again at least once a second
 			LoseOrders: true,
 		})
 		got := x.sendLong("waits-away", "/long/x", "m0/a1")
-		Eventually(x.held, soon, often).Should(Equal(1))
+		Eventually(x.delayed, soon, often).Should(Equal(1))
 		x.store.SetFaults(standin.MetaFaults{})
-		x.nameNewer()
+		x.publishNewer()
 		Eventually(got, 2*soon).Should(Receive(haveStatus(http.StatusOK)))
 		Expect(x.runs("waits-away")).To(Equal(1))
 		// Later requests wait for the newer version.
-		x.fault(standin.WorkerFaults{
+		x.setFaults(standin.WorkerFaults{
 			LoseOrders: true,
 		})
 		r := x.send("POST", "after-away", "/long/x", "m0/a1", "prompt")
@@ -163,7 +163,7 @@
 var _ = Describe("A stream that started on an old version in time", func() {
 	It("continues to its end after the version is retired", func() {
 		x := newOldVersionRig()
-		x.fault(standin.WorkerFaults{
+		x.setFaults(standin.WorkerFaults{
 			Linger:     oldVersionLimit / 2,
 			LoseOrders: true, // the newer version is never loaded
 		})
@@ -171,7 +171,7 @@
 		Eventually(func() int {
 			return x.runs("begun")
 		}, soon, often).Should(Equal(1))
-		x.nameNewer()
+		x.publishNewer()
 		Eventually(got, 4*soon).Should(Receive(haveBody("piece 4")))
 	})
 })
@@ -181,7 +181,7 @@
 var _ = Describe("Engines whose requests were aborted when an old version was retired", func() {
 	It("get other requests at once", func() {
 		x := newOldVersionRig()
-		x.fault(standin.WorkerFaults{
+		x.setFaults(standin.WorkerFaults{
 			HoldUp:     oldVersionLimit + time.Second,
 			LoseOrders: true, // the newer version is never loaded
 		})
@@ -189,13 +189,13 @@
 		for i := range sent {
 			x.sendLong(fmt.Sprint("held-up-", i), "/long/x", "m0/a1")
 		}
-		Eventually(x.held, soon, often).Should(BeNumerically(">", 2))
+		Eventually(x.delayed, soon, often).Should(BeNumerically(">", 2))
 		spread := []int{x.engines[0].Held(), x.engines[1].Held()}
-		x.nameNewer()
-		Eventually(x.held, 4*soon, often).Should(Equal(0))
+		x.publishNewer()
+		Eventually(x.delayed, 4*soon, often).Should(Equal(0))
 		for i, e := range x.engines {
-			// An engine that got none of the requests is full, so that the next ones have to
-			// go to the others.
+			// An engine that got none of the requests is full, so that the next ones have
+			// to go to the others.
 			e.SetFaults(standin.WorkerFaults{
 				Full: spread[i] == 0,
 			})
@@ -215,7 +215,7 @@
 		for _, e := range x.engines {
 			e.Name("a1", 2)
 		}
-		x.nameNewer()
+		x.publishNewer()
 		n := 0
 		Eventually(func() string {
 			n++
@@ -228,7 +228,7 @@
 			}
 			return ""
 		}, soon, often).Should(Equal("2"))
-		x.fault(standin.WorkerFaults{
+		x.setFaults(standin.WorkerFaults{
 			HoldUp: oldVersionLimit,
 		})
 		got := x.sendLong("waits-newest", "/long/x", "m0/a1")
@@ -236,13 +236,13 @@
 	})
 })
 
-// longOnceRoute is a route to engines without streamed responses whose requests may run only
-// once.
+// longOnceRoute is a route to engines without streamed responses whose requests may run
+// only once.
 const longOnceRoute = `,{"name":"once","host":"h.example","path_prefix":"/once/","type":"mutating","timeout_ms":20000,"slo_ms":1500,"priority":1,"service":"llm","max_attempts":1}`
 
-// Without a streamed response a gateway cannot tell a request that is delayed from one that
-// runs, and must not lose the response of one that runs. The engine's report names the
-// requests that run there.
+// Without a streamed response a gateway cannot tell a request that is delayed from one
+// that runs, and must not lose the response of one that runs. The engine's report names
+// the requests that run there.
 var _ = Describe("A request without a streamed response that may run only once and is delayed on its way to an old version", func() {
 	It("does not start after the version is retired", func() {
 		x := newOldVersionRig()
@@ -250,6 +250,6 @@
 		Eventually(func() int {
 			return x.get("first-once", "/once/x", "m0/a1").status
 		}, soon, often).Should(Equal(http.StatusOK))
-		x.expectNoLateBegin("held-up-once", "/once/x")
+		x.expectNoLateStart("held-up-once", "/once/x")
 	})
 })
--- a/gateway/oldversion.go
+++ b/gateway/oldversion.go
@@ -4,42 +4,42 @@
 	"context"
 )
 
-// watchBegin has the send aborted if, before it starts, its adapter version is retired or
+// watchStart has the send aborted if, before it starts, its adapter version is retired or
 // requests of its content turn out to crash upstreams; stop ends the watch. It reports
-// false if the version is retired already. A streamed response shows the start by its first
-// bytes; any other start is visible only to the keeper beside the engine.
-func (x *exchange) watchBegin(ctx context.Context, a assignment) (watched context.Context, stop func(), ok bool) {
-	x.waiting = &waitingSend{
-		attempt:  x.attempt,
-		upstream: a.Member.ID,
-		key:      x.key,
-		version:  a.Version,
-		content:  x.content,
-		whole:    !x.route.Streaming,
+// false if the version is retired already. A streamed response shows the start by its
+// first bytes; any other start is visible only to the keeper beside the engine.
+func (x *exchange) watchStart(ctx context.Context, a assignment) (watched context.Context, stop func(), ok bool) {
+	x.pending = &pendingSend{
+		attempt:      x.attempt,
+		upstream:     a.Member.ID,
+		key:          x.key,
+		version:      a.Version,
+		content:      x.content,
+		nonStreaming: !x.route.Streaming,
 	}
-	ctx = x.g.notStarted.add(ctx, x.waiting)
-	// The send is added before the check, so that a version that is retired after the check
-	// aborts it.
+	ctx = x.g.notStarted.add(ctx, x.pending)
+	// The send is added before the check, so that a version that is retired after the
+	// check aborts it.
 	return ctx, x.unwatch, a.Version == 0 || x.g.versionServes(x.key, a.Version)
 }
 
 // unwatch records that the latest send has started or ended.
 func (x *exchange) unwatch() {
-	if x.waiting != nil {
-		x.send.brokenOff = x.g.notStarted.remove(x.waiting)
-		x.waiting = nil
+	if x.pending != nil {
+		x.send.brokenOff = x.g.notStarted.remove(x.pending)
+		x.pending = nil
 	}
 }
 
-// noteOldVersion logs a send whose adapter version had been superseded before the send
+// logOldVersion logs a send whose adapter version had been superseded before the send
 // started, with how long after this gateway learned of the newer version it was sent and
 // started.
-func (x *exchange) noteOldVersion(a assignment) {
+func (x *exchange) logOldVersion(a assignment) {
 	if a.Version == 0 || x.send.sent.IsZero() {
 		return
 	}
 	newer, named, ok := x.g.superseded(x.key, a.Version)
-	began := x.send.began
+	began := x.send.firstByte
 	if !ok || !began.IsZero() && !began.After(named) {
 		return
 	}
--- a/gateway/oldversion_internal_test.go
+++ b/gateway/oldversion_internal_test.go
@@ -12,7 +12,7 @@
 
 // The process may be suspended between the choice of an engine and the send. Its adapter
 // version may then be retired before the send is tracked, so that nothing aborts it.
-func TestWatchBeginRefusesAnEndedVersion(t *testing.T) {
+func TestWatchStartRefusesRetiredVersion(t *testing.T) {
 	g := &Gateway{
 		clock:      process.Clock{},
 		notStarted: newNotStarted(),
@@ -36,7 +36,7 @@
 	}
 	check := func(when string, want bool) {
 		t.Helper()
-		_, stop, ok := x.watchBegin(context.Background(), old)
+		_, stop, ok := x.watchStart(context.Background(), old)
 		stop()
 		if ok != want {
 			t.Errorf("%s: may be sent %t, want %t", when, ok, want)
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -16,12 +16,13 @@
 	// received: a line for each route that had any. A gateway that is killed loses the
 	// counts of one interval.
 	promptsEvery = 5 * time.Second
-	// promptSteps is the number of buckets in each doubling of the size. With eight, the
+	// promptBuckets is the number of buckets in each doubling of the size. With eight, the
 	// lower bound of a bucket is at most an eighth below the sizes in it.
-	promptSteps = 8
-	// promptRoutes bounds the routes that are counted in an interval, and so the memory and
-	// the log lines: the log takes 20 lines of one message at once and drops the others.
-	promptRoutes = 20
+	promptBuckets = 8
+	// maxPromptRoutes bounds the routes that are counted in an interval, and so the
+	// memory and the log lines: the log takes 20 lines of one message at once and drops
+	// the others.
+	maxPromptRoutes = 20
 )
 
 // prompts counts the requests of each route by prompt size since they were logged last.
@@ -47,17 +48,17 @@
 	defer p.mu.Unlock()
 	sizes := p.routes[route]
 	if sizes == nil {
-		if len(p.routes) >= promptRoutes {
+		if len(p.routes) >= maxPromptRoutes {
 			return
 		}
 		sizes = make(map[int]int)
 		p.routes[route] = sizes
 	}
-	sizes[promptStep(int(prompt))]++
+	sizes[promptBucket(int(prompt))]++
 }
 
-// take returns the counts and resets them.
-func (p *prompts) take() map[string]map[int]int {
+// reset returns the counts and resets them.
+func (p *prompts) reset() map[string]map[int]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	routes := p.routes
@@ -65,21 +66,21 @@
 	return routes
 }
 
-// promptStep returns the lower bound of the bucket in which a size is counted.
-func promptStep(size int) int {
-	width := max(1, 1<<(bits.Len(uint(size))-1)/promptSteps)
+// promptBucket returns the lower bound of the bucket in which a size is counted.
+func promptBucket(size int) int {
+	width := max(1, 1<<(bits.Len(uint(size))-1)/promptBuckets)
 	return size / width * width
 }
 
 // logPrompts logs the counts since they were logged last.
 func (g *Gateway) logPrompts() {
-	for route, sizes := range g.prompts.take() {
-		g.logger.Info("prompts of a route", "route", route, "sizes", promptSizes(sizes))
+	for route, sizes := range g.prompts.reset() {
+		g.logger.Info("prompts of a route", "route", route, "sizes", formatPromptCounts(sizes))
 	}
 }
 
-// promptSizes formats sizes and their counts as SIZE:COUNT, joined by commas.
-func promptSizes(sizes map[int]int) string {
+// formatPromptCounts formats sizes and their counts as SIZE:COUNT, joined by commas.
+func formatPromptCounts(sizes map[int]int) string {
 	list := make([]int, 0, len(sizes))
 	for size := range sizes {
 		list = append(list, size)
--- a/gateway/prompts_internal_test.go
+++ b/gateway/prompts_internal_test.go
@@ -12,17 +12,17 @@
 var _ = Describe("Counts of prompt sizes", func() {
 	It("have buckets that start at most an eighth below their sizes", func() {
 		for _, size := range []int{1, 2, 3, 7, 8, 9, 15, 16, 17, 100, 1023, 1024, 1025, 9153, 39600, 1 << 30} {
-			step := promptStep(size)
+			step := promptBucket(size)
 			Expect(step).To(BeNumerically("<=", size), "%d", size)
 			Expect(size-step).To(BeNumerically("<=", size/8), "%d", size)
-			Expect(promptStep(step)).To(Equal(step), "%d", size)
+			Expect(promptBucket(step)).To(Equal(step), "%d", size)
 		}
 	})
 
 	It("have buckets that rise with the size", func() {
 		last := 0
 		for size := 1; size < 5000; size++ {
-			step := promptStep(size)
+			step := promptBucket(size)
 			Expect(step).To(BeNumerically(">=", last), "%d", size)
 			last = step
 		}
@@ -34,17 +34,17 @@
 			p.add("r", size)
 		}
 		p.add("plain", 0)
-		got := p.take()
+		got := p.reset()
 		Expect(got).To(HaveLen(1))
-		Expect(promptSizes(got["r"])).To(Equal("3:1,640:1,8192:2"))
-		Expect(p.take()).To(BeEmpty())
+		Expect(formatPromptCounts(got["r"])).To(Equal("3:1,640:1,8192:2"))
+		Expect(p.reset()).To(BeEmpty())
 	})
 
 	It("hold a bounded number of routes", func() {
 		p := newPrompts()
-		for i := range 3 * promptRoutes {
+		for i := range 3 * maxPromptRoutes {
 			p.add(fmt.Sprint(i), 100)
 		}
-		Expect(p.take()).To(HaveLen(promptRoutes))
+		Expect(p.reset()).To(HaveLen(maxPromptRoutes))
 	})
 })
--- a/gateway/prompts_test.go
+++ b/gateway/prompts_test.go
@@ -13,26 +13,27 @@
 	"wardturn/standin"
 )
 
-// logText is a buffer for logs that may be read while it is written.
-type logText struct {
+// logBuffer is a buffer for logs that may be read while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logText) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// ask sends a request that states the size of its prompt, and returns the response's status.
-func (x *rig) ask(id, model, tokens string) int {
+// sendPrompt sends a request that states the size of its prompt, and returns the
+// response's status.
+func (x *rig) sendPrompt(id, model, tokens string) int {
 	req, err := http.NewRequest(http.MethodPost, x.front+"/ask/x", strings.NewReader("prompt"))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "h.example"
@@ -49,13 +50,13 @@
 var _ = Describe("Log lines about prompt sizes", func() {
 	It("show the size of a refused request and of those that were served", func() {
 		x := newRig()
-		Expect(x.ask("in-time", "m0", "700,80")).To(Equal(http.StatusOK))
+		Expect(x.sendPrompt("in-time", "m0", "700,80")).To(Equal(http.StatusOK))
 		for _, e := range x.engines {
 			e.SetFaults(standin.WorkerFaults{
 				LoseOrders: true, // the adapter is never loaded
 			})
 		}
-		Expect(x.ask("lost", "m0/a1", "9153,80")).To(Equal(http.StatusServiceUnavailable))
+		Expect(x.sendPrompt("lost", "m0/a1", "9153,80")).To(Equal(http.StatusServiceUnavailable))
 		Expect(x.log.String()).To(MatchRegexp(`refused: id=lost reason=adapter_loading .* route=ask prompt=9153`))
 
 		x.gateway.Leave(context.Background())
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -17,7 +17,7 @@
 	known := x.g.news.configKnown()
 	rs := x.g.routes.Load()
 	if rs == nil {
-		x.refuse(wardturn.ReasonStaleConfig, unreadyPause)
+		x.refuse(wardturn.ReasonStaleConfig, unreadyRetryAfter)
 		return false
 	}
 	x.route = rs.find(x.r.Host, x.r.URL.EscapedPath())
@@ -29,7 +29,7 @@
 		x.fail(http.StatusBadRequest, "no attempt id")
 		return false
 	}
-	if !x.identify(rs, known) {
+	if !x.authenticate(rs, known) {
 		return false
 	}
 	x.regions = x.route.Regions
@@ -46,7 +46,7 @@
 	if n, err := strconv.Atoi(x.r.Header.Get(x.g.names.DeadlineMS)); err == nil && n > 0 {
 		timeout = min(timeout, time.Duration(n)*time.Millisecond)
 	}
-	x.end = x.arrived.Add(timeout)
+	x.deadline = x.arrived.Add(timeout)
 	if x.route.Resumable {
 		x.events.startAfter(x.r.Header.Get(x.g.names.LastEvent))
 	}
@@ -79,10 +79,10 @@
 	if x.r.ContentLength == 0 {
 		return true
 	}
-	body, full, err := x.readHeld(limit)
+	body, full, err := x.bufferBody(limit)
 	if full {
 		x.w.Header().Set("Connection", "close") // the rest of the body stays unread
-		x.refuse(wardturn.ReasonQueueFull, unreadyPause, "held", x.g.held.held.Load())
+		x.refuse(wardturn.ReasonQueueFull, unreadyRetryAfter, "held", x.g.held.reserved.Load())
 		return false
 	}
 	if err != nil {
@@ -96,30 +96,30 @@
 	return true
 }
 
-// readHeld reads the body up to a limit and reserves buffer space for it; full reports that
-// no space is left.
-func (x *exchange) readHeld(limit int64) (body []byte, full bool, err error) {
+// bufferBody reads the body up to a limit and reserves buffer space for it; full reports
+// that no space is left.
+func (x *exchange) bufferBody(limit int64) (body []byte, full bool, err error) {
 	if n := x.r.ContentLength; n > 0 {
-		if !x.g.held.take(n) {
+		if !x.g.held.reserve(n) {
 			return nil, true, nil
 		}
-		x.heldBody = n
+		x.reservedBody = n
 		body = make([]byte, n)
 		_, err = io.ReadFull(x.r.Body, body)
 		return body, false, err
 	}
-	r := &heldReader{
-		r:    io.LimitReader(x.r.Body, limit+1),
-		held: &x.g.held,
+	r := &reservingReader{
+		r:       io.LimitReader(x.r.Body, limit+1),
+		limiter: &x.g.held,
 	}
 	body, err = io.ReadAll(r)
-	x.heldBody = r.taken
-	return body, r.full, err
+	x.reservedBody = r.reserved
+	return body, r.exhausted, err
 }
 
-// name computes the id of the request's content, by which logs and decisions recognize the
-// request when it comes again as another attempt.
-func (x *exchange) name() {
+// identifyContent computes the id of the request's content, by which logs and decisions
+// recognize the request when it comes again as another attempt.
+func (x *exchange) identifyContent() {
 	c := wardturn.Content{
 		Method:  x.r.Method,
 		Host:    x.r.Host,
--- a/gateway/resume_test.go
+++ b/gateway/resume_test.go
@@ -34,6 +34,6 @@
 		r := x.send("POST", id, "/resume/x", "m0/a1", "prompt")
 		Expect(r.err).NotTo(HaveOccurred())
 		Expect(x.runs(id)).To(Equal(2))
-		Expect(r.body).To(Equal(wholeStream))
+		Expect(r.body).To(Equal(completeStream))
 	})
 })
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -39,8 +39,8 @@
 // unavailable.
 const lapseGrace = 900 * time.Millisecond
 
-// testLogger returns a logger that writes to GinkgoWriter, which shows the lines if the test
-// fails, and to others.
+// testLogger returns a logger that writes to GinkgoWriter, which shows the lines if the
+// test fails, and to others.
 func testLogger(name string, others ...io.Writer) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{
 		Name:       name,
@@ -50,8 +50,8 @@
 	})
 }
 
-// rigHeld is how many bytes of request bodies a gateway of a rig buffers at once.
-const rigHeld = 256 << 10
+// rigMaxBuffered is how many bytes of request bodies a gateway of a rig buffers at once.
+const rigMaxBuffered = 256 << 10
 
 // rig is a gateway with a store, two engines with keepers and two application
 // workers, all in this process on loopback addresses.
@@ -71,7 +71,7 @@
 	domain    wardturn.FailureDomain // of gateways that are started
 	metrics   tally.TestScope
 	client    *http.Client
-	log       *logText // of gateways
+	log       *logBuffer // of gateways
 	// leaveAfter is how long gateways that are started accept requests after they begin to
 	// leave.
 	leaveAfter time.Duration
@@ -187,14 +187,14 @@
 	return newRigIn("d", "d")
 }
 
-// newRigIn returns a rig whose two engines are in the given failure domains. The gateway is
-// in domain d.
+// newRigIn returns a rig whose two engines are in the given failure domains. The gateway
+// is in domain d.
 func newRigIn(domains ...string) *rig {
 	return newRigDraining(500*time.Millisecond, domains...)
 }
 
-// newRigDraining is newRigIn with another drain time, in which a leaving upstream may still
-// get new requests. Gateways read the list of upstreams twice in that time.
+// newRigDraining is newRigIn with another drain time, in which a leaving upstream may
+// still get new requests. Gateways read the list of upstreams twice in that time.
 func newRigDraining(drain time.Duration, domains ...string) *rig {
 	x := &rig{
 		drain:      drain,
@@ -204,7 +204,7 @@
 		addrs:      make(map[*standin.ModelWorker]string),
 		metrics:    newTestScope(),
 		leaveAfter: 50 * time.Millisecond,
-		log:        &logText{},
+		log:        &logBuffer{},
 		client: &http.Client{
 			Timeout:   soon,
 			Transport: &http.Transport{},
@@ -263,7 +263,7 @@
 			Drain:       x.drain,
 			LapseGrace:  lapseGrace,
 			MaxBody:     1 << 20,
-			MaxHeld:     rigHeld,
+			MaxHeld:     rigMaxBuffered,
 			RetryShare:  0.2,
 			RetryExtra:  52,
 			RetryWindow: 10 * time.Second,
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -19,11 +19,12 @@
 	errNotSent = errors.New("gateway: request not sent")
 	// errRefused marks a refused connection: nothing listens at the address.
 	errRefused = errors.New("gateway: connection refused")
-	// errWithdrawn is returned if the upstream stopped accepting requests after it was
+	// errNotAccepting is returned if the upstream stopped accepting requests after it was
 	// chosen.
-	errWithdrawn = errors.New("gateway: upstream no longer accepts requests")
-	// errStrangers is returned if an upstream sends only responses to other requests.
-	errStrangers = errors.New("gateway: upstream sent only responses to other requests")
+	errNotAccepting = errors.New("gateway: upstream no longer accepts requests")
+	// errForeignResponses is returned if an upstream sends only responses to other
+	// requests.
+	errForeignResponses = errors.New("gateway: upstream sent only responses to other requests")
 )
 
 // hopHeaders are the hop-by-hop headers, which are not forwarded. Expect is among them
@@ -39,9 +40,9 @@
 	"Upgrade",
 }
 
-// answer is a response of an upstream whose headers were read. The body is read from
+// response is a response of an upstream whose headers were read. The body is read from
 // res.Body; after that, release or discard must be called to free the connection.
-type answer struct {
+type response struct {
 	conn *upstreamConn
 	res  *http.Response
 	head wardturn.AnswerHead
@@ -51,7 +52,7 @@
 
 // send sends a request to an upstream and reads the response's headers. The connection is
 // aborted when ctx ends.
-func (g *Gateway) send(ctx context.Context, x *exchange, a wardturn.Member, head []byte) (*answer, error) {
+func (g *Gateway) send(ctx context.Context, x *exchange, a wardturn.Member, head []byte) (*response, error) {
 	c, err := g.pool.get(ctx, a.Addr)
 	if err != nil {
 		err = errors.Mark(err, errNotSent)
@@ -63,11 +64,11 @@
 	// Checked only after the dial, which may take as long as the time in which a leaving
 	// upstream may still get new requests.
 	if !g.takes(a) {
-		c.keep(g.pool)
-		return nil, errWithdrawn
+		c.returnUnused(g.pool)
+		return nil, errNotAccepting
 	}
 	stop := context.AfterFunc(ctx, c.abort)
-	ans, err := x.converse(c, a, head)
+	ans, err := x.roundTrip(c, a, head)
 	if err != nil {
 		stop()
 		c.abort()
@@ -77,9 +78,9 @@
 	return ans, nil
 }
 
-// converse writes the request and reads the headers of its response. Responses to other
+// roundTrip writes the request and reads the headers of its response. Responses to other
 // requests, which a faulty upstream may send late, are skipped.
-func (x *exchange) converse(c *upstreamConn, m wardturn.Member, request []byte) (*answer, error) {
+func (x *exchange) roundTrip(c *upstreamConn, m wardturn.Member, request []byte) (*response, error) {
 	n, err := c.Write(request)
 	if err != nil && n == 0 {
 		return nil, errors.Mark(errors.Wrap(err, "send"), errNotSent)
@@ -90,7 +91,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "send")
 	}
-	for range maxStrangers {
+	for range maxForeignResponses {
 		res, err := http.ReadResponse(c.br, x.r)
 		if err != nil {
 			return nil, errors.Wrap(err, "answer")
@@ -99,7 +100,7 @@
 		own := res.StatusCode >= http.StatusOK && head.Attempt == x.attempt
 		x.observe(m, head, res.StatusCode, own)
 		if own {
-			return &answer{
+			return &response{
 				conn: c,
 				res:  res,
 				head: head,
@@ -114,13 +115,13 @@
 			return nil, errors.Wrap(err, "answer to another request")
 		}
 	}
-	return nil, errStrangers
+	return nil, errForeignResponses
 }
 
-// release ends the use of a response that was read completely. It returns the connection to
-// the pool if that can be reused, or closes it.
-func (a *answer) release() {
-	keep := keepTime(a.res)
+// release ends the use of a response that was read completely. It returns the connection
+// to the pool if that can be reused, or closes it.
+func (a *response) release() {
+	keep := idleTimeAfter(a.res)
 	if !a.stop() || keep <= 0 || a.conn.br.Buffered() > 0 {
 		a.conn.Close()
 		return
@@ -129,13 +130,13 @@
 }
 
 // discard aborts the connection of a response whose rest is not needed.
-func (a *answer) discard() {
+func (a *response) discard() {
 	a.stop()
 	a.conn.abort()
 }
 
-// head returns the request line and the headers that are sent to an upstream.
-func (x *exchange) head(a assignment, left time.Duration) []byte {
+// encodeHeader returns the request line and the headers that are sent to an upstream.
+func (x *exchange) encodeHeader(a assignment, left time.Duration) []byte {
 	n := x.g.names
 	b := make([]byte, 0, headSize)
 	b = append(b, x.r.Method...)
@@ -144,7 +145,7 @@
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = appendHeader(b, "Host", x.r.Host)
 	for name, values := range x.r.Header {
-		if slices.Contains(hopHeaders, name) || x.replaced(name) {
+		if slices.Contains(hopHeaders, name) || x.stripsHeader(name) {
 			continue
 		}
 		for _, v := range values {
@@ -176,9 +177,9 @@
 	maxPriority = 9 // the least urgent that upstreams accept
 )
 
-// replaced reports whether a header of the caller is not forwarded, because the gateway
-// sets it itself or callers may not send it.
-func (x *exchange) replaced(name string) bool {
+// stripsHeader reports whether a header of the caller is not forwarded, because the
+// gateway sets it itself or callers may not send it.
+func (x *exchange) stripsHeader(name string) bool {
 	n := x.g.names
 	switch name {
 	case "Content-Length", http.CanonicalHeaderKey(n.DeadlineMS), http.CanonicalHeaderKey(n.ExpectInstance):
@@ -186,7 +187,7 @@
 	case http.CanonicalHeaderKey(n.ExpectVersion), http.CanonicalHeaderKey(n.Priority), http.CanonicalHeaderKey(n.Team):
 		return true
 	case headerAuthorization:
-		return x.keyed
+		return x.teamsConfigured
 	case http.CanonicalHeaderKey(n.LastEvent):
 		return x.events.last != ""
 	}
--- a/gateway/slowcaller_internal_test.go
+++ b/gateway/slowcaller_internal_test.go
@@ -11,18 +11,18 @@
 // a fault of the upstream.
 func TestEndingOfUnreadAnswers(t *testing.T) {
 	for write, want := range map[time.Duration]decide.Ending{
-		unreadTime / 4: decide.EndedBroken,
-		unreadTime:     decide.EndedUnseen,
+		slowWriteTime / 4: decide.EndedBroken,
+		slowWriteTime:     decide.EndedUnseen,
 	} {
 		x := &exchange{
 			timing: timing{
-				write: write,
+				maxWrite: write,
 			},
 		}
 		if got := x.ending(cut); got != want {
 			t.Errorf("cut after a write to the caller took %v: ending %v, want %v", write, got, want)
 		}
-		if got := x.ending(erred); got != decide.EndedInError {
+		if got := x.ending(resultErrorForwarded); got != decide.EndedInError {
 			t.Errorf("error response of the upstream: ending %v, want %v", got, decide.EndedInError)
 		}
 	}
--- a/gateway/startedquery.go
+++ b/gateway/startedquery.go
@@ -13,25 +13,25 @@
 	// start is known. A request that starts in the last interval before its version is
 	// retired may be aborted while it runs.
 	startedQueryInterval = 50 * time.Millisecond
-	// startedGrace is how long after a version is retired the keepers' last reports on such
-	// requests may take. The required bound on starts is 500 ms after the retirement. A
-	// keeper responds within a few milliseconds; one that is silent for this long is frozen
-	// or partitioned.
+	// startedGrace is how long after a version is retired the keepers' last reports on
+	// such requests may take. The required bound on starts is 500 ms after the
+	// retirement. A keeper responds within a few milliseconds; one that is silent for
+	// this long is frozen or partitioned.
 	startedGrace = 200 * time.Millisecond
 )
 
 // queryStarted asks keepers which requests without a streamed response have started on a
 // superseded version, and aborts those whose start was not reported in time.
 //
-// Without these reports the gateway would have to treat all such requests alike: if it let
-// them continue, delayed ones could still start on the old version, and if it aborted them,
-// running ones would be lost.
+// Without these reports the gateway would have to treat all such requests alike: if it
+// let them continue, delayed ones could still start on the old version, and if it aborted
+// them, running ones would be lost.
 func (g *Gateway) queryStarted() {
-	if n := g.notStarted.breakOffDue(g.clock.Now()); n > 0 {
+	if n := g.notStarted.abortOverdue(g.clock.Now()); n > 0 {
 		g.metrics.oldEnded.Inc(int64(n))
 		g.logger.Info("begins not told in time", "broken_off", n)
 	}
-	for id, ids := range g.unknownStarts() {
+	for id, ids := range g.unconfirmedStarts() {
 		if l := g.links.of(id); l != nil {
 			l.send(&peer.StartedQuery{
 				IDs: ids,
@@ -40,10 +40,10 @@
 	}
 }
 
-// unknownStarts returns the attempt ids of the requests that may still start on a superseded
-// version, by upstream.
-func (g *Gateway) unknownStarts() map[wardturn.UpstreamID][]string {
-	sends := g.notStarted.unknown()
+// unconfirmedStarts returns the attempt ids of the requests that may still start on a
+// superseded version, by upstream.
+func (g *Gateway) unconfirmedStarts() map[wardturn.UpstreamID][]string {
+	sends := g.notStarted.unconfirmed()
 	if len(sends) == 0 {
 		return nil
 	}
@@ -61,7 +61,7 @@
 // endOlder retires the versions before a newer one: it aborts the sends that have not
 // started on them.
 func (g *Gateway) endOlder(newer wardturn.AdapterVersion) {
-	n, unknown := g.notStarted.breakOffOlder(newer, g.clock.Now())
+	n, unknown := g.notStarted.abortOlder(newer, g.clock.Now())
 	g.metrics.oldEnded.Inc(int64(n))
 	g.logger.Info("older versions serve no more", "adapter", newer.Adapter, "newer", newer.Version, "broken_off", n, "unknown", unknown)
 	if unknown > 0 {
--- a/gateway/startedquery_test.go
+++ b/gateway/startedquery_test.go
@@ -13,42 +13,42 @@
 // newStartedRig is newOldVersionRig with another route, whose requests may run only once.
 func newStartedRig() *rig {
 	x := newOldVersionRig()
-	x.store.PutConfig(config(3, longRoute+longWholeRoute+longOnceRoute))
+	x.store.PutConfig(config(3, longRoute+longBufferedRoute+longOnceRoute))
 	Eventually(func() int {
 		return x.get("first-once", "/once/x", "m0/a1").status
 	}, soon, often).Should(Equal(http.StatusOK))
 	return x
 }
 
-// expectWhole starts a request without a streamed response on a version that is retired
+// expectResponse starts a request without a streamed response on a version that is retired
 // before the response comes, and expects that response.
-func (x *rig) expectWhole(id, path string, f standin.WorkerFaults) {
+func (x *rig) expectResponse(id, path string, f standin.WorkerFaults) {
 	f.Think = oldVersionLimit + time.Second
 	f.LoseOrders = true // the newer version is never loaded
-	x.fault(f)
+	x.setFaults(f)
 	got := x.sendLong(id, path, "m0/a1")
 	Eventually(func() int {
 		return x.runs(id)
 	}, soon, often).Should(Equal(1))
-	x.nameNewer()
+	x.publishNewer()
 	Eventually(got, 4*soon).Should(Receive(haveStatus(http.StatusOK)))
 	Expect(x.runs(id)).To(Equal(1))
 }
 
 var _ = Describe("A request without a streamed response that started before its version was retired", func() {
 	It("gets its response after that, if it may run only once", func() {
-		newStartedRig().expectWhole("begun-once", "/once/x", standin.WorkerFaults{})
+		newStartedRig().expectResponse("begun-once", "/once/x", standin.WorkerFaults{})
 	})
 
 	It("gets its response after that, if its engine does not report its runs", func() {
-		newStartedRig().expectWhole("begun-unnamed", "/once/x", standin.WorkerFaults{
+		newStartedRig().expectResponse("begun-unnamed", "/once/x", standin.WorkerFaults{
 			HideRuns: true,
 		})
 	})
 
 	It("gets its response after that, if the headers have come and no keeper reports", func() {
 		x := newStartedRig()
-		x.fault(standin.WorkerFaults{
+		x.setFaults(standin.WorkerFaults{
 			Linger:     oldVersionLimit / 2, // between the parts of the body
 			LoseOrders: true,                // the newer version is never loaded
 		})
@@ -56,18 +56,18 @@
 		Eventually(func() int {
 			return x.runs("begun-head")
 		}, soon, often).Should(Equal(1))
-		x.nameNewer()
+		x.publishNewer()
 		for _, k := range x.keepers {
 			k.Close()
 		}
 		Eventually(got, 4*soon).Should(Receive(haveBody("piece 4")))
 	})
 
-	// The gateway cannot see the start of a request without a streamed response. If running
-	// requests were aborted with the version, the engines' work would be lost, and no engine
-	// could run them again.
+	// The gateway cannot see the start of a request without a streamed response. If
+	// running requests were aborted with the version, the engines' work would be lost,
+	// and no engine could run them again.
 	It("is not run again", func() {
-		newStartedRig().expectWhole("begun-again", "/whole/x", standin.WorkerFaults{})
+		newStartedRig().expectResponse("begun-again", "/whole/x", standin.WorkerFaults{})
 	})
 })
 
@@ -77,13 +77,13 @@
 var _ = Describe("A request without a streamed response that may run only once and is delayed where no keeper reports", func() {
 	It("does not start after its version is retired", func() {
 		x := newStartedRig()
-		x.fault(standin.WorkerFaults{
+		x.setFaults(standin.WorkerFaults{
 			HoldUp:     oldVersionLimit + time.Second,
 			LoseOrders: true, // the newer version is never loaded
 		})
 		ended := x.sendLong("held-up-silent", "/once/x", "m0/a1")
-		Eventually(x.held, soon, often).Should(Equal(1))
-		x.nameNewer()
+		Eventually(x.delayed, soon, often).Should(Equal(1))
+		x.publishNewer()
 		for _, k := range x.keepers {
 			k.Close()
 		}
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -10,17 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errMisplaced is returned if a resumed stream does not continue after the last event that
-// was forwarded.
-var errMisplaced = errors.New("gateway: resumed stream does not continue after the last event")
-
-// resume reports whether a stream that ended early may continue at another upstream, and
-// charges the retry budget for it.
-func (x *exchange) resume() bool {
-	if !x.begun || !x.route.Resumable || x.r.Context().Err() != nil {
+// errResumeMismatch is returned if a resumed stream does not continue after the last
+// event that was forwarded.
+var errResumeMismatch = errors.New("gateway: resumed stream does not continue after the last event")
+
+// mayResume reports whether a stream that ended early may continue at another upstream,
+// and charges the retry budget for it.
+func (x *exchange) mayResume() bool {
+	if !x.headerWritten || !x.route.Resumable || x.r.Context().Err() != nil {
 		return false
 	}
-	if x.ran >= x.route.MaxUpstreams || !x.g.clock.Now().Before(x.end) || !x.events.resume() || !x.g.mayResend(x.service) {
+	if x.possibleRuns >= x.route.MaxUpstreams || !x.g.clock.Now().Before(x.deadline) || !x.events.resume() || !x.g.allowRetry(x.service) {
 		return false
 	}
 	x.g.logger.Info("stream goes on elsewhere", "id", x.attempt, "after", x.lastEvent(), "tried", len(x.tried))
@@ -32,30 +32,30 @@
 	return cmp.Or(x.events.last, x.r.Header.Get(x.g.names.LastEvent))
 }
 
-// stream forwards a response as it comes. A response that resumes a stream is appended to
-// what the caller has, without headers of its own.
-func (x *exchange) stream(a assignment, ans *answer) result {
-	x.startStream(ans.res)
-	defer x.noteRepeated(a)
-	defer x.boundWrites()()
+// forwardStream forwards a response as it comes. A response that resumes a stream is
+// appended to what the caller has, without headers of its own.
+func (x *exchange) forwardStream(a assignment, ans *response) result {
+	x.writeStreamHeader(ans.res)
+	defer x.recordRepeated(a)
+	defer x.setWriteDeadline()()
 	flusher, _ := x.w.(http.Flusher)
-	buf := make([]byte, bodyChunk)
+	buf := make([]byte, readChunk)
 	for {
 		n, err := ans.res.Body.Read(buf)
 		if n > 0 {
-			x.noteRead(a)
-			x.began(a)
-			x.arrivedBytes()
-			werr := x.pass(a, buf[:n])
+			x.recordPrefill(a)
+			x.endPrefill(a)
+			x.recordBytes()
+			werr := x.forwardBytes(a, buf[:n])
 			flusher.Flush()
-			x.timing.write = max(x.timing.write, x.g.clock.Now().Sub(x.timing.last))
+			x.timing.maxWrite = max(x.timing.maxWrite, x.g.clock.Now().Sub(x.timing.lastByte))
 			if werr != nil {
 				ans.discard()
-				return stopped(werr)
+				return streamResult(werr)
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return x.endStream(a, ans)
+			return x.finishStream(a, ans)
 		}
 		if err != nil {
 			ans.discard()
@@ -67,40 +67,40 @@
 	}
 }
 
-// startStream writes the response header, unless an earlier send has done so.
-func (x *exchange) startStream(res *http.Response) {
-	if x.begun {
+// writeStreamHeader writes the response header, unless an earlier send has done so.
+func (x *exchange) writeStreamHeader(res *http.Response) {
+	if x.headerWritten {
 		return
 	}
-	x.copyHead(res)
+	x.copyHeader(res)
 	if res.ContentLength >= 0 && !x.route.Resumable {
 		x.w.Header().Set("Content-Length", strconv.FormatInt(res.ContentLength, 10))
 	} else {
 		x.w.Header().Del("Content-Length")
 	}
 	x.w.WriteHeader(res.StatusCode)
-	x.begun = true
+	x.headerWritten = true
 }
 
-// unreadTime is how long a write to the caller must take for an early end of the response
-// to say nothing about the upstream, which closes connections that are not read.
-const unreadTime = time.Second
+// slowWriteTime is how long a write to the caller must take for an early end of the
+// response to say nothing about the upstream, which closes connections that are not read.
+const slowWriteTime = time.Second
 
 // slowCaller reports whether the caller was so slow to read the response that the upstream
 // may have closed the connection for it.
 func (x *exchange) slowCaller() bool {
-	return x.timing.write >= unreadTime
+	return x.timing.maxWrite >= slowWriteTime
 }
 
-// callerPatience is how long after the deadline of a request its caller may still read the
+// writeGrace is how long after the deadline of a request its caller may still read the
 // rest of the response.
-const callerPatience = 5 * time.Second
+const writeGrace = 5 * time.Second
 
-// boundWrites sets a write deadline, some time after the deadline of the request, for
+// setWriteDeadline sets a write deadline, some time after the deadline of the request, for
 // callers that stop reading a stream. undo removes the deadline.
-func (x *exchange) boundWrites() (undo func()) {
+func (x *exchange) setWriteDeadline() (undo func()) {
 	rc := http.NewResponseController(x.w)
-	if err := rc.SetWriteDeadline(x.end.Add(callerPatience)); err != nil {
+	if err := rc.SetWriteDeadline(x.deadline.Add(writeGrace)); err != nil {
 		x.g.logger.Warn("failed to set the write deadline of a caller's connection", "id", x.attempt, "error", err)
 		return func() {}
 	}
@@ -109,17 +109,17 @@
 	}
 }
 
-// stopped returns the result of a stream whose events could not be forwarded.
-func stopped(err error) result {
-	if errors.Is(err, errMisplaced) {
+// streamResult returns the result of a stream whose events could not be forwarded.
+func streamResult(err error) result {
+	if errors.Is(err, errResumeMismatch) {
 		return cut
 	}
 	return left
 }
 
-// pass forwards bytes of a response to the caller; of a resumable stream, only complete
-// events.
-func (x *exchange) pass(a assignment, data []byte) error {
+// forwardBytes forwards bytes of a response to the caller; of a resumable stream, only
+// complete events.
+func (x *exchange) forwardBytes(a assignment, data []byte) error {
 	if !x.route.Resumable {
 		_, err := x.w.Write(data)
 		return err
@@ -128,15 +128,15 @@
 	return x.writeEvents(a, whole, why)
 }
 
-// endStream releases the connection and forwards what is left of a resumable stream.
-func (x *exchange) endStream(a assignment, ans *answer) result {
+// finishStream releases the connection and forwards what is left of a resumable stream.
+func (x *exchange) finishStream(a assignment, ans *response) result {
 	ans.release()
 	if !x.route.Resumable {
 		return passed
 	}
 	data, why := x.events.rest()
 	if err := x.writeEvents(a, data, why); err != nil {
-		return stopped(err)
+		return streamResult(err)
 	}
 	return passed
 }
@@ -152,12 +152,12 @@
 	}
 	x.g.metrics.misplaced(why)
 	x.g.logger.Warn("resumed stream begins elsewhere", "id", x.attempt, "route", x.route.Name, "upstream", a.Member.ID, "after", x.lastEvent(), "reason", why)
-	return errMisplaced
+	return errResumeMismatch
 }
 
-// noteRepeated logs and counts events that were not forwarded because the caller has them
-// already.
-func (x *exchange) noteRepeated(a assignment) {
+// recordRepeated logs and counts events that were not forwarded because the caller has
+// them already.
+func (x *exchange) recordRepeated(a assignment) {
 	if x.events.skipped == 0 {
 		return
 	}
