--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -11,35 +11,35 @@
 
 // handleResponse handles a response by its status and headers: it forwards the response
 // to the caller, or discards it and returns what that means for the request.
-func (x *exchange) handleResponse(a assignment, ans *response) result {
-	res := ans.res
+func (x *exchange) handleResponse(a assignment, resp *response) result {
+	res := resp.res
 	switch {
 	case res.StatusCode == http.StatusMisdirectedRequest:
-		x.handleMisdirected(a, ans.head)
-		x.drain(ans)
+		x.handleMisdirected(a, resp.head)
+		x.drain(resp)
 		return resultNotRun
-	case ans.head.NotExecuted && res.StatusCode != http.StatusBadRequest:
-		x.drain(ans)
+	case resp.head.NotExecuted && res.StatusCode != http.StatusBadRequest:
+		x.drain(resp)
 		return resultNotRun
-	case res.StatusCode < http.StatusMultipleChoices && !ans.head.Receipt:
+	case res.StatusCode < http.StatusMultipleChoices && !resp.head.Receipt:
 		x.g.logger.Warn("success response without the upstream's receipt header", "id", x.attempt, "upstream", a.Member.ID)
-		ans.discard()
+		resp.discard()
 		return unknown
 	case res.StatusCode == http.StatusServiceUnavailable, res.StatusCode == http.StatusTooManyRequests, res.StatusCode == http.StatusRequestTimeout:
 		// The caller would take these statuses to mean that the request did not run,
 		// which the upstream has not confirmed.
-		ans.discard()
+		resp.discard()
 		return unknown
 	case x.headerWritten && res.StatusCode != http.StatusOK:
-		x.drain(ans)
+		x.drain(resp)
 		return cut
 	case res.StatusCode >= http.StatusInternalServerError && x.mayRetryFailed():
-		x.drain(ans)
+		x.drain(resp)
 		return resultFailed
 	case x.route.Streaming && res.StatusCode < http.StatusMultipleChoices:
-		return x.forwardStream(a, ans)
+		return x.forwardStream(a, resp)
 	}
-	return x.forwardBuffered(a, ans)
+	return x.forwardBuffered(a, resp)
 }
 
 // mayRetryFailed reports whether a request that ran and failed may run once more, and
@@ -62,30 +62,30 @@
 
 // drain reads the rest of a response that is not forwarded, so that its connection can be
 // reused.
-func (x *exchange) drain(ans *response) {
-	if _, err := io.Copy(io.Discard, io.LimitReader(ans.res.Body, maxBufferedResponse)); err != nil {
-		ans.discard()
+func (x *exchange) drain(resp *response) {
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.res.Body, maxBufferedResponse)); err != nil {
+		resp.discard()
 		return
 	}
-	ans.release()
+	resp.release()
 }
 
 // forwardBuffered reads a response completely before it forwards any of it to the caller.
-func (x *exchange) forwardBuffered(a assignment, ans *response) result {
+func (x *exchange) forwardBuffered(a assignment, resp *response) result {
 	x.unwatch() // the upstream responds, so the request has started
-	res := ans.res
+	res := resp.res
 	if res.ContentLength > maxBufferedResponse {
-		return x.forwardStream(a, ans)
+		return x.forwardStream(a, resp)
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedResponse+1))
 	if err != nil || len(body) > maxBufferedResponse {
-		ans.discard()
+		resp.discard()
 		if x.r.Context().Err() != nil {
 			return left
 		}
 		return unknown
 	}
-	ans.release()
+	resp.release()
 	x.recordBytes()
 	x.copyHeader(res)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/gateway/budget_internal_test.go
+++ b/gateway/budget_internal_test.go
@@ -21,11 +21,11 @@
 		clock: process.Clock{},
 		fleet: decide.NewFleet(decide.FleetConfig{}),
 	}
-	inWindow := func() float64 {
+	perWindow := func() float64 {
 		floor, burst := g.extraRetries()
 		return floor*g.cfg.RetryWindow.Seconds() + burst
 	}
-	if got := gateways * inWindow(); got > allowed {
+	if got := gateways * perWindow(); got > allowed {
 		t.Errorf("before any keeper has reported: %.0f retries by all gateways, want at most %.0f", got, allowed)
 	}
 	var out decide.Moves
@@ -41,13 +41,13 @@
 		Connected: true,
 		Gateways:  gateways,
 	}, &out)
-	heard := inWindow()
-	if got := gateways * heard; got > allowed || got < allowed/4 {
+	connected := perWindow()
+	if got := gateways * connected; got > allowed || got < allowed/4 {
 		t.Errorf("with keepers: %.0f retries by all gateways, want at most %.0f", got, allowed)
 	}
 	g.fleet.KeeperLost(id)
 	g.fleet.Tick(now.Add(time.Second), &out)
-	if got := inWindow(); got > heard {
-		t.Errorf("after all keepers are lost: %.2f retries, want at most %.2f as before", got, heard)
+	if got := perWindow(); got > connected {
+		t.Errorf("after all keepers are lost: %.2f retries, want at most %.2f as before", got, connected)
 	}
 }
--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -128,14 +128,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = rc.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		empty = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
 // abort closes a connection whose request is abandoned, with a TCP reset, so that a frozen
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -74,18 +74,17 @@
 // timing records when the parts of a response came.
 type timing struct {
 	assignedAfter time.Duration // from the arrival to the choice of the latest upstream
-	firstByte     time.Duration // from the arrival to the first bytes of the response
+	firstByte     time.Duration // from the arrival to the first bytes, as in sendState
 	lastByte      time.Time     // when the latest bytes came
 	maxGap        time.Duration // longest gap between bytes
 	maxWrite      time.Duration // longest write to the caller during the latest send
 }
 
-// sendState is when the latest send went to its upstream and when the first bytes of the
-// response came; zero times are not reached yet.
+// sendState is the progress of the latest send. A zero time has not been reached yet.
 type sendState struct {
-	sent      time.Time
-	firstByte time.Time
-	brokenOff bool // the gateway aborted the send before it started
+	sent      time.Time // to the upstream
+	firstByte time.Time // of the response; of a buffered one, when it was read completely
+	brokenOff bool      // the gateway aborted the send before it started
 }
 
 // refusal is why a request was not run and when the caller may retry.
@@ -185,17 +184,17 @@
 			x.giveUp(ctx)
 			return
 		}
-		res := x.trySend(ctx, a)
+		outcome := x.trySend(ctx, a)
 		x.endPrefill(a)
 		x.logOldVersion(a)
-		x.noteContent(a, res, ctx.Err())
-		x.g.ended(a.Member.ID, x.key, len(x.body), x.ending(res))
-		if res == resultNotSent {
+		x.noteContent(a, outcome, ctx.Err())
+		x.g.ended(a.Member.ID, x.key, len(x.body), x.ending(outcome))
+		if outcome == resultNotSent {
 			continue
 		}
-		x.mayHaveRun = x.mayHaveRun || res != resultNotRun
+		x.mayHaveRun = x.mayHaveRun || outcome != resultNotRun
 		x.tried = append(x.tried, a.Member.ID)
-		switch res {
+		switch outcome {
 		case passed:
 			x.logLate(a)
 			x.g.metrics.finished(x, "done")
@@ -251,7 +250,7 @@
 }
 
 // recordPrefill records how long the upstream's prefill took. It must be called before
-// began.
+// endPrefill.
 func (x *exchange) recordPrefill(a assignment) {
 	if x.prefilling == a.Member.ID && x.prompt > 0 {
 		x.g.readPrompt(x.service, a.Prefill+int(x.prompt), x.g.clock.Now().Sub(x.send.sent))
@@ -326,8 +325,8 @@
 	x.send = sendState{}
 	x.timing.maxWrite = 0
 	x.timing.assignedAfter = now.Sub(x.arrived)
-	leftTime := x.deadline.Sub(now)
-	if leftTime <= 0 {
+	remaining := x.deadline.Sub(now)
+	if remaining <= 0 {
 		return resultNotRun
 	}
 	ctx, stop, ok := x.watchStart(ctx, a)
@@ -337,9 +336,9 @@
 	}
 	x.g.metrics.sends.Inc(1)
 	x.send.sent = now
-	ans, err := x.g.send(ctx, x, a.Member, x.encodeHeader(a, leftTime))
-	if why := context.Cause(ctx); err != nil && (errors.Is(why, errVersionRetired) || errors.Is(why, errCrashingContent)) {
-		err = errors.Wrap(err, why.Error())
+	resp, err := x.g.send(ctx, x, a.Member, x.encodeHeader(a, remaining))
+	if cause := context.Cause(ctx); err != nil && (errors.Is(cause, errVersionRetired) || errors.Is(cause, errCrashingContent)) {
+		err = errors.Wrap(err, cause.Error())
 	}
 	if errors.Is(err, errNotAccepting) {
 		return resultNotSent
@@ -347,11 +346,11 @@
 	if err != nil {
 		return x.sendFailed(a, err)
 	}
-	turnedAway := ans.head.NotExecuted && ans.res.StatusCode != http.StatusMisdirectedRequest
-	if !x.engine || turnedAway {
-		x.g.timed(a.Member.ID, x.g.clock.Now().Sub(now), turnedAway)
+	rejected := resp.head.NotExecuted && resp.res.StatusCode != http.StatusMisdirectedRequest
+	if !x.engine || rejected {
+		x.g.timed(a.Member.ID, x.g.clock.Now().Sub(now), rejected)
 	}
-	return x.handleResponse(a, ans)
+	return x.handleResponse(a, resp)
 }
 
 // sendFailed classifies and logs an error of a send.
--- a/gateway/held.go
+++ b/gateway/held.go
@@ -13,17 +13,17 @@
 }
 
 // reserve reserves bytes and reports whether they fit in the limit.
-func (h *heldBytes) reserve(n int64) bool {
-	if held := h.reserved.Add(n); h.most == 0 || held <= h.most {
+func (l *heldBytes) reserve(n int64) bool {
+	if reserved := l.reserved.Add(n); l.most == 0 || reserved <= l.most {
 		return true
 	}
-	h.reserved.Add(-n)
+	l.reserved.Add(-n)
 	return false
 }
 
 // release releases reserved bytes.
-func (h *heldBytes) release(n int64) {
-	h.reserved.Add(-n)
+func (l *heldBytes) release(n int64) {
+	l.reserved.Add(-n)
 }
 
 // reserveStep is how many bytes are reserved at a time for a body of unknown length.
--- a/gateway/identify.go
+++ b/gateway/identify.go
@@ -21,37 +21,37 @@
 // it has answered the request: with 401 if the key is missing or not valid, and with a
 // refusal if the keys known here are too old, so that one may have been revoked for
 // longer than KeyBound.
-func (x *exchange) authenticate(rs *routes, known time.Time) bool {
+func (x *exchange) authenticate(rs *routes, keysAsOf time.Time) bool {
 	x.teamsConfigured = rs.table.Keyed
 	x.routeLevels = rs.levels
 	if !x.teamsConfigured || x.route.Public {
 		return true
 	}
-	if !x.g.keysFresh(x.arrived, known) {
+	if !x.g.keysFresh(x.arrived, keysAsOf) {
 		x.g.metrics.staleKeys.Inc(1)
-		x.refuse(wardturn.ReasonStaleConfig, unreadyRetryAfter, "keys_known_ago", x.arrived.Sub(known))
+		x.refuse(wardturn.ReasonStaleConfig, unreadyRetryAfter, "keys_known_ago", x.arrived.Sub(keysAsOf))
 		return false
 	}
-	why := ""
-	x.team, why = rs.teamOf(x.r.Header)
+	reason := ""
+	x.team, reason = rs.teamOf(x.r.Header)
 	if x.team == nil {
 		x.w.Header().Set(headerAuthenticate, "Bearer")
-		x.fail(http.StatusUnauthorized, why)
+		x.fail(http.StatusUnauthorized, reason)
 		return false
 	}
 	return true
 }
 
 // keysFresh reports whether a request that arrived at a time may run with the keys that
-// were current at the time known. A key that was revoked after that may still be used for
-// requests sent up to KeyBound later. The request was sent before it arrived, so the check
-// holds however long it waits afterwards, also on a host that froze in between.
-func (g *Gateway) keysFresh(arrived, known time.Time) bool {
-	return g.cfg.KeyBound <= 0 || arrived.Sub(known) <= g.cfg.KeyBound-keyAgeMargin
+// were current at the time keysAsOf. A key that was revoked after that may still be used
+// for requests sent up to KeyBound later. The request was sent before it arrived, so the
+// check holds however long it waits afterwards, also on a host that froze in between.
+func (g *Gateway) keysFresh(arrived, keysAsOf time.Time) bool {
+	return g.cfg.KeyBound <= 0 || arrived.Sub(keysAsOf) <= g.cfg.KeyBound-keyAgeMargin
 }
 
 // teamOf returns the team of the API key in a request's headers, or why there is none.
-func (rs *routes) teamOf(h http.Header) (team *wardturn.Team, why string) {
+func (rs *routes) teamOf(h http.Header) (team *wardturn.Team, reason string) {
 	values := h[headerAuthorization]
 	if len(values) == 0 {
 		return nil, "no key"
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -166,29 +166,29 @@
 		x.keyBound = 2 * time.Second
 		g, front, _ := x.startGateway("late", platform.NewStore(x.storeAddr, x.metrics))
 		Eventually(g.Ready, soon, often).Should(BeTrue())
-		try := func() int {
+		status := func() int {
 			_, r := x.with(front, "/look/a", "", bearer("key-a"))
 			return r.status
 		}
-		Eventually(try, soon, often).Should(Equal(http.StatusOK))
+		Eventually(status, soon, often).Should(Equal(http.StatusOK))
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
-		away := time.Now()
-		last := away
+		unavailableSince := time.Now()
+		lastServed := unavailableSince
 		Eventually(func() int {
-			s := try()
+			s := status()
 			if s == http.StatusOK {
-				last = time.Now()
+				lastServed = time.Now()
 			}
 			return s
 		}, soon, often).Should(Equal(http.StatusServiceUnavailable))
-		Expect(last.Sub(away)).To(BeNumerically("<", x.keyBound))
+		Expect(lastServed.Sub(unavailableSince)).To(BeNumerically("<", x.keyBound))
 		id, r := x.with(front, "/look/a", "", bearer("key-x"))
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(x.runs(id)).To(BeZero())
 		x.store.SetFaults(standin.MetaFaults{})
-		Eventually(try, soon, often).Should(Equal(http.StatusOK))
+		Eventually(status, soon, often).Should(Equal(http.StatusOK))
 	})
 })
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -67,7 +67,7 @@
 
 var _ = Describe("A gateway that leaves", func() {
 	var x *rig
-	var left chan struct{}
+	var stopped chan struct{}
 	BeforeEach(func() {
 		x = newRig()
 		x.leaveAfter = 1500 * time.Millisecond
@@ -78,25 +78,25 @@
 		}, soon, often).Should(Equal(http.StatusOK))
 	})
 	leave := func() {
-		left = make(chan struct{})
+		stopped = make(chan struct{})
 		go func() {
-			defer close(left)
+			defer close(stopped)
 			limit, cancel := context.WithTimeout(context.Background(), 2*soon)
 			defer cancel()
 			x.gateway.Leave(limit)
 		}()
 		Eventually(x.gateway.Ready, soon, often).Should(BeFalse())
 		DeferCleanup(func() {
-			Eventually(left, 2*soon, often).Should(BeClosed())
+			Eventually(stopped, 2*soon, often).Should(BeClosed())
 		})
 	}
-	balancerAsks := func() {
+	expectNotReady := func() {
 		res, err := x.client.Get(x.ready)
 		Expect(err).NotTo(HaveOccurred())
 		res.Body.Close()
 		Expect(res.StatusCode).To(Equal(http.StatusServiceUnavailable))
 	}
-	usedChannel := func() *callerConn {
+	usedConn := func() *callerConn {
 		c := openCallerConn(x.front)
 		c.sendRequest("/charge/", "")
 		Expect(c.readResponse().status).To(Equal(http.StatusOK))
@@ -104,10 +104,10 @@
 	}
 
 	It("serves persistent connections after the readiness check has failed", func() {
-		first, second := usedChannel(), usedChannel()
+		first, second := usedConn(), usedConn()
 		leave()
 		for _, c := range []*callerConn{first, second} {
-			balancerAsks()
+			expectNotReady()
 			Consistently(c.closed, 300*time.Millisecond, often).Should(BeFalse())
 			c.sendRequest("/charge/", "")
 			r := c.readResponse()
@@ -126,10 +126,10 @@
 		c.sendRequest("/ask/x", "m0/a1")
 		_, err := c.br.Peek(1)
 		Expect(err).NotTo(HaveOccurred())
-		rests := usedChannel()
+		idle := usedConn()
 		leave()
-		Eventually(rests.closed, soon, often).Should(BeTrue())
-		Expect(left).NotTo(BeClosed())
+		Eventually(idle.closed, soon, often).Should(BeTrue())
+		Expect(stopped).NotTo(BeClosed())
 		r := c.readResponse()
 		Expect(r.err).NotTo(HaveOccurred())
 		Expect(r.body).To(Equal(completeStream))
--- a/gateway/leavinganswers_test.go
+++ b/gateway/leavinganswers_test.go
@@ -38,7 +38,7 @@
 		Eventually(g.Ready, soon, often).Should(BeTrue())
 		fronts = []string{x.front, second}
 	})
-	leaves := func(m *standin.ModelWorker) time.Time {
+	setLeaving := func(m *standin.ModelWorker) time.Time {
 		m.SetFaults(standin.WorkerFaults{
 			Leaving: "1",
 		})
@@ -46,7 +46,7 @@
 	}
 
 	It("gets no more requests, though it is listed as ready", func() {
-		after := leaves(x.apps[0])
+		after := setLeaving(x.apps[0])
 		statuses := x.callAll(fronts, "/look/a", "", 4, 20*time.Millisecond, 2*time.Second)
 		Expect(arrivalsAfter(x.apps[0], after)).To(BeZero())
 		Expect(statuses[http.StatusOK]).To(BeNumerically(">", 200))
@@ -54,7 +54,7 @@
 	})
 
 	It("gets no more streams", func() {
-		after := leaves(x.engines[0])
+		after := setLeaving(x.engines[0])
 		x.callAll(fronts, "/ask/a", "m0", 3, 20*time.Millisecond, 1500*time.Millisecond)
 		x.callAll(fronts, "/ask/a", "m0/a1", 3, 20*time.Millisecond, time.Second)
 		Expect(arrivalsAfter(x.engines[0], after)).To(BeZero())
@@ -83,7 +83,7 @@
 	})
 
 	It("gets none after further reads of the list, also if it is not listed for a while", func() {
-		after := leaves(x.apps[0])
+		after := setLeaving(x.apps[0])
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, 500*time.Millisecond)
 		x.store.DropServer("a0")
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, time.Second)
@@ -93,7 +93,7 @@
 	})
 
 	It("is used again after a restart under the same id and address", func() {
-		leaves(x.apps[0])
+		setLeaving(x.apps[0])
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, 500*time.Millisecond)
 		x.apps[0].SetFaults(standin.WorkerFaults{})
 		x.apps[0].StartAgain(time.Now().UnixMilli())
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -54,7 +54,7 @@
 	}
 	facts := g.remembered
 	g.mu.Lock()
-	if window, learned := g.fleet.LearnedWindow(); learned {
+	if window, known := g.fleet.LearnedWindow(); known {
 		facts.Window = window
 	}
 	if n := g.fleet.CountedGateways(); n > 0 && g.dividesByGateways() {
@@ -97,7 +97,7 @@
 
 // changedSignificantly reports whether a fact has changed enough to be written to the
 // store.
-func changedSignificantly(now, before int) bool {
-	change := max(now-before, before-now)
-	return float64(change) > saveThreshold*float64(before)
+func changedSignificantly(value, previous int) bool {
+	change := max(value-previous, previous-value)
+	return float64(change) > saveThreshold*float64(previous)
 }
--- a/gateway/misplaced_test.go
+++ b/gateway/misplaced_test.go
@@ -176,11 +176,11 @@
 
 	It("is resumed at another engine if the first does not continue after the last event", func() {
 		x.loadAndSetFaults(standin.WorkerFaults{})
-		tries := 0
+		faulty := 0
 		Eventually(func() int64 { // until the faulty engine was the first to be asked
-			x.engines[tries%2].SetFaults(standin.WorkerFaults{})
-			tries++
-			x.engines[tries%2].SetFaults(standin.WorkerFaults{
+			x.engines[faulty%2].SetFaults(standin.WorkerFaults{})
+			faulty++
+			x.engines[faulty%2].SetFaults(standin.WorkerFaults{
 				Resumed: standin.StreamShape{
 					Shift: 1,
 				},
--- a/gateway/notstarted.go
+++ b/gateway/notstarted.go
@@ -52,56 +52,56 @@
 
 // add tracks a send until remove. The returned context is canceled with the cause if the
 // send is aborted before.
-func (u *notStarted) add(ctx context.Context, s *pendingSend) context.Context {
+func (p *notStarted) add(ctx context.Context, s *pendingSend) context.Context {
 	ctx, s.cancel = context.WithCancelCause(ctx)
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	u.sends[s] = true
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.sends[s] = true
 	return ctx
 }
 
 // remove stops tracking a send that has started or ended, and reports whether it was
 // aborted.
-func (u *notStarted) remove(s *pendingSend) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	delete(u.sends, s)
+func (p *notStarted) remove(s *pendingSend) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.sends, s)
 	return s.aborted
 }
 
 // abortOlder aborts the sends to older versions of an adapter and returns how many. Those
 // without a streamed response may have started unnoticed: they are aborted startedGrace
-// later, unless their keepers report the start. Their number is returned as unknown.
-func (u *notStarted) abortOlder(newer wardturn.AdapterVersion, now time.Time) (n, unknown int) {
-	n = u.abort(errVersionRetired, func(s *pendingSend) bool {
+// later, unless their keepers report the start. Their number is returned as unconfirmed.
+func (p *notStarted) abortOlder(newer wardturn.AdapterVersion, now time.Time) (n, unconfirmed int) {
+	n = p.abort(errVersionRetired, func(s *pendingSend) bool {
 		old := s.version > 0 && s.key == newer.Key() && s.version < newer.Version
 		if !old || !s.nonStreaming {
 			return old
 		}
 		if !s.started && s.abortAt.IsZero() {
 			s.abortAt = now.Add(startedGrace)
-			unknown++
+			unconfirmed++
 		}
 		return false
 	})
-	return n, unknown
+	return n, unconfirmed
 }
 
 // abortOverdue aborts the sends whose start was not reported in time, and returns how
 // many.
-func (u *notStarted) abortOverdue(now time.Time) int {
-	return u.abort(errVersionRetired, func(s *pendingSend) bool {
+func (p *notStarted) abortOverdue(now time.Time) int {
+	return p.abort(errVersionRetired, func(s *pendingSend) bool {
 		return !s.started && !s.abortAt.IsZero() && !now.Before(s.abortAt)
 	})
 }
 
 // unconfirmed returns the sends to an adapter version whose start only a keeper can
 // report and none has reported yet.
-func (u *notStarted) unconfirmed() []*pendingSend {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (p *notStarted) unconfirmed() []*pendingSend {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var list []*pendingSend
-	for s := range u.sends {
+	for s := range p.sends {
 		if s.nonStreaming && !s.started && !s.aborted && s.version > 0 {
 			list = append(list, s)
 		}
@@ -110,10 +110,10 @@
 }
 
 // markStarted records a keeper's report that requests have started at its upstream.
-func (u *notStarted) markStarted(id wardturn.UpstreamID, attempts []string) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for s := range u.sends {
+func (p *notStarted) markStarted(id wardturn.UpstreamID, attempts []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for s := range p.sends {
 		if s.upstream == id && slices.Contains(attempts, s.attempt) {
 			s.started = true
 		}
@@ -122,21 +122,21 @@
 
 // breakOffContent aborts the sends of requests with the same content, and returns how
 // many.
-func (u *notStarted) breakOffContent(content wardturn.ContentID) int {
-	return u.abort(errCrashingContent, func(s *pendingSend) bool {
+func (p *notStarted) breakOffContent(content wardturn.ContentID) int {
+	return p.abort(errCrashingContent, func(s *pendingSend) bool {
 		return s.content == content
 	})
 }
 
 // abort aborts the matching sends with a cause, and returns how many.
-func (u *notStarted) abort(why error, match func(*pendingSend) bool) int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (p *notStarted) abort(cause error, match func(*pendingSend) bool) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	n := 0
-	for s := range u.sends {
+	for s := range p.sends {
 		if !s.aborted && match(s) {
 			s.aborted = true
-			s.cancel(why)
+			s.cancel(cause)
 			n++
 		}
 	}
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -56,20 +56,20 @@
 }
 
 // observeBackoff processes a Retry-After: the upstream asks this gateway to back off.
-func (g *Gateway) observeBackoff(id wardturn.UpstreamID, asked wardturn.Figure[time.Duration]) {
+func (g *Gateway) observeBackoff(id wardturn.UpstreamID, backoff wardturn.Figure[time.Duration]) {
 	g.rests.Store(true)
 	g.mu.Lock()
 	now := g.clock.Now()
 	changed := false
-	if asked.Err != nil {
+	if backoff.Err != nil {
 		changed = g.fleet.RestsUnclear(now, id)
 	} else {
-		changed = g.fleet.Rests(now, id, asked.Value)
+		changed = g.fleet.Rests(now, id, backoff.Value)
 	}
 	g.mu.Unlock()
 	g.metrics.rests.Inc(1)
 	if changed {
-		g.logger.Info("upstream asks for a rest", "upstream", id, "asked", asked.Value, "error", asked.Err)
+		g.logger.Info("upstream asks for a rest", "upstream", id, "asked", backoff.Value, "error", backoff.Err)
 	}
 }
 
--- a/gateway/old_version_test.go
+++ b/gateway/old_version_test.go
@@ -94,10 +94,10 @@
 		HoldUp:     oldVersionLimit + time.Second,
 		LoseOrders: true, // the newer version is never loaded
 	})
-	ended := x.sendLong(id, path, "m0/a1")
+	got := x.sendLong(id, path, "m0/a1")
 	Eventually(x.delayed, soon, often).Should(Equal(1))
 	x.publishNewer()
-	Eventually(ended, 4*soon).Should(Receive())
+	Eventually(got, 4*soon).Should(Receive())
 	Expect(x.runs(id)).To(Equal(0))
 }
 
@@ -190,14 +190,14 @@
 			x.sendLong(fmt.Sprint("held-up-", i), "/long/x", "m0/a1")
 		}
 		Eventually(x.delayed, soon, often).Should(BeNumerically(">", 2))
-		spread := []int{x.engines[0].Held(), x.engines[1].Held()}
+		perEngine := []int{x.engines[0].Held(), x.engines[1].Held()}
 		x.publishNewer()
 		Eventually(x.delayed, 4*soon, often).Should(Equal(0))
 		for i, e := range x.engines {
 			// An engine that got none of the requests is full, so that the next ones have
 			// to go to the others.
 			e.SetFaults(standin.WorkerFaults{
-				Full: spread[i] == 0,
+				Full: perEngine[i] == 0,
 			})
 		}
 		statuses := make(map[int]int)
@@ -205,7 +205,7 @@
 			r := <-x.sendLong(fmt.Sprint("after-", i), "/long/x", "m0")
 			statuses[r.status]++
 		}
-		Expect(statuses).To(HaveKeyWithValue(http.StatusOK, 10), fmt.Sprint("held ", spread, " ", statuses))
+		Expect(statuses).To(HaveKeyWithValue(http.StatusOK, 10), fmt.Sprint("held ", perEngine, " ", statuses))
 	})
 })
 
--- a/gateway/oldversion.go
+++ b/gateway/oldversion.go
@@ -38,19 +38,19 @@
 	if a.Version == 0 || x.send.sent.IsZero() {
 		return
 	}
-	newer, named, ok := x.g.superseded(x.key, a.Version)
-	began := x.send.firstByte
-	if !ok || !began.IsZero() && !began.After(named) {
+	newer, learned, ok := x.g.superseded(x.key, a.Version)
+	firstByte := x.send.firstByte
+	if !ok || !firstByte.IsZero() && !firstByte.After(learned) {
 		return
 	}
-	line := []any{"id", x.attempt, "adapter", x.key.Adapter, "version", a.Version, "newer", newer, "upstream", a.Member.ID, "sent", x.send.sent.Sub(named)}
+	fields := []any{"id", x.attempt, "adapter", x.key.Adapter, "version", a.Version, "newer", newer, "upstream", a.Member.ID, "sent", x.send.sent.Sub(learned)}
 	switch {
-	case began.IsZero():
+	case firstByte.IsZero():
 	case x.route.Streaming:
-		x.g.metrics.oldBegan.RecordDuration(began.Sub(named))
-		line = append(line, "began", began.Sub(named))
+		x.g.metrics.oldBegan.RecordDuration(firstByte.Sub(learned))
+		fields = append(fields, "began", firstByte.Sub(learned))
 	default: // the start is not visible, only the response
-		line = append(line, "answered", began.Sub(named))
+		fields = append(fields, "answered", firstByte.Sub(learned))
 	}
-	x.g.logger.Info("old version served", line...)
+	x.g.logger.Info("old version served", fields...)
 }
--- a/gateway/oldversion_internal_test.go
+++ b/gateway/oldversion_internal_test.go
@@ -34,7 +34,7 @@
 	old := assignment{
 		Version: 1,
 	}
-	check := func(when string, want bool) {
+	expectMaySend := func(when string, want bool) {
 		t.Helper()
 		_, stop, ok := x.watchStart(context.Background(), old)
 		stop()
@@ -42,7 +42,7 @@
 			t.Errorf("%s: may be sent %t, want %t", when, ok, want)
 		}
 	}
-	name := func(v wardturn.Version, known time.Time) {
+	publish := func(v wardturn.Version, known time.Time) {
 		var out decide.Moves
 		g.fleet.SetVersion(g.clock.Now(), wardturn.AdapterVersion{
 			Model:   key.Model,
@@ -50,12 +50,12 @@
 			Version: v,
 		}, known, &out)
 	}
-	check("no newer version", true)
-	name(2, g.clock.Now())
-	check("newer version just published", true)
+	expectMaySend("no newer version", true)
+	publish(2, g.clock.Now())
+	expectMaySend("newer version just published", true)
 	x.key.Adapter, key.Adapter = "b", "b"
-	name(2, g.clock.Now().Add(-time.Minute))
-	check("newer version published a minute ago", false)
+	publish(2, g.clock.Now().Add(-time.Minute))
+	expectMaySend("newer version published a minute ago", false)
 	if len(g.notStarted.sends) != 0 {
 		t.Errorf("%d sends are still tracked as not started, want none", len(g.notStarted.sends))
 	}
--- a/gateway/problem.go
+++ b/gateway/problem.go
@@ -8,22 +8,22 @@
 	"wardturn"
 )
 
-// refuse responds that the request was not run and when to retry. More are additional
+// refuse responds that the request was not run and when to retry; extra are additional
 // fields of the log line.
-func (x *exchange) refuse(reason wardturn.Reason, retryAfter time.Duration, more ...any) {
+func (x *exchange) refuse(reason wardturn.Reason, retryAfter time.Duration, extra ...any) {
 	x.comeBack(retryAfter)
 	x.g.metrics.finished(x, "refused_"+string(reason))
 	fields := []any{"id", x.attempt, "reason", reason, "retry_after", retryAfter, "adapter", x.key.Adapter, "waited", x.g.clock.Now().Sub(x.arrived)}
 	if x.prompt > 0 {
 		fields = append(fields, "route", x.route.Name, "prompt", x.prompt)
 	}
-	x.g.logger.Info("refused", append(fields, more...)...)
+	x.g.logger.Info("refused", append(fields, extra...)...)
 	x.write(http.StatusServiceUnavailable, string(reason))
 }
 
 // comeBack sets the Retry-After header.
-func (x *exchange) comeBack(after time.Duration) {
-	x.w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+func (x *exchange) comeBack(retryAfter time.Duration) {
+	x.w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 }
 
 // fail responds with an error of the gateway's own, which does not say whether the request
--- a/gateway/prompts_internal_test.go
+++ b/gateway/prompts_internal_test.go
@@ -12,19 +12,19 @@
 var _ = Describe("Counts of prompt sizes", func() {
 	It("have buckets that start at most an eighth below their sizes", func() {
 		for _, size := range []int{1, 2, 3, 7, 8, 9, 15, 16, 17, 100, 1023, 1024, 1025, 9153, 39600, 1 << 30} {
-			step := promptBucket(size)
-			Expect(step).To(BeNumerically("<=", size), "%d", size)
-			Expect(size-step).To(BeNumerically("<=", size/8), "%d", size)
-			Expect(promptBucket(step)).To(Equal(step), "%d", size)
+			bucket := promptBucket(size)
+			Expect(bucket).To(BeNumerically("<=", size), "%d", size)
+			Expect(size-bucket).To(BeNumerically("<=", size/8), "%d", size)
+			Expect(promptBucket(bucket)).To(Equal(bucket), "%d", size)
 		}
 	})
 
 	It("have buckets that rise with the size", func() {
 		last := 0
 		for size := 1; size < 5000; size++ {
-			step := promptBucket(size)
-			Expect(step).To(BeNumerically(">=", last), "%d", size)
-			last = step
+			bucket := promptBucket(size)
+			Expect(bucket).To(BeNumerically(">=", last), "%d", size)
+			last = bucket
 		}
 	})
 
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -14,7 +14,7 @@
 // false after it has answered a request that cannot be served.
 func (x *exchange) resolve() bool {
 	// Read before the routes, which are then at least as new as this time says.
-	known := x.g.news.configKnown()
+	configAsOf := x.g.news.configKnown()
 	rs := x.g.routes.Load()
 	if rs == nil {
 		x.refuse(wardturn.ReasonStaleConfig, unreadyRetryAfter)
@@ -29,7 +29,7 @@
 		x.fail(http.StatusBadRequest, "no attempt id")
 		return false
 	}
-	if !x.authenticate(rs, known) {
+	if !x.authenticate(rs, configAsOf) {
 		return false
 	}
 	x.regions = x.route.Regions
@@ -79,8 +79,8 @@
 	if x.r.ContentLength == 0 {
 		return true
 	}
-	body, full, err := x.bufferBody(limit)
-	if full {
+	body, exhausted, err := x.bufferBody(limit)
+	if exhausted {
 		x.w.Header().Set("Connection", "close") // the rest of the body stays unread
 		x.refuse(wardturn.ReasonQueueFull, unreadyRetryAfter, "held", x.g.held.reserved.Load())
 		return false
@@ -96,9 +96,9 @@
 	return true
 }
 
-// bufferBody reads the body up to a limit and reserves buffer space for it; full reports
-// that no space is left.
-func (x *exchange) bufferBody(limit int64) (body []byte, full bool, err error) {
+// bufferBody reads the body up to a limit and reserves buffer space for it; exhausted
+// reports that no space is left.
+func (x *exchange) bufferBody(limit int64) (body []byte, exhausted bool, err error) {
 	if n := x.r.ContentLength; n > 0 {
 		if !x.g.held.reserve(n) {
 			return nil, true, nil
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -158,11 +158,11 @@
 func behindRelay(ln net.Listener) (*standin.Relay, net.Listener) {
 	addr := ln.Addr().String()
 	ln.Close()
-	behind := listen("127.0.0.1:0")
-	way, err := standin.NewRelayAt(addr, behind.Addr().String())
+	target := listen("127.0.0.1:0")
+	relay, err := standin.NewRelayAt(addr, target.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
-	DeferCleanup(way.Close)
-	return way, behind
+	DeferCleanup(relay.Close)
+	return relay, target
 }
 
 func (x *rig) startKeeper(host string, ln net.Listener, m *standin.ModelWorker, store *platform.Store) {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -52,7 +52,7 @@
 
 // send sends a request to an upstream and reads the response's headers. The connection is
 // aborted when ctx ends.
-func (g *Gateway) send(ctx context.Context, x *exchange, a wardturn.Member, head []byte) (*response, error) {
+func (g *Gateway) send(ctx context.Context, x *exchange, a wardturn.Member, header []byte) (*response, error) {
 	c, err := g.pool.get(ctx, a.Addr)
 	if err != nil {
 		err = errors.Mark(err, errNotSent)
@@ -68,20 +68,20 @@
 		return nil, errNotAccepting
 	}
 	stop := context.AfterFunc(ctx, c.abort)
-	ans, err := x.roundTrip(c, a, head)
+	resp, err := x.roundTrip(c, a, header)
 	if err != nil {
 		stop()
 		c.abort()
 		return nil, err
 	}
-	ans.stop = stop
-	return ans, nil
+	resp.stop = stop
+	return resp, nil
 }
 
 // roundTrip writes the request and reads the headers of its response. Responses to other
 // requests, which a faulty upstream may send late, are skipped.
-func (x *exchange) roundTrip(c *upstreamConn, m wardturn.Member, request []byte) (*response, error) {
-	n, err := c.Write(request)
+func (x *exchange) roundTrip(c *upstreamConn, m wardturn.Member, header []byte) (*response, error) {
+	n, err := c.Write(header)
 	if err != nil && n == 0 {
 		return nil, errors.Mark(errors.Wrap(err, "send"), errNotSent)
 	}
@@ -120,23 +120,23 @@
 
 // release ends the use of a response that was read completely. It returns the connection
 // to the pool if that can be reused, or closes it.
-func (a *response) release() {
-	keep := idleTimeAfter(a.res)
-	if !a.stop() || keep <= 0 || a.conn.br.Buffered() > 0 {
-		a.conn.Close()
+func (r *response) release() {
+	keep := idleTimeAfter(r.res)
+	if !r.stop() || keep <= 0 || r.conn.br.Buffered() > 0 {
+		r.conn.Close()
 		return
 	}
-	a.pool.put(a.conn, keep)
+	r.pool.put(r.conn, keep)
 }
 
 // discard aborts the connection of a response whose rest is not needed.
-func (a *response) discard() {
-	a.stop()
-	a.conn.abort()
+func (r *response) discard() {
+	r.stop()
+	r.conn.abort()
 }
 
 // encodeHeader returns the request line and the headers that are sent to an upstream.
-func (x *exchange) encodeHeader(a assignment, left time.Duration) []byte {
+func (x *exchange) encodeHeader(a assignment, remaining time.Duration) []byte {
 	n := x.g.names
 	b := make([]byte, 0, headSize)
 	b = append(b, x.r.Method...)
@@ -152,7 +152,7 @@
 			b = appendHeader(b, name, v)
 		}
 	}
-	b = appendHeader(b, n.DeadlineMS, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+	b = appendHeader(b, n.DeadlineMS, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	b = appendHeader(b, n.ExpectInstance, a.Member.ID.Instance())
 	if x.events.last != "" {
 		b = appendHeader(b, n.LastEvent, x.events.last)
--- a/gateway/startedquery.go
+++ b/gateway/startedquery.go
@@ -61,10 +61,10 @@
 // endOlder retires the versions before a newer one: it aborts the sends that have not
 // started on them.
 func (g *Gateway) endOlder(newer wardturn.AdapterVersion) {
-	n, unknown := g.notStarted.abortOlder(newer, g.clock.Now())
+	n, unconfirmed := g.notStarted.abortOlder(newer, g.clock.Now())
 	g.metrics.oldEnded.Inc(int64(n))
-	g.logger.Info("older versions serve no more", "adapter", newer.Adapter, "newer", newer.Version, "broken_off", n, "unknown", unknown)
-	if unknown > 0 {
+	g.logger.Info("older versions serve no more", "adapter", newer.Adapter, "newer", newer.Version, "broken_off", n, "unknown", unconfirmed)
+	if unconfirmed > 0 {
 		g.queryStarted()
 	}
 }
--- a/gateway/startedquery_test.go
+++ b/gateway/startedquery_test.go
@@ -81,13 +81,13 @@
 			HoldUp:     oldVersionLimit + time.Second,
 			LoseOrders: true, // the newer version is never loaded
 		})
-		ended := x.sendLong("held-up-silent", "/once/x", "m0/a1")
+		got := x.sendLong("held-up-silent", "/once/x", "m0/a1")
 		Eventually(x.delayed, soon, often).Should(Equal(1))
 		x.publishNewer()
 		for _, k := range x.keepers {
 			k.Close()
 		}
-		Eventually(ended, 4*soon).Should(Receive())
+		Eventually(got, 4*soon).Should(Receive())
 		Expect(x.runs("held-up-silent")).To(Equal(0))
 	})
 })
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -34,31 +34,31 @@
 
 // forwardStream forwards a response as it comes. A response that resumes a stream is
 // appended to what the caller has, without headers of its own.
-func (x *exchange) forwardStream(a assignment, ans *response) result {
-	x.writeStreamHeader(ans.res)
+func (x *exchange) forwardStream(a assignment, resp *response) result {
+	x.writeStreamHeader(resp.res)
 	defer x.recordRepeated(a)
 	defer x.setWriteDeadline()()
 	flusher, _ := x.w.(http.Flusher)
 	buf := make([]byte, readChunk)
 	for {
-		n, err := ans.res.Body.Read(buf)
+		n, err := resp.res.Body.Read(buf)
 		if n > 0 {
 			x.recordPrefill(a)
 			x.endPrefill(a)
 			x.recordBytes()
-			werr := x.forwardBytes(a, buf[:n])
+			writeErr := x.forwardBytes(a, buf[:n])
 			flusher.Flush()
 			x.timing.maxWrite = max(x.timing.maxWrite, x.g.clock.Now().Sub(x.timing.lastByte))
-			if werr != nil {
-				ans.discard()
-				return streamResult(werr)
+			if writeErr != nil {
+				resp.discard()
+				return streamResult(writeErr)
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return x.finishStream(a, ans)
+			return x.finishStream(a, resp)
 		}
 		if err != nil {
-			ans.discard()
+			resp.discard()
 			if x.r.Context().Err() != nil {
 				return left
 			}
@@ -124,34 +124,34 @@
 		_, err := x.w.Write(data)
 		return err
 	}
-	whole, why := x.events.take(data)
-	return x.writeEvents(a, whole, why)
+	events, mismatch := x.events.take(data)
+	return x.writeEvents(a, events, mismatch)
 }
 
 // finishStream releases the connection and forwards what is left of a resumable stream.
-func (x *exchange) finishStream(a assignment, ans *response) result {
-	ans.release()
+func (x *exchange) finishStream(a assignment, resp *response) result {
+	resp.release()
 	if !x.route.Resumable {
 		return passed
 	}
-	data, why := x.events.rest()
-	if err := x.writeEvents(a, data, why); err != nil {
+	events, mismatch := x.events.rest()
+	if err := x.writeEvents(a, events, mismatch); err != nil {
 		return streamResult(err)
 	}
 	return passed
 }
 
-// writeEvents forwards events. It returns errMisplaced if why says that what follows does
-// not continue the caller's stream.
-func (x *exchange) writeEvents(a assignment, data []byte, why misplacement) error {
-	if _, err := x.w.Write(data); err != nil {
+// writeEvents forwards events. It returns errResumeMismatch if what follows does not
+// continue the caller's stream, for the reason that mismatch gives.
+func (x *exchange) writeEvents(a assignment, events []byte, mismatch misplacement) error {
+	if _, err := x.w.Write(events); err != nil {
 		return err
 	}
-	if why == "" {
+	if mismatch == "" {
 		return nil
 	}
-	x.g.metrics.misplaced(why)
-	x.g.logger.Warn("resumed stream begins elsewhere", "id", x.attempt, "route", x.route.Name, "upstream", a.Member.ID, "after", x.lastEvent(), "reason", why)
+	x.g.metrics.misplaced(mismatch)
+	x.g.logger.Warn("resumed stream begins elsewhere", "id", x.attempt, "route", x.route.Name, "upstream", a.Member.ID, "after", x.lastEvent(), "reason", mismatch)
 	return errResumeMismatch
 }
 
