--- a/gateway/send.go
+++ b/gateway/send.go
@@ -110,7 +110,7 @@
 		if res.StatusCode < http.StatusOK {
 			continue
 		}
-		x.g.logger.Warn("answer to another request passed over", "id", x.attempt, "answers", head.Attempt, "addr", c.addr)
+		x.g.logger.Warn("skipped a response to another request", "id", x.attempt, "answers", head.Attempt, "addr", c.addr)
 		if _, err := io.Copy(io.Discard, res.Body); err != nil {
 			return nil, errors.Wrap(err, "answer to another request")
 		}
