--- a/answer.go
+++ b/answer.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// AnswerHead is what the head of an upstream's answer says, decoded from the wire once.
+// AnswerHead is the decoded head, status and headers, of an upstream's response.
 type AnswerHead struct {
-	Attempt     string // id of the request that it answers
-	Instance    string // of the upstream that answers; empty: it does not say
-	Receipt     bool   // proof that the answer is the upstream's own
-	NotExecuted bool   // the request did not run and will not
-	Leaving     bool   // the upstream is about to end and is to get no new requests
-	// Limit is the requests a second that an upstream in need takes from all gateways
-	// together, for as long as its answers say so.
+	Attempt     string // ID of the attempt that it responds to
+	Instance    string // of the upstream that responded; empty if the response does not name it
+	Receipt     bool   // the response has the receipt that proves that the upstream itself produced it
+	NotExecuted bool   // the request was not executed and will not be
+	Leaving     bool   // the upstream is about to shut down and must get no new requests
+	// Limit is the number of requests per second that an overloaded upstream accepts from
+	// all gateways together. It applies while the upstream's responses carry it.
 	Limit Figure[RequestRate]
-	Cold  Figure[time.Duration] // how much longer it takes few requests
-	// Rest is for how long an upstream that turned the request away wants no other from
-	// this gateway.
+	Cold  Figure[time.Duration] // how much longer the upstream is cold and accepts few requests
+	// Rest is how long an upstream that refused the request wants this gateway to send it
+	// no other.
 	Rest Figure[time.Duration]
-	// Unread are the names of headers that have no field here.
+	// Unread are the names of the headers that have no field in this type.
 	Unread []string
 }
 
-// Figure is a value that an answer may name.
+// Figure is an optional value in the head of a response.
 type Figure[T any] struct {
 	Value T
-	Named bool
-	Err   error // the value can't be read
+	Named bool  // the response carries the value
+	Err   error // the value could not be parsed
 }
 
-// AnswerReader decodes the heads of upstreams' answers.
+// AnswerReader decodes the heads of upstreams' responses.
 type AnswerReader interface {
-	// ReadAnswer decodes the head of an answer with a status.
+	// ReadAnswer decodes the head of a response from its status and headers.
 	ReadAnswer(status int, h http.Header) AnswerHead
 }
--- a/content.go
+++ b/content.go
@@ -6,31 +6,32 @@
 	"encoding/hex"
 )
 
-// ContentID names what a request asks, whichever attempt asks it and through whichever
-// gateway: 32 hexadecimal digits.
+// ContentID identifies the content of a request, independent of the attempt and of the
+// gateway that sends it. It has 32 hexadecimal digits.
 type ContentID string
 
-// contentBytes is how much of the digest a ContentID keeps: two of a day's 1.2 billion
-// requests are the same by chance once in 10^20 days.
+// contentBytes is the number of bytes of the digest in a ContentID. At 1.2 billion
+// requests a day, a collision is expected once in 10^20 days.
 const contentBytes = 16
 
-// Content is what decides whether two requests ask the same of an upstream. What
-// differs between attempts is not among it: ids, deadlines, the caller's address, which
-// may be that of a proxy.
+// Content is the part of a request that determines whether an upstream gets the same work
+// from it as from another request. It leaves out what differs between attempts: IDs,
+// deadlines and the caller's address, which may be that of a proxy.
 type Content struct {
 	Method  string
 	Host    string
-	Target  string // path and query, as they came
+	Target  string // path and query, as received
 	Team    TeamID
 	Adapter ModelAdapter
 	Body    []byte
 }
 
-// ID returns the content's name.
+// ID returns a digest of the content. Each part but the body, which comes last, is hashed
+// with its length, so that adjacent parts cannot be confused.
 func (c Content) ID() ContentID {
 	h := sha256.New()
 	for _, part := range []string{c.Method, c.Host, c.Target, string(c.Team), string(c.Adapter.Model), string(c.Adapter.Adapter)} {
-		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(part)))) // never fails
+		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(part)))) // a hash's Write never fails
 		_, _ = h.Write([]byte(part))
 	}
 	_, _ = h.Write(c.Body)
--- a/content_test.go
+++ b/content_test.go
@@ -21,7 +21,8 @@
 	// Output: true false
 }
 
-// Parts that run into each other do not make two contents the same.
+// Guards against hashing the parts without separating them: then a character that moves from
+// the end of one part to the start of the next would not change the ID.
 func TestContentParts(t *testing.T) {
 	x := wardturn.Content{
 		Host:   "ab",
@@ -32,11 +33,11 @@
 		Target: "bc",
 	}
 	if x.ID() == y.ID() {
-		t.Error("host and path run into each other")
+		t.Error("contents with different hosts and targets have the same ID")
 	}
 }
 
-// With a body of 730 bytes, the usual one of a prompt: 1.1 us.
+// Uses a body of 730 bytes, the usual size of a prompt, and takes 1.1 us.
 func BenchmarkContentID(b *testing.B) {
 	c := wardturn.Content{
 		Method: "POST",
--- a/crash.go
+++ b/crash.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Crash is the end of an upstream, without notice, while a request was there.
+// Crash records that an upstream ended without notice while it had a request.
 type Crash struct {
 	Content  ContentID
 	Upstream UpstreamID // the lifetime that ended
 }
 
-// CrashChange is what was read of the crashes that gateways have recorded.
+// CrashChange is the result of reading the crash records that gateways have written.
 type CrashChange struct {
-	From    Position // from which they were read; zero: all that there is
-	To      Position // up to which they were read
+	From    Position // start of the range that was read; zero: all records
+	To      Position // end of the range that was read
 	Crashes []RecordedCrash
-	Cleared []Crash // records that were taken back
-	// Returned says that the store has come back from an older copy of itself since: records
-	// that are not among these are gone.
+	Cleared []Crash // records that were removed
+	// Returned reports that the store was restored from an older copy since the previous
+	// read: records that are not in Crashes are lost.
 	Returned bool
 }
 
@@ -25,13 +25,13 @@
 	At time.Time
 }
 
-// CrashRecord keeps crashes in the platform's store, so that they outlive gateways and
-// reach those that hear of nobody else.
+// CrashRecord stores crashes in the platform's store, so that they outlive gateways and
+// reach gateways that receive no messages from others.
 type CrashRecord interface {
-	// Next returns all records at first, and after that the changes since the last call.
-	// It is used by one goroutine.
+	// Next returns all records on the first call, and the changes since the previous call
+	// after that. It must be called from one goroutine only.
 	Next() (CrashChange, error)
-	// Write records crashes and takes records back. With an error it may or may not have
-	// been done; doing it again changes nothing.
+	// Write adds records of crashes and removes records. After an error the write may or
+	// may not have taken effect; it is idempotent and can be repeated.
 	Write(at time.Time, crashes, takeBack []Crash) error
 }
--- a/ids.go
+++ b/ids.go
@@ -7,41 +7,43 @@
 	"github.com/cockroachdb/errors"
 )
 
-// AdapterID names a LoRA adapter, without its version.
+// AdapterID identifies a LoRA adapter, without its version.
 type AdapterID string
 
-// Version numbers the published weights of one adapter. Versions start at 1;
-// zero means "the version in force".
+// Version is the number of a published set of weights of one adapter. Versions start
+// at 1; zero stands for the current version.
 type Version int64
 
-// UpstreamID names one lifetime of a back end, a model engine or a plain service
-// instance: see Lifetime.
+// UpstreamID identifies one lifetime of an upstream, which is a model engine or an
+// instance of a plain service. A lifetime is one run of the upstream from its start to
+// its end; an upstream that restarts under the same instance name has a new UpstreamID.
+// See Lifetime.
 type UpstreamID string
 
-// FailureDomain names a group of hosts that can fail together.
+// FailureDomain identifies a group of hosts that can fail together.
 type FailureDomain string
 
-// Region names a group of failure domains that are close to each other.
+// Region identifies a group of failure domains that are close to each other.
 type Region string
 
-// BaseModel names the model that a group of engines shares.
+// BaseModel identifies the base model that a group of engines serves.
 type BaseModel string
 
-// ServiceName names a plain service that runs beside the model engines.
+// ServiceName identifies a plain service: a backend other than a model engine.
 type ServiceName string
 
-// CallerID names a customer that sends requests.
+// CallerID identifies a customer that sends requests.
 type CallerID string
 
-// TeamID names a group of callers that share quotas and operators.
+// TeamID identifies a group of callers that share quotas and operators.
 type TeamID string
 
-// RequestID names one request of a caller for its whole life.
+// RequestID identifies a request of a caller, across all of its attempts.
 type RequestID string
 
-// AttemptID names one attempt to run a request on one upstream. An entry process
-// numbers its attempts from 1 on and never uses a number twice, which lets an
-// agent recognize a late copy without comparing clocks.
+// AttemptID identifies one attempt to run a request on one upstream. An entry process
+// numbers its attempts from 1 on and never reuses a number, so that an agent can
+// recognize a delayed duplicate without comparing clocks.
 type AttemptID struct {
 	Entry Incarnation `msgpack:"e"`
 	Seq   uint64      `msgpack:"s"`
@@ -52,7 +54,8 @@
 	return string(id.Entry) + "-" + strconv.FormatUint(id.Seq, 10)
 }
 
-// IdempotencyKey is the caller's name for an action that must not happen twice.
+// IdempotencyKey identifies an operation that must not be executed twice. The caller
+// chooses it.
 type IdempotencyKey string
 
 // Digest is the hexadecimal SHA-256 of a request's method, path and body.
@@ -62,22 +65,22 @@
 // has offset 1; zero means "before any record".
 type Offset int64
 
-// Fence orders the agents of one upstream in time: an upstream that checks
-// fences refuses an order whose fence is lower than one it has seen.
+// Fence is a fencing token. It orders the successive agents of one upstream: an upstream
+// that checks fences refuses an order whose fence is lower than one it has seen.
 type Fence int64
 
-// OrderID numbers the orders of one agent, so that an order sent twice is
-// carried out once.
+// OrderID numbers the orders of one agent, so that an order that is sent twice is
+// executed once.
 type OrderID uint64
 
-// Incarnation names one run of a process, from its start to its end.
+// Incarnation identifies one run of a process, from its start to its end.
 type Incarnation string
 
 // Tokens counts prompt or output tokens.
 type Tokens int
 
-// AdapterRef is an adapter at one version. The zero value means "no adapter",
-// which is what requests to plain services carry.
+// AdapterRef is an adapter at one version. The zero value stands for no adapter, as in
+// requests to plain services.
 type AdapterRef struct {
 	Adapter AdapterID `msgpack:"a" json:"adapter"`
 	Version Version   `msgpack:"v" json:"version"`
@@ -86,7 +89,7 @@
 // ErrBadAdapterRef is returned by ParseAdapterRef for a malformed reference.
 var ErrBadAdapterRef = errors.New("wardturn: malformed adapter reference")
 
-// maxNameLength bounds names taken from callers, in bytes.
+// maxNameLength is the maximum length, in bytes, of names received from callers.
 const maxNameLength = 128
 
 // IsZero reports whether the reference names no adapter.
@@ -94,7 +97,7 @@
 	return r.Adapter == ""
 }
 
-// String returns "adapter@version", or "adapter" while the version is open.
+// String returns "adapter@version", or "adapter" if the version is zero.
 func (r AdapterRef) String() string {
 	if r.Version == 0 {
 		return string(r.Adapter)
@@ -102,8 +105,8 @@
 	return string(r.Adapter) + "@" + strconv.FormatInt(int64(r.Version), 10)
 }
 
-// ParseAdapterRef reads "adapter" or "adapter@version" as callers write it in
-// the model field of a request.
+// ParseAdapterRef parses "adapter" or "adapter@version", the form of the model field in
+// requests of callers.
 func ParseAdapterRef(s string) (AdapterRef, error) {
 	name, version, versioned := strings.Cut(s, "@")
 	if !ValidName(name) {
@@ -123,7 +126,7 @@
 	return ref, nil
 }
 
-// ValidName reports whether s may name an adapter, caller, service or team:
+// ValidName reports whether s is a valid name of an adapter, caller, service or team:
 // 1 to 128 letters, digits, dots, dashes, underscores or slashes.
 func ValidName(s string) bool {
 	if s == "" || len(s) > maxNameLength {
--- a/lifetime.go
+++ b/lifetime.go
@@ -5,13 +5,15 @@
 	"strings"
 )
 
-// lifetimeMark stands between the instance of an upstream and the time of its start.
+// lifetimeMark separates the instance name and the start time in an UpstreamID.
 const lifetimeMark = "~"
 
-// Lifetime names one lifetime of an upstream that may start again under the name by
-// which it knows itself. Born is its start in Unix milliseconds; zero: it does not
-// tell. What is known of an upstream is kept by its lifetime and so ends with it, also
-// where the word of an earlier one comes late or through a relay.
+// Lifetime returns the ID of one lifetime of an upstream. Instance is the name that the
+// upstream reports of itself and that it keeps when it restarts. The second argument is
+// its start time in Unix milliseconds; zero if the upstream does not report it. State of
+// an upstream is stored by lifetime and so is dropped at a restart. A message about an
+// earlier lifetime that is delayed or relayed cannot be mistaken for one about the
+// current lifetime.
 func Lifetime(instance string, born int64) UpstreamID {
 	if instance == "" || born == 0 {
 		return UpstreamID(instance)
@@ -19,13 +21,14 @@
 	return UpstreamID(instance + lifetimeMark + strconv.FormatInt(born, 10))
 }
 
-// Instance returns the name by which the upstream knows itself.
+// Instance returns the name that the upstream reports of itself.
 func (id UpstreamID) Instance() string {
 	instance, _ := id.split()
 	return instance
 }
 
-// Born returns the start of the lifetime in Unix milliseconds; zero: it is not known.
+// Born returns the start time of the lifetime in Unix milliseconds, or zero if it is not
+// known.
 func (id UpstreamID) Born() int64 {
 	_, born := id.split()
 	return born
--- a/limit.go
+++ b/limit.go
@@ -7,19 +7,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// RequestRate is a number of requests a second.
+// RequestRate is a number of requests per second.
 type RequestRate float64
 
-// ErrBadRate is returned for a text that is not a number of requests a second.
-var ErrBadRate = errors.New("wardturn: not a rate of requests")
+// ErrBadRate is returned by ParseRequestRate for a malformed rate.
+var ErrBadRate = errors.New("wardturn: malformed request rate")
 
 const (
-	maxRateText = 24  // characters of a rate
-	maxRate     = 1e6 // requests a second; a higher figure is garbled
+	maxRateText = 24  // maximum length of a rate, in bytes
+	maxRate     = 1e6 // requests per second; a higher value is taken to be corrupted
 )
 
-// ParseRequestRate reads a plain decimal number such as 12 or 4.5. Signs, exponents and
-// anything else are ErrBadRate: a garbled figure must not pass for a rate.
+// ParseRequestRate parses a plain decimal number such as 12 or 4.5. It returns ErrBadRate
+// for signs, exponents and anything else, so that a corrupted value is not used as a rate.
 func ParseRequestRate(s string) (RequestRate, error) {
 	s = strings.TrimSpace(s)
 	plain := strings.IndexFunc(s, func(r rune) bool {
--- a/outcome.go
+++ b/outcome.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// OutcomeKind is one of the three ways in which an attempt can end.
+// OutcomeKind is the kind of result of an attempt.
 type OutcomeKind uint8
 
 const (
-	// Done means that the whole answer was produced.
+	// Done means that the complete response was produced.
 	Done OutcomeKind = iota + 1
-	// NotRun means that no byte of the request reached an upstream, and that
-	// none will.
+	// NotRun means that no byte of the request reached an upstream and that none
+	// will.
 	NotRun
-	// Unknown means that the request may have run, wholly or in part.
+	// Unknown means that the request may have run, completely or in part.
 	Unknown
 )
 
@@ -28,8 +28,8 @@
 	return "unset"
 }
 
-// Reason says in one word why an attempt ended as it did. Reasons are stable:
-// callers match on them.
+// Reason is a code for why an attempt ended as it did. The codes are stable: callers
+// match on them.
 type Reason string
 
 // The reasons that callers can see.
@@ -57,28 +57,28 @@
 	ReasonAgentRestarted Reason = "agent_restarted"
 	ReasonStaleConfig    Reason = "stale_config"
 	ReasonDuplicate      Reason = "duplicate"
-	// ReasonLoading: the adapter is on its way to an upstream.
+	// ReasonLoading: the adapter is being loaded at an upstream.
 	ReasonLoading Reason = "adapter_loading"
-	// ReasonLimited: the upstreams take so many requests a second, and that is used up.
+	// ReasonLimited: the request rates that the upstreams accept are used up.
 	ReasonLimited Reason = "upstream_limit"
-	// ReasonResting: the upstreams asked for no requests for a while.
+	// ReasonResting: the upstreams asked to be sent no requests for a while.
 	ReasonResting Reason = "upstream_resting"
-	// ReasonEvacuated: the operator has the failure domains of all upstreams evacuated.
+	// ReasonEvacuated: the operator has evacuated the failure domains of all upstreams.
 	ReasonEvacuated Reason = "domains_evacuated"
-	// ReasonRegions: no upstream is in a region in which the request may be served.
+	// ReasonRegions: no upstream is in a region where the request may be served.
 	ReasonRegions Reason = "no_upstream_in_regions"
-	// ReasonCrashes: upstreams ended under requests that asked the same.
+	// ReasonCrashes: upstreams crashed while they had requests of the same content.
 	ReasonCrashes Reason = "crashes_upstreams"
 )
 
-// Outcome is the final value of an attempt.
+// Outcome is the final result of an attempt.
 type Outcome struct {
 	Kind       OutcomeKind   `msgpack:"k"`
 	Reason     Reason        `msgpack:"r,omitempty"`
 	RetryAfter time.Duration `msgpack:"ra,omitempty"`
 }
 
-// Finished returns the outcome of an attempt that produced its whole answer.
+// Finished returns the outcome of an attempt that produced its complete response.
 func Finished() Outcome {
 	return Outcome{
 		Kind: Done,
@@ -86,7 +86,7 @@
 }
 
 // Refused returns the outcome of an attempt that did not run. A retryAfter of
-// zero means that the caller learns no better time to come back.
+// zero means that no time for a retry is known.
 func Refused(reason Reason, retryAfter time.Duration) Outcome {
 	return Outcome{
 		Kind:       NotRun,
--- a/platform.go
+++ b/platform.go
@@ -7,13 +7,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Clock is the source of time. Everything that waits or measures takes one, so
-// that tests and experiments run in virtual time.
+// Clock is a source of time. All code that waits or measures time uses one, so that
+// tests and experiments can run in virtual time.
 type Clock interface {
 	// Now returns the current time.
 	Now() time.Time
-	// AfterFunc calls f once after d, unless the timer is stopped first. The
-	// call comes from another goroutine than the caller's.
+	// AfterFunc calls f once after d, unless the timer is stopped first. It calls
+	// f from a goroutine other than the caller's.
 	AfterFunc(d time.Duration, f func()) Timer
 }
 
@@ -25,30 +25,31 @@
 
 var (
 	// ErrUnavailable is returned by a Log, HostList or Store that cannot be
-	// reached or refuses for now. Nothing was done.
+	// reached or refuses requests at the moment. The operation had no effect.
 	ErrUnavailable = errors.New("wardturn: platform service unavailable")
-	// ErrReplyLost is returned when an action may have taken effect although
-	// its reply never came.
+	// ErrReplyLost is returned when an operation may have taken effect although
+	// no reply was received.
 	ErrReplyLost = errors.New("wardturn: reply lost")
 	// ErrOutOfRetention is returned by Log.Read for records that the log has
-	// already dropped. The reader has to start from LogPage.First.
+	// already deleted. The reader has to start from LogPage.First.
 	ErrOutOfRetention = errors.New("wardturn: records out of retention")
 	// ErrStoreBusy is returned by a Store, and through it by Engine.Load, when
-	// the store's rate is used up.
+	// the store's rate limit is reached.
 	ErrStoreBusy = errors.New("wardturn: weight store busy")
-	// ErrFenced is returned by an upstream that has seen a higher fence.
-	ErrFenced = errors.New("wardturn: order fenced off")
-	// ErrAdapterBusy is returned for an order to unload an adapter that is
-	// serving a request.
+	// ErrFenced is returned by an upstream for an order whose fence is lower than
+	// one it has seen.
+	ErrFenced = errors.New("wardturn: order has a stale fence")
+	// ErrAdapterBusy is returned for an order to unload an adapter that a request
+	// is running on.
 	ErrAdapterBusy = errors.New("wardturn: adapter is serving a request")
 	// ErrNoSlot is returned for an order to load into an engine without a free
 	// slot.
 	ErrNoSlot = errors.New("wardturn: no free adapter slot")
 	// ErrNotLoaded is returned by an engine for a request whose adapter version
-	// it does not hold. The request did not run.
+	// is not loaded. The request did not run.
 	ErrNotLoaded = errors.New("wardturn: adapter version not loaded")
-	// ErrNotStarted is returned by an upstream driver when no byte of the
-	// request was taken by the upstream.
+	// ErrNotStarted is returned by an upstream driver when the upstream accepted
+	// no byte of the request.
 	ErrNotStarted = errors.New("wardturn: upstream did not start the request")
 )
 
@@ -59,34 +60,35 @@
 	Data   []byte    `msgpack:"d"`
 }
 
-// LogPage is the answer to one read of the log.
+// LogPage is the result of one read of the log.
 type LogPage struct {
-	First   Offset      `msgpack:"f"` // oldest record still retained
+	First   Offset      `msgpack:"f"` // offset of the oldest retained record
 	Next    Offset      `msgpack:"n"` // offset the next append will get
 	Records []LogRecord `msgpack:"r"`
 }
 
-// Log is the platform's append-only log. Its order settles every race.
+// Log is the platform's append-only log. The order of its records decides between
+// concurrent writers.
 type Log interface {
-	// Append adds one record. With ErrReplyLost the record may or may not have
-	// been added; with ErrUnavailable it was not.
+	// Append adds one record. After ErrReplyLost the record may or may not have
+	// been added; after ErrUnavailable it was not.
 	Append(ctx context.Context, data []byte) (Offset, error)
-	// Read returns up to limit records from the offset on. It waits for the
-	// first of them for up to wait, and returns an empty page after that.
+	// Read returns up to limit records, starting at an offset. If there is none yet,
+	// it waits up to wait for one and then returns an empty page.
 	Read(ctx context.Context, from Offset, limit int, wait time.Duration) (LogPage, error)
 }
 
-// HostState is what the platform knows about a host.
+// HostState is the state of a host in the platform's list.
 type HostState uint8
 
 const (
-	// HostLive takes new work.
+	// HostLive accepts new work.
 	HostLive HostState = iota
-	// HostLeaving takes no new work and will be gone.
+	// HostLeaving accepts no new work and will be removed.
 	HostLeaving
 )
 
-// Host is one line of the platform's list of hosts.
+// Host is one entry of the platform's list of hosts.
 type Host struct {
 	Upstream UpstreamID    `msgpack:"u" json:"upstream"`
 	Addr     string        `msgpack:"a" json:"addr"` // agent's IP:port
@@ -97,15 +99,15 @@
 	State    HostState     `msgpack:"st" json:"state"`
 }
 
-// HostList is the platform's list of live and leaving hosts. It lags.
+// HostList is the platform's list of live and leaving hosts. It is updated with a delay.
 type HostList interface {
-	// Hosts returns the list as the platform knows it now.
+	// Hosts returns the platform's current list.
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
-// Store is the rate-limited store of adapter weights, as an engine uses it.
+// Store is the rate-limited store from which engines fetch adapter weights.
 type Store interface {
-	// Fetch reads the weights and calls done once, with nil, ErrStoreBusy or
+	// Fetch reads the weights and calls done exactly once, with nil, ErrStoreBusy or
 	// ErrUnavailable.
 	Fetch(ref AdapterRef, done func(error))
 }
--- a/position.go
+++ b/position.go
@@ -2,21 +2,23 @@
 
 import "strconv"
 
-// Position is a place in a record of the platform's store. Later places have higher
-// positions, also across the store's return from an older copy of itself, after which it
-// gives out its offsets again. A negative one is before everything.
+// Position is a position in a topic of the platform's store. It combines an offset with
+// an era, a number that increases each time the store is restored from an older copy and
+// reuses offsets. So a later position always compares higher. A negative position is
+// before all others.
 type Position int64
 
 // eraShift is the number of bits of a position that hold the offset.
 const eraShift = 40
 
-// The greatest parts that a position can hold.
+// The maximum values of the parts of a position.
 const (
 	MaxOffset = 1<<eraShift - 1
 	MaxEra    = 1<<(62-eraShift) - 1
 )
 
-// NewPosition returns the position of an offset in an era of the store.
+// NewPosition returns the position of an offset in an era of the store. Parts that are out
+// of range are clamped.
 func NewPosition(era, offset int64) Position {
 	return Position(clamp(era, MaxEra)<<eraShift | clamp(offset, MaxOffset))
 }
@@ -25,12 +27,12 @@
 	return max(0, min(n, most))
 }
 
-// Era returns the number that rises each time the store comes back.
+// Era returns the number that increases each time the store is restored from an older copy.
 func (p Position) Era() int64 {
 	return int64(p) >> eraShift
 }
 
-// Offset returns the offset in the era.
+// Offset returns the offset within the era.
 func (p Position) Offset() int64 {
 	return int64(p) & MaxOffset
 }
--- a/request.go
+++ b/request.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Class says whether somebody is waiting for the answer.
+// Class is the urgency class of a request.
 type Class uint8
 
 const (
-	// Interactive work has a person waiting. It is never held back.
+	// Interactive requests have a person waiting for the response. They are never
+	// delayed to fill a batch.
 	Interactive Class = iota
-	// Batch work can wait to fill engine steps.
+	// Batch requests can be delayed to fill the engine's batches.
 	Batch
 )
 
@@ -20,7 +21,7 @@
 	return "interactive"
 }
 
-// ParseClass reads a class by its name; the empty string is Interactive.
+// ParseClass returns the class with a name; the empty string is Interactive.
 func ParseClass(s string) (Class, bool) {
 	switch s {
 	case "", "interactive":
@@ -31,7 +32,7 @@
 	return Interactive, false
 }
 
-// Request is what an entry host admits and an agent runs. Exactly one of
+// Request is a request that an entry host admits and an agent runs. Exactly one of
 // Adapter and Service is set.
 type Request struct {
 	ID         RequestID
@@ -53,8 +54,7 @@
 	Body       []byte
 }
 
-// HeaderField is one header line that is passed through to a plain service and
-// back.
+// HeaderField is a header field that is passed through to or from a plain service.
 type HeaderField struct {
 	Name  string `msgpack:"n"`
 	Value string `msgpack:"v"`
--- a/routes.go
+++ b/routes.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// Repeatability says how often one request may run.
+// Repeatability specifies how often a request may be executed.
 type Repeatability uint8
 
 const (
-	// RunOnce allows at most one run for each attempt of a caller.
+	// RunOnce allows at most one execution for each attempt of a caller.
 	RunOnce Repeatability = iota
-	// RunAgain allows several runs.
+	// RunAgain allows several executions.
 	RunAgain
 )
 
-// RouteTable is one version of the operator's configuration: which paths go to
-// which services, and what the services are. A table is never changed after it
-// was published to readers.
+// RouteTable is one version of the operator's configuration: routes from paths to
+// services, and the specifications of the services. A table is immutable once it has
+// been published to readers.
 type RouteTable struct {
 	Version  int64
 	Routes   []Route
 	Services map[ServiceName]ServiceSpec
 	Limits   CallerLimits
 	Teams    []Team
-	// Keyed says that the configuration has teams: a request of a route that is not
-	// public carries the key of one.
+	// Keyed reports whether the configuration has teams: a request of a route that is not
+	// public must then carry the key of a team.
 	Keyed bool
 }
 
-// Route sends the requests of a host and path prefix to services.
+// Route maps the requests of a host and path prefix to services.
 type Route struct {
 	Name         string
 	Host         string
 	Prefix       string // starts and ends with a slash
 	Targets      []RouteTarget
 	Repeats      Repeatability
-	Streaming    bool          // the answer is a stream of events
-	Resumable    bool          // a cut stream may go on at another upstream
-	Timeout      time.Duration // the longest that a request is held
-	Objective    time.Duration // latency within which the answer is on time; of a stream, to its first event
-	MaxPause     time.Duration // between events of a stream that is on time
+	Streaming    bool          // the response is a stream of events
+	Resumable    bool          // an interrupted stream may be resumed at another upstream
+	Timeout      time.Duration // maximum time for which a request is held
+	Objective    time.Duration // latency objective; of a stream, for its first event
+	MaxPause     time.Duration // longest pause between events of a stream that meets its objective
 	Priority     int           // 0 is the most urgent
-	Public       bool          // requests need no key
+	Public       bool          // requests do not need a key
 	Regions      Regions       // where requests may be served
-	MaxUpstreams int           // upstreams that may run one attempt
+	MaxUpstreams int           // maximum number of upstreams that may run one attempt
 }
 
-// RouteTarget is a service that takes a share of a route's requests.
+// RouteTarget is a service that gets a weighted share of a route's requests.
 type RouteTarget struct {
 	Service ServiceName
 	Weight  int
@@ -56,21 +56,21 @@
 // ServiceSpec describes the upstreams of one service.
 type ServiceSpec struct {
 	Name     ServiceName
-	MaxConns int         // connections that one upstream takes from all callers
+	MaxConns int         // maximum number of connections of one upstream, over all callers
 	Engine   *EngineSpec // nil for a plain service
-	// ColdRate is the requests a second that a cold upstream takes from all gateways
-	// together; zero: as many as a warm one.
+	// ColdRate is the number of requests per second that a cold upstream (see
+	// Member.Cold) accepts from all gateways together; zero: as many as a warm one.
 	ColdRate float64
 }
 
 // EngineSpec describes the model engines of a service.
 type EngineSpec struct {
-	Batch        int // requests that run at once
+	Batch        int // maximum number of concurrent requests
 	AdapterSlots int
 	Models       []ModelSpec
 }
 
-// Equal reports whether two specifications say the same.
+// Equal reports whether two specifications are equal.
 func (s EngineSpec) Equal(o EngineSpec) bool {
 	return s.Batch == o.Batch && s.AdapterSlots == o.AdapterSlots && slices.Equal(s.Models, o.Models)
 }
@@ -81,7 +81,7 @@
 	LoadTime time.Duration
 }
 
-// CallerLimits bounds what one caller may send, and how slowly.
+// CallerLimits are the size limits and timeouts for what one caller sends.
 type CallerLimits struct {
 	MaxHeader     int // bytes
 	MaxBody       int // bytes
@@ -89,66 +89,68 @@
 	IdleTimeout   time.Duration
 }
 
-// ModelAdapter names an adapter of a base model. An empty adapter stands for
-// the base model itself.
+// ModelAdapter identifies an adapter of a base model. An empty adapter stands for the
+// base model itself.
 type ModelAdapter struct {
 	Model   BaseModel `msgpack:"m"`
 	Adapter AdapterID `msgpack:"a"`
 }
 
-// Member is one upstream in the platform's list.
+// Member is an upstream in the platform's list.
 type Member struct {
-	ID       UpstreamID // of one lifetime: a restarted upstream is another member
+	ID       UpstreamID // identifies one lifetime: a restarted upstream is another member
 	Service  ServiceName
 	Addr     string // IP:port
 	Domain   FailureDomain
-	Slots    int // requests that it works on at once
+	Slots    int // requests that it processes concurrently
 	Draining bool
-	GoneAt   time.Time // when it is taken away at short notice; zero: not known
-	// Cold is how much longer its entry says that it takes few requests; zero: it is warm.
+	GoneAt   time.Time // when it will be shut down, if announced; zero: not known
+	// Cold is how much longer it accepts only few requests, according to its entry; zero:
+	// it is warm.
 	Cold time.Duration
-	Seen Position // of its latest entry among all entries
+	Seen Position // position of its latest entry in the list
 }
 
-// MemberList is one reading of the platform's list of upstreams.
+// MemberList is the result of one read of the platform's list of upstreams.
 type MemberList struct {
 	Members []Member
-	Lapsed  []UpstreamID // entries that ended since the previous reading
-	Change  MemberChange // since the previous reading, for other readers of the list
-	Same    bool         // as at the previous reading; Members is nil
-	// Returned says that the store has come back from an older copy of itself since: some
-	// upstreams have to enter themselves again.
+	Lapsed  []UpstreamID // entries that ended since the previous read
+	Change  MemberChange // since the previous read, to be passed on to other readers
+	Same    bool         // unchanged since the previous read; Members is nil
+	// Returned reports that the store was restored from an older copy since the previous
+	// read: some upstreams have to write their entries again.
 	Returned bool
 }
 
-// MemberChange is a part of the record of upstreams, as one reader tells it to
-// others. Whoever has read up to From knows all up to To with it.
+// MemberChange is a range of the changes to the list of upstreams, sent by one reader to
+// others. A reader that has read the list up to From can apply it and is then up to date
+// with To.
 type MemberChange struct {
-	From    Position // negative: the whole list was read; only To is told
+	From    Position // negative: the whole list was read, and only To is set
 	To      Position
-	Changed []Member // without GoneAt, which is in the reader's time
+	Changed []Member // without GoneAt, which is a time of the reader's clock
 	Ended   []UpstreamID
 }
 
-// EngineState is what an engine reports of itself.
+// EngineState is the state that an engine reports.
 type EngineState struct {
-	Upstream UpstreamID // lifetime that reports; empty if the engine does not say
-	Born     int64      // its start in Unix ms; zero if the engine does not say
-	Seq      uint64     // orders taken since its start
-	Busy     bool       // an order on a base model is under way
-	Leaving  bool       // it is about to end and is to get no new requests
+	Upstream UpstreamID // lifetime that reports; empty if the engine does not report it
+	Born     int64      // its start in Unix milliseconds; zero if the engine does not report it
+	Seq      uint64     // number of orders accepted since its start
+	Busy     bool       // an order on a base model is in progress
+	Leaving  bool       // it is about to shut down and must get no new requests
 	Running  int
 	Queued   int
-	KVUsed   int // tokens that cannot give way
+	KVUsed   int // tokens in use that cannot be evicted
 	KVTotal  int // tokens
-	// Limit is the requests a second that it says it takes; zero: it names none, or one
-	// that can't be read.
+	// Limit is the number of requests per second that the engine accepts; zero if it
+	// reports no limit or one that cannot be parsed.
 	Limit   RequestRate
 	Models  []LoadedModel
 	Loading []AdapterVersion
 }
 
-// LoadedModel is a base model that an engine holds.
+// LoadedModel is a base model that is loaded at an engine.
 type LoadedModel struct {
 	Name     BaseModel
 	Version  Version
@@ -170,9 +172,9 @@
 	}
 }
 
-// EngineOrder tells an engine to load or unload a model or an adapter. It takes
-// effect only at the named lifetime of the engine, in the expected place of its
-// sequence of orders, and from the newest holder.
+// EngineOrder instructs an engine to load or unload a model or an adapter. The engine
+// executes it only if it is in the given lifetime, has the expected sequence number and
+// has seen no order of a newer holder. A holder is a process that gives the engine orders.
 type EngineOrder struct {
 	Unload   bool
 	Target   ModelAdapter
@@ -183,22 +185,24 @@
 	Fence    Fence
 }
 
-// OrderAnswer is what became of an engine order.
+// OrderAnswer is the result of an engine order.
 type OrderAnswer uint8
 
 const (
-	// OrderTaken is under way or carried out.
+	// OrderTaken means that the order is in progress or executed.
 	OrderTaken OrderAnswer = iota
-	// OrderHolds asked for what was already so.
+	// OrderHolds means that the engine is already in the requested state.
 	OrderHolds
-	// OrderConflict was refused: another is under way, or the engine's sequence
-	// is not the expected one.
+	// OrderConflict means that the order was refused because another is in
+	// progress, or because the engine's sequence number is not the expected one.
 	OrderConflict
-	// OrderStale was refused: a newer holder gave orders.
+	// OrderStale means that the order was refused because a newer holder has given
+	// orders.
 	OrderStale
-	// OrderInvalid was refused for good.
+	// OrderInvalid means that the order was refused and would be refused again.
 	OrderInvalid
-	// OrderLost has no answer: it may be carried out now, later or never.
+	// OrderLost means that there was no response: the order may be executed now,
+	// later or never.
 	OrderLost
 )
 
@@ -219,84 +223,85 @@
 	return "lost"
 }
 
-// HeaderNames are the names of the headers of requests.
+// HeaderNames are the names of request headers.
 type HeaderNames struct {
-	Attempt        string // id of the caller's attempt
+	Attempt        string // ID of the caller's attempt
 	DeadlineMS     string // how long the sender waits, in milliseconds
 	Adapter        string // model, or model/adapter
-	TokenCount     string // tokens of the prompt and the most tokens out
-	Prompt         string // parts of the prompt that others may share
-	LastEvent      string // last event that the caller has of a stream
+	TokenCount     string // tokens of the prompt and maximum number of output tokens
+	Prompt         string // parts of the prompt that other prompts may share
+	LastEvent      string // last event of a stream that the caller has received
 	ExpectInstance string // instance of the upstream that may run the request
 	ExpectVersion  string // version of the weights that may run it
-	Priority       string // urgency at the upstream, 0 first
-	Team           string // team of the request, set by the system alone
-	// Reserved are headers by which an upstream sets memory aside, moves what it
-	// keeps or waits. Only the system may send them.
+	Priority       string // priority at the upstream; 0 is the most urgent
+	Team           string // team of the request; set by the system only
+	// Reserved are headers that make an upstream reserve memory, transfer its cached
+	// data or wait. Only the system may send them.
 	Reserved []string
 }
 
-// ConfigChange is what changed in the operator's configuration.
+// ConfigChange is a change of the operator's configuration.
 type ConfigChange struct {
-	To       Position         // up to which the source has read the record
+	To       Position         // position up to which the source has read
 	Table    *RouteTable      // nil: unchanged
-	Versions []AdapterVersion // newest versions of weights that were named
-	// Evacuated has all failure domains that are evacuated; nil: unchanged.
+	Versions []AdapterVersion // newest versions of weights that were announced
+	// Evacuated is the set of all evacuated failure domains; nil: unchanged.
 	Evacuated Evacuations
-	// Returned says that the store has come back from an older copy of itself since the last
+	// Returned reports that the store was restored from an older copy since the previous
 	// call: the operator has to write some records again.
 	Returned bool
 }
 
-// Evacuations are the failure domains whose upstreams are to get no requests.
+// Evacuations is the set of failure domains whose upstreams must get no requests.
 type Evacuations map[FailureDomain]bool
 
-// ConfigSource gives the operator's configuration, in order. Calls come from
-// one goroutine.
+// ConfigSource provides the operator's configuration, in order. It must be used by one
+// goroutine only.
 type ConfigSource interface {
 	// Next waits up to wait for a change and returns what changed since the
-	// last call; the first call returns everything.
+	// previous call; the first call returns the whole configuration.
 	Next(wait time.Duration) (ConfigChange, error)
 }
 
-// MemberSource gives the platform's list of upstreams. Calls come from one
-// goroutine.
+// MemberSource provides the platform's list of upstreams. It must be used by one
+// goroutine only.
 type MemberSource interface {
-	// Next reads the list as it is now. Where the whole list comes in several
-	// answers, part is told between them what came so far; nil: nobody is.
+	// Next reads the current list. If the whole list takes several responses, part is
+	// called between them with the members read so far, unless it is nil.
 	Next(part func([]Member)) (MemberList, error)
-	// Take returns the list with a change that another reader has read. It
-	// reports false if there is a gap between the two: the list has to be read.
+	// Take applies a change that another reader has read and returns the resulting
+	// list. It reports false if the change does not follow what is known: the list
+	// has to be read.
 	Take(c MemberChange) (MemberList, bool)
 }
 
-// FleetFacts are what gateways know of the weight store and of each other that outlives
-// them.
+// FleetFacts are facts about the weight store and the gateways that are kept across
+// restarts of the gateways.
 type FleetFacts struct {
-	Window   int // loads that may be under way at once; zero: not known
-	Gateways int // that there are; zero: not known
+	Window   int // maximum number of concurrent loads; zero: not known
+	Gateways int // number of gateways; zero: not known
 }
 
-// FleetMemory keeps these facts while no gateway runs.
+// FleetMemory stores FleetFacts in the platform's store.
 type FleetMemory interface {
-	// RecallFleet returns what was remembered last.
+	// RecallFleet returns the facts that were written last.
 	RecallFleet() (FleetFacts, error)
-	// RememberFleet replaces it.
+	// RememberFleet replaces the stored facts.
 	RememberFleet(f FleetFacts) error
 }
 
-// OrderedEngine is a model engine as the process beside it sees it.
+// OrderedEngine is a model engine, as used by the process next to it.
 type OrderedEngine interface {
 	// Report returns the engine's state.
 	Report() (EngineState, error)
-	// Runs returns the ids, as callers gave them, of the requests that the engine has
-	// begun and not ended. It reports false if the engine does not name them.
+	// Runs returns the IDs, as given by callers, of the requests that the engine is
+	// running. It reports false if the engine does not list them.
 	Runs() (ids []string, named bool, err error)
-	// Order gives an order and returns what became of it.
+	// Order sends an order and returns its result.
 	Order(o EngineOrder) OrderAnswer
 }
 
-// FenceSource numbers the starts of processes.
+// FenceSource issues fences to processes at their start.
 type FenceSource interface {
 	// TakeFence returns a fence that is higher than every earlier one.
 	TakeFence(holder Incarnation) (Fence, error)
--- a/setting.go
+++ b/setting.go
@@ -2,8 +2,7 @@
 
 import "fmt"
 
-// SettingProblem says which setting is bad, and why. Setting is the name of its
-// flag.
+// SettingProblem describes an invalid setting. Setting is the name of its flag.
 type SettingProblem struct {
 	Setting string
 	Reason  string
@@ -14,10 +13,10 @@
 	return p.Setting + ": " + p.Reason
 }
 
-// SettingProblems are all faults found in the settings of a process.
+// SettingProblems lists all invalid settings of a process.
 type SettingProblems []SettingProblem
 
-// Require records a problem of a setting unless ok.
+// Require adds a problem of a setting unless ok is true.
 func (p *SettingProblems) Require(ok bool, setting, reason string) {
 	if ok {
 		return
--- a/sleep.go
+++ b/sleep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sleep waits for d by a clock and reports whether it did: false means that ctx
-// ended first.
+// Sleep waits for d, as measured by clock, and reports whether it did so: false means
+// that ctx was done first.
 func Sleep(ctx context.Context, clock Clock, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -24,7 +24,8 @@
 	}
 }
 
-// WithLimit returns a context that ends after d by a clock, or with its parent.
+// WithLimit returns a context that is cancelled after d, as measured by clock, or with its
+// parent.
 func WithLimit(parent context.Context, clock Clock, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	timer := clock.AfterFunc(d, cancel)
--- a/teams.go
+++ b/teams.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// KeyDigest is the SHA-256 of a caller's key. Keys are looked up by it: the time
-// of a look-up tells nothing of how much of a key fits, and no key is kept.
+// KeyDigest is the SHA-256 digest of a caller's key. Keys are looked up by digest, so that
+// the time of a lookup does not reveal how much of a key matches and no key is stored.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key.
@@ -16,16 +16,16 @@
 	return sha256.Sum256([]byte(key))
 }
 
-// String returns the digest in hexadecimal, as configurations and logs name a key.
+// String returns the digest in hexadecimal, the form in configurations and logs.
 func (d KeyDigest) String() string {
 	return hex.EncodeToString(d[:])
 }
 
-// bearerScheme is the scheme of a key in an Authorization header (RFC 6750).
+// bearerScheme is the authentication scheme of keys in an Authorization header (RFC 6750).
 const bearerScheme = "Bearer "
 
-// BearerKey returns the key that the value of an Authorization header carries. The
-// name of the scheme counts in any case.
+// BearerKey returns the key in the value of an Authorization header. The name of the
+// scheme is case-insensitive.
 func BearerKey(authorization string) (key string, ok bool) {
 	n := len(bearerScheme)
 	if len(authorization) <= n || !strings.EqualFold(authorization[:n], bearerScheme) {
@@ -35,38 +35,39 @@
 	return key, key != ""
 }
 
-// CapUnit is what a usage cap counts.
+// CapUnit is the unit of a usage cap.
 type CapUnit uint8
 
 const (
 	// CapRequests counts each request as one.
 	CapRequests CapUnit = iota
-	// CapTokens counts the tokens of a request: those of its prompt and the most
-	// that come out.
+	// CapTokens counts the tokens of a request: those of its prompt plus the maximum
+	// number of output tokens.
 	CapTokens
 )
 
-// UsageCap limits what the requests of a team may use over all gateways together.
+// UsageCap limits the usage of a team over all gateways together.
 type UsageCap struct {
 	Unit  CapUnit
-	Rate  float64 // units a second; zero: no limit
-	Burst float64 // units beyond that at once
-	// RawTokens is what a request counts that does not tell its tokens.
+	Rate  float64 // units per second; zero: no limit
+	Burst float64 // units that may be used at once beyond the rate
+	// RawTokens is the number of tokens charged for a request without token counts.
 	RawTokens float64
 }
 
-// Team is a group of callers with keys and a usage cap of its own.
+// Team is a group of callers with its own keys and usage cap.
 type Team struct {
 	ID   TeamID
 	Keys []KeyDigest
 	Cap  UsageCap
-	// Priority goes before that of a route; nil: the route's holds.
+	// Priority overrides that of the route; nil: the route's priority applies.
 	Priority *int
 	Regions  Regions // where requests may be served
 }
 
-// Units returns what a request counts, whose header of token counts, those of the
-// prompt and the most out, has a value; one without counts RawTokens.
+// Units returns the units to charge for a request. The argument is the value of its header
+// of token counts: the tokens of the prompt and the maximum number of output tokens. A
+// request without valid counts is charged RawTokens.
 func (c UsageCap) Units(tokenCounts string) int64 {
 	if c.Unit == CapRequests {
 		return 1
