--- a/keeper/doc.go
+++ b/keeper/doc.go
@@ -1,8 +1,8 @@
-// Package keeper is the small daemon beside a model engine of the users'
-// platform, as a library. It is the only process that gives the engine orders:
-// it loads the adapters that gateways wish for, unloads the ones worth least,
-// and tells every connected gateway what the engine holds.
+// Package keeper implements, as a library, the daemon that runs next to a model engine
+// and manages its adapters. A keeper is the only process that gives its engine orders:
+// it loads the adapters that gateways request, unloads those with the lowest score, and
+// sends the state of the engine to all connected gateways.
 //
-// A keeper carries no requests. While it is away the engine goes on serving
-// what it holds.
+// Requests do not pass through a keeper. While it is not running, the engine continues
+// to serve the adapters that it has loaded.
 package keeper
--- a/keeper/gateways_test.go
+++ b/keeper/gateways_test.go
@@ -7,8 +7,8 @@
 	"wardturn/peer"
 )
 
-var _ = Describe("The number of gateways", func() {
-	It("is told soon, but not with each gateway that comes", func() {
+var _ = Describe("The number of gateways in state updates", func() {
+	It("is sent soon after a change, but not for each gateway that connects", func() {
 		const more = 20
 		_, addr := startKeeper("k", emptyEngine())
 		heard, conn := connect(addr)
@@ -27,7 +27,7 @@
 		Expect(words).To(BeNumerically("<=", 4))
 	})
 
-	It("counts the processes of one host once: one may not be known to have ended yet", func() {
+	It("counts processes of one host once, because one may have ended without notice", func() {
 		_, addr := startKeeper("k", emptyEngine())
 		heard, conn := connect(addr)
 		Expect(conn.Send(engineNotice(false))).To(Succeed())
--- a/keeper/holding.go
+++ b/keeper/holding.go
@@ -9,13 +9,13 @@
 	"wardturn/peer"
 )
 
-// loadStep is the change in running and queued requests that is worth telling
-// the gateways: an eighth of a usual batch.
+// loadStep is the smallest change in the number of running and queued requests that is
+// sent to the gateways: an eighth of a usual batch.
 const loadStep = 4
 
-// holding is what an engine holds, as its gateways are told.
+// holding is a snapshot of the engine's state, as sent to the gateways.
 type holding struct {
-	seq      uint64 // of the latest change told
+	seq      uint64 // sequence number of the latest update sent
 	known    bool
 	upstream wardturn.UpstreamID
 	models   []wardturn.BaseModel
@@ -25,11 +25,11 @@
 	reading  int
 	free     int
 	gateways int
-	limit    wardturn.RequestRate // that the engine names; zero: none
-	leaving  bool                 // as the engine says
+	limit    wardturn.RequestRate // reported by the engine; zero: none
+	leaving  bool                 // reported by the engine
 }
 
-// holding returns what the engine holds; the lock is held.
+// holding returns a snapshot of the engine's state. The lock must be held.
 func (k *Keeper) holding() *holding {
 	h := &holding{
 		seq:      k.told.seq,
@@ -49,7 +49,7 @@
 	h.running = st.Running
 	h.queued = st.Queued
 	h.limit = st.Limit
-	// The report may still be of the lifetime before.
+	// The report may still be from the previous lifetime.
 	h.leaving = st.Leaving && st.Upstream == k.upstream
 	for _, a := range st.Loading {
 		h.add(a, peer.HeldLoading)
@@ -74,7 +74,7 @@
 	}
 }
 
-// message returns a message without adapters.
+// message returns a state update without adapters.
 func (h *holding) message() *peer.Holding {
 	return &peer.Holding{
 		Seq:      h.seq,
@@ -91,7 +91,7 @@
 	}
 }
 
-// full returns the message for a gateway that knows nothing.
+// full returns the full state, for a gateway without any.
 func (h *holding) full() *peer.Holding {
 	m := h.message()
 	m.Full = true
@@ -102,8 +102,8 @@
 	return m
 }
 
-// since returns the message for gateways that know an earlier holding, or nil if
-// there is nothing worth telling.
+// since returns the update for gateways that have an earlier snapshot, or nil if no change
+// is large enough to be sent.
 func (h *holding) since(old *holding) *peer.Holding {
 	m := h.message()
 	for key, a := range h.adapters {
@@ -127,16 +127,16 @@
 	return m
 }
 
-// countEvery is how soon a change of the number of gateways alone is told again. Told with
-// each gateway that comes, it is a word for each pair of a keeper and a gateway to each
-// gateway when all start together.
+// countEvery is the minimum time between updates in which only the number of gateways has
+// changed. If all gateways start together and each new connection causes an update, every
+// gateway gets an update for each pair of a keeper and a gateway.
 const countEvery = time.Second
 
-// readingStep is the change in tokens being read that is worth telling: less is read
-// before the word has arrived everywhere.
+// readingStep is the smallest change in prefill tokens that is sent to the gateways: an
+// engine prefills fewer tokens than that before the update has reached all gateways.
 const readingStep = 2048
 
-// stepped reports whether the load changed by a step.
+// stepped reports whether the load or the prefill tokens changed enough to be sent.
 func (h *holding) stepped(old *holding) bool {
 	if max(h.reading-old.reading, old.reading-h.reading) >= readingStep {
 		return true
@@ -145,8 +145,8 @@
 	return max(was-is, is-was) >= loadStep
 }
 
-// tell sends what changed to those that listen; the lock is held. Of another
-// lifetime of the engine everything is told.
+// tell sends the changes since the last update to the listeners, or the full state if the
+// lifetime of the engine changed. The lock must be held.
 func (k *Keeper) tell() {
 	h := k.holding()
 	m := h.since(k.told)
@@ -170,14 +170,15 @@
 	k.listeners.answer(now, m)
 }
 
-// tellFull has a connection listen, and tells it everything; the lock is held.
+// tellFull adds a connection to the listeners and sends it the full state. The lock must be
+// held.
 func (k *Keeper) tellFull(c *peer.Conn) {
 	k.listeners.all[c] = true
 	_ = c.Send(k.holding().full())
 }
 
-// tellAsked tells a gateway that asks for an adapter what is known of that, which
-// its relay may not have told yet; the lock is held.
+// tellAsked sends a gateway that requests an adapter the adapter's last sent state, which
+// may not have reached it through its relay yet. The lock must be held.
 func (k *Keeper) tellAsked(c *peer.Conn, key wardturn.ModelAdapter) {
 	k.listeners.ask(k.clock.Now(), c, key)
 	a, ok := k.told.adapters[key]
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -16,24 +16,27 @@
 )
 
 const (
-	busyPoll = 10 * time.Millisecond  // of the engine's report while orders are due or under way
-	restPoll = 200 * time.Millisecond // otherwise
-	// fenceRetry is the pause after a failed start record. Without a fence nothing
-	// can be loaded: a pause that doubles leaves engines without orders for seconds when
-	// all processes start at once and the store refuses their first records.
+	// busyPoll is the interval between reads of the engine's report while orders may be
+	// due or are in progress.
+	busyPoll = 10 * time.Millisecond
+	restPoll = 200 * time.Millisecond // interval otherwise
+	// fenceRetry is the delay after a failed attempt to write the start record. It is
+	// constant because nothing can be loaded without a fence: with exponential backoff,
+	// engines get no orders for seconds when all processes start at once and the store
+	// refuses their first records.
 	fenceRetry    = 400 * time.Millisecond
-	conflictPause = 20 * time.Millisecond  // after an order that met another
-	lostPause     = 5 * time.Millisecond   // after an order without answer
-	invalidPause  = 500 * time.Millisecond // after one that makes no sense to the engine
+	conflictPause = 20 * time.Millisecond  // after an order that conflicted with another
+	lostPause     = 5 * time.Millisecond   // after an order without a response
+	invalidPause  = 500 * time.Millisecond // after an order that was rejected as invalid
 )
 
-// Config holds the settings of a keeper.
+// Config is the configuration of a keeper.
 type Config struct {
 	Process wardturn.Incarnation
-	Name    string // of the host, in orders
+	Name    string // host name, sent in orders
 }
 
-// Deps are what a keeper is built from.
+// Deps are the dependencies of a keeper.
 type Deps struct {
 	Config   Config
 	Clock    wardturn.Clock
@@ -45,7 +48,7 @@
 	Listener net.Listener
 }
 
-// Keeper holds the adapters of one engine.
+// Keeper manages the adapters of one engine.
 type Keeper struct {
 	cfg    Config
 	clock  wardturn.Clock
@@ -60,23 +63,23 @@
 
 	mu        sync.Mutex
 	places    *decide.Places
-	config    int64               // version of the latest notice
-	upstream  wardturn.UpstreamID // the engine's present lifetime, as gateways and the engine say
-	seen      wardturn.Position   // of the entry that named it
+	config    int64               // version of the configuration in the latest notice
+	upstream  wardturn.UpstreamID // the engine's current lifetime, from gateways and reports
+	seen      wardturn.Position   // position of the list entry with this lifetime
 	fence     wardturn.Fence
-	fencing   bool                // a start record is being written
-	greeted   map[*peer.Conn]bool // connections that said which engine they mean
-	gateways  map[string]int      // such connections, by the gateway's host
-	hears     map[*peer.Conn]bool // connections on which news of the store is heard
-	reading   map[*peer.Conn]int  // tokens of long prompts, by gateway's connection
-	told      *holding            // what the listeners know
+	fencing   bool                // a goroutine is writing a start record
+	greeted   map[*peer.Conn]bool // connections that have sent an EngineNotice
+	gateways  map[string]int      // number of these connections, by the gateway's host
+	hears     map[*peer.Conn]bool // connections to which messages between gateways are forwarded
+	reading   map[*peer.Conn]int  // tokens of long prompts in prefill, by the gateway's connection
+	told      *holding            // snapshot that the listeners have
 	listeners listeners
-	countAt   time.Time // when a change of the number of gateways alone may be told
+	countAt   time.Time // when an update with only a new number of gateways may be sent
 	words     words
 	started   startedQueries
 }
 
-// New starts a keeper.
+// New creates and starts a keeper.
 func New(d Deps) *Keeper {
 	k := &Keeper{
 		cfg:       d.Config,
@@ -112,18 +115,18 @@
 	return k
 }
 
-// Close ends the keeper at once. It carries no requests, so a planned stop needs
-// no more.
+// Close stops the keeper immediately. No requests pass through it, so there is nothing to
+// drain.
 func (k *Keeper) Close() {
-	k.logger.Info("keeper stops")
+	k.logger.Info("keeper stopping")
 	k.tasks.Stop()
 	k.server.Close()
 	k.relays.close()
 	k.tasks.Wait()
 }
 
-// takeFence writes a start record until that succeeds; its offset is the fence
-// of all orders after it.
+// takeFence writes a start record in the background, with retries. The record's offset is
+// the fence of all orders after it. Until then no orders are given.
 func (k *Keeper) takeFence() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -144,8 +147,8 @@
 				k.signal()
 				return
 			}
-			// A record whose answer was lost only leaves a gap in the fences.
-			k.logger.Warn("no fence yet, no orders are given", "error", err)
+			// If the record was written but the reply was lost, that fence is skipped.
+			k.logger.Warn("taking a fence failed; no orders are given until it succeeds", "error", err)
 			if !k.tasks.Pause(fenceRetry) {
 				return
 			}
@@ -153,6 +156,7 @@
 	})
 }
 
+// signal ends the wait before the next poll.
 func (k *Keeper) signal() {
 	select {
 	case k.wake <- struct{}{}:
@@ -160,8 +164,8 @@
 	}
 }
 
-// run reads the engine's report again and again and gives the orders that are
-// due. It is the only goroutine that gives orders.
+// run polls the engine's report and gives the orders that are due. It is the only goroutine
+// that gives orders.
 func (k *Keeper) run() {
 	for k.tasks.Context().Err() == nil {
 		k.observe()
@@ -172,7 +176,7 @@
 	}
 }
 
-// rest waits for the next look at the engine.
+// rest waits until the next poll is due or signal is called.
 func (k *Keeper) rest() {
 	k.mu.Lock()
 	wait := restPoll
@@ -192,7 +196,7 @@
 	}
 }
 
-// observe takes a fresh report and tells the gateways what changed.
+// observe gets a new report and sends the changes to the gateways.
 func (k *Keeper) observe() {
 	st, err := k.engine.Report()
 	k.mu.Lock()
@@ -215,8 +219,8 @@
 	k.tell()
 }
 
-// step gives the order that is due, if any, and reports whether to go on at
-// once.
+// step gives the order that is due, if any, and reports whether to poll again without
+// delay.
 func (k *Keeper) step() bool {
 	k.mu.Lock()
 	if k.fence == 0 || k.upstream == "" {
@@ -224,7 +228,7 @@
 		return false
 	}
 	next, ok := k.places.Next(k.clock.Now())
-	k.tell() // an adapter may be about to leave
+	k.tell() // an adapter may have been chosen for eviction
 	if !ok {
 		k.mu.Unlock()
 		return false
@@ -242,6 +246,8 @@
 	return k.give(order)
 }
 
+// give sends an order to the engine and reports whether it was accepted. If it was not, the
+// next order is delayed.
 func (k *Keeper) give(o wardturn.EngineOrder) bool {
 	answer := k.engine.Order(o)
 	k.scope.Tagged(map[string]string{
@@ -259,7 +265,7 @@
 	case wardturn.OrderInvalid:
 		pause = invalidPause
 	case wardturn.OrderStale:
-		k.logger.Warn("a newer holder gave orders; a new fence is taken", "fence", o.Fence)
+		k.logger.Warn("order refused because of a newer holder; taking a new fence", "fence", o.Fence)
 		k.takeFence()
 		return false
 	}
@@ -313,9 +319,10 @@
 	}
 }
 
-// notice takes a gateway's word on the engine and answers with the holding; the
-// lock is held. An older configuration than the latest is passed over, and so is
-// an earlier lifetime of the engine: after a restart some gateways know only that.
+// notice handles a gateway's notice about the engine and replies with the full state,
+// unless the gateway gets it through a relay. An older configuration than the latest is
+// ignored, and so is an earlier lifetime of the engine: after a restart some gateways know
+// only the earlier one. The lock must be held.
 func (k *Keeper) notice(c *peer.Conn, m *peer.EngineNotice) {
 	if m.Config >= k.config {
 		k.config = m.Config
@@ -342,8 +349,8 @@
 	k.signal()
 }
 
-// passOn tells what gateways tell each other to those that hear it here, but not to the
-// one that brought it, if that is named; the lock is held.
+// passOn forwards a message between gateways to the gateways that receive such messages from
+// this keeper, except to its sender, if given. The lock must be held.
 func (k *Keeper) passOn(from *peer.Conn, m peer.Message) {
 	for c := range k.hears {
 		if c != from {
@@ -352,8 +359,9 @@
 	}
 }
 
-// hostOf returns the host of a gateway, so that a process and the one before it, whose
-// connection still counts after a loss of power, are one.
+// hostOf returns the host of a gateway, or its process if the host is not known. Counting by
+// host avoids counting a restarted gateway twice: after a power loss the connection of the
+// previous process still seems to be alive.
 func hostOf(c *peer.Conn) string {
 	return cmp.Or(c.Peer().Host, string(c.Peer().Process))
 }
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -26,14 +26,14 @@
 
 const soon = 5 * time.Second
 
-// engine is an engine that records its orders.
+// engine is a fake engine that records its orders.
 type engine struct {
 	mu      sync.Mutex
 	state   wardturn.EngineState
 	orders  []wardturn.EngineOrder
-	answers []wardturn.OrderAnswer // of the next orders; then all are taken
+	answers []wardturn.OrderAnswer // results of the next orders; after these all are accepted
 	down    bool
-	runs    []string      // nil: they are not named
+	runs    []string      // nil: the engine does not list them
 	slow    chan struct{} // if set, reports wait until it is closed
 }
 
@@ -47,7 +47,7 @@
 		return wardturn.EngineState{}, wardturn.ErrUnavailable
 	}
 	st := e.state
-	st.Models = slices.Clone(st.Models) // Order changes its own
+	st.Models = slices.Clone(st.Models) // Order modifies its own copy
 	return st, nil
 }
 
@@ -86,7 +86,7 @@
 	return append([]wardturn.EngineOrder(nil), e.orders...)
 }
 
-// fences numbers starts, or fails while away.
+// fences is a fake source of fences that fails while away is set.
 type fences struct {
 	mu   sync.Mutex
 	next wardturn.Fence
@@ -103,7 +103,7 @@
 	return f.next, nil
 }
 
-// gatewayEnd is a gateway's end of the connection.
+// gatewayEnd is the gateway's side of a connection to a keeper.
 type gatewayEnd struct {
 	conn     chan *peer.Conn
 	holdings chan *peer.Holding
@@ -198,7 +198,7 @@
 		}
 	})
 
-	It("gives orders under its fence, to the engine's lifetime, at its sequence number", func() {
+	It("gives orders with its fence, the engine's lifetime and sequence number", func() {
 		start()
 		notice()
 		wish()
@@ -210,7 +210,7 @@
 		Expect(o.Holder).To(BeEquivalentTo("k"))
 	})
 
-	It("tells the whole holding first and then what changed", func() {
+	It("sends the full state first and then changes", func() {
 		start()
 		notice()
 		var h *peer.Holding
@@ -220,11 +220,11 @@
 		Eventually(func() int {
 			Eventually(g.holdings, soon).Should(Receive(&h))
 			Expect(h.Full).To(BeFalse())
-			return len(h.Adapters) // a change of the lifetime alone may come first
+			return len(h.Adapters) // an update with only a new lifetime may come first
 		}, soon).Should(Equal(1))
 	})
 
-	It("tells what the engine holds to a gateway that came before the first report", func() {
+	It("sends the engine's state to a gateway that connected before the first report", func() {
 		e.slow = make(chan struct{})
 		start()
 		notice()
@@ -238,7 +238,7 @@
 		}, soon).Should(BeTrue())
 	})
 
-	It("tells what long prompts the engine reads for all gateways, until they are read or their gateway is gone", func() {
+	It("sends the tokens of long prompts in prefill, until they are processed or their gateway disconnects", func() {
 		start()
 		notice()
 		reading := func() int {
@@ -263,7 +263,7 @@
 		Eventually(reading, soon).Should(BeZero())
 	})
 
-	It("tells how many gateways there are", func() {
+	It("sends the number of gateways", func() {
 		start()
 		notice()
 		var h *peer.Holding
@@ -276,7 +276,7 @@
 		Expect(h.Gateways).To(Equal(1))
 	})
 
-	It("tells the limit that the engine's reports name, and its end", func() {
+	It("sends the limit in the engine's reports, and that it has ended", func() {
 		start()
 		notice()
 		var h *peer.Holding
@@ -291,7 +291,7 @@
 		}
 	})
 
-	It("keeps to the later lifetime of the engine when a gateway still names the earlier one", func() {
+	It("keeps the later lifetime of the engine when a gateway still sends the earlier one", func() {
 		start()
 		name("i-2", 20)
 		name("i-1", 10)
@@ -300,7 +300,7 @@
 		Expect(e.given()[0].Upstream).To(BeEquivalentTo("i-2"))
 	})
 
-	It("knows a lifetime that began under the same id by the engine's report, and passes over a gateway that is behind", func() {
+	It("learns from the engine's report that it restarted under the same name, and ignores a gateway with the earlier lifetime", func() {
 		e.state.Born = 1000
 		start()
 		name(wardturn.Lifetime("i-1", 1000), 10)
@@ -315,14 +315,14 @@
 		Eventually(func() wardturn.UpstreamID {
 			return (<-g.holdings).Upstream
 		}, soon).Should(Equal(wardturn.Lifetime("i-1", 2000)))
-		name(wardturn.Lifetime("i-1", 1000), 11) // its entry was written once more
+		name(wardturn.Lifetime("i-1", 1000), 11) // the entry of the earlier lifetime was written again
 		wish()
 		Eventually(e.given, soon).Should(HaveLen(2))
 		Expect(e.given()[1].Upstream).To(Equal(wardturn.Lifetime("i-1", 2000)))
 		Expect(e.given()[1].Expected).To(BeZero())
 	})
 
-	It("gives orders to a new lifetime at once, whatever the one before refused", func() {
+	It("gives orders to a new lifetime without delay after the previous one refused an order", func() {
 		e.answers = []wardturn.OrderAnswer{wardturn.OrderInvalid}
 		start()
 		name("i-1", 10)
@@ -332,7 +332,7 @@
 		name("i-2", 20)
 		wish()
 		Eventually(e.given, soon, time.Millisecond).Should(HaveLen(2))
-		Expect(time.Since(renamed)).To(BeNumerically("<", 400*time.Millisecond)) // the pause after a refusal is 500 ms
+		Expect(time.Since(renamed)).To(BeNumerically("<", 400*time.Millisecond)) // invalidPause is 500 ms
 		Expect(e.given()[1].Upstream).To(BeEquivalentTo("i-2"))
 	})
 
@@ -357,11 +357,11 @@
 		Consistently(e.given, 100*time.Millisecond).Should(BeEmpty())
 	})
 
-	It("takes a fence soon after the store takes records again", func() {
+	It("takes a fence soon after the store accepts records again", func() {
 		f.away = true
 		start()
 		notice()
-		time.Sleep(1200 * time.Millisecond) // some tries have failed
+		time.Sleep(1200 * time.Millisecond) // several attempts have failed
 		f.mu.Lock()
 		f.away = false
 		f.mu.Unlock()
@@ -372,7 +372,7 @@
 		}, 700*time.Millisecond, 50*time.Millisecond).Should(BeNumerically(">", 0))
 	})
 
-	It("takes a new fence when a newer holder gave orders", func() {
+	It("takes a new fence when a newer holder has given orders", func() {
 		e.answers = []wardturn.OrderAnswer{wardturn.OrderStale}
 		start()
 		notice()
@@ -384,7 +384,7 @@
 		Expect(e.given()[1].Fence).To(BeEquivalentTo(2))
 	})
 
-	It("gives an order without answer again, at the sequence number that the engine reports then", func() {
+	It("repeats an order without a response, with the sequence number that the engine reports then", func() {
 		e.answers = []wardturn.OrderAnswer{wardturn.OrderLost, wardturn.OrderConflict}
 		start()
 		notice()
@@ -396,7 +396,7 @@
 		Expect(e.given()[2].Expected).To(BeEquivalentTo(7))
 	})
 
-	It("gives no order while the engine says that one is under way, and soon after it", func() {
+	It("gives no order while the engine reports one in progress, and gives one soon after that", func() {
 		busy := func(is bool) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
@@ -415,7 +415,7 @@
 		Expect(time.Since(ended)).To(BeNumerically("<", 200*time.Millisecond))
 	})
 
-	It("says so when the engine does not answer", func() {
+	It("sends that the engine's state is unknown when the engine does not respond", func() {
 		start()
 		notice()
 		e.mu.Lock()
--- a/keeper/listeners.go
+++ b/keeper/listeners.go
@@ -7,17 +7,18 @@
 	"wardturn/peer"
 )
 
-// answerFor is how long a gateway that asked for an adapter is told of it directly:
-// far over the time of a load from a store that is not overloaded. A gateway that
-// still waits asks again.
+// answerFor is how long a gateway that requested an adapter is sent updates of it directly.
+// It is far longer than a load from a store that is not overloaded takes. A gateway that
+// still waits after that repeats its request.
 const answerFor = 2 * time.Second
 
-// listeners are the connections that are told of the engine: some of everything,
-// the others, whose gateways have a relay for that, of what they asked for.
+// listeners are the connections that get updates of the engine's state. Gateways with a
+// relay for this keeper get the updates from it and only those of the adapters that they
+// requested from here; the other gateways get all updates from here.
 type listeners struct {
-	all    map[*peer.Conn]bool
-	asked  map[wardturn.ModelAdapter]map[*peer.Conn]time.Time // when
-	marked map[*peer.Conn]uint64                              // the latest mark sent
+	all    map[*peer.Conn]bool                                // connections that get all updates
+	asked  map[wardturn.ModelAdapter]map[*peer.Conn]time.Time // time of the request
+	marked map[*peer.Conn]uint64                              // sequence number of the latest Mark sent
 }
 
 func newListeners() listeners {
@@ -28,7 +29,7 @@
 	}
 }
 
-// ask notes that a gateway wants to know of an adapter.
+// ask records that a gateway requested an adapter.
 func (l *listeners) ask(now time.Time, c *peer.Conn, key wardturn.ModelAdapter) {
 	if l.all[c] {
 		return
@@ -39,7 +40,7 @@
 	l.asked[key][c] = now
 }
 
-// answer tells those that asked for an adapter of its change.
+// answer sends the changes of adapters to the gateways that requested them.
 func (l *listeners) answer(now time.Time, m *peer.Holding) {
 	for _, a := range m.Adapters {
 		key := a.Adapter.Key()
@@ -55,7 +56,7 @@
 	l.forget(now)
 }
 
-// forget drops what nobody asks for any more.
+// forget removes expired requests.
 func (l *listeners) forget(now time.Time) {
 	for key, conns := range l.asked {
 		for c, at := range conns {
@@ -69,7 +70,7 @@
 	}
 }
 
-// answerOf returns the part of a word that concerns one adapter.
+// answerOf returns the part of an update that is about one adapter.
 func answerOf(m *peer.Holding, a peer.HeldAdapter) *peer.Holding {
 	part := *m
 	part.Full = false
@@ -79,7 +80,8 @@
 	return &part
 }
 
-// mark tells a gateway that has a relay how far the changes go.
+// mark sends a gateway with a relay the current sequence number, so that the gateway notices
+// a relay that is behind.
 func (l *listeners) mark(c *peer.Conn, seq uint64) {
 	if l.all[c] || l.marked[c] == seq {
 		return
@@ -90,6 +92,7 @@
 	})
 }
 
+// lost removes a connection that has ended.
 func (l *listeners) lost(c *peer.Conn) {
 	delete(l.all, c)
 	delete(l.marked, c)
--- a/keeper/news_test.go
+++ b/keeper/news_test.go
@@ -8,14 +8,14 @@
 	"wardturn/peer"
 )
 
-var _ = Describe("A keeper that gets news of the store", func() {
+var _ = Describe("A keeper that gets an announcement of a store read", func() {
 	var (
 		addr   string
-		reader *peer.Conn // of the gateway that tells the news
+		reader *peer.Conn // of the gateway that sends the announcement
 		own    *words
-		in     *words // a gateway that hears news of this keeper
+		in     *words // a gateway that gets announcements from this keeper
 		inConn *peer.Conn
-		out    *words // one that hears them of others
+		out    *words // a gateway that gets them from other keepers
 	)
 	greet := func(news bool) (*words, *peer.Conn) {
 		w, c := connect(addr)
@@ -24,7 +24,7 @@
 		Expect(c.Send(n)).To(Succeed())
 		return w, c
 	}
-	// sync has what was told to a gateway before arrive first.
+	// sync waits until everything sent to a gateway before has arrived.
 	sync := func(w *words, c *peer.Conn) {
 		Expect(c.Send(&peer.Listen{})).To(Succeed())
 		next[*peer.Holding](w)
@@ -46,7 +46,7 @@
 		sync(own, reader)
 	})
 
-	It("passes them on to the gateways that hear them here, and to no other", func() {
+	It("forwards it to the gateways that get announcements from it, except the sender, and to no other", func() {
 		tell(7)
 		Expect(next[*peer.StoreNews](in).Config).To(BeEquivalentTo(7))
 		Consistently(func() bool {
@@ -54,7 +54,7 @@
 		}, "200ms").Should(BeFalse())
 	})
 
-	It("follows a gateway that begins or ends to hear them here", func() {
+	It("applies a gateway's change of whether it gets announcements from this keeper", func() {
 		n := engineNotice(true)
 		Expect(inConn.Send(n)).To(Succeed())
 		sync(in, inConn)
@@ -70,7 +70,7 @@
 	})
 })
 
-// heardNews reports whether news is among what has arrived.
+// heardNews reports whether an announcement of a store read has arrived.
 func heardNews(w *words) bool {
 	for {
 		select {
--- a/keeper/relay.go
+++ b/keeper/relay.go
@@ -13,18 +13,19 @@
 	"wardturn/process"
 )
 
-// maxRelays bounds the keepers that one keeper relays, within the descriptors of a host. A
-// few that are left in a failure domain still relay those of all others.
+// maxRelays is the maximum number of keepers that one keeper relays, within the limit of
+// file descriptors of a host. It is large enough for a few remaining keepers of a failure
+// domain to relay those of all other domains.
 const maxRelays = 512
 
-// relayLinger is how long a keeper that nobody follows any more is listened to:
-// gateways that start or whose connections were cut come back within it.
+// relayLinger is how long a relay without followers is kept open. Gateways that restart or
+// whose connections were interrupted reconnect within that time.
 const relayLinger = 5 * time.Second
 
-// relays pass on what keepers in other failure domains tell to the gateways of
-// the own one. So a change crosses between two failure domains once and not once
-// for each gateway. Gateways choose who relays; a relay that is wrong, late or gone costs
-// them a direct connection's words, nothing else.
+// relays forward the state updates of keepers in other failure domains to the gateways of
+// the local one, so that an update crosses between two failure domains once instead of once
+// for each gateway. Gateways choose the keepers that relay. A relay that is wrong, late or
+// unreachable only makes them get the updates over direct connections.
 type relays struct {
 	clock  wardturn.Clock
 	logger hclog.Logger
@@ -33,16 +34,16 @@
 
 	mu       sync.Mutex
 	byKeeper map[string]*relay // by address
-	full     bool              // the bound was met and logged
+	full     bool              // maxRelays was reached and logged
 	closed   bool
 }
 
-// relay is one keeper that is listened to, and who wants to know.
+// relay is the connection to one relayed keeper, with the connections of its followers.
 type relay struct {
 	relays    *relays
 	keeper    string
 	client    *peer.Client
-	process   wardturn.Incarnation // of the keeper on the present connection
+	process   wardturn.Incarnation // of the keeper on the current connection
 	mirror    peer.Mirror
 	followers map[*peer.Conn]bool
 }
@@ -57,7 +58,7 @@
 	}
 }
 
-// follow takes a gateway's wish to be told of a keeper, or its end.
+// follow starts or ends relaying a keeper to a gateway.
 func (rs *relays) follow(c *peer.Conn, m *peer.Follow) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -75,8 +76,8 @@
 	}
 }
 
-// to returns the relay of a keeper, a new one if there is none, or nil beyond the
-// bound; the lock is held.
+// to returns the relay of a keeper and creates it if there is none. It returns nil if
+// maxRelays is reached. The lock must be held.
 func (rs *relays) to(keeper string) *relay {
 	r := rs.byKeeper[keeper]
 	if r != nil || rs.closed {
@@ -99,8 +100,8 @@
 	return r
 }
 
-// unfollow ends the wish of a gateway; the lock is held. A keeper that nobody
-// follows any more is not listened to after a while.
+// unfollow removes a gateway from the followers of a keeper and schedules the end of a relay
+// that has no followers left. The lock must be held.
 func (rs *relays) unfollow(c *peer.Conn, keeper string) {
 	r := rs.byKeeper[keeper]
 	if r == nil || !r.followers[c] {
@@ -117,7 +118,7 @@
 	})
 }
 
-// end ends a relay if nobody has followed it again.
+// end closes a relay unless it has got followers again.
 func (rs *relays) end(r *relay) {
 	rs.mu.Lock()
 	if len(r.followers) > 0 || rs.byKeeper[r.keeper] != r {
@@ -129,7 +130,7 @@
 	r.client.Close()
 }
 
-// lost ends all wishes of a gateway whose connection ended.
+// lost removes a gateway whose connection has ended from the followers of all keepers.
 func (rs *relays) lost(c *peer.Conn) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -174,14 +175,14 @@
 	}
 }
 
-// Closed implements peer.Handler. The followers are told, so that they listen to
-// the keeper themselves while it can be reached.
+// Closed implements peer.Handler. It notifies the followers, so that they can get the updates
+// from the keeper directly if they reach it.
 func (r *relay) Closed(_ *peer.Conn, err error) {
 	r.relays.mu.Lock()
 	defer r.relays.mu.Unlock()
 	r.mirror.Forget()
 	if r.relays.closed || len(r.followers) == 0 {
-		return // it has ended
+		return // closed by end or close
 	}
 	r.relays.logger.Info("keeper that is relayed was lost", "keeper", r.keeper, "followers", len(r.followers), "error", err)
 	for f := range r.followers {
@@ -193,8 +194,8 @@
 	}
 }
 
-// send passes a word on; the lock is held. A follower that does not get it is
-// told by its next heartbeat that it is behind.
+// send forwards a state update. A follower that misses it learns from the Mark after its
+// next heartbeat that it is behind. The lock must be held.
 func (r *relay) send(c *peer.Conn, h peer.Holding) {
 	_ = c.Send(&peer.Relayed{
 		Keeper:  r.keeper,
--- a/keeper/relay_test.go
+++ b/keeper/relay_test.go
@@ -17,7 +17,7 @@
 	"wardturn/process"
 )
 
-// startKeeper starts a keeper of an engine and returns its address.
+// startKeeper starts a keeper of an engine and returns it with its address.
 func startKeeper(name wardturn.Incarnation, e *engine) (*keeper.Keeper, string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -37,7 +37,7 @@
 	return k, ln.Addr().String()
 }
 
-// words is a gateway's end that keeps all it is told.
+// words is the gateway's side of a connection that keeps all received messages.
 type words struct {
 	conn chan *peer.Conn
 	all  chan peer.Message
@@ -47,15 +47,15 @@
 func (w *words) Closed(*peer.Conn, error)            {}
 func (w *words) Handle(_ *peer.Conn, m peer.Message) { w.all <- m }
 
-// ends numbers the gateways' ends.
+// ends is the number of connected gateways, used in their process names.
 var ends atomic.Int64
 
-// connect connects a gateway's end to a keeper.
+// connect connects a gateway to a keeper.
 func connect(addr string) (*words, *peer.Conn) {
 	return connectFrom("", addr)
 }
 
-// connectFrom is connect from a host.
+// connectFrom connects a gateway on a host to a keeper.
 func connectFrom(host, addr string) (*words, *peer.Conn) {
 	w := &words{
 		conn: make(chan *peer.Conn, 8),
@@ -116,7 +116,7 @@
 	}
 }
 
-// next returns the next message of a type.
+// next waits for the next message of a type and skips others.
 func next[T peer.Message](w *words) T {
 	GinkgoHelper()
 	var found T
@@ -130,12 +130,12 @@
 	return found
 }
 
-var _ = Describe("A keeper whose words a relay brings to a gateway", func() {
+var _ = Describe("A keeper with a gateway that gets its state updates from a relay", func() {
 	var (
 		addr  string
 		conn  *peer.Conn
 		w     *words
-		other *peer.Conn // of a second gateway, which listens
+		other *peer.Conn // of a second gateway, which gets all updates directly
 		heard *words
 	)
 	BeforeEach(func() {
@@ -147,7 +147,7 @@
 		Expect(conn.Send(engineNotice(true))).To(Succeed())
 	})
 
-	It("tells that gateway only what it asked for", func() {
+	It("sends that gateway only the adapters that it requested", func() {
 		Expect(other.Send(wishFor("b"))).To(Succeed())
 		Eventually(func() bool {
 			h := next[*peer.Holding](heard)
@@ -160,7 +160,7 @@
 		Expect(h.Adapters[0].Adapter.Adapter).To(BeEquivalentTo("a"))
 	})
 
-	It("answers at once for what is there already", func() {
+	It("responds without delay if the adapter is already loaded", func() {
 		Expect(other.Send(wishFor("a"))).To(Succeed())
 		Eventually(func() int {
 			return len(next[*peer.Holding](heard).Adapters)
@@ -171,7 +171,7 @@
 		Expect(h.Adapters[0].State).To(Equal(peer.HeldReady))
 	})
 
-	It("marks how far its changes go when the gateway uses the engine", func() {
+	It("sends its sequence number when the gateway reports usage", func() {
 		Expect(other.Send(wishFor("a"))).To(Succeed())
 		h := next[*peer.Holding](heard)
 		Expect(conn.Send(&peer.Usage{})).To(Succeed())
@@ -179,13 +179,13 @@
 	})
 })
 
-var _ = Describe("A keeper that relays another", func() {
+var _ = Describe("A keeper that relays another keeper", func() {
 	var (
 		far  *keeper.Keeper
-		addr string // of the far one
+		addr string // of the relayed keeper
 		w    *words
-		conn *peer.Conn // to the relay
-		ask  *peer.Conn // to the far one
+		conn *peer.Conn // to the relaying keeper
+		ask  *peer.Conn // to the relayed keeper
 	)
 	BeforeEach(func() {
 		far, addr = startKeeper("far", emptyEngine())
@@ -200,7 +200,7 @@
 		Expect(m.Holding.Full).To(BeTrue())
 	})
 
-	It("passes on each change, and all of it to those that follow later", func() {
+	It("forwards each change, and the full state to gateways that follow later", func() {
 		Expect(ask.Send(wishFor("a"))).To(Succeed())
 		Eventually(func() bool {
 			h := next[*peer.Relayed](w).Holding
@@ -212,18 +212,18 @@
 		Expect(h.Adapters).To(HaveLen(1))
 	})
 
-	It("says that it has lost the keeper", func() {
+	It("reports that the connection to the keeper is lost", func() {
 		far.Close()
 		Eventually(func() bool {
 			return next[*peer.Relayed](w).Lost
 		}, soon).Should(BeTrue())
 	})
 
-	It("tells nothing more to a gateway that ends to follow", func() {
+	It("sends nothing more to a gateway that stops following", func() {
 		_, second := startKeeper("second", emptyEngine())
 		Expect(conn.Send(&peer.Follow{Keeper: addr, End: true})).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: second})).To(Succeed())
-		Eventually(func() string { // what was told before the end has come by then
+		Eventually(func() string { // updates sent before the end have arrived by then
 			return next[*peer.Relayed](w).Keeper
 		}, soon).Should(Equal(second))
 		Expect(ask.Send(wishFor("a"))).To(Succeed())
--- a/keeper/startedquery.go
+++ b/keeper/startedquery.go
@@ -7,8 +7,9 @@
 	"wardturn/peer"
 )
 
-// startedQueries are the questions of gateways which of their requests the engine has started.
-// Those that come while a report is under way are answered together by the next one.
+// startedQueries are the pending queries of gateways about which of their requests the engine
+// has started. Queries that arrive while a report is being read are answered together from
+// the next one.
 type startedQueries struct {
 	mu    sync.Mutex
 	ids   map[*peer.Conn][]string
@@ -32,7 +33,7 @@
 	}
 }
 
-// take returns the questions that have no answer yet, once.
+// take removes and returns the pending queries.
 func (b *startedQueries) take() map[*peer.Conn][]string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -41,9 +42,9 @@
 	return ids
 }
 
-// answerStarted answers the questions by reports that are taken after them.
+// answerStarted answers queries from reports that are read after the queries arrived.
 func (k *Keeper) answerStarted() {
-	logged := false // that the engine does not name its runs; gateways ask again and again
+	logged := false // the missing list of runs was logged; gateways repeat their queries
 	for {
 		select {
 		case <-k.started.woken:
@@ -53,12 +54,12 @@
 		asked := k.started.take()
 		runs, named, err := k.engine.Runs()
 		if err != nil {
-			k.logger.Debug("engine does not tell its runs, gateways have to ask again", "error", err)
+			k.logger.Debug("reading the engine's running requests failed; gateways will repeat their queries", "error", err)
 			continue
 		}
 		if !named && !logged {
-			// Most requests that are asked for have started: a gateway asks while it
-			// waits for their answers.
+			// Report all as started, which is true of most: gateways query requests
+			// while they wait for the responses.
 			k.logger.Warn("engine does not name its runs, requests count as begun")
 			logged = true
 		}
@@ -68,6 +69,7 @@
 	}
 }
 
+// sendStarted sends each gateway those of its requests that have started.
 func (k *Keeper) sendStarted(asked map[*peer.Conn][]string, started func(id string) bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -78,7 +80,7 @@
 		if len(ids) == 0 {
 			continue
 		}
-		// A gateway that does not get it asks again.
+		// A gateway that does not get the report repeats its query.
 		_ = c.Send(&peer.StartedReport{
 			Upstream: k.upstream,
 			IDs:      ids,
--- a/keeper/startedquery_test.go
+++ b/keeper/startedquery_test.go
@@ -8,8 +8,8 @@
 	"wardturn/peer"
 )
 
-var _ = Describe("A gateway that asks which requests have begun", func() {
-	// ask asks a new keeper of the engine, and returns what the gateway is told.
+var _ = Describe("A gateway that queries which of its requests have started", func() {
+	// ask sends a query to a new keeper of the engine and returns the gateway's messages.
 	ask := func(e *engine, ids ...string) *words {
 		_, addr := startKeeper("k", e)
 		w, conn := connect(addr)
@@ -20,7 +20,7 @@
 		return w
 	}
 
-	It("is told those that the engine runs", func() {
+	It("gets those that the engine is running", func() {
 		e := emptyEngine()
 		e.runs = []string{"r1", "r2"}
 		m := next[*peer.StartedReport](ask(e, "held-up", "r2"))
@@ -28,12 +28,12 @@
 		Expect(m.Upstream).To(Equal(wardturn.UpstreamID("i-1")))
 	})
 
-	It("is told all if the engine does not name its runs", func() {
+	It("gets all if the engine does not list its running requests", func() {
 		m := next[*peer.StartedReport](ask(emptyEngine(), "r1", "r2"))
 		Expect(m.IDs).To(Equal([]string{"r1", "r2"}))
 	})
 
-	It("is told nothing of those that do not run", func() {
+	It("gets no report if none is running", func() {
 		e := emptyEngine()
 		e.runs = []string{}
 		w := ask(e, "held-up")
--- a/keeper/words.go
+++ b/keeper/words.go
@@ -7,18 +7,18 @@
 	"wardturn/peer"
 )
 
-// wordsPause is how long gateways' words to each other are gathered, so that a gateway gets
-// one message for those of all others.
+// wordsPause is how long messages between gateways are collected before they are forwarded,
+// so that a gateway gets one message with those of all others.
 const wordsPause = 50 * time.Millisecond
 
-// words are what gateways tell each other on rates that they keep together, to be passed
-// on.
+// words are messages between gateways about rates that they enforce jointly, to be
+// forwarded.
 type words struct {
 	teams  []decide.TeamWord
 	limits []decide.LimitGossip
 }
 
-// gather keeps words to be passed on together; the lock is held.
+// gather queues messages to be forwarded together. The lock must be held.
 func (k *Keeper) gather(w words) {
 	if len(k.words.teams)+len(k.words.limits) == 0 {
 		k.clock.AfterFunc(wordsPause, k.passWords)
@@ -27,6 +27,7 @@
 	k.words.limits = append(k.words.limits, w.limits...)
 }
 
+// passWords forwards the queued messages.
 func (k *Keeper) passWords() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
