--- a/content_test.go
+++ b/content_test.go
@@ -14,10 +14,10 @@
 		Target: "/ask/",
 		Body:   []byte("prompt"),
 	}
-	again := c
+	same := c
 	other := c
 	other.Body = []byte("another prompt")
-	fmt.Println(c.ID() == again.ID(), c.ID() == other.ID())
+	fmt.Println(c.ID() == same.ID(), c.ID() == other.ID())
 	// Output: true false
 }
 
--- a/crash.go
+++ b/crash.go
@@ -33,5 +33,5 @@
 	Next() (CrashChange, error)
 	// Write adds records of crashes and removes records. After an error the write may or
 	// may not have taken effect; it is idempotent and can be repeated.
-	Write(at time.Time, crashes, takeBack []Crash) error
+	Write(at time.Time, crashes, remove []Crash) error
 }
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -19,15 +19,15 @@
 	// busyPoll is the interval between reads of the engine's report while orders may be
 	// due or are in progress.
 	busyPoll = 10 * time.Millisecond
-	restPoll = 200 * time.Millisecond // interval otherwise
-	// fenceRetry is the delay after a failed attempt to write the start record. It is
+	idlePoll = 200 * time.Millisecond // interval otherwise
+	// fenceRetryDelay is the delay after a failed attempt to write the start record. It is
 	// constant because nothing can be loaded without a fence: with exponential backoff,
 	// engines get no orders for seconds when all processes start at once and the store
 	// refuses their first records.
-	fenceRetry    = 400 * time.Millisecond
-	conflictPause = 20 * time.Millisecond  // after an order that conflicted with another
-	lostPause     = 5 * time.Millisecond   // after an order without a response
-	invalidPause  = 500 * time.Millisecond // after an order that was rejected as invalid
+	fenceRetryDelay = 400 * time.Millisecond
+	conflictDelay   = 20 * time.Millisecond  // after an order that conflicted with another
+	lostDelay       = 5 * time.Millisecond   // after an order without a response
+	invalidDelay    = 500 * time.Millisecond // after an order that was rejected as invalid
 )
 
 // Config is the configuration of a keeper.
@@ -61,43 +61,43 @@
 	tasks  *process.Tasks
 	wake   chan struct{}
 
-	mu        sync.Mutex
-	places    *decide.Places
-	config    int64               // version of the configuration in the latest notice
-	upstream  wardturn.UpstreamID // the engine's current lifetime, from gateways and reports
-	seen      wardturn.Position   // position of the list entry with this lifetime
-	fence     wardturn.Fence
-	fencing   bool                // a goroutine is writing a start record
-	greeted   map[*peer.Conn]bool // connections that have sent an EngineNotice
-	gateways  map[string]int      // number of these connections, by the gateway's host
-	hears     map[*peer.Conn]bool // connections to which messages between gateways are forwarded
-	reading   map[*peer.Conn]int  // tokens of long prompts in prefill, by the gateway's connection
-	told      *holding            // snapshot that the listeners have
-	listeners listeners
-	countAt   time.Time // when an update with only a new number of gateways may be sent
-	words     words
-	started   startedQueries
+	mu               sync.Mutex
+	placement        *decide.Places
+	configVersion    int64               // version of the configuration in the latest notice
+	upstream         wardturn.UpstreamID // the engine's current lifetime, from gateways and reports
+	upstreamPosition wardturn.Position   // position of the list entry with this lifetime
+	fence            wardturn.Fence
+	takingFence      bool                // a goroutine is writing a start record
+	noticed          map[*peer.Conn]bool // connections that have sent an EngineNotice
+	gateways         map[string]int      // number of these connections, by the gateway's host
+	forwardTo        map[*peer.Conn]bool // connections to which messages between gateways are forwarded
+	prefill          map[*peer.Conn]int  // tokens of long prompts in prefill, by the gateway's connection
+	sent             *engineSnapshot     // snapshot that the listeners have
+	listeners        listeners
+	gatewayCountAt   time.Time // when an update with only a new number of gateways may be sent
+	pendingGossip    gossip
+	startedQueries   startedQueries
 }
 
 // New creates and starts a keeper.
 func New(d Deps) *Keeper {
 	k := &Keeper{
-		cfg:       d.Config,
-		clock:     d.Clock,
-		logger:    d.Logger,
-		scope:     d.Scope,
-		engine:    d.Engine,
-		fences:    d.Fences,
-		tasks:     process.NewTasks(d.Clock),
-		wake:      make(chan struct{}, 1),
-		greeted:   make(map[*peer.Conn]bool),
-		gateways:  make(map[string]int),
-		hears:     make(map[*peer.Conn]bool),
-		reading:   make(map[*peer.Conn]int),
-		places:    decide.NewPlaces(d.Clock.Now(), d.Policy),
-		told:      &holding{},
-		listeners: newListeners(),
-		started:   newStartedQueries(),
+		cfg:            d.Config,
+		clock:          d.Clock,
+		logger:         d.Logger,
+		scope:          d.Scope,
+		engine:         d.Engine,
+		fences:         d.Fences,
+		tasks:          process.NewTasks(d.Clock),
+		wake:           make(chan struct{}, 1),
+		noticed:        make(map[*peer.Conn]bool),
+		gateways:       make(map[string]int),
+		forwardTo:      make(map[*peer.Conn]bool),
+		prefill:        make(map[*peer.Conn]int),
+		placement:      decide.NewPlaces(d.Clock.Now(), d.Policy),
+		sent:           &engineSnapshot{},
+		listeners:      newListeners(),
+		startedQueries: newStartedQueries(),
 	}
 	k.takeFence()
 	id := peer.Identity{
@@ -130,10 +130,10 @@
 func (k *Keeper) takeFence() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.fencing {
+	if k.takingFence {
 		return
 	}
-	k.fencing = true
+	k.takingFence = true
 	k.fence = 0
 	k.tasks.Go(func() {
 		for {
@@ -141,23 +141,23 @@
 			if err == nil {
 				k.mu.Lock()
 				k.fence = fence
-				k.fencing = false
+				k.takingFence = false
 				k.mu.Unlock()
 				k.logger.Info("fence taken", "fence", fence)
-				k.signal()
+				k.wakeUp()
 				return
 			}
 			// If the record was written but the reply was lost, that fence is skipped.
 			k.logger.Warn("taking a fence failed; no orders are given until it succeeds", "error", err)
-			if !k.tasks.Pause(fenceRetry) {
+			if !k.tasks.Pause(fenceRetryDelay) {
 				return
 			}
 		}
 	})
 }
 
-// signal ends the wait before the next poll.
-func (k *Keeper) signal() {
+// wakeUp ends the wait before the next poll.
+func (k *Keeper) wakeUp() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -168,67 +168,67 @@
 // that gives orders.
 func (k *Keeper) run() {
 	for k.tasks.Context().Err() == nil {
-		k.observe()
-		if k.step() {
+		k.poll()
+		if k.giveNextOrder() {
 			continue
 		}
-		k.rest()
+		k.waitForPoll()
 	}
 }
 
-// rest waits until the next poll is due or signal is called.
-func (k *Keeper) rest() {
+// waitForPoll waits until the next poll is due or signal is called.
+func (k *Keeper) waitForPoll() {
 	k.mu.Lock()
-	wait := restPoll
-	if k.places.Wanting() {
+	wait := idlePoll
+	if k.placement.Wanting() {
 		wait = busyPoll
 	}
 	k.mu.Unlock()
-	woken := make(chan struct{})
+	elapsed := make(chan struct{})
 	timer := k.clock.AfterFunc(wait, func() {
-		close(woken)
+		close(elapsed)
 	})
 	defer timer.Stop()
 	select {
 	case <-k.wake:
-	case <-woken:
+	case <-elapsed:
 	case <-k.tasks.Context().Done():
 	}
 }
 
-// observe gets a new report and sends the changes to the gateways.
-func (k *Keeper) observe() {
+// poll gets a new report and sends the changes to the gateways.
+func (k *Keeper) poll() {
 	st, err := k.engine.Report()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err != nil {
-		if k.places.Known() {
+		if k.placement.Known() {
 			k.logger.Warn("engine gives no report", "error", err)
 		}
-		k.places.Lost()
-		k.tell()
+		k.placement.Lost()
+		k.sendUpdate()
 		return
 	}
-	if !k.places.Known() {
+	if !k.placement.Known() {
 		k.logger.Info("engine reports", "seq", st.Seq, "models", len(st.Models), "upstream", st.Upstream)
 	}
-	if now := reporting(st, k.upstream); now != k.upstream {
-		k.begins(now)
+	if lifetime := reportedLifetime(st, k.upstream); lifetime != k.upstream {
+		k.startLifetime(lifetime)
 	}
-	k.places.Report(k.clock.Now(), st)
-	k.tell()
+	k.placement.Report(k.clock.Now(), st)
+	k.sendUpdate()
 }
 
-// step gives the order that is due, if any, and reports whether to poll again without
+// giveNextOrder gives the order that is due, if any, and reports whether to poll again without
 // delay.
-func (k *Keeper) step() bool {
+func (k *Keeper) giveNextOrder() bool {
 	k.mu.Lock()
 	if k.fence == 0 || k.upstream == "" {
 		k.mu.Unlock()
 		return false
 	}
-	next, ok := k.places.Next(k.clock.Now())
-	k.tell() // an adapter may have been chosen for eviction
+	next, ok := k.placement.Next(k.clock.Now())
+	k.sendUpdate() // an adapter may have been chosen for eviction
 	if !ok {
 		k.mu.Unlock()
 		return false
@@ -238,32 +238,32 @@
 		Target:   next.Target,
 		Version:  next.Version,
 		Upstream: k.upstream,
-		Expected: k.places.State().Seq,
+		Expected: k.placement.State().Seq,
 		Holder:   k.cfg.Process,
 		Fence:    k.fence,
 	}
 	k.mu.Unlock()
-	return k.give(order)
+	return k.giveOrder(order)
 }
 
-// give sends an order to the engine and reports whether it was accepted. If it was not, the
+// giveOrder sends an order to the engine and reports whether it was accepted. If it was not, the
 // next order is delayed.
-func (k *Keeper) give(o wardturn.EngineOrder) bool {
+func (k *Keeper) giveOrder(o wardturn.EngineOrder) bool {
 	answer := k.engine.Order(o)
 	k.scope.Tagged(map[string]string{
 		"answer": answer.String(),
 	}).Counter("orders").Inc(1)
 	k.logger.Debug("order", "unload", o.Unload, "adapter", o.Target.Adapter, "version", o.Version, "seq", o.Expected, "answer", answer)
-	pause := time.Duration(0)
+	delay := time.Duration(0)
 	switch answer {
 	case wardturn.OrderTaken, wardturn.OrderHolds:
 		return true
 	case wardturn.OrderConflict:
-		pause = conflictPause
+		delay = conflictDelay
 	case wardturn.OrderLost:
-		pause = lostPause
+		delay = lostDelay
 	case wardturn.OrderInvalid:
-		pause = invalidPause
+		delay = invalidDelay
 	case wardturn.OrderStale:
 		k.logger.Warn("order refused because of a newer holder; taking a new fence", "fence", o.Fence)
 		k.takeFence()
@@ -272,7 +272,7 @@
 	k.logger.Info("order not taken", "unload", o.Unload, "adapter", o.Target.Adapter, "seq", o.Expected, "upstream", o.Upstream, "answer", answer)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.places.Defer(k.clock.Now().Add(pause))
+	k.placement.Defer(k.clock.Now().Add(delay))
 	return false
 }
 
@@ -287,72 +287,72 @@
 	now := k.clock.Now()
 	switch m := m.(type) {
 	case *peer.EngineNotice:
-		k.notice(c, m)
+		k.handleNotice(c, m)
 	case *peer.LoadWish:
-		k.places.Wish(now, c.Peer().Process, m.Adapter, m.Waiting, m.Oldest)
-		k.tellAsked(c, m.Adapter.Key())
-		k.signal()
+		k.placement.Wish(now, c.Peer().Process, m.Adapter, m.Waiting, m.Oldest)
+		k.subscribeAdapter(c, m.Adapter.Key())
+		k.wakeUp()
 	case *peer.Listen:
-		k.tellFull(c)
+		k.addListener(c)
 	case *peer.Ping:
-		k.listeners.mark(c, k.told.seq)
+		k.listeners.sendMark(c, k.sent.seq)
 	case *peer.Reading:
-		k.reading[c] = m.Tokens
-		k.tell()
+		k.prefill[c] = m.Tokens
+		k.sendUpdate()
 	case *peer.StoreNews, *peer.CrashNews:
-		k.passOn(c, m)
+		k.forward(c, m)
 	case *peer.TeamUse:
-		k.gather(words{
+		k.queueGossip(gossip{
 			teams: m.Words,
 		})
 	case *peer.LimitNews:
-		k.gather(words{
+		k.queueGossip(gossip{
 			limits: m.Words,
 		})
 	case *peer.StartedQuery:
-		k.started.add(c, m.IDs)
+		k.startedQueries.add(c, m.IDs)
 	case *peer.Usage:
 		for _, u := range m.Uses {
-			k.places.Use(now, c.Peer().Process, u.Adapter, u.Started, u.Running)
+			k.placement.Use(now, c.Peer().Process, u.Adapter, u.Started, u.Running)
 		}
-		k.listeners.mark(c, k.told.seq)
+		k.listeners.sendMark(c, k.sent.seq)
 	}
 }
 
-// notice handles a gateway's notice about the engine and replies with the full state,
+// handleNotice handles a gateway's notice about the engine and replies with the full state,
 // unless the gateway gets it through a relay. An older configuration than the latest is
 // ignored, and so is an earlier lifetime of the engine: after a restart some gateways know
 // only the earlier one. The lock must be held.
-func (k *Keeper) notice(c *peer.Conn, m *peer.EngineNotice) {
-	if m.Config >= k.config {
-		k.config = m.Config
-		k.places.SetSpec(m.Spec)
+func (k *Keeper) handleNotice(c *peer.Conn, m *peer.EngineNotice) {
+	if m.Config >= k.configVersion {
+		k.configVersion = m.Config
+		k.placement.SetSpec(m.Spec)
 	}
-	if m.Seen >= k.seen {
-		k.seen = m.Seen
-		k.named(m.Upstream)
+	if m.Seen >= k.upstreamPosition {
+		k.upstreamPosition = m.Seen
+		k.observeLifetime(m.Upstream)
 	}
-	if !k.greeted[c] {
-		k.greeted[c] = true
+	if !k.noticed[c] {
+		k.noticed[c] = true
 		k.gateways[hostOf(c)]++
 	}
 	if m.News {
-		k.hears[c] = true
+		k.forwardTo[c] = true
 	} else {
-		delete(k.hears, c)
+		delete(k.forwardTo, c)
 	}
 	if m.Relayed {
-		delete(k.listeners.all, c)
+		delete(k.listeners.allUpdates, c)
 	} else {
-		k.tellFull(c)
+		k.addListener(c)
 	}
-	k.signal()
+	k.wakeUp()
 }
 
-// passOn forwards a message between gateways to the gateways that receive such messages from
+// forward forwards a message between gateways to the gateways that receive such messages from
 // this keeper, except to its sender, if given. The lock must be held.
-func (k *Keeper) passOn(from *peer.Conn, m peer.Message) {
-	for c := range k.hears {
+func (k *Keeper) forward(from *peer.Conn, m peer.Message) {
+	for c := range k.forwardTo {
 		if c != from {
 			_ = c.Send(m)
 		}
@@ -368,17 +368,17 @@
 
 // Closed implements peer.Handler.
 func (k *Keeper) Closed(c *peer.Conn, _ error) {
-	k.relays.lost(c)
+	k.relays.unfollowAll(c)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.listeners.lost(c)
-	k.places.GatewayLost(c.Peer().Process)
-	delete(k.reading, c)
-	delete(k.hears, c)
-	if !k.greeted[c] {
+	k.listeners.remove(c)
+	k.placement.GatewayLost(c.Peer().Process)
+	delete(k.prefill, c)
+	delete(k.forwardTo, c)
+	if !k.noticed[c] {
 		return
 	}
-	delete(k.greeted, c)
+	delete(k.noticed, c)
 	host := hostOf(c)
 	k.gateways[host]--
 	if k.gateways[host] == 0 {
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -24,22 +24,22 @@
 	RunSpecs(t, "keeper")
 }
 
-const soon = 5 * time.Second
-
-// engine is a fake engine that records its orders.
-type engine struct {
-	mu      sync.Mutex
-	state   wardturn.EngineState
-	orders  []wardturn.EngineOrder
-	answers []wardturn.OrderAnswer // results of the next orders; after these all are accepted
-	down    bool
-	runs    []string      // nil: the engine does not list them
-	slow    chan struct{} // if set, reports wait until it is closed
+const eventTimeout = 5 * time.Second
+
+// fakeEngine is a fake engine that records its orders.
+type fakeEngine struct {
+	mu           sync.Mutex
+	state        wardturn.EngineState
+	orders       []wardturn.EngineOrder
+	results      []wardturn.OrderAnswer // results of the next orders; after these all are accepted
+	down         bool
+	runs         []string      // nil: the engine does not list them
+	blockReports chan struct{} // if set, reports wait until it is closed
 }
 
-func (e *engine) Report() (wardturn.EngineState, error) {
-	if e.slow != nil {
-		<-e.slow
+func (e *fakeEngine) Report() (wardturn.EngineState, error) {
+	if e.blockReports != nil {
+		<-e.blockReports
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,7 +51,7 @@
 	return st, nil
 }
 
-func (e *engine) Runs() (ids []string, named bool, err error) {
+func (e *fakeEngine) Runs() (ids []string, named bool, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down {
@@ -60,13 +60,13 @@
 	return slices.Clone(e.runs), e.runs != nil, nil
 }
 
-func (e *engine) Order(o wardturn.EngineOrder) wardturn.OrderAnswer {
+func (e *fakeEngine) Order(o wardturn.EngineOrder) wardturn.OrderAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, o)
-	if len(e.answers) > 0 {
-		a := e.answers[0]
-		e.answers = e.answers[1:]
+	if len(e.results) > 0 {
+		a := e.results[0]
+		e.results = e.results[1:]
 		if a != wardturn.OrderTaken {
 			return a
 		}
@@ -80,38 +80,38 @@
 	return wardturn.OrderTaken
 }
 
-func (e *engine) given() []wardturn.EngineOrder {
+func (e *fakeEngine) givenOrders() []wardturn.EngineOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]wardturn.EngineOrder(nil), e.orders...)
 }
 
-// fences is a fake source of fences that fails while away is set.
-type fences struct {
-	mu   sync.Mutex
-	next wardturn.Fence
-	away bool
+// fakeFences is a fake source of fences that fails while away is set.
+type fakeFences struct {
+	mu      sync.Mutex
+	next    wardturn.Fence
+	failing bool
 }
 
-func (f *fences) TakeFence(wardturn.Incarnation) (wardturn.Fence, error) {
+func (f *fakeFences) TakeFence(wardturn.Incarnation) (wardturn.Fence, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
+	if f.failing {
 		return 0, wardturn.ErrUnavailable
 	}
 	f.next++
 	return f.next, nil
 }
 
-// gatewayEnd is the gateway's side of a connection to a keeper.
-type gatewayEnd struct {
+// fakeGateway is the gateway's side of a connection to a keeper.
+type fakeGateway struct {
 	conn     chan *peer.Conn
 	holdings chan *peer.Holding
 }
 
-func (g *gatewayEnd) Connected(c *peer.Conn)   { g.conn <- c }
-func (g *gatewayEnd) Closed(*peer.Conn, error) {}
-func (g *gatewayEnd) Handle(_ *peer.Conn, m peer.Message) {
+func (g *fakeGateway) Connected(c *peer.Conn)   { g.conn <- c }
+func (g *fakeGateway) Closed(*peer.Conn, error) {}
+func (g *fakeGateway) Handle(_ *peer.Conn, m peer.Message) {
 	if h, ok := m.(*peer.Holding); ok {
 		g.holdings <- h
 	}
@@ -119,9 +119,9 @@
 
 var _ = Describe("Keeper", func() {
 	var (
-		e    *engine
-		f    *fences
-		g    *gatewayEnd
+		e    *fakeEngine
+		f    *fakeFences
+		g    *fakeGateway
 		conn *peer.Conn
 	)
 	adapter := wardturn.AdapterVersion{
@@ -145,7 +145,7 @@
 			Listener: ln,
 		})
 		DeferCleanup(k.Close)
-		g = &gatewayEnd{
+		g = &fakeGateway{
 			conn:     make(chan *peer.Conn, 8),
 			holdings: make(chan *peer.Holding, 100),
 		}
@@ -157,13 +157,13 @@
 			},
 		}, g)
 		DeferCleanup(c.Close)
-		Eventually(g.conn, soon).Should(Receive(&conn))
+		Eventually(g.conn, eventTimeout).Should(Receive(&conn))
 	}
-	name := func(upstream wardturn.UpstreamID, seen wardturn.Position) {
+	sendNotice := func(upstream wardturn.UpstreamID, position wardturn.Position) {
 		Expect(conn.Send(&peer.EngineNotice{
 			Config:   1,
 			Upstream: upstream,
-			Seen:     seen,
+			Seen:     position,
 			Spec: wardturn.EngineSpec{
 				AdapterSlots: 4,
 				Models: []wardturn.ModelSpec{
@@ -174,10 +174,10 @@
 			},
 		})).To(Succeed())
 	}
-	notice := func() {
-		name("i-1", 1)
+	sendDefaultNotice := func() {
+		sendNotice("i-1", 1)
 	}
-	wish := func() {
+	requestLoad := func() {
 		Expect(conn.Send(&peer.LoadWish{
 			Adapter: adapter,
 			Waiting: 1,
@@ -185,8 +185,8 @@
 	}
 
 	BeforeEach(func() {
-		f = &fences{}
-		e = &engine{
+		f = &fakeFences{}
+		e = &fakeEngine{
 			state: wardturn.EngineState{
 				Seq: 7,
 				Models: []wardturn.LoadedModel{
@@ -200,10 +200,10 @@
 
 	It("gives orders with its fence, the engine's lifetime and sequence number", func() {
 		start()
-		notice()
-		wish()
-		Eventually(e.given, soon).Should(HaveLen(1))
-		o := e.given()[0]
+		sendDefaultNotice()
+		requestLoad()
+		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(1))
+		o := e.givenOrders()[0]
 		Expect(o.Fence).To(BeEquivalentTo(1))
 		Expect(o.Upstream).To(BeEquivalentTo("i-1"))
 		Expect(o.Expected).To(BeEquivalentTo(7))
@@ -212,101 +212,101 @@
 
 	It("sends the full state first and then changes", func() {
 		start()
-		notice()
+		sendDefaultNotice()
 		var h *peer.Holding
-		Eventually(g.holdings, soon).Should(Receive(&h))
+		Eventually(g.holdings, eventTimeout).Should(Receive(&h))
 		Expect(h.Full).To(BeTrue())
-		wish()
+		requestLoad()
 		Eventually(func() int {
-			Eventually(g.holdings, soon).Should(Receive(&h))
+			Eventually(g.holdings, eventTimeout).Should(Receive(&h))
 			Expect(h.Full).To(BeFalse())
 			return len(h.Adapters) // an update with only a new lifetime may come first
-		}, soon).Should(Equal(1))
+		}, eventTimeout).Should(Equal(1))
 	})
 
 	It("sends the engine's state to a gateway that connected before the first report", func() {
-		e.slow = make(chan struct{})
+		e.blockReports = make(chan struct{})
 		start()
-		notice()
+		sendDefaultNotice()
 		var h *peer.Holding
-		Eventually(g.holdings, soon).Should(Receive(&h))
+		Eventually(g.holdings, eventTimeout).Should(Receive(&h))
 		Expect(h.Known).To(BeFalse())
-		close(e.slow)
+		close(e.blockReports)
 		Eventually(func() bool {
-			Eventually(g.holdings, soon).Should(Receive(&h))
+			Eventually(g.holdings, eventTimeout).Should(Receive(&h))
 			return h.Known
-		}, soon).Should(BeTrue())
+		}, eventTimeout).Should(BeTrue())
 	})
 
 	It("sends the tokens of long prompts in prefill, until they are processed or their gateway disconnects", func() {
 		start()
-		notice()
-		reading := func() int {
+		sendDefaultNotice()
+		prefill := func() int {
 			var h *peer.Holding
-			Eventually(g.holdings, soon).Should(Receive(&h))
+			Eventually(g.holdings, eventTimeout).Should(Receive(&h))
 			return h.Reading
 		}
-		read := func(tokens int) {
+		sendPrefill := func(tokens int) {
 			Expect(conn.Send(&peer.Reading{
 				Tokens: tokens,
 			})).To(Succeed())
 		}
-		read(9000)
-		Eventually(reading, soon).Should(Equal(9000))
-		read(0)
-		Eventually(reading, soon).Should(BeZero())
-		read(9000)
-		Eventually(reading, soon).Should(Equal(9000))
+		sendPrefill(9000)
+		Eventually(prefill, eventTimeout).Should(Equal(9000))
+		sendPrefill(0)
+		Eventually(prefill, eventTimeout).Should(BeZero())
+		sendPrefill(9000)
+		Eventually(prefill, eventTimeout).Should(Equal(9000))
 		conn.Close()
-		Eventually(g.conn, soon).Should(Receive(&conn))
-		notice()
-		Eventually(reading, soon).Should(BeZero())
+		Eventually(g.conn, eventTimeout).Should(Receive(&conn))
+		sendDefaultNotice()
+		Eventually(prefill, eventTimeout).Should(BeZero())
 	})
 
 	It("sends the number of gateways", func() {
 		start()
-		notice()
+		sendDefaultNotice()
 		var h *peer.Holding
-		Eventually(g.holdings, soon).Should(Receive(&h))
+		Eventually(g.holdings, eventTimeout).Should(Receive(&h))
 		Expect(h.Gateways).To(Equal(1))
 		conn.Close()
-		Eventually(g.conn, soon).Should(Receive(&conn))
-		notice()
-		Eventually(g.holdings, soon).Should(Receive(&h))
+		Eventually(g.conn, eventTimeout).Should(Receive(&conn))
+		sendDefaultNotice()
+		Eventually(g.holdings, eventTimeout).Should(Receive(&h))
 		Expect(h.Gateways).To(Equal(1))
 	})
 
 	It("sends the limit in the engine's reports, and that it has ended", func() {
 		start()
-		notice()
+		sendDefaultNotice()
 		var h *peer.Holding
-		Eventually(g.holdings, soon).Should(Receive(&h))
+		Eventually(g.holdings, eventTimeout).Should(Receive(&h))
 		Expect(h.Limit).To(BeZero())
 		for _, limit := range []wardturn.RequestRate{4.5, 0} {
 			e.mu.Lock()
 			e.state.Limit = limit
 			e.mu.Unlock()
-			Eventually(g.holdings, soon).Should(Receive(&h))
+			Eventually(g.holdings, eventTimeout).Should(Receive(&h))
 			Expect(h.Limit).To(Equal(limit))
 		}
 	})
 
 	It("keeps the later lifetime of the engine when a gateway still sends the earlier one", func() {
 		start()
-		name("i-2", 20)
-		name("i-1", 10)
-		wish()
-		Eventually(e.given, soon).Should(HaveLen(1))
-		Expect(e.given()[0].Upstream).To(BeEquivalentTo("i-2"))
+		sendNotice("i-2", 20)
+		sendNotice("i-1", 10)
+		requestLoad()
+		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(1))
+		Expect(e.givenOrders()[0].Upstream).To(BeEquivalentTo("i-2"))
 	})
 
 	It("learns from the engine's report that it restarted under the same name, and ignores a gateway with the earlier lifetime", func() {
 		e.state.Born = 1000
 		start()
-		name(wardturn.Lifetime("i-1", 1000), 10)
-		wish()
-		Eventually(e.given, soon).Should(HaveLen(1))
-		Expect(e.given()[0].Upstream).To(Equal(wardturn.Lifetime("i-1", 1000)))
+		sendNotice(wardturn.Lifetime("i-1", 1000), 10)
+		requestLoad()
+		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(1))
+		Expect(e.givenOrders()[0].Upstream).To(Equal(wardturn.Lifetime("i-1", 1000)))
 		e.mu.Lock()
 		e.state.Born = 2000
 		e.state.Seq = 0
@@ -314,110 +314,110 @@
 		e.mu.Unlock()
 		Eventually(func() wardturn.UpstreamID {
 			return (<-g.holdings).Upstream
-		}, soon).Should(Equal(wardturn.Lifetime("i-1", 2000)))
-		name(wardturn.Lifetime("i-1", 1000), 11) // the entry of the earlier lifetime was written again
-		wish()
-		Eventually(e.given, soon).Should(HaveLen(2))
-		Expect(e.given()[1].Upstream).To(Equal(wardturn.Lifetime("i-1", 2000)))
-		Expect(e.given()[1].Expected).To(BeZero())
+		}, eventTimeout).Should(Equal(wardturn.Lifetime("i-1", 2000)))
+		sendNotice(wardturn.Lifetime("i-1", 1000), 11) // the entry of the earlier lifetime was written again
+		requestLoad()
+		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(2))
+		Expect(e.givenOrders()[1].Upstream).To(Equal(wardturn.Lifetime("i-1", 2000)))
+		Expect(e.givenOrders()[1].Expected).To(BeZero())
 	})
 
 	It("gives orders to a new lifetime without delay after the previous one refused an order", func() {
-		e.answers = []wardturn.OrderAnswer{wardturn.OrderInvalid}
+		e.results = []wardturn.OrderAnswer{wardturn.OrderInvalid}
 		start()
-		name("i-1", 10)
-		wish()
-		Eventually(e.given, soon).Should(HaveLen(1))
-		renamed := time.Now()
-		name("i-2", 20)
-		wish()
-		Eventually(e.given, soon, time.Millisecond).Should(HaveLen(2))
-		Expect(time.Since(renamed)).To(BeNumerically("<", 400*time.Millisecond)) // invalidPause is 500 ms
-		Expect(e.given()[1].Upstream).To(BeEquivalentTo("i-2"))
+		sendNotice("i-1", 10)
+		requestLoad()
+		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(1))
+		restarted := time.Now()
+		sendNotice("i-2", 20)
+		requestLoad()
+		Eventually(e.givenOrders, eventTimeout, time.Millisecond).Should(HaveLen(2))
+		Expect(time.Since(restarted)).To(BeNumerically("<", 400*time.Millisecond)) // invalidPause is 500 ms
+		Expect(e.givenOrders()[1].Upstream).To(BeEquivalentTo("i-2"))
 	})
 
 	It("gives no orders before it has a fence", func() {
-		f.away = true
+		f.failing = true
 		start()
-		notice()
-		wish()
-		Consistently(e.given, 100*time.Millisecond).Should(BeEmpty())
+		sendDefaultNotice()
+		requestLoad()
+		Consistently(e.givenOrders, 100*time.Millisecond).Should(BeEmpty())
 		f.mu.Lock()
-		f.away = false
+		f.failing = false
 		f.mu.Unlock()
 		Eventually(func() int {
-			wish()
-			return len(e.given())
-		}, soon, 50*time.Millisecond).Should(BeNumerically(">", 0))
+			requestLoad()
+			return len(e.givenOrders())
+		}, eventTimeout, 50*time.Millisecond).Should(BeNumerically(">", 0))
 	})
 
 	It("gives no orders before it knows the engine's lifetime", func() {
 		start()
-		wish()
-		Consistently(e.given, 100*time.Millisecond).Should(BeEmpty())
+		requestLoad()
+		Consistently(e.givenOrders, 100*time.Millisecond).Should(BeEmpty())
 	})
 
 	It("takes a fence soon after the store accepts records again", func() {
-		f.away = true
+		f.failing = true
 		start()
-		notice()
+		sendDefaultNotice()
 		time.Sleep(1200 * time.Millisecond) // several attempts have failed
 		f.mu.Lock()
-		f.away = false
+		f.failing = false
 		f.mu.Unlock()
-		wish()
+		requestLoad()
 		Eventually(func() int {
-			wish()
-			return len(e.given())
+			requestLoad()
+			return len(e.givenOrders())
 		}, 700*time.Millisecond, 50*time.Millisecond).Should(BeNumerically(">", 0))
 	})
 
 	It("takes a new fence when a newer holder has given orders", func() {
-		e.answers = []wardturn.OrderAnswer{wardturn.OrderStale}
+		e.results = []wardturn.OrderAnswer{wardturn.OrderStale}
 		start()
-		notice()
-		wish()
+		sendDefaultNotice()
+		requestLoad()
 		Eventually(func() int {
-			wish()
-			return len(e.given())
-		}, soon, 50*time.Millisecond).Should(BeNumerically(">=", 2))
-		Expect(e.given()[1].Fence).To(BeEquivalentTo(2))
+			requestLoad()
+			return len(e.givenOrders())
+		}, eventTimeout, 50*time.Millisecond).Should(BeNumerically(">=", 2))
+		Expect(e.givenOrders()[1].Fence).To(BeEquivalentTo(2))
 	})
 
 	It("repeats an order without a response, with the sequence number that the engine reports then", func() {
-		e.answers = []wardturn.OrderAnswer{wardturn.OrderLost, wardturn.OrderConflict}
+		e.results = []wardturn.OrderAnswer{wardturn.OrderLost, wardturn.OrderConflict}
 		start()
-		notice()
-		wish()
+		sendDefaultNotice()
+		requestLoad()
 		Eventually(func() int {
-			wish()
-			return len(e.given())
-		}, soon, 20*time.Millisecond).Should(BeNumerically(">=", 3))
-		Expect(e.given()[2].Expected).To(BeEquivalentTo(7))
+			requestLoad()
+			return len(e.givenOrders())
+		}, eventTimeout, 20*time.Millisecond).Should(BeNumerically(">=", 3))
+		Expect(e.givenOrders()[2].Expected).To(BeEquivalentTo(7))
 	})
 
 	It("gives no order while the engine reports one in progress, and gives one soon after that", func() {
-		busy := func(is bool) {
+		setBusy := func(busy bool) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			e.state.Busy = is
+			e.state.Busy = busy
 		}
-		busy(true)
+		setBusy(true)
 		start()
-		notice()
+		sendDefaultNotice()
 		Consistently(func() []wardturn.EngineOrder {
-			wish()
-			return e.given()
+			requestLoad()
+			return e.givenOrders()
 		}, 300*time.Millisecond, 50*time.Millisecond).Should(BeEmpty())
-		busy(false)
+		setBusy(false)
 		ended := time.Now()
-		Eventually(e.given, soon, time.Millisecond).Should(HaveLen(1))
+		Eventually(e.givenOrders, eventTimeout, time.Millisecond).Should(HaveLen(1))
 		Expect(time.Since(ended)).To(BeNumerically("<", 200*time.Millisecond))
 	})
 
 	It("sends that the engine's state is unknown when the engine does not respond", func() {
 		start()
-		notice()
+		sendDefaultNotice()
 		e.mu.Lock()
 		e.down = true
 		e.mu.Unlock()
@@ -428,6 +428,6 @@
 			default:
 				return false
 			}
-		}, soon, 10*time.Millisecond).Should(BeTrue())
+		}, eventTimeout, 10*time.Millisecond).Should(BeTrue())
 	})
 })
--- a/keeper/lifetime.go
+++ b/keeper/lifetime.go
@@ -2,38 +2,38 @@
 
 import "wardturn"
 
-// reporting returns the lifetime of the engine that a report is about; named is the one
+// reportedLifetime returns the lifetime of the engine that a report is about; named is the one
 // known so far. A report without the engine's name may still have its start time.
-func reporting(st wardturn.EngineState, named wardturn.UpstreamID) wardturn.UpstreamID {
+func reportedLifetime(st wardturn.EngineState, known wardturn.UpstreamID) wardturn.UpstreamID {
 	if st.Upstream != "" {
 		return st.Upstream
 	}
 	if st.Born == 0 {
-		return named
+		return known
 	}
-	return wardturn.Lifetime(named.Instance(), st.Born)
+	return wardturn.Lifetime(known.Instance(), st.Born)
 }
 
-// begins sets the current lifetime of the engine. If it is a later one of the same
+// startLifetime sets the current lifetime of the engine. If it is a later one of the same
 // instance, the engine has restarted and its previous state is dropped. The lock must be
 // held.
-func (k *Keeper) begins(id wardturn.UpstreamID) {
+func (k *Keeper) startLifetime(id wardturn.UpstreamID) {
 	if k.upstream.Born() != 0 && k.upstream.Before(id) {
 		k.logger.Info("engine has started again", "upstream", id, "before", k.upstream)
-		k.places.Restarted()
+		k.placement.Restarted()
 	}
 	k.upstream = id
 }
 
-// named handles the engine's lifetime according to a gateway. An earlier lifetime than the
+// observeLifetime handles the engine's lifetime according to a gateway. An earlier lifetime than the
 // current one is ignored. A new one gets orders without delay: the pause after a refused
 // order applies only to the lifetime that refused it. The lock must be held.
-func (k *Keeper) named(id wardturn.UpstreamID) {
+func (k *Keeper) observeLifetime(id wardturn.UpstreamID) {
 	if id == k.upstream || id.Before(k.upstream) {
 		return
 	}
-	k.logger.Info("engine named", "upstream", id, "before", k.upstream, "position", k.seen)
-	k.begins(id)
-	k.tell()
-	k.places.Defer(k.clock.Now())
+	k.logger.Info("engine named", "upstream", id, "before", k.upstream, "position", k.upstreamPosition)
+	k.startLifetime(id)
+	k.sendUpdate()
+	k.placement.Defer(k.clock.Now())
 }
--- a/keeper/listeners.go
+++ b/keeper/listeners.go
@@ -7,71 +7,71 @@
 	"wardturn/peer"
 )
 
-// answerFor is how long a gateway that requested an adapter is sent updates of it directly.
+// requestTTL is how long a gateway that requested an adapter is sent updates of it directly.
 // It is far longer than a load from a store that is not overloaded takes. A gateway that
 // still waits after that repeats its request.
-const answerFor = 2 * time.Second
+const requestTTL = 2 * time.Second
 
 // listeners are the connections that get updates of the engine's state. Gateways with a
 // relay for this keeper get the updates from it and only those of the adapters that they
 // requested from here; the other gateways get all updates from here.
 type listeners struct {
-	all    map[*peer.Conn]bool                                // connections that get all updates
-	asked  map[wardturn.ModelAdapter]map[*peer.Conn]time.Time // time of the request
-	marked map[*peer.Conn]uint64                              // sequence number of the latest Mark sent
+	allUpdates map[*peer.Conn]bool                                // connections that get all updates
+	requested  map[wardturn.ModelAdapter]map[*peer.Conn]time.Time // time of the request
+	lastMark   map[*peer.Conn]uint64                              // sequence number of the latest Mark sent
 }
 
 func newListeners() listeners {
 	return listeners{
-		all:    make(map[*peer.Conn]bool),
-		asked:  make(map[wardturn.ModelAdapter]map[*peer.Conn]time.Time),
-		marked: make(map[*peer.Conn]uint64),
+		allUpdates: make(map[*peer.Conn]bool),
+		requested:  make(map[wardturn.ModelAdapter]map[*peer.Conn]time.Time),
+		lastMark:   make(map[*peer.Conn]uint64),
 	}
 }
 
-// ask records that a gateway requested an adapter.
-func (l *listeners) ask(now time.Time, c *peer.Conn, key wardturn.ModelAdapter) {
-	if l.all[c] {
+// addRequest records that a gateway requested an adapter.
+func (l *listeners) addRequest(now time.Time, c *peer.Conn, key wardturn.ModelAdapter) {
+	if l.allUpdates[c] {
 		return
 	}
-	if l.asked[key] == nil {
-		l.asked[key] = make(map[*peer.Conn]time.Time)
+	if l.requested[key] == nil {
+		l.requested[key] = make(map[*peer.Conn]time.Time)
 	}
-	l.asked[key][c] = now
+	l.requested[key][c] = now
 }
 
-// answer sends the changes of adapters to the gateways that requested them.
-func (l *listeners) answer(now time.Time, m *peer.Holding) {
+// sendRequested sends the changes of adapters to the gateways that requested them.
+func (l *listeners) sendRequested(now time.Time, m *peer.Holding) {
 	for _, a := range m.Adapters {
 		key := a.Adapter.Key()
-		for c, at := range l.asked[key] {
-			if now.Sub(at) < answerFor {
-				_ = c.Send(answerOf(m, a))
+		for c, at := range l.requested[key] {
+			if now.Sub(at) < requestTTL {
+				_ = c.Send(adapterUpdate(m, a))
 			}
 		}
 		if a.State == peer.HeldReady {
-			delete(l.asked, key)
+			delete(l.requested, key)
 		}
 	}
-	l.forget(now)
+	l.expireRequests(now)
 }
 
-// forget removes expired requests.
-func (l *listeners) forget(now time.Time) {
-	for key, conns := range l.asked {
+// expireRequests removes expired requests.
+func (l *listeners) expireRequests(now time.Time) {
+	for key, conns := range l.requested {
 		for c, at := range conns {
-			if now.Sub(at) >= answerFor {
+			if now.Sub(at) >= requestTTL {
 				delete(conns, c)
 			}
 		}
 		if len(conns) == 0 {
-			delete(l.asked, key)
+			delete(l.requested, key)
 		}
 	}
 }
 
-// answerOf returns the part of an update that is about one adapter.
-func answerOf(m *peer.Holding, a peer.HeldAdapter) *peer.Holding {
+// adapterUpdate returns the part of an update that is about one adapter.
+func adapterUpdate(m *peer.Holding, a peer.HeldAdapter) *peer.Holding {
 	part := *m
 	part.Full = false
 	part.Answer = true
@@ -80,26 +80,26 @@
 	return &part
 }
 
-// mark sends a gateway with a relay the current sequence number, so that the gateway notices
+// sendMark sends a gateway with a relay the current sequence number, so that the gateway notices
 // a relay that is behind.
-func (l *listeners) mark(c *peer.Conn, seq uint64) {
-	if l.all[c] || l.marked[c] == seq {
+func (l *listeners) sendMark(c *peer.Conn, seq uint64) {
+	if l.allUpdates[c] || l.lastMark[c] == seq {
 		return
 	}
-	l.marked[c] = seq
+	l.lastMark[c] = seq
 	_ = c.Send(&peer.Mark{
 		Seq: seq,
 	})
 }
 
-// lost removes a connection that has ended.
-func (l *listeners) lost(c *peer.Conn) {
-	delete(l.all, c)
-	delete(l.marked, c)
-	for key, conns := range l.asked {
+// remove removes a connection that has ended.
+func (l *listeners) remove(c *peer.Conn) {
+	delete(l.allUpdates, c)
+	delete(l.lastMark, c)
+	for key, conns := range l.requested {
 		delete(conns, c)
 		if len(conns) == 0 {
-			delete(l.asked, key)
+			delete(l.requested, key)
 		}
 	}
 }
--- a/keeper/news_test.go
+++ b/keeper/news_test.go
@@ -10,14 +10,14 @@
 
 var _ = Describe("A keeper that gets an announcement of a store read", func() {
 	var (
-		addr   string
-		reader *peer.Conn // of the gateway that sends the announcement
-		own    *words
-		in     *words // a gateway that gets announcements from this keeper
-		inConn *peer.Conn
-		out    *words // a gateway that gets them from other keepers
+		addr         string
+		senderConn   *peer.Conn // of the gateway that sends the announcement
+		sender       *gatewayClient
+		receiver     *gatewayClient // a gateway that gets announcements from this keeper
+		receiverConn *peer.Conn
+		other        *gatewayClient // a gateway that gets them from other keepers
 	)
-	greet := func(news bool) (*words, *peer.Conn) {
+	connectGateway := func(news bool) (*gatewayClient, *peer.Conn) {
 		w, c := connect(addr)
 		n := engineNotice(true)
 		n.News = news
@@ -25,56 +25,56 @@
 		return w, c
 	}
 	// sync waits until everything sent to a gateway before has arrived.
-	sync := func(w *words, c *peer.Conn) {
+	sync := func(w *gatewayClient, c *peer.Conn) {
 		Expect(c.Send(&peer.Listen{})).To(Succeed())
 		next[*peer.Holding](w)
 	}
-	tell := func(position wardturn.Position) {
-		Expect(reader.Send(&peer.StoreNews{
+	announce := func(position wardturn.Position) {
+		Expect(senderConn.Send(&peer.StoreNews{
 			Reader: "reader",
 			Config: position,
 		})).To(Succeed())
 	}
 	BeforeEach(func() {
-		var outConn *peer.Conn
+		var otherConn *peer.Conn
 		_, addr = startKeeper("k", emptyEngine())
-		in, inConn = greet(true)
-		out, outConn = greet(false)
-		own, reader = greet(true)
-		sync(in, inConn)
-		sync(out, outConn)
-		sync(own, reader)
+		receiver, receiverConn = connectGateway(true)
+		other, otherConn = connectGateway(false)
+		sender, senderConn = connectGateway(true)
+		sync(receiver, receiverConn)
+		sync(other, otherConn)
+		sync(sender, senderConn)
 	})
 
 	It("forwards it to the gateways that get announcements from it, except the sender, and to no other", func() {
-		tell(7)
-		Expect(next[*peer.StoreNews](in).Config).To(BeEquivalentTo(7))
+		announce(7)
+		Expect(next[*peer.StoreNews](receiver).Config).To(BeEquivalentTo(7))
 		Consistently(func() bool {
-			return heardNews(out) || heardNews(own)
+			return gotAnnouncement(other) || gotAnnouncement(sender)
 		}, "200ms").Should(BeFalse())
 	})
 
 	It("applies a gateway's change of whether it gets announcements from this keeper", func() {
 		n := engineNotice(true)
-		Expect(inConn.Send(n)).To(Succeed())
-		sync(in, inConn)
-		tell(7)
+		Expect(receiverConn.Send(n)).To(Succeed())
+		sync(receiver, receiverConn)
+		announce(7)
 		Consistently(func() bool {
-			return heardNews(in)
+			return gotAnnouncement(receiver)
 		}, "200ms").Should(BeFalse())
 		n.News = true
-		Expect(inConn.Send(n)).To(Succeed())
-		sync(in, inConn)
-		tell(8)
-		Expect(next[*peer.StoreNews](in).Config).To(BeEquivalentTo(8))
+		Expect(receiverConn.Send(n)).To(Succeed())
+		sync(receiver, receiverConn)
+		announce(8)
+		Expect(next[*peer.StoreNews](receiver).Config).To(BeEquivalentTo(8))
 	})
 })
 
-// heardNews reports whether an announcement of a store read has arrived.
-func heardNews(w *words) bool {
+// gotAnnouncement reports whether an announcement of a store read has arrived.
+func gotAnnouncement(w *gatewayClient) bool {
 	for {
 		select {
-		case m := <-w.all:
+		case m := <-w.messages:
 			if _, ok := m.(*peer.StoreNews); ok {
 				return true
 			}
--- a/keeper/relay.go
+++ b/keeper/relay.go
@@ -18,9 +18,9 @@
 // domain to relay those of all other domains.
 const maxRelays = 512
 
-// relayLinger is how long a relay without followers is kept open. Gateways that restart or
+// idleRelayTime is how long a relay without followers is kept open. Gateways that restart or
 // whose connections were interrupted reconnect within that time.
-const relayLinger = 5 * time.Second
+const idleRelayTime = 5 * time.Second
 
 // relays forward the state updates of keepers in other failure domains to the gateways of
 // the local one, so that an update crosses between two failure domains once instead of once
@@ -32,10 +32,10 @@
 	tasks  *process.Tasks
 	id     peer.Identity
 
-	mu       sync.Mutex
-	byKeeper map[string]*relay // by address
-	full     bool              // maxRelays was reached and logged
-	closed   bool
+	mu          sync.Mutex
+	byKeeper    map[string]*relay // by address
+	limitLogged bool              // maxRelays was reached and logged
+	closed      bool
 }
 
 // relay is the connection to one relayed keeper, with the connections of its followers.
@@ -66,7 +66,7 @@
 		rs.unfollow(c, m.Keeper)
 		return
 	}
-	r := rs.to(m.Keeper)
+	r := rs.relayFor(m.Keeper)
 	if r == nil {
 		return
 	}
@@ -76,16 +76,16 @@
 	}
 }
 
-// to returns the relay of a keeper and creates it if there is none. It returns nil if
+// relayFor returns the relay of a keeper and creates it if there is none. It returns nil if
 // maxRelays is reached. The lock must be held.
-func (rs *relays) to(keeper string) *relay {
+func (rs *relays) relayFor(keeper string) *relay {
 	r := rs.byKeeper[keeper]
 	if r != nil || rs.closed {
 		return r
 	}
 	if len(rs.byKeeper) >= maxRelays {
-		if !rs.full {
-			rs.full = true
+		if !rs.limitLogged {
+			rs.limitLogged = true
 			rs.logger.Warn("no more keepers are relayed", "relayed", len(rs.byKeeper), "refused", keeper)
 		}
 		return nil
@@ -112,14 +112,14 @@
 		return
 	}
 	rs.tasks.Go(func() {
-		if rs.tasks.Pause(relayLinger) {
-			rs.end(r)
+		if rs.tasks.Pause(idleRelayTime) {
+			rs.closeIdle(r)
 		}
 	})
 }
 
-// end closes a relay unless it has got followers again.
-func (rs *relays) end(r *relay) {
+// closeIdle closes a relay unless it has got followers again.
+func (rs *relays) closeIdle(r *relay) {
 	rs.mu.Lock()
 	if len(r.followers) > 0 || rs.byKeeper[r.keeper] != r {
 		rs.mu.Unlock()
@@ -130,8 +130,8 @@
 	r.client.Close()
 }
 
-// lost removes a gateway whose connection has ended from the followers of all keepers.
-func (rs *relays) lost(c *peer.Conn) {
+// unfollowAll removes a gateway whose connection has ended from the followers of all keepers.
+func (rs *relays) unfollowAll(c *peer.Conn) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	for _, keeper := range slices.Collect(maps.Keys(rs.byKeeper)) {
--- a/keeper/relay_test.go
+++ b/keeper/relay_test.go
@@ -18,7 +18,7 @@
 )
 
 // startKeeper starts a keeper of an engine and returns it with its address.
-func startKeeper(name wardturn.Incarnation, e *engine) (*keeper.Keeper, string) {
+func startKeeper(name wardturn.Incarnation, e *fakeEngine) (*keeper.Keeper, string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	k := keeper.New(keeper.Deps{
@@ -29,7 +29,7 @@
 		Logger:   hclog.NewNullLogger(),
 		Scope:    tally.NoopScope,
 		Engine:   e,
-		Fences:   &fences{},
+		Fences:   &fakeFences{},
 		Policy:   policy.Default{},
 		Listener: ln,
 	})
@@ -37,33 +37,33 @@
 	return k, ln.Addr().String()
 }
 
-// words is the gateway's side of a connection that keeps all received messages.
-type words struct {
-	conn chan *peer.Conn
-	all  chan peer.Message
+// gatewayClient is the gateway's side of a connection that keeps all received messages.
+type gatewayClient struct {
+	conn     chan *peer.Conn
+	messages chan peer.Message
 }
 
-func (w *words) Connected(c *peer.Conn)              { w.conn <- c }
-func (w *words) Closed(*peer.Conn, error)            {}
-func (w *words) Handle(_ *peer.Conn, m peer.Message) { w.all <- m }
+func (w *gatewayClient) Connected(c *peer.Conn)              { w.conn <- c }
+func (w *gatewayClient) Closed(*peer.Conn, error)            {}
+func (w *gatewayClient) Handle(_ *peer.Conn, m peer.Message) { w.messages <- m }
 
-// ends is the number of connected gateways, used in their process names.
-var ends atomic.Int64
+// gatewayCount is the number of connected gateways, used in their process names.
+var gatewayCount atomic.Int64
 
 // connect connects a gateway to a keeper.
-func connect(addr string) (*words, *peer.Conn) {
+func connect(addr string) (*gatewayClient, *peer.Conn) {
 	return connectFrom("", addr)
 }
 
 // connectFrom connects a gateway on a host to a keeper.
-func connectFrom(host, addr string) (*words, *peer.Conn) {
-	w := &words{
-		conn: make(chan *peer.Conn, 8),
-		all:  make(chan peer.Message, 1000),
+func connectFrom(host, addr string) (*gatewayClient, *peer.Conn) {
+	w := &gatewayClient{
+		conn:     make(chan *peer.Conn, 8),
+		messages: make(chan peer.Message, 1000),
 	}
 	c := peer.NewClient(addr, nil, process.Clock{}, peer.Identity{
 		Role:    peer.RoleEntry,
-		Process: wardturn.Incarnation(fmt.Sprint("g", ends.Add(1))),
+		Process: wardturn.Incarnation(fmt.Sprint("g", gatewayCount.Add(1))),
 		Host:    host,
 		Config: func() wardturn.Offset {
 			return 0
@@ -71,12 +71,12 @@
 	}, w)
 	DeferCleanup(c.Close)
 	var conn *peer.Conn
-	Eventually(w.conn, soon).Should(Receive(&conn))
+	Eventually(w.conn, eventTimeout).Should(Receive(&conn))
 	return w, conn
 }
 
-func emptyEngine() *engine {
-	return &engine{
+func emptyEngine() *fakeEngine {
+	return &fakeEngine{
 		state: wardturn.EngineState{
 			Seq: 7,
 			Models: []wardturn.LoadedModel{
@@ -105,7 +105,7 @@
 	}
 }
 
-func wishFor(adapter wardturn.AdapterID) *peer.LoadWish {
+func loadRequest(adapter wardturn.AdapterID) *peer.LoadWish {
 	return &peer.LoadWish{
 		Adapter: wardturn.AdapterVersion{
 			Model:   "m",
@@ -117,43 +117,43 @@
 }
 
 // next waits for the next message of a type and skips others.
-func next[T peer.Message](w *words) T {
+func next[T peer.Message](w *gatewayClient) T {
 	GinkgoHelper()
 	var found T
 	Eventually(func() bool {
 		var m peer.Message
-		Eventually(w.all, soon).Should(Receive(&m))
+		Eventually(w.messages, eventTimeout).Should(Receive(&m))
 		t, ok := m.(T)
 		found = t
 		return ok
-	}, soon).Should(BeTrue())
+	}, eventTimeout).Should(BeTrue())
 	return found
 }
 
 var _ = Describe("A keeper with a gateway that gets its state updates from a relay", func() {
 	var (
-		addr  string
-		conn  *peer.Conn
-		w     *words
-		other *peer.Conn // of a second gateway, which gets all updates directly
-		heard *words
+		addr         string
+		conn         *peer.Conn
+		w            *gatewayClient
+		otherConn    *peer.Conn // of a second gateway, which gets all updates directly
+		otherGateway *gatewayClient
 	)
 	BeforeEach(func() {
 		_, addr = startKeeper("k", emptyEngine())
 		w, conn = connect(addr)
-		heard, other = connect(addr)
-		Expect(other.Send(engineNotice(false))).To(Succeed())
-		Expect(next[*peer.Holding](heard).Full).To(BeTrue())
+		otherGateway, otherConn = connect(addr)
+		Expect(otherConn.Send(engineNotice(false))).To(Succeed())
+		Expect(next[*peer.Holding](otherGateway).Full).To(BeTrue())
 		Expect(conn.Send(engineNotice(true))).To(Succeed())
 	})
 
 	It("sends that gateway only the adapters that it requested", func() {
-		Expect(other.Send(wishFor("b"))).To(Succeed())
+		Expect(otherConn.Send(loadRequest("b"))).To(Succeed())
 		Eventually(func() bool {
-			h := next[*peer.Holding](heard)
+			h := next[*peer.Holding](otherGateway)
 			return len(h.Adapters) == 1 && h.Adapters[0].State == peer.HeldReady
-		}, soon).Should(BeTrue())
-		Expect(conn.Send(wishFor("a"))).To(Succeed())
+		}, eventTimeout).Should(BeTrue())
+		Expect(conn.Send(loadRequest("a"))).To(Succeed())
 		h := next[*peer.Holding](w)
 		Expect(h.Answer).To(BeTrue())
 		Expect(h.Adapters).To(HaveLen(1))
@@ -161,19 +161,19 @@
 	})
 
 	It("responds without delay if the adapter is already loaded", func() {
-		Expect(other.Send(wishFor("a"))).To(Succeed())
+		Expect(otherConn.Send(loadRequest("a"))).To(Succeed())
 		Eventually(func() int {
-			return len(next[*peer.Holding](heard).Adapters)
-		}, soon).Should(Equal(1))
-		Expect(conn.Send(wishFor("a"))).To(Succeed())
+			return len(next[*peer.Holding](otherGateway).Adapters)
+		}, eventTimeout).Should(Equal(1))
+		Expect(conn.Send(loadRequest("a"))).To(Succeed())
 		h := next[*peer.Holding](w)
 		Expect(h.Answer).To(BeTrue())
 		Expect(h.Adapters[0].State).To(Equal(peer.HeldReady))
 	})
 
 	It("sends its sequence number when the gateway reports usage", func() {
-		Expect(other.Send(wishFor("a"))).To(Succeed())
-		h := next[*peer.Holding](heard)
+		Expect(otherConn.Send(loadRequest("a"))).To(Succeed())
+		h := next[*peer.Holding](otherGateway)
 		Expect(conn.Send(&peer.Usage{})).To(Succeed())
 		Expect(next[*peer.Mark](w).Seq).To(BeNumerically(">=", h.Seq))
 	})
@@ -181,18 +181,18 @@
 
 var _ = Describe("A keeper that relays another keeper", func() {
 	var (
-		far  *keeper.Keeper
-		addr string // of the relayed keeper
-		w    *words
-		conn *peer.Conn // to the relaying keeper
-		ask  *peer.Conn // to the relayed keeper
+		relayed     *keeper.Keeper
+		addr        string // of the relayed keeper
+		w           *gatewayClient
+		conn        *peer.Conn // to the relaying keeper
+		relayedConn *peer.Conn // to the relayed keeper
 	)
 	BeforeEach(func() {
-		far, addr = startKeeper("far", emptyEngine())
+		relayed, addr = startKeeper("far", emptyEngine())
 		_, relay := startKeeper("relay", emptyEngine())
 		w, conn = connect(relay)
-		_, ask = connect(addr)
-		Expect(ask.Send(engineNotice(true))).To(Succeed())
+		_, relayedConn = connect(addr)
+		Expect(relayedConn.Send(engineNotice(true))).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
 		m := next[*peer.Relayed](w)
 		Expect(m.Keeper).To(Equal(addr))
@@ -201,11 +201,11 @@
 	})
 
 	It("forwards each change, and the full state to gateways that follow later", func() {
-		Expect(ask.Send(wishFor("a"))).To(Succeed())
+		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
 		Eventually(func() bool {
 			h := next[*peer.Relayed](w).Holding
 			return len(h.Adapters) == 1 && h.Adapters[0].State == peer.HeldReady
-		}, soon).Should(BeTrue())
+		}, eventTimeout).Should(BeTrue())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
 		h := next[*peer.Relayed](w).Holding
 		Expect(h.Full).To(BeTrue())
@@ -213,10 +213,10 @@
 	})
 
 	It("reports that the connection to the keeper is lost", func() {
-		far.Close()
+		relayed.Close()
 		Eventually(func() bool {
 			return next[*peer.Relayed](w).Lost
-		}, soon).Should(BeTrue())
+		}, eventTimeout).Should(BeTrue())
 	})
 
 	It("sends nothing more to a gateway that stops following", func() {
@@ -225,11 +225,11 @@
 		Expect(conn.Send(&peer.Follow{Keeper: second})).To(Succeed())
 		Eventually(func() string { // updates sent before the end have arrived by then
 			return next[*peer.Relayed](w).Keeper
-		}, soon).Should(Equal(second))
-		Expect(ask.Send(wishFor("a"))).To(Succeed())
+		}, eventTimeout).Should(Equal(second))
+		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
 		Consistently(func() bool {
 			select {
-			case m := <-w.all:
+			case m := <-w.messages:
 				r, ok := m.(*peer.Relayed)
 				return ok && r.Keeper == addr
 			default:
--- a/keeper/startedquery.go
+++ b/keeper/startedquery.go
@@ -11,34 +11,34 @@
 // has started. Queries that arrive while a report is being read are answered together from
 // the next one.
 type startedQueries struct {
-	mu    sync.Mutex
-	ids   map[*peer.Conn][]string
-	woken chan struct{}
+	mu      sync.Mutex
+	ids     map[*peer.Conn][]string
+	arrived chan struct{}
 }
 
 func newStartedQueries() startedQueries {
 	return startedQueries{
-		ids:   make(map[*peer.Conn][]string),
-		woken: make(chan struct{}, 1),
+		ids:     make(map[*peer.Conn][]string),
+		arrived: make(chan struct{}, 1),
 	}
 }
 
-func (b *startedQueries) add(c *peer.Conn, ids []string) {
-	b.mu.Lock()
-	b.ids[c] = append(b.ids[c], ids...)
-	b.mu.Unlock()
+func (q *startedQueries) add(c *peer.Conn, ids []string) {
+	q.mu.Lock()
+	q.ids[c] = append(q.ids[c], ids...)
+	q.mu.Unlock()
 	select {
-	case b.woken <- struct{}{}:
+	case q.arrived <- struct{}{}:
 	default:
 	}
 }
 
-// take removes and returns the pending queries.
-func (b *startedQueries) take() map[*peer.Conn][]string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	ids := b.ids
-	b.ids = make(map[*peer.Conn][]string)
+// takeAll removes and returns the pending queries.
+func (q *startedQueries) takeAll() map[*peer.Conn][]string {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	ids := q.ids
+	q.ids = make(map[*peer.Conn][]string)
 	return ids
 }
 
@@ -47,33 +47,33 @@
 	logged := false // the missing list of runs was logged; gateways repeat their queries
 	for {
 		select {
-		case <-k.started.woken:
+		case <-k.startedQueries.arrived:
 		case <-k.tasks.Context().Done():
 			return
 		}
-		asked := k.started.take()
-		runs, named, err := k.engine.Runs()
+		queries := k.startedQueries.takeAll()
+		runs, listed, err := k.engine.Runs()
 		if err != nil {
 			k.logger.Debug("reading the engine's running requests failed; gateways will repeat their queries", "error", err)
 			continue
 		}
-		if !named && !logged {
+		if !listed && !logged {
 			// Report all as started, which is true of most: gateways query requests
 			// while they wait for the responses.
 			k.logger.Warn("engine does not name its runs, requests count as begun")
 			logged = true
 		}
-		k.sendStarted(asked, func(id string) bool {
-			return !named || slices.Contains(runs, id)
+		k.sendStarted(queries, func(id string) bool {
+			return !listed || slices.Contains(runs, id)
 		})
 	}
 }
 
 // sendStarted sends each gateway those of its requests that have started.
-func (k *Keeper) sendStarted(asked map[*peer.Conn][]string, started func(id string) bool) {
+func (k *Keeper) sendStarted(queries map[*peer.Conn][]string, started func(id string) bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for c, ids := range asked {
+	for c, ids := range queries {
 		ids = slices.DeleteFunc(ids, func(id string) bool {
 			return !started(id)
 		})
--- a/keeper/startedquery_test.go
+++ b/keeper/startedquery_test.go
@@ -9,8 +9,8 @@
 )
 
 var _ = Describe("A gateway that queries which of its requests have started", func() {
-	// ask sends a query to a new keeper of the engine and returns the gateway's messages.
-	ask := func(e *engine, ids ...string) *words {
+	// query sends a query to a new keeper of the engine and returns the gateway's messages.
+	query := func(e *fakeEngine, ids ...string) *gatewayClient {
 		_, addr := startKeeper("k", e)
 		w, conn := connect(addr)
 		Expect(conn.Send(engineNotice(true))).To(Succeed())
@@ -23,20 +23,20 @@
 	It("gets those that the engine is running", func() {
 		e := emptyEngine()
 		e.runs = []string{"r1", "r2"}
-		m := next[*peer.StartedReport](ask(e, "held-up", "r2"))
+		m := next[*peer.StartedReport](query(e, "held-up", "r2"))
 		Expect(m.IDs).To(Equal([]string{"r2"}))
 		Expect(m.Upstream).To(Equal(wardturn.UpstreamID("i-1")))
 	})
 
 	It("gets all if the engine does not list its running requests", func() {
-		m := next[*peer.StartedReport](ask(emptyEngine(), "r1", "r2"))
+		m := next[*peer.StartedReport](query(emptyEngine(), "r1", "r2"))
 		Expect(m.IDs).To(Equal([]string{"r1", "r2"}))
 	})
 
 	It("gets no report if none is running", func() {
 		e := emptyEngine()
 		e.runs = []string{}
-		w := ask(e, "held-up")
-		Consistently(w.all, "100ms").ShouldNot(Receive(BeAssignableToTypeOf(&peer.StartedReport{})))
+		w := query(e, "held-up")
+		Consistently(w.messages, "100ms").ShouldNot(Receive(BeAssignableToTypeOf(&peer.StartedReport{})))
 	})
 })
--- a/keeper/words.go
+++ b/keeper/words.go
@@ -7,39 +7,39 @@
 	"wardturn/peer"
 )
 
-// wordsPause is how long messages between gateways are collected before they are forwarded,
+// gossipDelay is how long messages between gateways are collected before they are forwarded,
 // so that a gateway gets one message with those of all others.
-const wordsPause = 50 * time.Millisecond
+const gossipDelay = 50 * time.Millisecond
 
-// words are messages between gateways about rates that they enforce jointly, to be
+// gossip are messages between gateways about rates that they enforce jointly, to be
 // forwarded.
-type words struct {
+type gossip struct {
 	teams  []decide.TeamWord
 	limits []decide.LimitGossip
 }
 
-// gather queues messages to be forwarded together. The lock must be held.
-func (k *Keeper) gather(w words) {
-	if len(k.words.teams)+len(k.words.limits) == 0 {
-		k.clock.AfterFunc(wordsPause, k.passWords)
+// queueGossip queues messages to be forwarded together. The lock must be held.
+func (k *Keeper) queueGossip(g gossip) {
+	if len(k.pendingGossip.teams)+len(k.pendingGossip.limits) == 0 {
+		k.clock.AfterFunc(gossipDelay, k.forwardGossip)
 	}
-	k.words.teams = append(k.words.teams, w.teams...)
-	k.words.limits = append(k.words.limits, w.limits...)
+	k.pendingGossip.teams = append(k.pendingGossip.teams, g.teams...)
+	k.pendingGossip.limits = append(k.pendingGossip.limits, g.limits...)
 }
 
-// passWords forwards the queued messages.
-func (k *Keeper) passWords() {
+// forwardGossip forwards the queued messages.
+func (k *Keeper) forwardGossip() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.words.teams) > 0 {
-		k.passOn(nil, &peer.TeamUse{
-			Words: k.words.teams,
+	if len(k.pendingGossip.teams) > 0 {
+		k.forward(nil, &peer.TeamUse{
+			Words: k.pendingGossip.teams,
 		})
 	}
-	if len(k.words.limits) > 0 {
-		k.passOn(nil, &peer.LimitNews{
-			Words: k.words.limits,
+	if len(k.pendingGossip.limits) > 0 {
+		k.forward(nil, &peer.LimitNews{
+			Words: k.pendingGossip.limits,
 		})
 	}
-	k.words = words{}
+	k.pendingGossip = gossip{}
 }
--- a/lifetime.go
+++ b/lifetime.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// lifetimeMark separates the instance name and the start time in an UpstreamID.
-const lifetimeMark = "~"
+// lifetimeSeparator separates the instance name and the start time in an UpstreamID.
+const lifetimeSeparator = "~"
 
 // Lifetime returns the ID of one lifetime of an upstream. Instance is the name that the
 // upstream reports of itself and that it keeps when it restarts. The second argument is
@@ -14,11 +14,11 @@
 // an upstream is stored by lifetime and so is dropped at a restart. A message about an
 // earlier lifetime that is delayed or relayed cannot be mistaken for one about the
 // current lifetime.
-func Lifetime(instance string, born int64) UpstreamID {
-	if instance == "" || born == 0 {
+func Lifetime(instance string, startMS int64) UpstreamID {
+	if instance == "" || startMS == 0 {
 		return UpstreamID(instance)
 	}
-	return UpstreamID(instance + lifetimeMark + strconv.FormatInt(born, 10))
+	return UpstreamID(instance + lifetimeSeparator + strconv.FormatInt(startMS, 10))
 }
 
 // Instance returns the name that the upstream reports of itself.
@@ -30,25 +30,25 @@
 // Born returns the start time of the lifetime in Unix milliseconds, or zero if it is not
 // known.
 func (id UpstreamID) Born() int64 {
-	_, born := id.split()
-	return born
+	_, startMS := id.split()
+	return startMS
 }
 
 // Before reports whether this is an earlier lifetime of the same instance.
 func (id UpstreamID) Before(o UpstreamID) bool {
-	instance, born := id.split()
-	other, bornLater := o.split()
-	return instance == other && born < bornLater
+	instance, startMS := id.split()
+	otherInstance, otherStartMS := o.split()
+	return instance == otherInstance && startMS < otherStartMS
 }
 
-func (id UpstreamID) split() (instance string, born int64) {
-	i := strings.LastIndex(string(id), lifetimeMark)
+func (id UpstreamID) split() (instance string, startMS int64) {
+	i := strings.LastIndex(string(id), lifetimeSeparator)
 	if i < 0 {
 		return string(id), 0
 	}
-	born, err := strconv.ParseInt(string(id[i+1:]), 10, 64)
+	startMS, err := strconv.ParseInt(string(id[i+1:]), 10, 64)
 	if err != nil {
 		return string(id), 0
 	}
-	return string(id[:i]), born
+	return string(id[:i]), startMS
 }
--- a/position.go
+++ b/position.go
@@ -23,8 +23,8 @@
 	return Position(clamp(era, MaxEra)<<eraShift | clamp(offset, MaxOffset))
 }
 
-func clamp(n, most int64) int64 {
-	return max(0, min(n, most))
+func clamp(n, limit int64) int64 {
+	return max(0, min(n, limit))
 }
 
 // Era returns the number that increases each time the store is restored from an older copy.
--- a/routes.go
+++ b/routes.go
@@ -268,7 +268,7 @@
 type MemberSource interface {
 	// Next reads the current list. If the whole list takes several responses, part is
 	// called between them with the members read so far, unless it is nil.
-	Next(part func([]Member)) (MemberList, error)
+	Next(progress func([]Member)) (MemberList, error)
 	// Take applies a change that another reader has read and returns the resulting
 	// list. It reports false if the change does not follow what is known: the list
 	// has to be read.
--- a/sleep.go
+++ b/sleep.go
@@ -11,13 +11,13 @@
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	woken := make(chan struct{})
+	elapsed := make(chan struct{})
 	timer := clock.AfterFunc(d, func() {
-		close(woken)
+		close(elapsed)
 	})
 	defer timer.Stop()
 	select {
-	case <-woken:
+	case <-elapsed:
 		return true
 	case <-ctx.Done():
 		return false
--- a/teams.go
+++ b/teams.go
@@ -68,11 +68,11 @@
 // Units returns the units to charge for a request. The argument is the value of its header
 // of token counts: the tokens of the prompt and the maximum number of output tokens. A
 // request without valid counts is charged RawTokens.
-func (c UsageCap) Units(tokenCounts string) int64 {
+func (c UsageCap) Units(header string) int64 {
 	if c.Unit == CapRequests {
 		return 1
 	}
-	prompt, out, ok := strings.Cut(tokenCounts, ",")
+	prompt, out, ok := strings.Cut(header, ",")
 	p, errPrompt := strconv.ParseInt(strings.TrimSpace(prompt), 10, 64)
 	o, errOut := strconv.ParseInt(strings.TrimSpace(out), 10, 64)
 	if !ok || errPrompt != nil || errOut != nil || p < 0 || o < 0 {
