--- a/keeper/gateways_test.go
+++ b/keeper/gateways_test.go
@@ -11,9 +11,9 @@
 	It("is sent soon after a change, but not for each gateway that connects", func() {
 		const others = 20
 		_, addr := startKeeper("k", emptyEngine())
-		heard, conn := connect(addr)
+		gateway, conn := connect(addr)
 		Expect(conn.Send(engineNotice(false))).To(Succeed())
-		Expect(next[*peer.Holding](heard).Full).To(BeTrue())
+		Expect(next[*peer.Holding](gateway).Full).To(BeTrue())
 		for range others {
 			_, c := connect(addr)
 			Expect(c.Send(engineNotice(true))).To(Succeed())
@@ -21,18 +21,18 @@
 		updates := 0
 		Eventually(func() int {
 			updates++
-			return next[*peer.Holding](heard).Gateways
+			return next[*peer.Holding](gateway).Gateways
 		}, eventTimeout).Should(Equal(1 + others))
-		Consistently(heard.messages, "300ms").ShouldNot(Receive())
+		Consistently(gateway.messages, "300ms").ShouldNot(Receive())
 		Expect(updates).To(BeNumerically("<=", 4))
 	})
 
 	It("counts processes of one host once, because one may have ended without notice", func() {
 		_, addr := startKeeper("k", emptyEngine())
-		heard, conn := connect(addr)
+		gateway, conn := connect(addr)
 		Expect(conn.Send(engineNotice(false))).To(Succeed())
 		gateways := func() int {
-			return next[*peer.Holding](heard).Gateways
+			return next[*peer.Holding](gateway).Gateways
 		}
 		Eventually(gateways, eventTimeout).Should(Equal(1))
 		for _, host := range []string{"h", "h", "other"} {
@@ -40,6 +40,6 @@
 			Expect(c.Send(engineNotice(true))).To(Succeed())
 		}
 		Eventually(gateways, eventTimeout).Should(Equal(3))
-		Consistently(heard.messages, "300ms").ShouldNot(Receive())
+		Consistently(gateway.messages, "300ms").ShouldNot(Receive())
 	})
 })
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -33,7 +33,7 @@
 // Config is the configuration of a keeper.
 type Config struct {
 	Process wardturn.Incarnation
-	Name    string // host name, sent in orders
+	Name    string // host name
 }
 
 // Deps are the dependencies of a keeper.
@@ -68,10 +68,10 @@
 	upstreamPosition wardturn.Position   // position of the list entry with this lifetime
 	fence            wardturn.Fence
 	takingFence      bool                // a goroutine is writing a start record
-	noticed          map[*peer.Conn]bool // connections that have sent an EngineNotice
+	registered       map[*peer.Conn]bool // connections that have sent an EngineNotice
 	gateways         map[string]int      // number of these connections, by the gateway's host
-	forwardTo        map[*peer.Conn]bool // connections to which messages between gateways are forwarded
-	prefill          map[*peer.Conn]int  // tokens of long prompts in prefill, by the gateway's connection
+	forwardTo        map[*peer.Conn]bool // connections that get messages between gateways
+	prefill          map[*peer.Conn]int  // tokens of long prompts in prefill, by gateway
 	sent             *engineSnapshot     // snapshot that the listeners have
 	listeners        listeners
 	gatewayCountAt   time.Time // when an update with only a new number of gateways may be sent
@@ -90,7 +90,7 @@
 		fences:         d.Fences,
 		tasks:          process.NewTasks(d.Clock),
 		wake:           make(chan struct{}, 1),
-		noticed:        make(map[*peer.Conn]bool),
+		registered:     make(map[*peer.Conn]bool),
 		gateways:       make(map[string]int),
 		forwardTo:      make(map[*peer.Conn]bool),
 		prefill:        make(map[*peer.Conn]int),
@@ -176,7 +176,7 @@
 	}
 }
 
-// waitForPoll waits until the next poll is due or signal is called.
+// waitForPoll waits until the next poll is due or wakeUp is called.
 func (k *Keeper) waitForPoll() {
 	k.mu.Lock()
 	wait := idlePoll
@@ -219,8 +219,8 @@
 	k.sendUpdate()
 }
 
-// giveNextOrder gives the order that is due, if any, and reports whether to poll again without
-// delay.
+// giveNextOrder gives the order that is due, if any, and reports whether to poll again
+// without delay.
 func (k *Keeper) giveNextOrder() bool {
 	k.mu.Lock()
 	if k.fence == 0 || k.upstream == "" {
@@ -246,8 +246,8 @@
 	return k.giveOrder(order)
 }
 
-// giveOrder sends an order to the engine and reports whether it was accepted. If it was not, the
-// next order is delayed.
+// giveOrder sends an order to the engine and reports whether it was accepted or had nothing
+// to change. Otherwise the next order is delayed.
 func (k *Keeper) giveOrder(o wardturn.EngineOrder) bool {
 	answer := k.engine.Order(o)
 	k.scope.Tagged(map[string]string{
@@ -332,8 +332,8 @@
 		k.upstreamPosition = m.Seen
 		k.observeLifetime(m.Upstream)
 	}
-	if !k.noticed[c] {
-		k.noticed[c] = true
+	if !k.registered[c] {
+		k.registered[c] = true
 		k.gateways[hostOf(c)]++
 	}
 	if m.News {
@@ -349,8 +349,9 @@
 	k.wakeUp()
 }
 
-// forward forwards a message between gateways to the gateways that receive such messages from
-// this keeper, except to its sender, if given. The lock must be held.
+// forward sends a message of one gateway to all others that receive messages between
+// gateways from this keeper. From is the connection of the message's sender, if it is to be
+// excluded. The lock must be held.
 func (k *Keeper) forward(from *peer.Conn, m peer.Message) {
 	for c := range k.forwardTo {
 		if c != from {
@@ -375,10 +376,10 @@
 	k.placement.GatewayLost(c.Peer().Process)
 	delete(k.prefill, c)
 	delete(k.forwardTo, c)
-	if !k.noticed[c] {
+	if !k.registered[c] {
 		return
 	}
-	delete(k.noticed, c)
+	delete(k.registered, c)
 	host := hostOf(c)
 	k.gateways[host]--
 	if k.gateways[host] == 0 {
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -51,7 +51,7 @@
 	return st, nil
 }
 
-func (e *fakeEngine) Runs() (ids []string, named bool, err error) {
+func (e *fakeEngine) Runs() (ids []string, listed bool, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down {
@@ -86,7 +86,7 @@
 	return append([]wardturn.EngineOrder(nil), e.orders...)
 }
 
-// fakeFences is a fake source of fences that fails while away is set.
+// fakeFences is a fake source of fences that fails while failing is set.
 type fakeFences struct {
 	mu      sync.Mutex
 	next    wardturn.Fence
@@ -105,15 +105,15 @@
 
 // fakeGateway is the gateway's side of a connection to a keeper.
 type fakeGateway struct {
-	conn     chan *peer.Conn
-	holdings chan *peer.Holding
+	conn    chan *peer.Conn
+	updates chan *peer.Holding
 }
 
 func (g *fakeGateway) Connected(c *peer.Conn)   { g.conn <- c }
 func (g *fakeGateway) Closed(*peer.Conn, error) {}
 func (g *fakeGateway) Handle(_ *peer.Conn, m peer.Message) {
 	if h, ok := m.(*peer.Holding); ok {
-		g.holdings <- h
+		g.updates <- h
 	}
 }
 
@@ -146,8 +146,8 @@
 		})
 		DeferCleanup(k.Close)
 		g = &fakeGateway{
-			conn:     make(chan *peer.Conn, 8),
-			holdings: make(chan *peer.Holding, 100),
+			conn:    make(chan *peer.Conn, 8),
+			updates: make(chan *peer.Holding, 100),
 		}
 		c := peer.NewClient(ln.Addr().String(), nil, process.Clock{}, peer.Identity{
 			Role:    peer.RoleEntry,
@@ -214,11 +214,11 @@
 		start()
 		sendDefaultNotice()
 		var h *peer.Holding
-		Eventually(g.holdings, eventTimeout).Should(Receive(&h))
+		Eventually(g.updates, eventTimeout).Should(Receive(&h))
 		Expect(h.Full).To(BeTrue())
 		requestLoad()
 		Eventually(func() int {
-			Eventually(g.holdings, eventTimeout).Should(Receive(&h))
+			Eventually(g.updates, eventTimeout).Should(Receive(&h))
 			Expect(h.Full).To(BeFalse())
 			return len(h.Adapters) // an update with only a new lifetime may come first
 		}, eventTimeout).Should(Equal(1))
@@ -229,11 +229,11 @@
 		start()
 		sendDefaultNotice()
 		var h *peer.Holding
-		Eventually(g.holdings, eventTimeout).Should(Receive(&h))
+		Eventually(g.updates, eventTimeout).Should(Receive(&h))
 		Expect(h.Known).To(BeFalse())
 		close(e.blockReports)
 		Eventually(func() bool {
-			Eventually(g.holdings, eventTimeout).Should(Receive(&h))
+			Eventually(g.updates, eventTimeout).Should(Receive(&h))
 			return h.Known
 		}, eventTimeout).Should(BeTrue())
 	})
@@ -243,7 +243,7 @@
 		sendDefaultNotice()
 		prefill := func() int {
 			var h *peer.Holding
-			Eventually(g.holdings, eventTimeout).Should(Receive(&h))
+			Eventually(g.updates, eventTimeout).Should(Receive(&h))
 			return h.Reading
 		}
 		sendPrefill := func(tokens int) {
@@ -267,12 +267,12 @@
 		start()
 		sendDefaultNotice()
 		var h *peer.Holding
-		Eventually(g.holdings, eventTimeout).Should(Receive(&h))
+		Eventually(g.updates, eventTimeout).Should(Receive(&h))
 		Expect(h.Gateways).To(Equal(1))
 		conn.Close()
 		Eventually(g.conn, eventTimeout).Should(Receive(&conn))
 		sendDefaultNotice()
-		Eventually(g.holdings, eventTimeout).Should(Receive(&h))
+		Eventually(g.updates, eventTimeout).Should(Receive(&h))
 		Expect(h.Gateways).To(Equal(1))
 	})
 
@@ -280,13 +280,13 @@
 		start()
 		sendDefaultNotice()
 		var h *peer.Holding
-		Eventually(g.holdings, eventTimeout).Should(Receive(&h))
+		Eventually(g.updates, eventTimeout).Should(Receive(&h))
 		Expect(h.Limit).To(BeZero())
 		for _, limit := range []wardturn.RequestRate{4.5, 0} {
 			e.mu.Lock()
 			e.state.Limit = limit
 			e.mu.Unlock()
-			Eventually(g.holdings, eventTimeout).Should(Receive(&h))
+			Eventually(g.updates, eventTimeout).Should(Receive(&h))
 			Expect(h.Limit).To(Equal(limit))
 		}
 	})
@@ -313,7 +313,7 @@
 		e.state.Models[0].Adapters = nil
 		e.mu.Unlock()
 		Eventually(func() wardturn.UpstreamID {
-			return (<-g.holdings).Upstream
+			return (<-g.updates).Upstream
 		}, eventTimeout).Should(Equal(wardturn.Lifetime("i-1", 2000)))
 		sendNotice(wardturn.Lifetime("i-1", 1000), 11) // the entry of the earlier lifetime was written again
 		requestLoad()
@@ -423,7 +423,7 @@
 		e.mu.Unlock()
 		Eventually(func() bool {
 			select {
-			case h := <-g.holdings:
+			case h := <-g.updates:
 				return !h.Known
 			default:
 				return false
--- a/keeper/lifetime.go
+++ b/keeper/lifetime.go
@@ -2,8 +2,8 @@
 
 import "wardturn"
 
-// reportedLifetime returns the lifetime of the engine that a report is about; named is the one
-// known so far. A report without the engine's name may still have its start time.
+// reportedLifetime returns the lifetime of the engine that a report is about; known is the
+// one known so far. A report without the engine's name may still have its start time.
 func reportedLifetime(st wardturn.EngineState, known wardturn.UpstreamID) wardturn.UpstreamID {
 	if st.Upstream != "" {
 		return st.Upstream
@@ -25,9 +25,9 @@
 	k.upstream = id
 }
 
-// observeLifetime handles the engine's lifetime according to a gateway. An earlier lifetime than the
-// current one is ignored. A new one gets orders without delay: the pause after a refused
-// order applies only to the lifetime that refused it. The lock must be held.
+// observeLifetime handles the engine's lifetime according to a gateway. An earlier lifetime
+// than the current one is ignored. A new one gets orders without delay: the delay after a
+// refused order applies only to the lifetime that refused it. The lock must be held.
 func (k *Keeper) observeLifetime(id wardturn.UpstreamID) {
 	if id == k.upstream || id.Before(k.upstream) {
 		return
--- a/keeper/listeners.go
+++ b/keeper/listeners.go
@@ -18,7 +18,7 @@
 type listeners struct {
 	allUpdates map[*peer.Conn]bool                                // connections that get all updates
 	requested  map[wardturn.ModelAdapter]map[*peer.Conn]time.Time // time of the request
-	lastMark   map[*peer.Conn]uint64                              // sequence number of the latest Mark sent
+	lastMark   map[*peer.Conn]uint64                              // sequence number of the last Mark
 }
 
 func newListeners() listeners {
@@ -80,8 +80,8 @@
 	return &part
 }
 
-// sendMark sends a gateway with a relay the current sequence number, so that the gateway notices
-// a relay that is behind.
+// sendMark sends a gateway with a relay the current sequence number, so that the gateway
+// notices a relay that is behind.
 func (l *listeners) sendMark(c *peer.Conn, seq uint64) {
 	if l.allUpdates[c] || l.lastMark[c] == seq {
 		return
--- a/keeper/news_test.go
+++ b/keeper/news_test.go
@@ -18,16 +18,16 @@
 		other        *gatewayClient // a gateway that gets them from other keepers
 	)
 	connectGateway := func(news bool) (*gatewayClient, *peer.Conn) {
-		w, c := connect(addr)
+		g, c := connect(addr)
 		n := engineNotice(true)
 		n.News = news
 		Expect(c.Send(n)).To(Succeed())
-		return w, c
+		return g, c
 	}
 	// sync waits until everything sent to a gateway before has arrived.
-	sync := func(w *gatewayClient, c *peer.Conn) {
+	sync := func(g *gatewayClient, c *peer.Conn) {
 		Expect(c.Send(&peer.Listen{})).To(Succeed())
-		next[*peer.Holding](w)
+		next[*peer.Holding](g)
 	}
 	announce := func(position wardturn.Position) {
 		Expect(senderConn.Send(&peer.StoreNews{
@@ -71,10 +71,10 @@
 })
 
 // gotAnnouncement reports whether an announcement of a store read has arrived.
-func gotAnnouncement(w *gatewayClient) bool {
+func gotAnnouncement(g *gatewayClient) bool {
 	for {
 		select {
-		case m := <-w.messages:
+		case m := <-g.messages:
 			if _, ok := m.(*peer.StoreNews); ok {
 				return true
 			}
--- a/keeper/relay.go
+++ b/keeper/relay.go
@@ -18,8 +18,8 @@
 // domain to relay those of all other domains.
 const maxRelays = 512
 
-// idleRelayTime is how long a relay without followers is kept open. Gateways that restart or
-// whose connections were interrupted reconnect within that time.
+// idleRelayTime is how long a relay without followers is kept open. Gateways that restart
+// or whose connections were interrupted reconnect within that time.
 const idleRelayTime = 5 * time.Second
 
 // relays forward the state updates of keepers in other failure domains to the gateways of
@@ -160,18 +160,18 @@
 
 // Handle implements peer.Handler.
 func (r *relay) Handle(c *peer.Conn, m peer.Message) {
-	h, ok := m.(*peer.Holding)
+	update, ok := m.(*peer.Holding)
 	if !ok {
 		return
 	}
 	r.relays.mu.Lock()
 	defer r.relays.mu.Unlock()
-	if !r.mirror.Take(h) {
+	if !r.mirror.Take(update) {
 		_ = c.Send(&peer.Listen{})
 		return
 	}
 	for f := range r.followers {
-		r.send(f, *h)
+		r.send(f, *update)
 	}
 }
 
@@ -196,10 +196,10 @@
 
 // send forwards a state update. A follower that misses it learns from the Mark after its
 // next heartbeat that it is behind. The lock must be held.
-func (r *relay) send(c *peer.Conn, h peer.Holding) {
+func (r *relay) send(c *peer.Conn, update peer.Holding) {
 	_ = c.Send(&peer.Relayed{
 		Keeper:  r.keeper,
 		Process: r.process,
-		Holding: h,
+		Holding: update,
 	})
 }
--- a/keeper/relay_test.go
+++ b/keeper/relay_test.go
@@ -43,9 +43,9 @@
 	messages chan peer.Message
 }
 
-func (w *gatewayClient) Connected(c *peer.Conn)              { w.conn <- c }
-func (w *gatewayClient) Closed(*peer.Conn, error)            {}
-func (w *gatewayClient) Handle(_ *peer.Conn, m peer.Message) { w.messages <- m }
+func (g *gatewayClient) Connected(c *peer.Conn)              { g.conn <- c }
+func (g *gatewayClient) Closed(*peer.Conn, error)            {}
+func (g *gatewayClient) Handle(_ *peer.Conn, m peer.Message) { g.messages <- m }
 
 // gatewayCount is the number of connected gateways, used in their process names.
 var gatewayCount atomic.Int64
@@ -57,7 +57,7 @@
 
 // connectFrom connects a gateway on a host to a keeper.
 func connectFrom(host, addr string) (*gatewayClient, *peer.Conn) {
-	w := &gatewayClient{
+	g := &gatewayClient{
 		conn:     make(chan *peer.Conn, 8),
 		messages: make(chan peer.Message, 1000),
 	}
@@ -68,11 +68,11 @@
 		Config: func() wardturn.Offset {
 			return 0
 		},
-	}, w)
+	}, g)
 	DeferCleanup(c.Close)
 	var conn *peer.Conn
-	Eventually(w.conn, eventTimeout).Should(Receive(&conn))
-	return w, conn
+	Eventually(g.conn, eventTimeout).Should(Receive(&conn))
+	return g, conn
 }
 
 func emptyEngine() *fakeEngine {
@@ -117,12 +117,12 @@
 }
 
 // next waits for the next message of a type and skips others.
-func next[T peer.Message](w *gatewayClient) T {
+func next[T peer.Message](g *gatewayClient) T {
 	GinkgoHelper()
 	var found T
 	Eventually(func() bool {
 		var m peer.Message
-		Eventually(w.messages, eventTimeout).Should(Receive(&m))
+		Eventually(g.messages, eventTimeout).Should(Receive(&m))
 		t, ok := m.(T)
 		found = t
 		return ok
@@ -134,13 +134,13 @@
 	var (
 		addr         string
 		conn         *peer.Conn
-		w            *gatewayClient
+		gateway      *gatewayClient
 		otherConn    *peer.Conn // of a second gateway, which gets all updates directly
 		otherGateway *gatewayClient
 	)
 	BeforeEach(func() {
 		_, addr = startKeeper("k", emptyEngine())
-		w, conn = connect(addr)
+		gateway, conn = connect(addr)
 		otherGateway, otherConn = connect(addr)
 		Expect(otherConn.Send(engineNotice(false))).To(Succeed())
 		Expect(next[*peer.Holding](otherGateway).Full).To(BeTrue())
@@ -154,7 +154,7 @@
 			return len(h.Adapters) == 1 && h.Adapters[0].State == peer.HeldReady
 		}, eventTimeout).Should(BeTrue())
 		Expect(conn.Send(loadRequest("a"))).To(Succeed())
-		h := next[*peer.Holding](w)
+		h := next[*peer.Holding](gateway)
 		Expect(h.Answer).To(BeTrue())
 		Expect(h.Adapters).To(HaveLen(1))
 		Expect(h.Adapters[0].Adapter.Adapter).To(BeEquivalentTo("a"))
@@ -166,7 +166,7 @@
 			return len(next[*peer.Holding](otherGateway).Adapters)
 		}, eventTimeout).Should(Equal(1))
 		Expect(conn.Send(loadRequest("a"))).To(Succeed())
-		h := next[*peer.Holding](w)
+		h := next[*peer.Holding](gateway)
 		Expect(h.Answer).To(BeTrue())
 		Expect(h.Adapters[0].State).To(Equal(peer.HeldReady))
 	})
@@ -175,7 +175,7 @@
 		Expect(otherConn.Send(loadRequest("a"))).To(Succeed())
 		h := next[*peer.Holding](otherGateway)
 		Expect(conn.Send(&peer.Usage{})).To(Succeed())
-		Expect(next[*peer.Mark](w).Seq).To(BeNumerically(">=", h.Seq))
+		Expect(next[*peer.Mark](gateway).Seq).To(BeNumerically(">=", h.Seq))
 	})
 })
 
@@ -183,18 +183,18 @@
 	var (
 		relayed     *keeper.Keeper
 		addr        string // of the relayed keeper
-		w           *gatewayClient
+		gateway     *gatewayClient
 		conn        *peer.Conn // to the relaying keeper
 		relayedConn *peer.Conn // to the relayed keeper
 	)
 	BeforeEach(func() {
 		relayed, addr = startKeeper("far", emptyEngine())
 		_, relay := startKeeper("relay", emptyEngine())
-		w, conn = connect(relay)
+		gateway, conn = connect(relay)
 		_, relayedConn = connect(addr)
 		Expect(relayedConn.Send(engineNotice(true))).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
-		m := next[*peer.Relayed](w)
+		m := next[*peer.Relayed](gateway)
 		Expect(m.Keeper).To(Equal(addr))
 		Expect(m.Process).To(BeEquivalentTo("far"))
 		Expect(m.Holding.Full).To(BeTrue())
@@ -203,11 +203,11 @@
 	It("forwards each change, and the full state to gateways that follow later", func() {
 		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
 		Eventually(func() bool {
-			h := next[*peer.Relayed](w).Holding
+			h := next[*peer.Relayed](gateway).Holding
 			return len(h.Adapters) == 1 && h.Adapters[0].State == peer.HeldReady
 		}, eventTimeout).Should(BeTrue())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
-		h := next[*peer.Relayed](w).Holding
+		h := next[*peer.Relayed](gateway).Holding
 		Expect(h.Full).To(BeTrue())
 		Expect(h.Adapters).To(HaveLen(1))
 	})
@@ -215,7 +215,7 @@
 	It("reports that the connection to the keeper is lost", func() {
 		relayed.Close()
 		Eventually(func() bool {
-			return next[*peer.Relayed](w).Lost
+			return next[*peer.Relayed](gateway).Lost
 		}, eventTimeout).Should(BeTrue())
 	})
 
@@ -224,12 +224,12 @@
 		Expect(conn.Send(&peer.Follow{Keeper: addr, End: true})).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: second})).To(Succeed())
 		Eventually(func() string { // updates sent before the end have arrived by then
-			return next[*peer.Relayed](w).Keeper
+			return next[*peer.Relayed](gateway).Keeper
 		}, eventTimeout).Should(Equal(second))
 		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
 		Consistently(func() bool {
 			select {
-			case m := <-w.messages:
+			case m := <-gateway.messages:
 				r, ok := m.(*peer.Relayed)
 				return ok && r.Keeper == addr
 			default:
--- a/keeper/startedquery_test.go
+++ b/keeper/startedquery_test.go
@@ -12,12 +12,12 @@
 	// query sends a query to a new keeper of the engine and returns the gateway's messages.
 	query := func(e *fakeEngine, ids ...string) *gatewayClient {
 		_, addr := startKeeper("k", e)
-		w, conn := connect(addr)
+		g, conn := connect(addr)
 		Expect(conn.Send(engineNotice(true))).To(Succeed())
 		Expect(conn.Send(&peer.StartedQuery{
 			IDs: ids,
 		})).To(Succeed())
-		return w
+		return g
 	}
 
 	It("gets those that the engine is running", func() {
@@ -36,7 +36,7 @@
 	It("gets no report if none is running", func() {
 		e := emptyEngine()
 		e.runs = []string{}
-		w := query(e, "held-up")
-		Consistently(w.messages, "100ms").ShouldNot(Receive(BeAssignableToTypeOf(&peer.StartedReport{})))
+		g := query(e, "held-up")
+		Consistently(g.messages, "100ms").ShouldNot(Receive(BeAssignableToTypeOf(&peer.StartedReport{})))
 	})
 })
--- a/keeper/words.go
+++ b/keeper/words.go
@@ -7,18 +7,19 @@
 	"wardturn/peer"
 )
 
-// gossipDelay is how long messages between gateways are collected before they are forwarded,
-// so that a gateway gets one message with those of all others.
+// gossipDelay is how long gossip between gateways is collected before it is forwarded, so
+// that a gateway gets one message with the gossip of all others.
 const gossipDelay = 50 * time.Millisecond
 
-// gossip are messages between gateways about rates that they enforce jointly, to be
-// forwarded.
+// gossip is what gateways report to each other about rates that they enforce jointly: the
+// usage of team caps and the limits of upstreams.
 type gossip struct {
 	teams  []decide.TeamWord
 	limits []decide.LimitGossip
 }
 
-// queueGossip queues messages to be forwarded together. The lock must be held.
+// queueGossip queues gossip to be forwarded with that of other gateways. The lock must be
+// held.
 func (k *Keeper) queueGossip(g gossip) {
 	if len(k.pendingGossip.teams)+len(k.pendingGossip.limits) == 0 {
 		k.clock.AfterFunc(gossipDelay, k.forwardGossip)
@@ -27,7 +28,7 @@
 	k.pendingGossip.limits = append(k.pendingGossip.limits, g.limits...)
 }
 
-// forwardGossip forwards the queued messages.
+// forwardGossip forwards the queued gossip.
 func (k *Keeper) forwardGossip() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/routes.go
+++ b/routes.go
@@ -266,8 +266,8 @@
 // MemberSource provides the platform's list of upstreams. It must be used by one
 // goroutine only.
 type MemberSource interface {
-	// Next reads the current list. If the whole list takes several responses, part is
-	// called between them with the members read so far, unless it is nil.
+	// Next reads the current list. If the whole list takes several responses, progress is
+	// called between them with the members read so far, unless progress is nil.
 	Next(progress func([]Member)) (MemberList, error)
 	// Take applies a change that another reader has read and returns the resulting
 	// list. It reports false if the change does not follow what is known: the list
@@ -295,8 +295,8 @@
 	// Report returns the engine's state.
 	Report() (EngineState, error)
 	// Runs returns the IDs, as given by callers, of the requests that the engine is
-	// running. It reports false if the engine does not list them.
-	Runs() (ids []string, named bool, err error)
+	// running. Listed is false if the engine does not list them.
+	Runs() (ids []string, listed bool, err error)
 	// Order sends an order and returns its result.
 	Order(o EngineOrder) OrderAnswer
 }
