--- a/keeper/gateways_test.go
+++ b/keeper/gateways_test.go
@@ -7,39 +7,39 @@
 	"wardturn/peer"
 )
 
-var _ = Describe("The number of gateways", func() {
-	It("is told soon, but not with each gateway that comes", func() {
-		const more = 20
+var _ = Describe("The number of gateways in state updates", func() {
+	It("is sent soon after a change, but not for each gateway that connects", func() {
+		const others = 20
 		_, addr := startKeeper("k", emptyEngine())
-		heard, conn := connect(addr)
+		gateway, conn := connect(addr)
 		Expect(conn.Send(engineNotice(false))).To(Succeed())
-		Expect(next[*peer.Holding](heard).Full).To(BeTrue())
-		for range more {
+		Expect(next[*peer.Holding](gateway).Full).To(BeTrue())
+		for range others {
 			_, c := connect(addr)
 			Expect(c.Send(engineNotice(true))).To(Succeed())
 		}
-		words := 0
+		updates := 0
 		Eventually(func() int {
-			words++
-			return next[*peer.Holding](heard).Gateways
-		}, soon).Should(Equal(1 + more))
-		Consistently(heard.all, "300ms").ShouldNot(Receive())
-		Expect(words).To(BeNumerically("<=", 4))
+			updates++
+			return next[*peer.Holding](gateway).Gateways
+		}, eventTimeout).Should(Equal(1 + others))
+		Consistently(gateway.messages, "300ms").ShouldNot(Receive())
+		Expect(updates).To(BeNumerically("<=", 4))
 	})
 
-	It("counts the processes of one host once: one may not be known to have ended yet", func() {
+	It("counts processes of one host once, because one may have ended without notice", func() {
 		_, addr := startKeeper("k", emptyEngine())
-		heard, conn := connect(addr)
+		gateway, conn := connect(addr)
 		Expect(conn.Send(engineNotice(false))).To(Succeed())
 		gateways := func() int {
-			return next[*peer.Holding](heard).Gateways
+			return next[*peer.Holding](gateway).Gateways
 		}
-		Eventually(gateways, soon).Should(Equal(1))
+		Eventually(gateways, eventTimeout).Should(Equal(1))
 		for _, host := range []string{"h", "h", "other"} {
 			_, c := connectFrom(host, addr)
 			Expect(c.Send(engineNotice(true))).To(Succeed())
 		}
-		Eventually(gateways, soon).Should(Equal(3))
-		Consistently(heard.all, "300ms").ShouldNot(Receive())
+		Eventually(gateways, eventTimeout).Should(Equal(3))
+		Consistently(gateway.messages, "300ms").ShouldNot(Receive())
 	})
 })
--- a/keeper/holding.go
+++ b/keeper/holding.go
@@ -9,115 +9,115 @@
 	"wardturn/peer"
 )
 
-// loadStep is the change in running and queued requests that is worth telling
-// the gateways: an eighth of a usual batch.
-const loadStep = 4
+// minLoadChange is the smallest change in the number of running and queued requests that is
+// sent to the gateways: an eighth of a usual batch.
+const minLoadChange = 4
 
-// holding is what an engine holds, as its gateways are told.
-type holding struct {
-	seq      uint64 // of the latest change told
-	known    bool
-	upstream wardturn.UpstreamID
-	models   []wardturn.BaseModel
-	adapters map[wardturn.ModelAdapter]peer.HeldAdapter
-	running  int
-	queued   int
-	reading  int
-	free     int
-	gateways int
-	limit    wardturn.RequestRate // that the engine names; zero: none
-	leaving  bool                 // as the engine says
+// engineSnapshot is the state of the engine at one time, as sent to the gateways.
+type engineSnapshot struct {
+	seq       uint64 // sequence number of the latest update sent
+	known     bool
+	upstream  wardturn.UpstreamID
+	models    []wardturn.BaseModel
+	adapters  map[wardturn.ModelAdapter]peer.HeldAdapter
+	running   int
+	queued    int
+	prefill   int // tokens of long prompts in prefill
+	freeSlots int
+	gateways  int
+	limit     wardturn.RequestRate // reported by the engine; zero: none
+	leaving   bool                 // reported by the engine
 }
 
-// holding returns what the engine holds; the lock is held.
-func (k *Keeper) holding() *holding {
-	h := &holding{
-		seq:      k.told.seq,
-		known:    k.places.Known(),
+// snapshot returns the engine's current state. The lock must be held.
+func (k *Keeper) snapshot() *engineSnapshot {
+	s := &engineSnapshot{
+		seq:      k.sent.seq,
+		known:    k.placement.Known(),
 		upstream: k.upstream,
 		adapters: make(map[wardturn.ModelAdapter]peer.HeldAdapter),
 		gateways: len(k.gateways),
 	}
-	if !h.known {
-		return h
+	if !s.known {
+		return s
 	}
-	for _, tokens := range k.reading {
-		h.reading += tokens
+	for _, tokens := range k.prefill {
+		s.prefill += tokens
 	}
-	st := k.places.State()
-	h.free = k.places.Free(k.clock.Now())
-	h.running = st.Running
-	h.queued = st.Queued
-	h.limit = st.Limit
-	// The report may still be of the lifetime before.
-	h.leaving = st.Leaving && st.Upstream == k.upstream
+	st := k.placement.State()
+	s.freeSlots = k.placement.Free(k.clock.Now())
+	s.running = st.Running
+	s.queued = st.Queued
+	s.limit = st.Limit
+	// The report may still be from the previous lifetime.
+	s.leaving = st.Leaving && st.Upstream == k.upstream
 	for _, a := range st.Loading {
-		h.add(a, peer.HeldLoading)
+		s.add(a, peer.HeldLoading)
 	}
 	for _, m := range st.Models {
-		h.models = append(h.models, m.Name)
+		s.models = append(s.models, m.Name)
 		for _, a := range m.Adapters {
-			if k.places.Leaving(a.Key()) {
-				h.add(a, peer.HeldLeaving)
+			if k.placement.Leaving(a.Key()) {
+				s.add(a, peer.HeldLeaving)
 				continue
 			}
-			h.add(a, peer.HeldReady)
+			s.add(a, peer.HeldReady)
 		}
 	}
-	return h
+	return s
 }
 
-func (h *holding) add(a wardturn.AdapterVersion, state peer.HeldState) {
-	h.adapters[a.Key()] = peer.HeldAdapter{
+func (s *engineSnapshot) add(a wardturn.AdapterVersion, state peer.HeldState) {
+	s.adapters[a.Key()] = peer.HeldAdapter{
 		Adapter: a,
 		State:   state,
 	}
 }
 
-// message returns a message without adapters.
-func (h *holding) message() *peer.Holding {
+// update returns a state update without adapters.
+func (s *engineSnapshot) update() *peer.Holding {
 	return &peer.Holding{
-		Seq:      h.seq,
-		Known:    h.known,
-		Upstream: h.upstream,
-		Models:   h.models,
-		Running:  h.running,
-		Queued:   h.queued,
-		Reading:  h.reading,
-		Free:     h.free,
-		Gateways: h.gateways,
-		Limit:    h.limit,
-		Leaving:  h.leaving,
+		Seq:      s.seq,
+		Known:    s.known,
+		Upstream: s.upstream,
+		Models:   s.models,
+		Running:  s.running,
+		Queued:   s.queued,
+		Reading:  s.prefill,
+		Free:     s.freeSlots,
+		Gateways: s.gateways,
+		Limit:    s.limit,
+		Leaving:  s.leaving,
 	}
 }
 
-// full returns the message for a gateway that knows nothing.
-func (h *holding) full() *peer.Holding {
-	m := h.message()
+// fullUpdate returns the full state, for a gateway without any.
+func (s *engineSnapshot) fullUpdate() *peer.Holding {
+	m := s.update()
 	m.Full = true
-	for _, a := range h.adapters {
+	for _, a := range s.adapters {
 		m.Adapters = append(m.Adapters, a)
 	}
 	slices.SortFunc(m.Adapters, peer.CompareHeld)
 	return m
 }
 
-// since returns the message for gateways that know an earlier holding, or nil if
-// there is nothing worth telling.
-func (h *holding) since(old *holding) *peer.Holding {
-	m := h.message()
-	for key, a := range h.adapters {
+// updateSince returns the update for gateways that have an earlier snapshot, or nil if no
+// change is large enough to be sent.
+func (s *engineSnapshot) updateSince(old *engineSnapshot) *peer.Holding {
+	m := s.update()
+	for key, a := range s.adapters {
 		if old.adapters[key] != a {
 			m.Adapters = append(m.Adapters, a)
 		}
 	}
 	for key := range old.adapters {
-		if _, ok := h.adapters[key]; !ok {
+		if _, ok := s.adapters[key]; !ok {
 			m.Gone = append(m.Gone, key)
 		}
 	}
-	if len(m.Adapters)+len(m.Gone) == 0 && h.known == old.known && h.upstream == old.upstream && h.free == old.free && h.limit == old.limit && h.leaving == old.leaving &&
-		slices.Equal(h.models, old.models) && !h.stepped(old) {
+	if len(m.Adapters)+len(m.Gone) == 0 && s.known == old.known && s.upstream == old.upstream && s.freeSlots == old.freeSlots && s.limit == old.limit && s.leaving == old.leaving &&
+		slices.Equal(s.models, old.models) && !s.loadChanged(old) {
 		return nil
 	}
 	slices.SortFunc(m.Adapters, peer.CompareHeld)
@@ -127,61 +127,63 @@
 	return m
 }
 
-// countEvery is how soon a change of the number of gateways alone is told again. Told with
-// each gateway that comes, it is a word for each pair of a keeper and a gateway to each
-// gateway when all start together.
-const countEvery = time.Second
+// gatewayCountInterval is the minimum time between updates in which only the number of
+// gateways has changed. Without it, when all gateways start together, each new connection
+// causes an update, and every gateway gets one for each pair of a keeper and a gateway.
+const gatewayCountInterval = time.Second
 
-// readingStep is the change in tokens being read that is worth telling: less is read
-// before the word has arrived everywhere.
-const readingStep = 2048
+// minPrefillChange is the smallest change in prefill tokens that is sent to the gateways: an
+// engine prefills fewer tokens than that before the update has reached all gateways.
+const minPrefillChange = 2048
 
-// stepped reports whether the load changed by a step.
-func (h *holding) stepped(old *holding) bool {
-	if max(h.reading-old.reading, old.reading-h.reading) >= readingStep {
+// loadChanged reports whether the load or the prefill tokens changed enough to be sent.
+func (s *engineSnapshot) loadChanged(old *engineSnapshot) bool {
+	if max(s.prefill-old.prefill, old.prefill-s.prefill) >= minPrefillChange {
 		return true
 	}
-	was, is := old.running+old.queued, h.running+h.queued
-	return max(was-is, is-was) >= loadStep
+	before, now := old.running+old.queued, s.running+s.queued
+	return max(before-now, now-before) >= minLoadChange
 }
 
-// tell sends what changed to those that listen; the lock is held. Of another
-// lifetime of the engine everything is told.
-func (k *Keeper) tell() {
-	h := k.holding()
-	m := h.since(k.told)
+// sendUpdate sends the changes since the last update to the listeners, or the full state if
+// the lifetime of the engine changed. The lock must be held.
+func (k *Keeper) sendUpdate() {
+	s := k.snapshot()
+	m := s.updateSince(k.sent)
 	now := k.clock.Now()
-	if m == nil && h.gateways != k.told.gateways && !now.Before(k.countAt) {
-		m = h.message()
+	if m == nil && s.gateways != k.sent.gateways && !now.Before(k.gatewayCountAt) {
+		m = s.update()
 	}
 	if m == nil {
 		return
 	}
-	k.countAt = now.Add(countEvery)
-	if h.upstream != k.told.upstream {
-		m = h.full()
+	k.gatewayCountAt = now.Add(gatewayCountInterval)
+	if s.upstream != k.sent.upstream {
+		m = s.fullUpdate()
 	}
-	h.seq++
-	m.Seq = h.seq
-	k.told = h
-	for c := range k.listeners.all {
+	s.seq++
+	m.Seq = s.seq
+	k.sent = s
+	for c := range k.listeners.allUpdates {
 		_ = c.Send(m)
 	}
-	k.listeners.answer(now, m)
+	k.listeners.sendRequested(now, m)
 }
 
-// tellFull has a connection listen, and tells it everything; the lock is held.
-func (k *Keeper) tellFull(c *peer.Conn) {
-	k.listeners.all[c] = true
-	_ = c.Send(k.holding().full())
+// addListener adds a connection to the listeners and sends it the full state. The lock must be
+// held.
+func (k *Keeper) addListener(c *peer.Conn) {
+	k.listeners.allUpdates[c] = true
+	_ = c.Send(k.snapshot().fullUpdate())
 }
 
-// tellAsked tells a gateway that asks for an adapter what is known of that, which
-// its relay may not have told yet; the lock is held.
-func (k *Keeper) tellAsked(c *peer.Conn, key wardturn.ModelAdapter) {
-	k.listeners.ask(k.clock.Now(), c, key)
-	a, ok := k.told.adapters[key]
-	if ok && !k.listeners.all[c] {
-		_ = c.Send(answerOf(k.told.message(), a))
+// subscribeAdapter records a gateway's request for an adapter and sends the gateway the
+// adapter's last sent state, which may not have reached it through its relay yet. The lock
+// must be held.
+func (k *Keeper) subscribeAdapter(c *peer.Conn, key wardturn.ModelAdapter) {
+	k.listeners.addRequest(k.clock.Now(), c, key)
+	a, ok := k.sent.adapters[key]
+	if ok && !k.listeners.allUpdates[c] {
+		_ = c.Send(adapterUpdate(k.sent.update(), a))
 	}
 }
--- a/keeper/news_test.go
+++ b/keeper/news_test.go
@@ -8,73 +8,73 @@
 	"wardturn/peer"
 )
 
-var _ = Describe("A keeper that gets news of the store", func() {
+var _ = Describe("A keeper that gets an announcement of a store read", func() {
 	var (
-		addr   string
-		reader *peer.Conn // of the gateway that tells the news
-		own    *words
-		in     *words // a gateway that hears news of this keeper
-		inConn *peer.Conn
-		out    *words // one that hears them of others
+		addr         string
+		senderConn   *peer.Conn // of the gateway that sends the announcement
+		sender       *gatewayClient
+		receiver     *gatewayClient // a gateway that gets announcements from this keeper
+		receiverConn *peer.Conn
+		other        *gatewayClient // a gateway that gets them from other keepers
 	)
-	greet := func(news bool) (*words, *peer.Conn) {
-		w, c := connect(addr)
+	connectGateway := func(news bool) (*gatewayClient, *peer.Conn) {
+		g, c := connect(addr)
 		n := engineNotice(true)
 		n.News = news
 		Expect(c.Send(n)).To(Succeed())
-		return w, c
+		return g, c
 	}
-	// sync has what was told to a gateway before arrive first.
-	sync := func(w *words, c *peer.Conn) {
+	// sync waits until everything sent to a gateway before has arrived.
+	sync := func(g *gatewayClient, c *peer.Conn) {
 		Expect(c.Send(&peer.Listen{})).To(Succeed())
-		next[*peer.Holding](w)
+		next[*peer.Holding](g)
 	}
-	tell := func(position wardturn.Position) {
-		Expect(reader.Send(&peer.StoreNews{
+	announce := func(position wardturn.Position) {
+		Expect(senderConn.Send(&peer.StoreNews{
 			Reader: "reader",
 			Config: position,
 		})).To(Succeed())
 	}
 	BeforeEach(func() {
-		var outConn *peer.Conn
+		var otherConn *peer.Conn
 		_, addr = startKeeper("k", emptyEngine())
-		in, inConn = greet(true)
-		out, outConn = greet(false)
-		own, reader = greet(true)
-		sync(in, inConn)
-		sync(out, outConn)
-		sync(own, reader)
+		receiver, receiverConn = connectGateway(true)
+		other, otherConn = connectGateway(false)
+		sender, senderConn = connectGateway(true)
+		sync(receiver, receiverConn)
+		sync(other, otherConn)
+		sync(sender, senderConn)
 	})
 
-	It("passes them on to the gateways that hear them here, and to no other", func() {
-		tell(7)
-		Expect(next[*peer.StoreNews](in).Config).To(BeEquivalentTo(7))
+	It("forwards it to the gateways that get announcements from it, except the sender, and to no other", func() {
+		announce(7)
+		Expect(next[*peer.StoreNews](receiver).Config).To(BeEquivalentTo(7))
 		Consistently(func() bool {
-			return heardNews(out) || heardNews(own)
+			return gotAnnouncement(other) || gotAnnouncement(sender)
 		}, "200ms").Should(BeFalse())
 	})
 
-	It("follows a gateway that begins or ends to hear them here", func() {
+	It("applies a gateway's change of whether it gets announcements from this keeper", func() {
 		n := engineNotice(true)
-		Expect(inConn.Send(n)).To(Succeed())
-		sync(in, inConn)
-		tell(7)
+		Expect(receiverConn.Send(n)).To(Succeed())
+		sync(receiver, receiverConn)
+		announce(7)
 		Consistently(func() bool {
-			return heardNews(in)
+			return gotAnnouncement(receiver)
 		}, "200ms").Should(BeFalse())
 		n.News = true
-		Expect(inConn.Send(n)).To(Succeed())
-		sync(in, inConn)
-		tell(8)
-		Expect(next[*peer.StoreNews](in).Config).To(BeEquivalentTo(8))
+		Expect(receiverConn.Send(n)).To(Succeed())
+		sync(receiver, receiverConn)
+		announce(8)
+		Expect(next[*peer.StoreNews](receiver).Config).To(BeEquivalentTo(8))
 	})
 })
 
-// heardNews reports whether news is among what has arrived.
-func heardNews(w *words) bool {
+// gotAnnouncement reports whether an announcement of a store read has arrived.
+func gotAnnouncement(g *gatewayClient) bool {
 	for {
 		select {
-		case m := <-w.all:
+		case m := <-g.messages:
 			if _, ok := m.(*peer.StoreNews); ok {
 				return true
 			}
--- a/keeper/relay_test.go
+++ b/keeper/relay_test.go
@@ -17,8 +17,8 @@
 	"wardturn/process"
 )
 
-// startKeeper starts a keeper of an engine and returns its address.
-func startKeeper(name wardturn.Incarnation, e *engine) (*keeper.Keeper, string) {
+// startKeeper starts a keeper of an engine and returns it with its address.
+func startKeeper(name wardturn.Incarnation, e *fakeEngine) (*keeper.Keeper, string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	k := keeper.New(keeper.Deps{
@@ -29,7 +29,7 @@
 		Logger:   hclog.NewNullLogger(),
 		Scope:    tally.NoopScope,
 		Engine:   e,
-		Fences:   &fences{},
+		Fences:   &fakeFences{},
 		Policy:   policy.Default{},
 		Listener: ln,
 	})
@@ -37,46 +37,46 @@
 	return k, ln.Addr().String()
 }
 
-// words is a gateway's end that keeps all it is told.
-type words struct {
-	conn chan *peer.Conn
-	all  chan peer.Message
+// gatewayClient is the gateway's side of a connection that keeps all received messages.
+type gatewayClient struct {
+	conn     chan *peer.Conn
+	messages chan peer.Message
 }
 
-func (w *words) Connected(c *peer.Conn)              { w.conn <- c }
-func (w *words) Closed(*peer.Conn, error)            {}
-func (w *words) Handle(_ *peer.Conn, m peer.Message) { w.all <- m }
+func (g *gatewayClient) Connected(c *peer.Conn)              { g.conn <- c }
+func (g *gatewayClient) Closed(*peer.Conn, error)            {}
+func (g *gatewayClient) Handle(_ *peer.Conn, m peer.Message) { g.messages <- m }
 
-// ends numbers the gateways' ends.
-var ends atomic.Int64
+// gatewayCount is the number of connected gateways, used in their process names.
+var gatewayCount atomic.Int64
 
-// connect connects a gateway's end to a keeper.
-func connect(addr string) (*words, *peer.Conn) {
+// connect connects a gateway to a keeper.
+func connect(addr string) (*gatewayClient, *peer.Conn) {
 	return connectFrom("", addr)
 }
 
-// connectFrom is connect from a host.
-func connectFrom(host, addr string) (*words, *peer.Conn) {
-	w := &words{
-		conn: make(chan *peer.Conn, 8),
-		all:  make(chan peer.Message, 1000),
+// connectFrom connects a gateway on a host to a keeper.
+func connectFrom(host, addr string) (*gatewayClient, *peer.Conn) {
+	g := &gatewayClient{
+		conn:     make(chan *peer.Conn, 8),
+		messages: make(chan peer.Message, 1000),
 	}
 	c := peer.NewClient(addr, nil, process.Clock{}, peer.Identity{
 		Role:    peer.RoleEntry,
-		Process: wardturn.Incarnation(fmt.Sprint("g", ends.Add(1))),
+		Process: wardturn.Incarnation(fmt.Sprint("g", gatewayCount.Add(1))),
 		Host:    host,
 		Config: func() wardturn.Offset {
 			return 0
 		},
-	}, w)
+	}, g)
 	DeferCleanup(c.Close)
 	var conn *peer.Conn
-	Eventually(w.conn, soon).Should(Receive(&conn))
-	return w, conn
+	Eventually(g.conn, eventTimeout).Should(Receive(&conn))
+	return g, conn
 }
 
-func emptyEngine() *engine {
-	return &engine{
+func emptyEngine() *fakeEngine {
+	return &fakeEngine{
 		state: wardturn.EngineState{
 			Seq: 7,
 			Models: []wardturn.LoadedModel{
@@ -105,7 +105,7 @@
 	}
 }
 
-func wishFor(adapter wardturn.AdapterID) *peer.LoadWish {
+func loadRequest(adapter wardturn.AdapterID) *peer.LoadWish {
 	return &peer.LoadWish{
 		Adapter: wardturn.AdapterVersion{
 			Model:   "m",
@@ -116,120 +116,120 @@
 	}
 }
 
-// next returns the next message of a type.
-func next[T peer.Message](w *words) T {
+// next waits for the next message of a type and skips others.
+func next[T peer.Message](g *gatewayClient) T {
 	GinkgoHelper()
 	var found T
 	Eventually(func() bool {
 		var m peer.Message
-		Eventually(w.all, soon).Should(Receive(&m))
+		Eventually(g.messages, eventTimeout).Should(Receive(&m))
 		t, ok := m.(T)
 		found = t
 		return ok
-	}, soon).Should(BeTrue())
+	}, eventTimeout).Should(BeTrue())
 	return found
 }
 
-var _ = Describe("A keeper whose words a relay brings to a gateway", func() {
+var _ = Describe("A keeper with a gateway that gets its state updates from a relay", func() {
 	var (
-		addr  string
-		conn  *peer.Conn
-		w     *words
-		other *peer.Conn // of a second gateway, which listens
-		heard *words
+		addr         string
+		conn         *peer.Conn
+		gateway      *gatewayClient
+		otherConn    *peer.Conn // of a second gateway, which gets all updates directly
+		otherGateway *gatewayClient
 	)
 	BeforeEach(func() {
 		_, addr = startKeeper("k", emptyEngine())
-		w, conn = connect(addr)
-		heard, other = connect(addr)
-		Expect(other.Send(engineNotice(false))).To(Succeed())
-		Expect(next[*peer.Holding](heard).Full).To(BeTrue())
+		gateway, conn = connect(addr)
+		otherGateway, otherConn = connect(addr)
+		Expect(otherConn.Send(engineNotice(false))).To(Succeed())
+		Expect(next[*peer.Holding](otherGateway).Full).To(BeTrue())
 		Expect(conn.Send(engineNotice(true))).To(Succeed())
 	})
 
-	It("tells that gateway only what it asked for", func() {
-		Expect(other.Send(wishFor("b"))).To(Succeed())
+	It("sends that gateway only the adapters that it requested", func() {
+		Expect(otherConn.Send(loadRequest("b"))).To(Succeed())
 		Eventually(func() bool {
-			h := next[*peer.Holding](heard)
+			h := next[*peer.Holding](otherGateway)
 			return len(h.Adapters) == 1 && h.Adapters[0].State == peer.HeldReady
-		}, soon).Should(BeTrue())
-		Expect(conn.Send(wishFor("a"))).To(Succeed())
-		h := next[*peer.Holding](w)
+		}, eventTimeout).Should(BeTrue())
+		Expect(conn.Send(loadRequest("a"))).To(Succeed())
+		h := next[*peer.Holding](gateway)
 		Expect(h.Answer).To(BeTrue())
 		Expect(h.Adapters).To(HaveLen(1))
 		Expect(h.Adapters[0].Adapter.Adapter).To(BeEquivalentTo("a"))
 	})
 
-	It("answers at once for what is there already", func() {
-		Expect(other.Send(wishFor("a"))).To(Succeed())
+	It("responds without delay if the adapter is already loaded", func() {
+		Expect(otherConn.Send(loadRequest("a"))).To(Succeed())
 		Eventually(func() int {
-			return len(next[*peer.Holding](heard).Adapters)
-		}, soon).Should(Equal(1))
-		Expect(conn.Send(wishFor("a"))).To(Succeed())
-		h := next[*peer.Holding](w)
+			return len(next[*peer.Holding](otherGateway).Adapters)
+		}, eventTimeout).Should(Equal(1))
+		Expect(conn.Send(loadRequest("a"))).To(Succeed())
+		h := next[*peer.Holding](gateway)
 		Expect(h.Answer).To(BeTrue())
 		Expect(h.Adapters[0].State).To(Equal(peer.HeldReady))
 	})
 
-	It("marks how far its changes go when the gateway uses the engine", func() {
-		Expect(other.Send(wishFor("a"))).To(Succeed())
-		h := next[*peer.Holding](heard)
+	It("sends its sequence number when the gateway reports usage", func() {
+		Expect(otherConn.Send(loadRequest("a"))).To(Succeed())
+		h := next[*peer.Holding](otherGateway)
 		Expect(conn.Send(&peer.Usage{})).To(Succeed())
-		Expect(next[*peer.Mark](w).Seq).To(BeNumerically(">=", h.Seq))
+		Expect(next[*peer.Mark](gateway).Seq).To(BeNumerically(">=", h.Seq))
 	})
 })
 
-var _ = Describe("A keeper that relays another", func() {
+var _ = Describe("A keeper that relays another keeper", func() {
 	var (
-		far  *keeper.Keeper
-		addr string // of the far one
-		w    *words
-		conn *peer.Conn // to the relay
-		ask  *peer.Conn // to the far one
+		relayed     *keeper.Keeper
+		addr        string // of the relayed keeper
+		gateway     *gatewayClient
+		conn        *peer.Conn // to the relaying keeper
+		relayedConn *peer.Conn // to the relayed keeper
 	)
 	BeforeEach(func() {
-		far, addr = startKeeper("far", emptyEngine())
+		relayed, addr = startKeeper("far", emptyEngine())
 		_, relay := startKeeper("relay", emptyEngine())
-		w, conn = connect(relay)
-		_, ask = connect(addr)
-		Expect(ask.Send(engineNotice(true))).To(Succeed())
+		gateway, conn = connect(relay)
+		_, relayedConn = connect(addr)
+		Expect(relayedConn.Send(engineNotice(true))).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
-		m := next[*peer.Relayed](w)
+		m := next[*peer.Relayed](gateway)
 		Expect(m.Keeper).To(Equal(addr))
 		Expect(m.Process).To(BeEquivalentTo("far"))
 		Expect(m.Holding.Full).To(BeTrue())
 	})
 
-	It("passes on each change, and all of it to those that follow later", func() {
-		Expect(ask.Send(wishFor("a"))).To(Succeed())
+	It("forwards each change, and the full state to gateways that follow later", func() {
+		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
 		Eventually(func() bool {
-			h := next[*peer.Relayed](w).Holding
+			h := next[*peer.Relayed](gateway).Holding
 			return len(h.Adapters) == 1 && h.Adapters[0].State == peer.HeldReady
-		}, soon).Should(BeTrue())
+		}, eventTimeout).Should(BeTrue())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
-		h := next[*peer.Relayed](w).Holding
+		h := next[*peer.Relayed](gateway).Holding
 		Expect(h.Full).To(BeTrue())
 		Expect(h.Adapters).To(HaveLen(1))
 	})
 
-	It("says that it has lost the keeper", func() {
-		far.Close()
+	It("reports that the connection to the keeper is lost", func() {
+		relayed.Close()
 		Eventually(func() bool {
-			return next[*peer.Relayed](w).Lost
-		}, soon).Should(BeTrue())
+			return next[*peer.Relayed](gateway).Lost
+		}, eventTimeout).Should(BeTrue())
 	})
 
-	It("tells nothing more to a gateway that ends to follow", func() {
+	It("sends nothing more to a gateway that stops following", func() {
 		_, second := startKeeper("second", emptyEngine())
 		Expect(conn.Send(&peer.Follow{Keeper: addr, End: true})).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: second})).To(Succeed())
-		Eventually(func() string { // what was told before the end has come by then
-			return next[*peer.Relayed](w).Keeper
-		}, soon).Should(Equal(second))
-		Expect(ask.Send(wishFor("a"))).To(Succeed())
+		Eventually(func() string { // updates sent before the end have arrived by then
+			return next[*peer.Relayed](gateway).Keeper
+		}, eventTimeout).Should(Equal(second))
+		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
 		Consistently(func() bool {
 			select {
-			case m := <-w.all:
+			case m := <-gateway.messages:
 				r, ok := m.(*peer.Relayed)
 				return ok && r.Keeper == addr
 			default:
--- a/keeper/startedquery_test.go
+++ b/keeper/startedquery_test.go
@@ -8,35 +8,35 @@
 	"wardturn/peer"
 )
 
-var _ = Describe("A gateway that asks which requests have begun", func() {
-	// ask asks a new keeper of the engine, and returns what the gateway is told.
-	ask := func(e *engine, ids ...string) *words {
+var _ = Describe("A gateway that queries which of its requests have started", func() {
+	// query sends a query to a new keeper of the engine and returns the gateway's messages.
+	query := func(e *fakeEngine, ids ...string) *gatewayClient {
 		_, addr := startKeeper("k", e)
-		w, conn := connect(addr)
+		g, conn := connect(addr)
 		Expect(conn.Send(engineNotice(true))).To(Succeed())
 		Expect(conn.Send(&peer.StartedQuery{
 			IDs: ids,
 		})).To(Succeed())
-		return w
+		return g
 	}
 
-	It("is told those that the engine runs", func() {
+	It("gets those that the engine is running", func() {
 		e := emptyEngine()
 		e.runs = []string{"r1", "r2"}
-		m := next[*peer.StartedReport](ask(e, "held-up", "r2"))
+		m := next[*peer.StartedReport](query(e, "held-up", "r2"))
 		Expect(m.IDs).To(Equal([]string{"r2"}))
 		Expect(m.Upstream).To(Equal(wardturn.UpstreamID("i-1")))
 	})
 
-	It("is told all if the engine does not name its runs", func() {
-		m := next[*peer.StartedReport](ask(emptyEngine(), "r1", "r2"))
+	It("gets all if the engine does not list its running requests", func() {
+		m := next[*peer.StartedReport](query(emptyEngine(), "r1", "r2"))
 		Expect(m.IDs).To(Equal([]string{"r1", "r2"}))
 	})
 
-	It("is told nothing of those that do not run", func() {
+	It("gets no report if none is running", func() {
 		e := emptyEngine()
 		e.runs = []string{}
-		w := ask(e, "held-up")
-		Consistently(w.all, "100ms").ShouldNot(Receive(BeAssignableToTypeOf(&peer.StartedReport{})))
+		g := query(e, "held-up")
+		Consistently(g.messages, "100ms").ShouldNot(Receive(BeAssignableToTypeOf(&peer.StartedReport{})))
 	})
 })
--- a/keeper/words.go
+++ b/keeper/words.go
@@ -7,38 +7,40 @@
 	"wardturn/peer"
 )
 
-// wordsPause is how long gateways' words to each other are gathered, so that a gateway gets
-// one message for those of all others.
-const wordsPause = 50 * time.Millisecond
+// gossipDelay is how long gossip between gateways is collected before it is forwarded, so
+// that a gateway gets one message with the gossip of all others.
+const gossipDelay = 50 * time.Millisecond
 
-// words are what gateways tell each other on rates that they keep together, to be passed
-// on.
-type words struct {
+// gossip is what gateways report to each other about rates that they enforce jointly: the
+// usage of team caps and the limits of upstreams.
+type gossip struct {
 	teams  []decide.TeamWord
 	limits []decide.LimitGossip
 }
 
-// gather keeps words to be passed on together; the lock is held.
-func (k *Keeper) gather(w words) {
-	if len(k.words.teams)+len(k.words.limits) == 0 {
-		k.clock.AfterFunc(wordsPause, k.passWords)
+// queueGossip queues gossip to be forwarded with that of other gateways. The lock must be
+// held.
+func (k *Keeper) queueGossip(g gossip) {
+	if len(k.pendingGossip.teams)+len(k.pendingGossip.limits) == 0 {
+		k.clock.AfterFunc(gossipDelay, k.forwardGossip)
 	}
-	k.words.teams = append(k.words.teams, w.teams...)
-	k.words.limits = append(k.words.limits, w.limits...)
+	k.pendingGossip.teams = append(k.pendingGossip.teams, g.teams...)
+	k.pendingGossip.limits = append(k.pendingGossip.limits, g.limits...)
 }
 
-func (k *Keeper) passWords() {
+// forwardGossip forwards the queued gossip.
+func (k *Keeper) forwardGossip() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.words.teams) > 0 {
-		k.passOn(nil, &peer.TeamUse{
-			Words: k.words.teams,
+	if len(k.pendingGossip.teams) > 0 {
+		k.forward(nil, &peer.TeamUse{
+			Words: k.pendingGossip.teams,
 		})
 	}
-	if len(k.words.limits) > 0 {
-		k.passOn(nil, &peer.LimitNews{
-			Words: k.words.limits,
+	if len(k.pendingGossip.limits) > 0 {
+		k.forward(nil, &peer.LimitNews{
+			Words: k.pendingGossip.limits,
 		})
 	}
-	k.words = words{}
+	k.pendingGossip = gossip{}
 }
--- a/sleep.go
+++ b/sleep.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Sleep waits for d by a clock and reports whether it did: false means that ctx
-// ended first.
+// Sleep waits for d, as measured by clock, and reports whether it did so: false means
+// that ctx was done first.
 func Sleep(ctx context.Context, clock Clock, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	woken := make(chan struct{})
+	elapsed := make(chan struct{})
 	timer := clock.AfterFunc(d, func() {
-		close(woken)
+		close(elapsed)
 	})
 	defer timer.Stop()
 	select {
-	case <-woken:
+	case <-elapsed:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// WithLimit returns a context that ends after d by a clock, or with its parent.
+// WithLimit returns a context that is cancelled after d, as measured by clock, or with its
+// parent.
 func WithLimit(parent context.Context, clock Clock, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	timer := clock.AfterFunc(d, cancel)
