--- a/peer/client.go
+++ b/peer/client.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// dialLimit is far over the round trip between regions and far under the
-	// second after which a lost first packet is sent again: a new dial is sooner.
+	// dialLimit is well above the round-trip time between regions and well below the
+	// second after which TCP retransmits a lost SYN: dialing again is faster.
 	dialLimit    = 300 * time.Millisecond
 	minRedial    = 50 * time.Millisecond
-	maxRedial    = 400 * time.Millisecond // a process that starts again is found soon
+	maxRedial    = 400 * time.Millisecond // short, to reconnect soon after the process restarts
 	redialFactor = 2
-	// ackLimit is how long sent bytes may have no acknowledgement: a packet may be lost
-	// three times (sent again after 0.2, 0.6 and 1.4 s). A heartbeat without an answer
-	// shows a silent connection after 5 s.
+	// ackLimit is the TCP user timeout: how long sent data may remain unacknowledged. A
+	// packet may be lost three times (retransmitted after 0.2, 0.6 and 1.4 s). An
+	// unanswered heartbeat detects a silent connection after 5 s.
 	ackLimit = 2 * time.Second
 )
 
-// Client keeps one connection to a process, and dials again when it is lost.
+// Client maintains one connection to a process and reconnects when it is lost.
 type Client struct {
 	addr    string
 	conf    *tls.Config
@@ -38,7 +38,7 @@
 	done   chan struct{}
 }
 
-// ClientHandler is a Handler that also learns of new connections.
+// ClientHandler is a Handler that is also notified of new connections.
 type ClientHandler interface {
 	Handler
 	// Connected is called before the first Handle of a connection.
@@ -63,7 +63,7 @@
 	return c
 }
 
-// Conn returns the present connection, or nil.
+// Conn returns the current connection, or nil.
 func (c *Client) Conn() *Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +75,7 @@
 	return c.addr
 }
 
-// Close ends the connection and waits for its last call to the handler.
+// Close closes the connection and waits until the last call of the handler returned.
 func (c *Client) Close() {
 	c.mu.Lock()
 	select {
@@ -104,7 +104,8 @@
 	}
 }
 
-// serve dials once and serves the connection. It reports whether there was one.
+// serve dials once and serves the connection until it ends. It reports whether a
+// connection was established.
 func (c *Client) serve() bool {
 	nc, err := c.dial()
 	if err != nil {
@@ -137,7 +138,7 @@
 	return d.Dial("tcp", c.addr)
 }
 
-// setConn records the connection and reports false after Close.
+// setConn sets the current connection. It returns false after Close.
 func (c *Client) setConn(conn *Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,8 +151,8 @@
 	}
 }
 
-// pause waits about d, with jitter so that many clients do not dial together,
-// and reports false after Close.
+// pause waits for d with jitter, so that many clients do not dial at the same time.
+// It returns false after Close.
 func (c *Client) pause(d time.Duration) bool {
 	d = d/2 + rand.N(d)
 	woken := make(chan struct{})
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -12,50 +12,51 @@
 	"wardturn"
 )
 
-// The limits of a connection.
+// The buffer sizes and timeouts of a connection.
 const (
-	maxBuffered  = 32 << 20
-	busyPing     = time.Second      // between heartbeats of a connection in use
-	idlePing     = 4 * time.Second  // of one that was used lately
-	restPing     = 10 * time.Second // and of one that was not
-	answerLimit  = 4 * time.Second  // for the answer to a heartbeat
-	strangeLimit = 60 * time.Second // without a heartbeat of the side that sends them
-	recentUse    = 2 * time.Second
+	maxBuffered  = 32 << 20         // bytes queued to be sent
+	busyPing     = time.Second      // heartbeat interval of a connection in use
+	idlePing     = 4 * time.Second  // of a connection that was used within restAfter
+	restPing     = 10 * time.Second // of a connection that was not
+	answerLimit  = 4 * time.Second  // for the reply to a heartbeat
+	strangeLimit = 60 * time.Second // without a message, on the side that receives heartbeats
+	recentUse    = 2 * time.Second  // after the last message the connection still counts as in use
 	restAfter    = 30 * time.Second
 	helloLimit   = 3 * time.Second
-	// readBuffer holds several of the usual messages, and longer ones go around it. A
-	// process may have thousands of connections, and each keeps its buffers.
+	// readBuffer is the size of the read buffer. It holds several typical messages;
+	// larger reads bypass it. A process may have thousands of connections, each with
+	// its own buffers.
 	readBuffer = 2 << 10
-	// keepBuffer is the largest buffer that is kept for the next message.
+	// keepBuffer is the capacity up to which a buffer is reused for the next message.
 	keepBuffer = 8 << 10
 )
 
 var (
 	// ErrClosed is returned by Send on a connection that has ended.
 	ErrClosed = errors.New("peer: connection closed")
-	// ErrProtocol is returned for a peer that does not speak the protocol.
-	ErrProtocol = errors.New("peer: protocol violated")
-	// ErrSlowPeer ends a connection whose peer takes its bytes too slowly.
-	ErrSlowPeer = errors.New("peer: too many bytes buffered")
-	// ErrSilent ends a connection on which nothing arrived for too long.
-	ErrSilent = errors.New("peer: nothing received")
+	// ErrProtocol is returned if a peer does not speak this version of the protocol.
+	ErrProtocol = errors.New("peer: protocol violation")
+	// ErrSlowPeer closes a connection whose peer reads too slowly.
+	ErrSlowPeer = errors.New("peer: send buffer full")
+	// ErrSilent closes a connection after a heartbeat timeout.
+	ErrSilent = errors.New("peer: heartbeat timeout")
 )
 
 // Handler receives the messages of a connection. Handle is called from the
-// connection's reading goroutine, one message at a time, and must not block.
+// connection's read goroutine, one message at a time, and must not block.
 type Handler interface {
 	Handle(c *Conn, m Message)
 	// Closed is called once, after the last Handle.
 	Closed(c *Conn, err error)
 }
 
-// Busier is a Handler that knows whether its connection has work under way. The
-// loss of such a connection is noticed sooner.
+// Busier is a Handler that knows whether work is in progress on its connection.
+// Heartbeats are more frequent then, so that a loss is detected sooner.
 type Busier interface {
 	Busy() bool
 }
 
-// Conn is an established connection: both sides have said Hello.
+// Conn is an established connection: both sides have exchanged Hello.
 type Conn struct {
 	nc     net.Conn
 	clock  wardturn.Clock
@@ -63,27 +64,27 @@
 	config func() wardturn.Offset
 
 	mu       sync.Mutex
-	ready    *sync.Cond // out is not empty, or the connection ended
+	ready    *sync.Cond // out is not empty, or the connection has ended
 	out      []byte
 	err      error
 	ping     wardturn.Timer
-	pingWait time.Duration // of the present timer
+	pingWait time.Duration // duration of the current timer
 	lastRead atomic.Int64  // clock time in nanoseconds
-	lastUse  atomic.Int64  // of a message other than a heartbeat
-	busier   Busier        // nil if the handler is none
-	dialed   bool          // this side sends the heartbeats, the other answers
-	askedAt  atomic.Int64  // of the oldest heartbeat without an answer; zero: none
+	lastUse  atomic.Int64  // clock time of the last message other than a heartbeat
+	busier   Busier        // nil if the handler doesn't implement it
+	dialed   bool          // this side sends the pings, the other replies
+	askedAt  atomic.Int64  // clock time of the oldest ping without a reply; zero: none
 	seq      uint64
-	heard    atomic.Int64 // newest configuration that the other side told of
+	heard    atomic.Int64 // latest configuration applied by the peer
 }
 
-// Identity is what a process says of itself.
+// Identity identifies a process in its Hello.
 type Identity struct {
 	Role     Role
 	Process  wardturn.Incarnation
-	Host     string // its name; may be empty
+	Host     string // host name; may be empty
 	Upstream wardturn.UpstreamID
-	// Config returns the newest configuration applied.
+	// Config returns the latest configuration applied.
 	Config func() wardturn.Offset
 }
 
@@ -132,19 +133,19 @@
 	return c, r, nil
 }
 
-// Peer returns what the other side said at the start.
+// Peer returns the peer's Hello.
 func (c *Conn) Peer() Hello {
 	return c.peer
 }
 
-// Config returns the newest configuration that the other side told of.
+// Config returns the latest configuration that the peer is known to have applied.
 func (c *Conn) Config() wardturn.Offset {
 	return wardturn.Offset(c.heard.Load())
 }
 
-// Send queues a message. It does not block: a peer that does not take its bytes
-// loses the connection. An error means that the message was not queued; nil
-// does not mean that it arrives.
+// Send queues a message. It does not block: if the peer reads too slowly, the
+// connection is closed. An error means that the message was not queued; nil does not
+// mean that it will arrive.
 func (c *Conn) Send(m Message) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -169,8 +170,9 @@
 	return nil
 }
 
-// noteUse remembers when the connection last carried an attempt: then its end
-// must be noticed soon. Thousands of idle connections must cost little.
+// noteUse records the time of a message other than a heartbeat. The loss of a
+// connection in use must be detected soon, while thousands of idle connections must
+// have little overhead.
 func (c *Conn) noteUse(m Message) {
 	if !isHeartbeat(m) {
 		c.lastUse.Store(c.clock.Now().UnixNano())
@@ -185,8 +187,8 @@
 	return false
 }
 
-// hurry brings the next heartbeat forward when a resting connection is used
-// again; the lock is held.
+// hurry moves the next heartbeat forward when an idle connection is used again. The
+// lock is held.
 func (c *Conn) hurry(m Message) {
 	if !c.dialed || c.ping == nil || c.pingWait <= busyPing || isHeartbeat(m) {
 		return
@@ -197,7 +199,7 @@
 	}
 }
 
-// interval returns the present time between heartbeats.
+// interval returns the current heartbeat interval.
 func (c *Conn) interval() time.Duration {
 	if c.busier != nil && c.busier.Busy() {
 		return busyPing
@@ -212,14 +214,14 @@
 	return restPing
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fail(ErrClosed)
 }
 
-// fail ends the connection with its first error. The lock is held.
+// fail closes the connection and records its first error. The lock is held.
 func (c *Conn) fail(err error) {
 	if c.err != nil {
 		return
@@ -284,7 +286,8 @@
 	}
 }
 
-// write sends what is queued, everything that came together in one call.
+// write sends the queued messages. All that are queued at a time are written in one
+// call.
 func (c *Conn) write() {
 	var spare []byte
 	for {
@@ -307,7 +310,7 @@
 	}
 }
 
-// keep returns a buffer that is to be used again, or nil if it is too large for that.
+// keep returns buf for reuse, or nil if it is too large.
 func keep(buf []byte) []byte {
 	if cap(buf) > keepBuffer {
 		return nil
@@ -341,8 +344,8 @@
 	c.schedulePing()
 }
 
-// silent reports whether the other side is taken to be gone: a heartbeat has no
-// answer, or, on the side that answers, none came for long.
+// silent reports whether the heartbeat timeout has expired: a ping has had no reply
+// for too long or, on the side that replies, nothing was received for too long.
 func (c *Conn) silent() bool {
 	now := c.clock.Now()
 	if !c.dialed {
@@ -352,5 +355,6 @@
 	return asked != 0 && now.Sub(time.Unix(0, asked)) > answerLimit
 }
 
-// Window is how far beyond the bytes that it passed on an entry gives credit.
+// Window is the flow-control window: an entry grants credit for this many bytes beyond
+// those that it has forwarded.
 const Window = 256 << 10
--- a/peer/conn_test.go
+++ b/peer/conn_test.go
@@ -15,7 +15,7 @@
 	"wardturn/standin"
 )
 
-// recorder is a handler that keeps what it gets.
+// recorder is a ClientHandler that records messages and connections.
 type recorder struct {
 	mu     sync.Mutex
 	got    []peer.Message
@@ -51,7 +51,7 @@
 	r.change <- struct{}{}
 }
 
-// until waits for a condition that must come.
+// until waits until a condition holds and fails the test after a timeout.
 func (r *recorder) until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	giveUp := time.After(20 * time.Second)
@@ -65,7 +65,7 @@
 		select {
 		case <-r.change:
 		case <-giveUp:
-			t.Fatalf("did not come: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -130,17 +130,17 @@
 			t.Fatal(err)
 		}
 		buf := make([]byte, 1024)
-		for err == nil { // the server's own Hello, then the end
+		for err == nil { // reads the server's Hello, then an error
 			_, err = c.Read(buf)
 		}
 		c.Close()
 	}
 	if len(srv.got) > 0 {
-		t.Fatal("a stranger's bytes reached the handler")
+		t.Fatal("the handler received a message without a valid Hello")
 	}
 }
 
-// busyRecorder is a recorder whose connection has work under way.
+// busyRecorder is a recorder that implements peer.Busier.
 type busyRecorder struct {
 	*recorder
 	busy atomic.Bool
@@ -148,9 +148,9 @@
 
 func (b *busyRecorder) Busy() bool { return b.busy.Load() }
 
-// TestRestingConnectionIsNotLost uses a connection after it rested and then waits
-// in silence, as for a request in a long queue: heartbeats are answered, so the
-// connection lives.
+// TestRestingConnectionIsNotLost uses a connection after it was idle and then waits
+// without other messages, as for a request in a long queue. The peer replies to the
+// heartbeats, so the connection must stay open.
 func TestRestingConnectionIsNotLost(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -176,7 +176,7 @@
 		}
 		return n
 	}
-	srv.until(t, "a long rest", func() bool { return pings() >= 12 })
+	srv.until(t, "heartbeats of an idle connection", func() bool { return pings() >= 12 })
 	cli.busy.Store(true)
 	if err := client.Conn().Send(&peer.Cancel{}); err != nil {
 		t.Fatal(err)
@@ -190,11 +190,11 @@
 	cli.mu.Lock()
 	defer cli.mu.Unlock()
 	if cli.closed != 0 {
-		t.Fatal("a connection that answers was taken to be lost")
+		t.Fatal("a connection whose peer replies to heartbeats was closed")
 	}
 }
 
-// TestRestCostsLittle counts the heartbeats of a connection that carries nothing.
+// TestRestCostsLittle checks that an idle connection has few heartbeats.
 func TestRestCostsLittle(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,12 +1,12 @@
-// Package peer is the protocol between wardturn's own processes: typed messages
-// in length-prefixed msgpack frames over one TCP connection.
+// Package peer implements the protocol between wardturn's own processes: typed
+// messages in length-prefixed msgpack frames over one TCP connection.
 //
-// A frame is four bytes of length in network order, one byte that names the
-// kind of message, and the message as a msgpack array. Many attempts share a
-// connection. The bytes of each answer are numbered by offset, and an agent
-// sends no further than the credit that the entry gave for that attempt, so a
-// slow caller holds up only its own answer.
+// A frame consists of a four-byte length in network byte order, one byte for the
+// kind of message, and the message as a msgpack array. A connection multiplexes
+// many attempts. Chunks of a response carry their byte offset, and an agent sends
+// only up to the credit that the entry has granted for the attempt, so a slow
+// caller delays only its own response.
 //
-// A connection that is lost decides nothing. The entry asks again for its
-// attempts by Attach, on a new connection.
+// The loss of a connection doesn't end the attempts on it. The entry resumes them
+// with Attach on a new connection.
 package peer
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// MaxFrame bounds a frame, in bytes, its kind included.
+	// MaxFrame is the maximum size of a frame in bytes, including its kind.
 	MaxFrame = 4 << 20
-	// headerSize is the length and the kind.
+	// headerSize is the size of the length and the kind.
 	headerSize = 5
 )
 
 var (
-	// ErrFrameTooLarge is returned for a frame over MaxFrame.
+	// ErrFrameTooLarge is returned for a frame larger than MaxFrame.
 	ErrFrameTooLarge = errors.New("peer: frame too large")
-	// ErrBadFrame is returned for a frame that holds no known message.
+	// ErrBadFrame is returned for a frame that can't be decoded into a known message.
 	ErrBadFrame = errors.New("peer: malformed frame")
 )
 
@@ -38,7 +38,7 @@
 	},
 }
 
-// AppendFrame appends a message as a frame to buf.
+// AppendFrame appends the frame of a message to buf.
 func AppendFrame(buf []byte, m Message) ([]byte, error) {
 	e := encoders.Get().(*encoder)
 	defer encoders.Put(e)
@@ -72,9 +72,9 @@
 	},
 }
 
-// ReadFrame reads one frame from r. Scratch is reused if it is large enough;
-// messages do not keep it. A hostile length costs no memory before its bytes
-// arrive.
+// ReadFrame reads one frame from r and returns its message and the buffer that it was
+// read into. The buffer is scratch if that is large enough; messages don't refer to it.
+// Memory is allocated only as the bytes arrive, so a forged length allocates little.
 func ReadFrame(r io.Reader, scratch []byte) (Message, []byte, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -95,7 +95,7 @@
 	return m, body, err
 }
 
-// readBody reads n bytes and grows buf only as they arrive.
+// readBody reads n bytes into buf, which it grows only as they arrive.
 func readBody(r io.Reader, buf []byte, n int) ([]byte, error) {
 	const step = 64 << 10
 	for len(buf) < n {
@@ -114,8 +114,8 @@
 	return buf, nil
 }
 
-// decode turns a frame's body into a message. The library panics on a few
-// hostile inputs; a frame must never stop the process.
+// decode decodes the body of a frame. It recovers from panics, because the msgpack
+// library panics on some malformed inputs and a frame must not stop the process.
 func decode(k Kind, body []byte) (m Message, err error) {
 	m = newMessage(k)
 	if m == nil {
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -14,7 +14,7 @@
 	"wardturn/peer"
 )
 
-// samples holds one message of each kind, with every field set.
+// samples returns messages of many kinds with most of their fields set.
 func samples() []peer.Message {
 	id := wardturn.AttemptID{
 		Entry: "e1",
@@ -90,7 +90,8 @@
 	}
 }
 
-// TestTruncatedFrameCostsLittle announces the largest frame and sends nothing.
+// TestTruncatedFrameCostsLittle reads a frame that announces the maximum size and ends
+// after a few bytes.
 func TestTruncatedFrameCostsLittle(t *testing.T) {
 	data := append(binary.BigEndian.AppendUint32(nil, peer.MaxFrame), byte(peer.KindChunk), 1, 2, 3)
 	_, scratch, err := peer.ReadFrame(bytes.NewReader(data), nil)
@@ -99,7 +100,7 @@
 	}
 	const bound = 128 << 10
 	if cap(scratch) > bound {
-		t.Fatalf("%d bytes were set aside for 3 that came", cap(scratch))
+		t.Fatalf("%d bytes were allocated for 3 bytes received", cap(scratch))
 	}
 }
 
@@ -117,7 +118,7 @@
 			return
 		}
 		if _, err := peer.AppendFrame(nil, m); err != nil && !errors.Is(err, peer.ErrFrameTooLarge) {
-			t.Fatalf("message that was read cannot be written: %v", err)
+			t.Fatalf("decoded message can't be encoded: %v", err)
 		}
 	})
 }
--- a/peer/memory_test.go
+++ b/peer/memory_test.go
@@ -11,14 +11,14 @@
 	"wardturn/process"
 )
 
-// idle is a side of a connection that does nothing.
+// idle is a ClientHandler that ignores messages.
 type idle struct{}
 
 func (idle) Handle(*peer.Conn, peer.Message) {}
 func (idle) Closed(*peer.Conn, error)        {}
 func (idle) Connected(*peer.Conn)            {}
 
-// heapOf returns the bytes of heap and stacks that are in use.
+// heapOf returns the bytes of heap and stack in use.
 func heapOf() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -27,13 +27,15 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// A gateway has a connection to each engine's keeper and a keeper one of each gateway: with
-// 64 KiB of buffer for each the buffers alone took 36 MB of a gateway before 576 engines.
+// TestMemoryOfConnections guards against too much memory per connection. A gateway has a
+// connection to the keeper of each engine, and a keeper has one from each gateway. With
+// buffers of 64 KiB per connection, the buffers alone took 36 MB of a gateway with 576
+// engines.
 func TestMemoryOfConnections(t *testing.T) {
 	const (
-		budget   = 128 << 20 // bytes of a daemon
-		part     = 4         // of which its connections may take one in so many
-		most     = 2100      // connections of a gateway in two years
+		budget   = 128 << 20 // memory of a process in bytes
+		part     = 4         // connections may use 1/part of it
+		most     = 2100      // expected connections of a gateway in two years
 		mostEach = 2 * budget / part / most
 	)
 	identity := func(process wardturn.Incarnation) peer.Identity {
@@ -65,7 +67,7 @@
 			}
 		}
 	}
-	connect(50) // what a process has once does not count
+	connect(50) // exclude one-time allocations from the measurement
 	for _, n := range []int{100, 1000} {
 		before := heapOf()
 		connect(n)
--- a/peer/message.go
+++ b/peer/message.go
@@ -7,11 +7,11 @@
 	"wardturn/decide"
 )
 
-// Protocol is the version of the protocol. Processes of different versions
-// refuse each other at Hello.
+// Protocol is the version of the protocol. Processes with different versions
+// reject each other's Hello.
 const Protocol = 8
 
-// Kind names the type of a message in its frame.
+// Kind identifies the type of a message in its frame.
 type Kind uint8
 
 // The kinds of messages.
@@ -48,13 +48,12 @@
 	KindLimitNews
 )
 
-// Message is one typed message.
+// Message is a typed message.
 type Message interface {
-	// Kind returns the message's kind.
 	Kind() Kind
 }
 
-// Role says what a process is.
+// Role is the role of a process in the protocol.
 type Role string
 
 // The roles.
@@ -68,9 +67,9 @@
 	Protocol int
 	Role     Role
 	Process  wardturn.Incarnation
-	Host     string              // name of the process's host; may be empty
-	Upstream wardturn.UpstreamID // of an agent
-	Config   wardturn.Offset     // newest configuration applied
+	Host     string              // host name of the process; may be empty
+	Upstream wardturn.UpstreamID // set by agents
+	Config   wardturn.Offset     // latest configuration applied
 }
 
 // Submit asks an agent to run an attempt.
@@ -84,7 +83,7 @@
 	Service    wardturn.ServiceName
 	Prompt     wardturn.Tokens
 	Output     wardturn.Tokens
-	Left       time.Duration // until the deadline; zero without one
+	Left       time.Duration // until the deadline; zero if there is none
 	Repeatable bool
 	Key        wardturn.IdempotencyKey
 	KeyCreated time.Time
@@ -93,95 +92,98 @@
 	Path       string
 	Header     []wardturn.HeaderField
 	Body       []byte
-	Supersedes wardturn.AttemptID // claimed the key and is known not to have run
-	Config     wardturn.Offset    // that the entry decided by
-	Credit     int64              // bytes of the answer that may be sent
-	Newest     bool               // the caller named no version: it asked for the one in force
+	Supersedes wardturn.AttemptID // earlier attempt that claimed the key and is known not to have run
+	Config     wardturn.Offset    // configuration that the entry's decision is based on
+	Credit     int64              // bytes of the response that may be sent
+	Newest     bool               // the caller gave no version and gets the one in force
 }
 
-// Attach asks for an attempt again after a lost connection. With Follow it asks
-// for the answer of an attempt that another request started.
+// Attach resumes an attempt after the loss of a connection. With Follow it
+// requests the response of an attempt that another request started.
 type Attach struct {
 	Attempt wardturn.AttemptID
-	Process wardturn.Incarnation // of the agent that the attempt was sent to
+	Process wardturn.Incarnation // agent process that the attempt was sent to
 	Follow  bool
-	From    int64 // offset of the first byte still missing
+	From    int64 // offset of the first byte not yet received
 	Credit  int64
 }
 
-// Head starts an answer: the attempt is running.
+// Head starts a response: the attempt is running.
 type Head struct {
 	Attempt wardturn.AttemptID
 	Status  int // of a plain service; zero for an engine
 	Header  []wardturn.HeaderField
-	Stalled time.Duration // that the attempt waited for its adapter
-	Queued  time.Duration // that the attempt waited altogether
+	Stalled time.Duration // time that the attempt waited for its adapter
+	Queued  time.Duration // total time that the attempt waited
 }
 
-// Chunk is a piece of an answer.
+// Chunk is a part of a response.
 type Chunk struct {
 	Attempt wardturn.AttemptID
 	Offset  int64
 	Data    []byte
 }
 
-// End is the outcome of an attempt. With Done, Length is the whole answer's.
+// End is the outcome of an attempt. If the outcome is Done, Length is the length
+// of the complete response.
 type End struct {
 	Attempt wardturn.AttemptID
 	Outcome wardturn.Outcome
 	Length  int64
 	Hint    decide.Hint
-	// First names the attempt that holds the answer for an idempotency key that
-	// was claimed before, and the upstream that knows it.
+	// First is the attempt that holds the response for an idempotency key that
+	// was already claimed. FirstUpstream and FirstProcess are the upstream and
+	// the agent process that have it.
 	First         wardturn.AttemptID
 	FirstUpstream wardturn.UpstreamID
 	FirstProcess  wardturn.Incarnation
 	// Config, if set, is the configuration that put another version in force than
-	// the attempt was for, which named none: it did not run.
+	// the one the attempt was for. The caller had given no version, so the attempt
+	// did not run.
 	Config wardturn.Offset
 }
 
-// Credit allows an agent to send an answer up to an offset.
+// Credit allows an agent to send a response up to an offset.
 type Credit struct {
 	Attempt wardturn.AttemptID
 	Upto    int64
 }
 
-// Cancel says that nobody waits for an attempt any more.
+// Cancel tells an agent that the response of an attempt is no longer needed.
 type Cancel struct {
 	Attempt wardturn.AttemptID
 }
 
-// Hint is an agent's load, sent when it changed much and with each Pong.
+// Hint is an agent's load, sent after large changes and with each Pong.
 type Hint struct {
 	Upstream wardturn.UpstreamID
 	Hint     decide.Hint
 }
 
-// Wish carries an agent's wish to its allocator.
+// Wish is an agent's permit request to its allocator.
 type Wish struct {
 	Wish decide.Wish
 }
 
-// Grant carries an allocator's answer.
+// Grant is an allocator's reply to a permit request.
 type Grant struct {
 	Grant decide.Grant
 }
 
-// Ping asks for a Pong. Both carry the newest configuration applied, so that
-// whoever is behind notices.
+// Ping requests a Pong. Both carry the latest configuration applied, so that a
+// process with an older configuration notices.
 type Ping struct {
 	Seq    uint64
 	Config wardturn.Offset
 }
 
-// Pong answers a Ping.
+// Pong is the reply to a Ping.
 type Pong struct {
 	Seq    uint64
 	Config wardturn.Offset
 }
 
-// ConfigPull asks a peer for its configuration, in pages.
+// ConfigPull requests a page of a peer's configuration.
 type ConfigPull struct {
 	Page int
 }
--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -8,14 +8,14 @@
 	"wardturn"
 )
 
-// Mirror keeps the full holding of an engine from what its keeper tells.
+// Mirror maintains the full report of a keeper from its full and incremental reports.
 type Mirror struct {
-	last     Holding // without adapters
+	last     Holding // without Adapters and Gone
 	adapters map[wardturn.ModelAdapter]HeldAdapter
 }
 
-// Take adds a word. It reports false for a change that does not follow what is
-// known: the keeper has to be asked for the full holding.
+// Take applies a report. It returns false for an incremental report that does not
+// directly follow the last applied one; the full report has to be requested then.
 func (m *Mirror) Take(h *Holding) bool {
 	switch {
 	case h.Full:
@@ -35,17 +35,17 @@
 	return true
 }
 
-// Known reports whether a full holding was told.
+// Known reports whether a full report has been applied.
 func (m *Mirror) Known() bool {
 	return m.adapters != nil
 }
 
-// Forget drops the holding.
+// Forget discards the state. The next report has to be full.
 func (m *Mirror) Forget() {
 	m.adapters = nil
 }
 
-// Full returns the full holding as it is now.
+// Full returns the current full report.
 func (m *Mirror) Full() Holding {
 	h := m.last
 	h.Full = true
--- a/peer/mirror_test.go
+++ b/peer/mirror_test.go
@@ -10,7 +10,7 @@
 	"wardturn/peer"
 )
 
-// heldNow is an engine's holding as its keeper knows it.
+// heldNow is the state of an engine as its keeper knows it.
 type heldNow struct {
 	seq      uint64
 	adapters map[wardturn.ModelAdapter]peer.HeldAdapter
@@ -27,7 +27,7 @@
 	return m
 }
 
-// change changes one adapter and returns the word of it.
+// change changes one adapter and returns the incremental report of the change.
 func (h *heldNow) change(t *rapid.T) *peer.Holding {
 	key := wardturn.ModelAdapter{
 		Model:   "m",
@@ -54,19 +54,20 @@
 	return m
 }
 
-// A mirror that takes a word holds what the keeper held when it sent that, whatever
-// was lost, came twice or came again before.
+// TestMirrorIsTheHoldingOfItsLastWord checks that a mirror that has applied a report
+// equals the keeper's state when that report was sent, even if reports were lost,
+// duplicated or delivered out of order before.
 func TestMirrorIsTheHoldingOfItsLastWord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := &heldNow{
 			adapters: make(map[wardturn.ModelAdapter]peer.HeldAdapter),
 		}
 		var m peer.Mirror
-		var late []*peer.Holding // words that may come again
-		for range rapid.IntRange(1, 60).Draw(t, "words") {
+		var late []*peer.Holding // reports that may be delivered again
+		for range rapid.IntRange(1, 60).Draw(t, "reports") {
 			word := truth.change(t)
 			late = append(late, word)
-			switch rapid.IntRange(0, 4).Draw(t, "what becomes of it") {
+			switch rapid.IntRange(0, 4).Draw(t, "delivery") {
 			case 0: // lost
 				continue
 			case 1:
@@ -81,16 +82,16 @@
 			}
 			got := m.Full()
 			if got.Seq != truth.seq || len(got.Adapters) != len(truth.adapters) {
-				t.Fatalf("word %d: mirror %+v, truth %+v", word.Seq, got, truth)
+				t.Fatalf("report %d: mirror %+v, want %+v", word.Seq, got, truth)
 			}
 			for _, a := range got.Adapters {
 				if truth.adapters[a.Adapter.Key()] != a {
-					t.Fatalf("word %d: mirror has %+v, truth %+v", word.Seq, a, truth.adapters[a.Adapter.Key()])
+					t.Fatalf("report %d: mirror has %+v, want %+v", word.Seq, a, truth.adapters[a.Adapter.Key()])
 				}
 			}
 		}
 		if !m.Take(truth.full()) || m.Full().Seq != truth.seq {
-			t.Fatal("a full holding is always taken")
+			t.Fatal("a full report was not applied")
 		}
 	})
 }
--- a/peer/placement.go
+++ b/peer/placement.go
@@ -7,19 +7,20 @@
 	"wardturn/decide"
 )
 
-// The messages between the gateway on an entry host and the keeper beside an
-// engine. The gateway sends requests to engines itself; these messages only
-// settle which adapters an engine holds.
+// The messages between the gateway on an entry host and the keeper on the host of
+// an engine. The gateway sends requests to engines directly. These messages
+// control which adapters an engine holds and exchange state between gateways.
 
-// HeldState says whether an adapter can be used.
+// HeldState is the state of an adapter on an engine.
 type HeldState uint8
 
 const (
-	// HeldReady serves requests.
+	// HeldReady is an adapter that serves requests.
 	HeldReady HeldState = iota
-	// HeldLoading is on its way to the engine.
+	// HeldLoading is an adapter that is being loaded.
 	HeldLoading
-	// HeldLeaving is about to be unloaded or replaced: nothing new is sent.
+	// HeldLeaving is an adapter that is about to be unloaded or replaced. It gets no
+	// new requests.
 	HeldLeaving
 )
 
@@ -29,109 +30,115 @@
 	State   HeldState
 }
 
-// Holding is what an engine holds. The first one that a listener gets is full;
-// later ones carry what changed since the one before.
+// Holding is a keeper's report on its engine: the adapters that the engine holds
+// and its load. The first report that a subscriber gets is full; the following
+// ones contain the changes since the previous one.
 type Holding struct {
-	Seq      uint64 // counts the changes told in the keeper's lifetime; a full one has that of the latest change in it
+	// Seq numbers the changes since the keeper's start. A full report has the
+	// number of the latest change that it includes.
+	Seq      uint64
 	Full     bool
-	Answer   bool // only what a gateway asked for: changes may be missing before it
+	Answer   bool // contains only an adapter that a gateway requested; earlier changes may be missing
 	Known    bool // the keeper has a report of the engine
 	Upstream wardturn.UpstreamID
 	Models   []wardturn.BaseModel
-	Adapters []HeldAdapter           // all if full, else new or changed ones
-	Gone     []wardturn.ModelAdapter // no longer there; never in a full one
+	Adapters []HeldAdapter           // all if full, otherwise the new and changed ones
+	Gone     []wardturn.ModelAdapter // no longer held; empty if full
 	Running  int
 	Queued   int
-	Reading  int // tokens of long prompts that the engine reads, as gateways say
-	Free     int // places that an adapter could have at once, counted up to MaxFree
+	Reading  int // tokens of long prompts in prefill at the engine, as reported by gateways
+	Free     int // free adapter slots, counted up to decide.MaxFree
 	Gateways int // connected to the keeper
-	// Limit is the requests a second that the engine names; zero: none.
+	// Limit is the limit on requests per second that the engine announced; zero means
+	// none.
 	Limit   wardturn.RequestRate
-	Leaving bool // the engine says that it is about to end
+	Leaving bool // the engine announced that it is shutting down
 }
 
-// EngineNotice tells a keeper what the operator says of its engine.
+// EngineNotice passes the operator's configuration of an engine to its keeper,
+// together with what the gateway wants to receive on this connection.
 type EngineNotice struct {
 	Config   int64 // version of the configuration
 	Upstream wardturn.UpstreamID
 	Seen     wardturn.Position // of the upstream's entry in the platform's list; a later lifetime has a higher one
 	Spec     wardturn.EngineSpec
-	Relayed  bool // a relay tells the gateway of the holding; here it is only told what it asks for
-	News     bool // the gateway hears here of what others read from the platform's store
+	Relayed  bool // the gateway gets the reports from a relay; send only the adapters that it requests
+	News     bool // send the announcements of other gateways to this gateway
 }
 
-// Listen asks a keeper for its holding and all changes.
+// Listen subscribes to a keeper's reports.
 type Listen struct{}
 
-// Follow asks a keeper to relay what another keeper tells, or to end that. Each
-// one is answered with the full holding as soon as the relay knows it.
+// Follow asks a keeper to start or stop relaying the reports of another keeper. The
+// reply to each request to start is the full report, as soon as the relay has it.
 type Follow struct {
 	Keeper string // address, IP:port
 	End    bool
 }
 
-// Relayed is what another keeper tells.
+// Relayed is a relayed report of another keeper.
 type Relayed struct {
 	Keeper  string               // address, IP:port
 	Process wardturn.Incarnation // of that keeper
-	Lost    bool                 // the relay has lost the keeper; there is no holding
+	Lost    bool                 // the relay lost its connection to the keeper; Holding is empty
 	Holding Holding
 }
 
-// Mark tells a gateway how far the changes of a holding go, so that it notices a
-// relay that is behind.
+// Mark gives a gateway the sequence number of a keeper's latest report, so that it
+// detects a relay that lags.
 type Mark struct {
 	Seq uint64
 }
 
-// LoadWish asks a keeper to hold an adapter. It is repeated while requests wait
-// and forgotten when it is not.
+// LoadWish is a gateway's load request: it asks a keeper to load an adapter. It is
+// repeated while requests wait, and expires if it is not repeated.
 type LoadWish struct {
 	Adapter wardturn.AdapterVersion // version zero: the newest
-	Waiting int                     // requests that wait
-	Oldest  time.Duration           // how long the oldest has waited
+	Waiting int                     // number of waiting requests
+	Oldest  time.Duration           // how long the oldest of them has waited
 }
 
-// StoreNews tells the gateways that one of them has read a record of the
-// platform's store, so that the others need not. A gateway sends it to two keepers
-// in each failure domain, which pass it on to the gateways that hear news there.
+// StoreNews announces that a gateway has read a topic of the platform's store, so
+// that the others need not read it. A gateway sends it to two keepers in each
+// failure domain, which forward it to the gateways that receive announcements there.
 type StoreNews struct {
 	Reader  wardturn.Incarnation
-	Stamp   time.Duration          // the reader's own time of the reading
+	Stamp   time.Duration          // time of the read by the reader's own clock
 	Config  wardturn.Position      // up to which the configuration was read; zero: it was not
 	Members *wardturn.MemberChange // nil: the list of upstreams was not read
-	Crashes *CrashReading          // the reader's latest reading of crashes; nil: none, or not told
+	Crashes *CrashReading          // the reader's latest read of the crash records; nil: none, or not included
 }
 
-// CrashReading tells how far and when a gateway last read the store's record of crashes, or
-// heard that another had.
+// CrashReading says up to which position and how long ago a gateway last read the
+// crash records of the store, or received the announcement of another gateway's read.
 type CrashReading struct {
 	To  wardturn.Position
-	Age time.Duration // of the reading
+	Age time.Duration // since the read
 }
 
-// CrashNews tells the gateways under which contents upstreams have ended, which were
-// answered well after all, and what was read of them in the store. It takes the same way
-// as StoreNews.
+// CrashNews announces contents whose requests were running when upstreams crashed,
+// contents that were later answered successfully, and changes read from the crash
+// records of the store. It is forwarded in the same way as StoreNews.
 type CrashNews struct {
 	Crashes []wardturn.Crash
 	Cleared []wardturn.ContentID
 	Read    *wardturn.CrashChange // nil: nothing new was read
 }
 
-// Reading tells a keeper how many tokens of a gateway's long prompts its engine
-// is reading now.
+// Reading reports to a keeper how many tokens of a gateway's long prompts are in
+// prefill at its engine.
 type Reading struct {
 	Tokens int
 }
 
-// StartedQuery asks a keeper which of some requests its engine has begun.
+// StartedQuery asks a keeper which of the given requests its engine has started.
 type StartedQuery struct {
-	IDs []string // as callers gave them
+	IDs []string // as given by the callers
 }
 
-// StartedReport answers StartedQuery: these requests have begun. Nothing is said of the others; their
-// begin may have been missed, or their run may have ended.
+// StartedReport is the reply to StartedQuery: the requests that have started. The
+// state of the others is unknown: the keeper may have missed their start, or they
+// may have ended.
 type StartedReport struct {
 	Upstream wardturn.UpstreamID
 	IDs      []string
@@ -140,24 +147,24 @@
 // AdapterUse counts a gateway's requests to one adapter of an engine.
 type AdapterUse struct {
 	Adapter wardturn.ModelAdapter
-	Started int // since the last message
+	Started int // since the previous message
 	Running int // now
 }
 
-// Usage tells a keeper which adapters are in use.
+// Usage reports to a keeper which adapters a gateway uses.
 type Usage struct {
 	Uses []AdapterUse
 }
 
-// TeamUse tells gateways what others have taken of teams' usage caps. A gateway sends
-// its word to a keeper in each failure domain, which passes on what it got of several
-// in one message to those that hear news there.
+// TeamUse announces to gateways how much others have used of the teams' usage caps. A
+// gateway sends its report to one keeper in each failure domain, which combines the
+// reports of several gateways in one message to those that receive announcements there.
 type TeamUse struct {
 	Words []decide.TeamWord
 }
 
-// LimitNews tells gateways what others know of limits that upstreams name. It takes the
-// same way as TeamUse.
+// LimitNews announces to gateways what others know of the rate limits of upstreams. It
+// is forwarded in the same way as TeamUse.
 type LimitNews struct {
 	Words []decide.LimitGossip
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -9,7 +9,7 @@
 	"wardturn/process"
 )
 
-// Server accepts connections of other processes.
+// Server accepts connections from other processes.
 type Server struct {
 	clock   wardturn.Clock
 	id      Identity
@@ -18,13 +18,14 @@
 
 	mu     sync.Mutex
 	conns  map[*Conn]bool
-	fresh  map[net.Conn]bool // accepted, Hello not yet exchanged
+	fresh  map[net.Conn]bool // accepted, Hello not exchanged yet
 	closed bool
 	wg     sync.WaitGroup
 }
 
-// NewServer serves connections on ln until Close. With a TLS configuration that
-// asks for client certificates, the connections are mutually authenticated.
+// NewServer starts a server that serves connections on ln until Close. With a TLS
+// configuration that requires client certificates, the connections are mutually
+// authenticated.
 func NewServer(ln net.Listener, conf *tls.Config, clock wardturn.Clock, id Identity, h Handler) *Server {
 	if conf != nil {
 		ln = tls.NewListener(ln, conf)
@@ -70,7 +71,7 @@
 		return
 	}
 	if err := process.SetUserTimeout(nc, ackLimit); err != nil {
-		nc.Close() // it has ended already
+		nc.Close() // the connection was already closed
 		s.forget(nc)
 		return
 	}
@@ -85,7 +86,7 @@
 	s.mu.Unlock()
 }
 
-// track records an accepted connection and reports false after Close.
+// track adds an accepted connection. It returns false after Close.
 func (s *Server) track(nc net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,14 +97,15 @@
 	return true
 }
 
-// forget drops an accepted connection.
+// forget removes a connection that was closed before Hello was exchanged.
 func (s *Server) forget(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.fresh, nc)
 }
 
-// promote records that Hello was exchanged and reports whether to go on.
+// promote ends the handshake of a connection, whose result is err, and reports
+// whether to serve it.
 func (s *Server) promote(nc net.Conn, c *Conn, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +126,7 @@
 	}
 }
 
-// Close ends the listener and all connections, and waits for them.
+// Close closes the listener and all connections, and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
