--- a/peer/client.go
+++ b/peer/client.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// dialLimit is well above the round-trip time between regions and well below the
+	// dialTimeout is well above the round-trip time between regions and well below the
 	// second after which TCP retransmits a lost SYN: dialing again is faster.
-	dialLimit    = 300 * time.Millisecond
-	minRedial    = 50 * time.Millisecond
-	maxRedial    = 400 * time.Millisecond // short, to reconnect soon after the process restarts
-	redialFactor = 2
-	// ackLimit is the TCP user timeout: how long sent data may remain unacknowledged. A
+	dialTimeout    = 300 * time.Millisecond
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = 400 * time.Millisecond // short, to reconnect soon after the process restarts
+	redialFactor   = 2
+	// ackTimeout is the TCP user timeout: how long sent data may remain unacknowledged. A
 	// packet may be lost three times (retransmitted after 0.2, 0.6 and 1.4 s). An
 	// unanswered heartbeat detects a silent connection after 5 s.
-	ackLimit = 2 * time.Second
+	ackTimeout = 2 * time.Second
 )
 
 // Client maintains one connection to a process and reconnects when it is lost.
 type Client struct {
-	addr    string
-	conf    *tls.Config
-	clock   wardturn.Clock
-	id      Identity
-	handler ClientHandler
+	addr      string
+	tlsConfig *tls.Config
+	clock     wardturn.Clock
+	id        Identity
+	handler   ClientHandler
 
 	mu     sync.Mutex
 	conn   *Conn
@@ -46,15 +46,15 @@
 }
 
 // NewClient returns a client that dials addr until Close.
-func NewClient(addr string, conf *tls.Config, clock wardturn.Clock, id Identity, h ClientHandler) *Client {
+func NewClient(addr string, tlsConfig *tls.Config, clock wardturn.Clock, id Identity, h ClientHandler) *Client {
 	c := &Client{
-		addr:    addr,
-		conf:    conf,
-		clock:   clock,
-		id:      id,
-		handler: h,
-		closed:  make(chan struct{}),
-		done:    make(chan struct{}),
+		addr:      addr,
+		tlsConfig: tlsConfig,
+		clock:     clock,
+		id:        id,
+		handler:   h,
+		closed:    make(chan struct{}),
+		done:      make(chan struct{}),
 	}
 	go func() {
 		defer close(c.done)
@@ -92,15 +92,15 @@
 }
 
 func (c *Client) run() {
-	wait := minRedial
+	delay := minRedialDelay
 	for {
 		if c.serve() {
-			wait = minRedial
+			delay = minRedialDelay
 		}
-		if !c.pause(wait) {
+		if !c.waitRedial(delay) {
 			return
 		}
-		wait = min(wait*redialFactor, maxRedial)
+		delay = min(delay*redialFactor, maxRedialDelay)
 	}
 }
 
@@ -129,11 +129,11 @@
 
 func (c *Client) dial() (net.Conn, error) {
 	d := net.Dialer{
-		Timeout: dialLimit,
-		Control: process.UserTimeout(ackLimit),
+		Timeout: dialTimeout,
+		Control: process.UserTimeout(ackTimeout),
 	}
-	if c.conf != nil {
-		return tls.DialWithDialer(&d, "tcp", c.addr, c.conf)
+	if c.tlsConfig != nil {
+		return tls.DialWithDialer(&d, "tcp", c.addr, c.tlsConfig)
 	}
 	return d.Dial("tcp", c.addr)
 }
@@ -151,17 +151,17 @@
 	}
 }
 
-// pause waits for d with jitter, so that many clients do not dial at the same time.
+// waitRedial waits for d with jitter, so that many clients do not dial at the same time.
 // It returns false after Close.
-func (c *Client) pause(d time.Duration) bool {
+func (c *Client) waitRedial(d time.Duration) bool {
 	d = d/2 + rand.N(d)
-	woken := make(chan struct{})
+	elapsed := make(chan struct{})
 	timer := c.clock.AfterFunc(d, func() {
-		close(woken)
+		close(elapsed)
 	})
 	defer timer.Stop()
 	select {
-	case <-woken:
+	case <-elapsed:
 		return true
 	case <-c.closed:
 		return false
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -14,21 +14,21 @@
 
 // The buffer sizes and timeouts of a connection.
 const (
-	maxBuffered  = 32 << 20         // bytes queued to be sent
-	busyPing     = time.Second      // heartbeat interval of a connection in use
-	idlePing     = 4 * time.Second  // of a connection that was used within restAfter
-	restPing     = 10 * time.Second // of a connection that was not
-	answerLimit  = 4 * time.Second  // for the reply to a heartbeat
-	strangeLimit = 60 * time.Second // without a message, on the side that receives heartbeats
-	recentUse    = 2 * time.Second  // after the last message the connection still counts as in use
-	restAfter    = 30 * time.Second
-	helloLimit   = 3 * time.Second
-	// readBuffer is the size of the read buffer. It holds several typical messages;
+	maxSendBuffer      = 32 << 20         // bytes queued to be sent
+	activePingInterval = time.Second      // heartbeat interval of a connection in use
+	recentPingInterval = 4 * time.Second  // of a connection that was used within idleAfter
+	idlePingInterval   = 10 * time.Second // of a connection that was not
+	pongTimeout        = 4 * time.Second  // for the reply to a heartbeat
+	receiveTimeout     = 60 * time.Second // without a message, on the side that receives heartbeats
+	activeAfterUse     = 2 * time.Second  // how long a connection counts as in use after a message
+	idleAfter          = 30 * time.Second
+	helloTimeout       = 3 * time.Second
+	// readBufferSize is the size of the read buffer. It holds several typical messages;
 	// larger reads bypass it. A process may have thousands of connections, each with
 	// its own buffers.
-	readBuffer = 2 << 10
-	// keepBuffer is the capacity up to which a buffer is reused for the next message.
-	keepBuffer = 8 << 10
+	readBufferSize = 2 << 10
+	// maxReusedBuffer is the capacity up to which a buffer is reused for the next message.
+	maxReusedBuffer = 8 << 10
 )
 
 var (
@@ -58,24 +58,24 @@
 
 // Conn is an established connection: both sides have exchanged Hello.
 type Conn struct {
-	nc     net.Conn
-	clock  wardturn.Clock
-	peer   Hello
-	config func() wardturn.Offset
+	nc        net.Conn
+	clock     wardturn.Clock
+	peerHello Hello
+	config    func() wardturn.Offset
 
-	mu       sync.Mutex
-	ready    *sync.Cond // out is not empty, or the connection has ended
-	out      []byte
-	err      error
-	ping     wardturn.Timer
-	pingWait time.Duration // duration of the current timer
-	lastRead atomic.Int64  // clock time in nanoseconds
-	lastUse  atomic.Int64  // clock time of the last message other than a heartbeat
-	busier   Busier        // nil if the handler doesn't implement it
-	dialed   bool          // this side sends the pings, the other replies
-	askedAt  atomic.Int64  // clock time of the oldest ping without a reply; zero: none
-	seq      uint64
-	heard    atomic.Int64 // latest configuration applied by the peer
+	mu         sync.Mutex
+	writable   *sync.Cond // sendBuf is not empty, or the connection has ended
+	sendBuf    []byte
+	err        error
+	pingTimer  wardturn.Timer
+	pingDelay  time.Duration // duration of the current timer
+	lastRead   atomic.Int64  // clock time in nanoseconds
+	lastUse    atomic.Int64  // clock time of the last message other than a heartbeat
+	busier     Busier        // nil if the handler doesn't implement it
+	dialed     bool          // this side sends the pings, the other replies
+	pingSentAt atomic.Int64  // clock time of the oldest ping without a reply; zero: none
+	seq        uint64
+	peerConfig atomic.Int64 // latest configuration applied by the peer
 }
 
 // Identity identifies a process in its Hello.
@@ -101,7 +101,7 @@
 
 // establish exchanges Hello on a new connection.
 func establish(nc net.Conn, clock wardturn.Clock, id Identity) (*Conn, *bufio.Reader, error) {
-	timer := clock.AfterFunc(helloLimit, func() {
+	timer := clock.AfterFunc(helloTimeout, func() {
 		nc.Close()
 	})
 	defer timer.Stop()
@@ -112,7 +112,7 @@
 	if _, err := nc.Write(frame); err != nil {
 		return nil, nil, errors.Wrap(err, "peer: hello")
 	}
-	r := bufio.NewReaderSize(nc, readBuffer)
+	r := bufio.NewReaderSize(nc, readBufferSize)
 	m, _, err := ReadFrame(r, nil)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "peer: hello")
@@ -122,25 +122,25 @@
 		return nil, nil, errors.Wrap(ErrProtocol, "hello")
 	}
 	c := &Conn{
-		nc:     nc,
-		clock:  clock,
-		peer:   *hello,
-		config: id.Config,
+		nc:        nc,
+		clock:     clock,
+		peerHello: *hello,
+		config:    id.Config,
 	}
-	c.ready = sync.NewCond(&c.mu)
-	c.heard.Store(int64(hello.Config))
+	c.writable = sync.NewCond(&c.mu)
+	c.peerConfig.Store(int64(hello.Config))
 	c.lastRead.Store(clock.Now().UnixNano())
 	return c, r, nil
 }
 
 // Peer returns the peer's Hello.
 func (c *Conn) Peer() Hello {
-	return c.peer
+	return c.peerHello
 }
 
 // Config returns the latest configuration that the peer is known to have applied.
 func (c *Conn) Config() wardturn.Offset {
-	return wardturn.Offset(c.heard.Load())
+	return wardturn.Offset(c.peerConfig.Load())
 }
 
 // Send queues a message. It does not block: if the peer reads too slowly, the
@@ -152,28 +152,28 @@
 	if c.err != nil {
 		return ErrClosed
 	}
-	if len(c.out) > maxBuffered {
-		c.fail(ErrSlowPeer)
+	if len(c.sendBuf) > maxSendBuffer {
+		c.failLocked(ErrSlowPeer)
 		return ErrClosed
 	}
-	empty := len(c.out) == 0
-	out, err := AppendFrame(c.out, m)
+	empty := len(c.sendBuf) == 0
+	out, err := AppendFrame(c.sendBuf, m)
 	if err != nil {
 		return err
 	}
-	c.noteUse(m)
-	c.hurry(m)
-	c.out = out
+	c.recordUse(m)
+	c.advancePing(m)
+	c.sendBuf = out
 	if empty {
-		c.ready.Signal()
+		c.writable.Signal()
 	}
 	return nil
 }
 
-// noteUse records the time of a message other than a heartbeat. The loss of a
+// recordUse records the time of a message other than a heartbeat. The loss of a
 // connection in use must be detected soon, while thousands of idle connections must
 // have little overhead.
-func (c *Conn) noteUse(m Message) {
+func (c *Conn) recordUse(m Message) {
 	if !isHeartbeat(m) {
 		c.lastUse.Store(c.clock.Now().UnixNano())
 	}
@@ -187,57 +187,57 @@
 	return false
 }
 
-// hurry moves the next heartbeat forward when an idle connection is used again. The
+// advancePing moves the next heartbeat forward when an idle connection is used again. The
 // lock is held.
-func (c *Conn) hurry(m Message) {
-	if !c.dialed || c.ping == nil || c.pingWait <= busyPing || isHeartbeat(m) {
+func (c *Conn) advancePing(m Message) {
+	if !c.dialed || c.pingTimer == nil || c.pingDelay <= activePingInterval || isHeartbeat(m) {
 		return
 	}
-	if c.ping.Stop() {
-		c.pingWait = busyPing
-		c.ping = c.clock.AfterFunc(busyPing, c.heartbeat)
+	if c.pingTimer.Stop() {
+		c.pingDelay = activePingInterval
+		c.pingTimer = c.clock.AfterFunc(activePingInterval, c.heartbeat)
 	}
 }
 
-// interval returns the current heartbeat interval.
-func (c *Conn) interval() time.Duration {
+// pingInterval returns the current heartbeat interval.
+func (c *Conn) pingInterval() time.Duration {
 	if c.busier != nil && c.busier.Busy() {
-		return busyPing
+		return activePingInterval
 	}
-	unused := c.clock.Now().Sub(time.Unix(0, c.lastUse.Load()))
+	idleFor := c.clock.Now().Sub(time.Unix(0, c.lastUse.Load()))
 	switch {
-	case unused < recentUse:
-		return busyPing
-	case unused < restAfter:
-		return idlePing
+	case idleFor < activeAfterUse:
+		return activePingInterval
+	case idleFor < idleAfter:
+		return recentPingInterval
 	}
-	return restPing
+	return idlePingInterval
 }
 
 // Close closes the connection.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fail(ErrClosed)
+	c.failLocked(ErrClosed)
 }
 
-// fail closes the connection and records its first error. The lock is held.
-func (c *Conn) fail(err error) {
+// failLocked closes the connection and records its first error. The lock is held.
+func (c *Conn) failLocked(err error) {
 	if c.err != nil {
 		return
 	}
 	c.err = err
-	if c.ping != nil {
-		c.ping.Stop()
+	if c.pingTimer != nil {
+		c.pingTimer.Stop()
 	}
 	c.nc.Close()
-	c.ready.Broadcast()
+	c.writable.Broadcast()
 }
 
-func (c *Conn) failed(err error) {
+func (c *Conn) fail(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fail(err)
+	c.failLocked(err)
 }
 
 // run serves the connection until it ends.
@@ -262,19 +262,19 @@
 	for {
 		m, buf, err := ReadFrame(r, scratch)
 		if err != nil {
-			c.failed(err)
+			c.fail(err)
 			return
 		}
-		scratch = keep(buf)
+		scratch = reusable(buf)
 		c.lastRead.Store(c.clock.Now().UnixNano())
-		c.askedAt.Store(0)
-		c.noteUse(m)
+		c.pingSentAt.Store(0)
+		c.recordUse(m)
 		switch m := m.(type) {
 		case *Pong:
-			c.heard.Store(int64(m.Config))
+			c.peerConfig.Store(int64(m.Config))
 			h.Handle(c, m)
 		case *Ping:
-			c.heard.Store(int64(m.Config))
+			c.peerConfig.Store(int64(m.Config))
 			h.Handle(c, m)
 			_ = c.Send(&Pong{
 				Seq:    m.Seq,
@@ -292,49 +292,49 @@
 	var spare []byte
 	for {
 		c.mu.Lock()
-		for len(c.out) == 0 && c.err == nil {
-			c.ready.Wait()
+		for len(c.sendBuf) == 0 && c.err == nil {
+			c.writable.Wait()
 		}
 		if c.err != nil {
 			c.mu.Unlock()
 			return
 		}
-		batch := c.out
-		c.out = spare[:0]
+		batch := c.sendBuf
+		c.sendBuf = spare[:0]
 		c.mu.Unlock()
 		if _, err := c.nc.Write(batch); err != nil {
-			c.failed(err)
+			c.fail(err)
 			return
 		}
-		spare = keep(batch)
+		spare = reusable(batch)
 	}
 }
 
-// keep returns buf for reuse, or nil if it is too large.
-func keep(buf []byte) []byte {
-	if cap(buf) > keepBuffer {
+// reusable returns buf for reuse, or nil if it is too large.
+func reusable(buf []byte) []byte {
+	if cap(buf) > maxReusedBuffer {
 		return nil
 	}
 	return buf
 }
 
 func (c *Conn) schedulePing() {
-	wait := c.interval()
+	delay := c.pingInterval()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err == nil {
-		c.pingWait = wait
-		c.ping = c.clock.AfterFunc(wait, c.heartbeat)
+		c.pingDelay = delay
+		c.pingTimer = c.clock.AfterFunc(delay, c.heartbeat)
 	}
 }
 
 func (c *Conn) heartbeat() {
-	if c.silent() {
-		c.failed(ErrSilent)
+	if c.timedOut() {
+		c.fail(ErrSilent)
 		return
 	}
 	if c.dialed {
-		c.askedAt.CompareAndSwap(0, c.clock.Now().UnixNano())
+		c.pingSentAt.CompareAndSwap(0, c.clock.Now().UnixNano())
 		c.seq++
 		_ = c.Send(&Ping{
 			Seq:    c.seq,
@@ -344,15 +344,15 @@
 	c.schedulePing()
 }
 
-// silent reports whether the heartbeat timeout has expired: a ping has had no reply
+// timedOut reports whether the heartbeat timeout has expired: a ping has had no reply
 // for too long or, on the side that replies, nothing was received for too long.
-func (c *Conn) silent() bool {
+func (c *Conn) timedOut() bool {
 	now := c.clock.Now()
 	if !c.dialed {
-		return now.Sub(time.Unix(0, c.lastRead.Load())) > strangeLimit
+		return now.Sub(time.Unix(0, c.lastRead.Load())) > receiveTimeout
 	}
-	asked := c.askedAt.Load()
-	return asked != 0 && now.Sub(time.Unix(0, asked)) > answerLimit
+	sentAt := c.pingSentAt.Load()
+	return sentAt != 0 && now.Sub(time.Unix(0, sentAt)) > pongTimeout
 }
 
 // Window is the flow-control window: an entry grants credit for this many bytes beyond
--- a/peer/conn_test.go
+++ b/peer/conn_test.go
@@ -17,16 +17,16 @@
 
 // recorder is a ClientHandler that records messages and connections.
 type recorder struct {
-	mu     sync.Mutex
-	got    []peer.Message
-	conns  int
-	closed int
-	change chan struct{}
+	mu       sync.Mutex
+	messages []peer.Message
+	conns    int
+	closed   int
+	changed  chan struct{}
 }
 
 func newRecorder() *recorder {
 	return &recorder{
-		change: make(chan struct{}, 1024),
+		changed: make(chan struct{}, 1024),
 	}
 }
 
@@ -34,37 +34,37 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns++
-	r.change <- struct{}{}
+	r.changed <- struct{}{}
 }
 
 func (r *recorder) Handle(_ *peer.Conn, m peer.Message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.got = append(r.got, m)
-	r.change <- struct{}{}
+	r.messages = append(r.messages, m)
+	r.changed <- struct{}{}
 }
 
 func (r *recorder) Closed(*peer.Conn, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed++
-	r.change <- struct{}{}
+	r.changed <- struct{}{}
 }
 
-// until waits until a condition holds and fails the test after a timeout.
-func (r *recorder) until(t *testing.T, what string, holds func() bool) {
+// waitFor waits until a condition holds and fails the test after a timeout.
+func (r *recorder) waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	giveUp := time.After(20 * time.Second)
+	timeout := time.After(20 * time.Second)
 	for {
 		r.mu.Lock()
-		ok := holds()
+		ok := condition()
 		r.mu.Unlock()
 		if ok {
 			return
 		}
 		select {
-		case <-r.change:
-		case <-giveUp:
+		case <-r.changed:
+		case <-timeout:
 			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestClientComesBack(t *testing.T) {
+func TestClientReconnects(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,23 +96,23 @@
 	client := peer.NewClient(relay.Addr(), nil, standin.NewFastClock(10), identity(peer.RoleEntry, "e1"), cli)
 	defer client.Close()
 
-	cli.until(t, "connection", func() bool { return cli.conns == 1 })
+	cli.waitFor(t, "connection", func() bool { return cli.conns == 1 })
 	if got := client.Conn().Peer().Process; got != "a1" {
 		t.Fatalf("connected to %q", got)
 	}
 	if err := client.Conn().Send(&peer.Cancel{}); err != nil {
 		t.Fatal(err)
 	}
-	srv.until(t, "message", func() bool { return len(srv.got) > 0 })
+	srv.waitFor(t, "message", func() bool { return len(srv.messages) > 0 })
 	relay.Cut()
-	cli.until(t, "second connection", func() bool { return cli.closed == 1 && cli.conns == 2 })
+	cli.waitFor(t, "second connection", func() bool { return cli.closed == 1 && cli.conns == 2 })
 	relay.Freeze(true)
-	cli.until(t, "end of a silent connection", func() bool { return cli.closed == 2 })
+	cli.waitFor(t, "end of a silent connection", func() bool { return cli.closed == 2 })
 	relay.Freeze(false)
-	cli.until(t, "third connection", func() bool { return cli.conns >= 3 })
+	cli.waitFor(t, "third connection", func() bool { return cli.conns >= 3 })
 }
 
-func TestServerRefusesStrangers(t *testing.T) {
+func TestServerRejectsInvalidHello(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -135,7 +135,7 @@
 		}
 		c.Close()
 	}
-	if len(srv.got) > 0 {
+	if len(srv.messages) > 0 {
 		t.Fatal("the handler received a message without a valid Hello")
 	}
 }
@@ -166,27 +166,27 @@
 	}
 	client := peer.NewClient(ln.Addr().String(), nil, clock, identity(peer.RoleEntry, "e1"), cli)
 	defer client.Close()
-	cli.until(t, "connection", func() bool { return cli.conns == 1 })
+	cli.waitFor(t, "connection", func() bool { return cli.conns == 1 })
 	pings := func() int {
 		n := 0
-		for _, m := range srv.got {
+		for _, m := range srv.messages {
 			if m.Kind() == peer.KindPing {
 				n++
 			}
 		}
 		return n
 	}
-	srv.until(t, "heartbeats of an idle connection", func() bool { return pings() >= 12 })
+	srv.waitFor(t, "heartbeats of an idle connection", func() bool { return pings() >= 12 })
 	cli.busy.Store(true)
 	if err := client.Conn().Send(&peer.Cancel{}); err != nil {
 		t.Fatal(err)
 	}
 	before := 0
-	srv.until(t, "the message", func() bool {
+	srv.waitFor(t, "the message", func() bool {
 		before = pings()
-		return len(srv.got) > before
+		return len(srv.messages) > before
 	})
-	srv.until(t, "heartbeats of a busy connection", func() bool { return pings() >= before+20 })
+	srv.waitFor(t, "heartbeats of a busy connection", func() bool { return pings() >= before+20 })
 	cli.mu.Lock()
 	defer cli.mu.Unlock()
 	if cli.closed != 0 {
@@ -210,7 +210,7 @@
 	defer client.Close()
 	start := clock.Now()
 	const heartbeats = 6
-	srv.until(t, "heartbeats", func() bool { return len(srv.got) >= heartbeats })
+	srv.waitFor(t, "heartbeats", func() bool { return len(srv.messages) >= heartbeats })
 	if took := clock.Now().Sub(start); took < (heartbeats-1)*9*time.Second {
 		t.Fatalf("%d heartbeats in %v", heartbeats, took)
 	}
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -13,8 +13,8 @@
 const (
 	// MaxFrame is the maximum size of a frame in bytes, including its kind.
 	MaxFrame = 4 << 20
-	// headerSize is the size of the length and the kind.
-	headerSize = 5
+	// frameHeaderSize is the size of the length and the kind.
+	frameHeaderSize = 5
 )
 
 var (
@@ -76,7 +76,7 @@
 // read into. The buffer is scratch if that is large enough; messages don't refer to it.
 // Memory is allocated only as the bytes arrive, so a forged length allocates little.
 func ReadFrame(r io.Reader, scratch []byte) (Message, []byte, error) {
-	var header [headerSize]byte
+	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, scratch, err
 	}
@@ -99,15 +99,15 @@
 func readBody(r io.Reader, buf []byte, n int) ([]byte, error) {
 	const step = 64 << 10
 	for len(buf) < n {
-		more := min(n-len(buf), max(step, cap(buf)-len(buf)))
-		at := len(buf)
-		if cap(buf) < at+more {
-			grown := make([]byte, at, at+more)
-			copy(grown, buf)
-			buf = grown
+		grow := min(n-len(buf), max(step, cap(buf)-len(buf)))
+		start := len(buf)
+		if cap(buf) < start+grow {
+			larger := make([]byte, start, start+grow)
+			copy(larger, buf)
+			buf = larger
 		}
-		buf = buf[:at+more]
-		if _, err := io.ReadFull(r, buf[at:]); err != nil {
+		buf = buf[:start+grow]
+		if _, err := io.ReadFull(r, buf[start:]); err != nil {
 			return buf, errors.Wrap(io.ErrUnexpectedEOF, "peer: truncated frame")
 		}
 	}
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestFramesRoundTrip(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	var buf []byte
 	for _, m := range samples() {
 		var err error
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestHostileFrames(t *testing.T) {
+func TestReadFrameRejectsMalformedFrames(t *testing.T) {
 	header := func(size uint32, rest ...byte) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, size), rest...)
 	}
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestTruncatedFrameCostsLittle reads a frame that announces the maximum size and ends
+// TestTruncatedFrameAllocatesLittle reads a frame that announces the maximum size and ends
 // after a few bytes.
-func TestTruncatedFrameCostsLittle(t *testing.T) {
+func TestTruncatedFrameAllocatesLittle(t *testing.T) {
 	data := append(binary.BigEndian.AppendUint32(nil, peer.MaxFrame), byte(peer.KindChunk), 1, 2, 3)
 	_, scratch, err := peer.ReadFrame(bytes.NewReader(data), nil)
 	if err == nil {
--- a/peer/memory_test.go
+++ b/peer/memory_test.go
@@ -11,15 +11,15 @@
 	"wardturn/process"
 )
 
-// idle is a ClientHandler that ignores messages.
-type idle struct{}
+// nopHandler is a ClientHandler that ignores messages.
+type nopHandler struct{}
 
-func (idle) Handle(*peer.Conn, peer.Message) {}
-func (idle) Closed(*peer.Conn, error)        {}
-func (idle) Connected(*peer.Conn)            {}
+func (nopHandler) Handle(*peer.Conn, peer.Message) {}
+func (nopHandler) Closed(*peer.Conn, error)        {}
+func (nopHandler) Connected(*peer.Conn)            {}
 
-// heapOf returns the bytes of heap and stack in use.
-func heapOf() uint64 {
+// memoryInUse returns the bytes of heap and stack in use.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -33,10 +33,10 @@
 // engines.
 func TestMemoryOfConnections(t *testing.T) {
 	const (
-		budget   = 128 << 20 // memory of a process in bytes
-		part     = 4         // connections may use 1/part of it
-		most     = 2100      // expected connections of a gateway in two years
-		mostEach = 2 * budget / part / most
+		budget     = 128 << 20 // memory of a process in bytes
+		share      = 4         // connections may use 1/share of it
+		maxConns   = 2100      // expected connections of a gateway in two years
+		maxPerConn = 2 * budget / share / maxConns
 	)
 	identity := func(process wardturn.Incarnation) peer.Identity {
 		return peer.Identity{
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := peer.NewServer(ln, nil, process.Clock{}, identity("server"), idle{})
+	server := peer.NewServer(ln, nil, process.Clock{}, identity("server"), nopHandler{})
 	defer server.Close()
 	var clients []*peer.Client
 	defer func() {
@@ -59,7 +59,7 @@
 	}()
 	connect := func(n int) {
 		for range n {
-			clients = append(clients, peer.NewClient(ln.Addr().String(), nil, process.Clock{}, identity("client"), idle{}))
+			clients = append(clients, peer.NewClient(ln.Addr().String(), nil, process.Clock{}, identity("client"), nopHandler{}))
 		}
 		for _, c := range clients {
 			for c.Conn() == nil {
@@ -69,12 +69,12 @@
 	}
 	connect(50) // exclude one-time allocations from the measurement
 	for _, n := range []int{100, 1000} {
-		before := heapOf()
+		before := memoryInUse()
 		connect(n)
-		each := (int64(heapOf()) - int64(before)) / int64(n)
-		t.Logf("%d connections: %d bytes each", n, each)
-		if each > mostEach {
-			t.Errorf("%d connections: %d bytes each, at most %d", n, each, mostEach)
+		perConn := (int64(memoryInUse()) - int64(before)) / int64(n)
+		t.Logf("%d connections: %d bytes each", n, perConn)
+		if perConn > maxPerConn {
+			t.Errorf("%d connections: %d bytes each, at most %d", n, perConn, maxPerConn)
 		}
 	}
 }
--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -10,7 +10,7 @@
 
 // Mirror maintains the full report of a keeper from its full and incremental reports.
 type Mirror struct {
-	last     Holding // without Adapters and Gone
+	latest   Holding // without Adapters and Gone
 	adapters map[wardturn.ModelAdapter]HeldAdapter
 }
 
@@ -20,7 +20,7 @@
 	switch {
 	case h.Full:
 		m.adapters = make(map[wardturn.ModelAdapter]HeldAdapter, len(h.Adapters))
-	case m.adapters == nil || h.Seq != m.last.Seq+1:
+	case m.adapters == nil || h.Seq != m.latest.Seq+1:
 		return false
 	}
 	for _, a := range h.Adapters {
@@ -29,9 +29,9 @@
 	for _, key := range h.Gone {
 		delete(m.adapters, key)
 	}
-	m.last = *h
-	m.last.Adapters = nil
-	m.last.Gone = nil
+	m.latest = *h
+	m.latest.Adapters = nil
+	m.latest.Gone = nil
 	return true
 }
 
@@ -47,13 +47,13 @@
 
 // Full returns the current full report.
 func (m *Mirror) Full() Holding {
-	h := m.last
+	h := m.latest
 	h.Full = true
 	h.Adapters = slices.SortedFunc(maps.Values(m.adapters), CompareHeld)
 	return h
 }
 
 // CompareHeld orders adapters by name.
-func CompareHeld(x, y HeldAdapter) int {
-	return strings.Compare(string(x.Adapter.Adapter), string(y.Adapter.Adapter))
+func CompareHeld(a, b HeldAdapter) int {
+	return strings.Compare(string(a.Adapter.Adapter), string(b.Adapter.Adapter))
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -16,27 +16,27 @@
 	handler Handler
 	ln      net.Listener
 
-	mu     sync.Mutex
-	conns  map[*Conn]bool
-	fresh  map[net.Conn]bool // accepted, Hello not exchanged yet
-	closed bool
-	wg     sync.WaitGroup
+	mu          sync.Mutex
+	conns       map[*Conn]bool
+	handshaking map[net.Conn]bool // accepted, Hello not exchanged yet
+	closed      bool
+	wg          sync.WaitGroup
 }
 
 // NewServer starts a server that serves connections on ln until Close. With a TLS
 // configuration that requires client certificates, the connections are mutually
 // authenticated.
-func NewServer(ln net.Listener, conf *tls.Config, clock wardturn.Clock, id Identity, h Handler) *Server {
-	if conf != nil {
-		ln = tls.NewListener(ln, conf)
+func NewServer(ln net.Listener, tlsConfig *tls.Config, clock wardturn.Clock, id Identity, h Handler) *Server {
+	if tlsConfig != nil {
+		ln = tls.NewListener(ln, tlsConfig)
 	}
 	s := &Server{
-		clock:   clock,
-		id:      id,
-		handler: h,
-		ln:      ln,
-		conns:   make(map[*Conn]bool),
-		fresh:   make(map[net.Conn]bool),
+		clock:       clock,
+		id:          id,
+		handler:     h,
+		ln:          ln,
+		conns:       make(map[*Conn]bool),
+		handshaking: make(map[net.Conn]bool),
 	}
 	s.wg.Add(1)
 	go func() {
@@ -70,13 +70,13 @@
 		nc.Close()
 		return
 	}
-	if err := process.SetUserTimeout(nc, ackLimit); err != nil {
+	if err := process.SetUserTimeout(nc, ackTimeout); err != nil {
 		nc.Close() // the connection was already closed
-		s.forget(nc)
+		s.untrack(nc)
 		return
 	}
 	c, r, err := establish(nc, s.clock, s.id)
-	if !s.promote(nc, c, err) {
+	if !s.finishHandshake(nc, c, err) {
 		nc.Close()
 		return
 	}
@@ -93,23 +93,23 @@
 	if s.closed {
 		return false
 	}
-	s.fresh[nc] = true
+	s.handshaking[nc] = true
 	return true
 }
 
-// forget removes a connection that was closed before Hello was exchanged.
-func (s *Server) forget(nc net.Conn) {
+// untrack removes a connection that was closed before Hello was exchanged.
+func (s *Server) untrack(nc net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.fresh, nc)
+	delete(s.handshaking, nc)
 }
 
-// promote ends the handshake of a connection, whose result is err, and reports
+// finishHandshake ends the handshake of a connection, whose result is err, and reports
 // whether to serve it.
-func (s *Server) promote(nc net.Conn, c *Conn, err error) bool {
+func (s *Server) finishHandshake(nc net.Conn, c *Conn, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.fresh, nc)
+	delete(s.handshaking, nc)
 	if err != nil || s.closed {
 		return false
 	}
@@ -130,7 +130,7 @@
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
-	for nc := range s.fresh {
+	for nc := range s.handshaking {
 		nc.Close()
 	}
 	conns := make([]*Conn, 0, len(s.conns))
