--- a/peer/message.go
+++ b/peer/message.go
@@ -92,7 +92,7 @@
 	Path       string
 	Header     []wardturn.HeaderField
 	Body       []byte
-	Supersedes wardturn.AttemptID // earlier attempt that claimed the key and is known not to have run
+	Supersedes wardturn.AttemptID // earlier attempt that claimed the key and did not run
 	Config     wardturn.Offset    // configuration that the entry's decision is based on
 	Credit     int64              // bytes of the response that may be sent
 	Newest     bool               // the caller gave no version and gets the one in force
--- a/peer/placement.go
+++ b/peer/placement.go
@@ -38,7 +38,7 @@
 	// number of the latest change that it includes.
 	Seq      uint64
 	Full     bool
-	Answer   bool // contains only an adapter that a gateway requested; earlier changes may be missing
+	Answer   bool // only an adapter that a gateway requested; earlier changes may be missing
 	Known    bool // the keeper has a report of the engine
 	Upstream wardturn.UpstreamID
 	Models   []wardturn.BaseModel
@@ -60,9 +60,9 @@
 type EngineNotice struct {
 	Config   int64 // version of the configuration
 	Upstream wardturn.UpstreamID
-	Seen     wardturn.Position // of the upstream's entry in the platform's list; a later lifetime has a higher one
+	Seen     wardturn.Position // of the upstream's entry in the list; higher for later lifetimes
 	Spec     wardturn.EngineSpec
-	Relayed  bool // the gateway gets the reports from a relay; send only the adapters that it requests
+	Relayed  bool // reports reach the gateway by a relay; send only adapters that it requests
 	News     bool // send the announcements of other gateways to this gateway
 }
 
@@ -106,7 +106,7 @@
 	Stamp   time.Duration          // time of the read by the reader's own clock
 	Config  wardturn.Position      // up to which the configuration was read; zero: it was not
 	Members *wardturn.MemberChange // nil: the list of upstreams was not read
-	Crashes *CrashReading          // the reader's latest read of the crash records; nil: none, or not included
+	Crashes *CrashReading          // latest read of the crash records; nil: none, or not included
 }
 
 // CrashReading says up to which position and how long ago a gateway last read the
