--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -8,14 +8,14 @@
 	"wardturn"
 )
 
-// Mirror maintains the full report of a keeper from its full and incremental reports.
+// Mirror maintains the full state of an engine from the state updates of its keeper.
 type Mirror struct {
 	latest   Holding // without Adapters and Gone
 	adapters map[wardturn.ModelAdapter]HeldAdapter
 }
 
-// Take applies a report. It returns false for an incremental report that does not
-// directly follow the last applied one; the full report has to be requested then.
+// Take applies a state update. It returns false for an incremental update that does not
+// directly follow the last applied one; the full state has to be requested then.
 func (m *Mirror) Take(h *Holding) bool {
 	switch {
 	case h.Full:
@@ -35,17 +35,17 @@
 	return true
 }
 
-// Known reports whether a full report has been applied.
+// Known reports whether the full state is known.
 func (m *Mirror) Known() bool {
 	return m.adapters != nil
 }
 
-// Forget discards the state. The next report has to be full.
+// Forget discards the state. The next update has to be full.
 func (m *Mirror) Forget() {
 	m.adapters = nil
 }
 
-// Full returns the current full report.
+// Full returns the current full state.
 func (m *Mirror) Full() Holding {
 	h := m.latest
 	h.Full = true
--- a/peer/mirror_test.go
+++ b/peer/mirror_test.go
@@ -27,7 +27,7 @@
 	return m
 }
 
-// change changes one adapter and returns the incremental report of the change.
+// change changes one adapter and returns the incremental state update.
 func (s *keeperState) change(t *rapid.T) *peer.Holding {
 	key := wardturn.ModelAdapter{
 		Model:   "m",
@@ -54,44 +54,44 @@
 	return m
 }
 
-// TestMirrorMatchesLastAppliedReport checks that a mirror that has applied a report
-// equals the keeper's state when that report was sent, even if reports were lost,
+// TestMirrorMatchesLastAppliedUpdate checks that a mirror that has applied a state update
+// equals the keeper's state when that update was sent, even if updates were lost,
 // duplicated or delivered out of order before.
-func TestMirrorMatchesLastAppliedReport(t *testing.T) {
+func TestMirrorMatchesLastAppliedUpdate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		keeper := &keeperState{
 			adapters: make(map[wardturn.ModelAdapter]peer.HeldAdapter),
 		}
 		var m peer.Mirror
-		var sent []*peer.Holding // reports that may be delivered again
-		for range rapid.IntRange(1, 60).Draw(t, "reports") {
-			report := keeper.change(t)
-			sent = append(sent, report)
+		var sent []*peer.Holding // updates that may be delivered again
+		for range rapid.IntRange(1, 60).Draw(t, "updates") {
+			update := keeper.change(t)
+			sent = append(sent, update)
 			switch rapid.IntRange(0, 4).Draw(t, "delivery") {
 			case 0: // lost
 				continue
 			case 1:
-				report = keeper.full()
+				update = keeper.full()
 			case 2:
 				if old := rapid.SampledFrom(sent).Draw(t, "late"); old.Seq < keeper.seq {
 					m.Take(old)
 				}
 			}
-			if !m.Take(report) {
+			if !m.Take(update) {
 				continue
 			}
 			got := m.Full()
 			if got.Seq != keeper.seq || len(got.Adapters) != len(keeper.adapters) {
-				t.Fatalf("report %d: mirror %+v, want %+v", report.Seq, got, keeper)
+				t.Fatalf("update %d: mirror %+v, want %+v", update.Seq, got, keeper)
 			}
 			for _, a := range got.Adapters {
 				if keeper.adapters[a.Adapter.Key()] != a {
-					t.Fatalf("report %d: mirror has %+v, want %+v", report.Seq, a, keeper.adapters[a.Adapter.Key()])
+					t.Fatalf("update %d: mirror has %+v, want %+v", update.Seq, a, keeper.adapters[a.Adapter.Key()])
 				}
 			}
 		}
 		if !m.Take(keeper.full()) || m.Full().Seq != keeper.seq {
-			t.Fatal("a full report was not applied")
+			t.Fatal("a full state was not applied")
 		}
 	})
 }
--- a/peer/placement.go
+++ b/peer/placement.go
@@ -30,12 +30,12 @@
 	State   HeldState
 }
 
-// Holding is a keeper's report on its engine: the adapters that the engine holds
-// and its load. The first report that a subscriber gets is full; the following
-// ones contain the changes since the previous one.
+// Holding is a keeper's state update on its engine: the adapters that the engine
+// holds and its load. The first update that a subscriber gets is the full state; the
+// following ones contain the changes since the previous one.
 type Holding struct {
-	// Seq numbers the changes since the keeper's start. A full report has the
-	// number of the latest change that it includes.
+	// Seq numbers the changes since the keeper's start. A full state has the number
+	// of the latest change that it includes.
 	Seq      uint64
 	Full     bool
 	Answer   bool // only an adapter that a gateway requested; earlier changes may be missing
@@ -62,21 +62,21 @@
 	Upstream wardturn.UpstreamID
 	Seen     wardturn.Position // of the upstream's entry in the list; higher for later lifetimes
 	Spec     wardturn.EngineSpec
-	Relayed  bool // reports reach the gateway by a relay; send only adapters that it requests
+	Relayed  bool // a relay sends the updates to the gateway; send only adapters that it requests
 	News     bool // send the announcements of other gateways to this gateway
 }
 
-// Listen subscribes to a keeper's reports.
+// Listen subscribes to a keeper's state updates.
 type Listen struct{}
 
-// Follow asks a keeper to start or stop relaying the reports of another keeper. The
-// reply to each request to start is the full report, as soon as the relay has it.
+// Follow asks a keeper to start or stop relaying the state updates of another keeper.
+// The reply to each request to start is the full state, as soon as the relay has it.
 type Follow struct {
 	Keeper string // address, IP:port
 	End    bool
 }
 
-// Relayed is a relayed report of another keeper.
+// Relayed is a relayed state update of another keeper.
 type Relayed struct {
 	Keeper  string               // address, IP:port
 	Process wardturn.Incarnation // of that keeper
@@ -84,8 +84,8 @@
 	Holding Holding
 }
 
-// Mark gives a gateway the sequence number of a keeper's latest report, so that it
-// detects a relay that lags.
+// Mark gives a gateway the sequence number of a keeper's latest state update, so that
+// it detects a relay that lags.
 type Mark struct {
 	Seq uint64
 }
@@ -156,15 +156,15 @@
 	Uses []AdapterUse
 }
 
-// TeamUse announces to gateways how much others have used of the teams' usage caps. A
-// gateway sends its report to one keeper in each failure domain, which combines the
+// TeamUse is gossip between gateways on how much each has used of the teams' usage caps.
+// A gateway sends its report to one keeper in each failure domain, which combines the
 // reports of several gateways in one message to those that receive announcements there.
 type TeamUse struct {
 	Words []decide.TeamWord
 }
 
-// LimitNews announces to gateways what others know of the rate limits of upstreams. It
-// is forwarded in the same way as TeamUse.
+// LimitNews is gossip between gateways on the rate limits that upstreams announce. It is
+// forwarded in the same way as TeamUse.
 type LimitNews struct {
 	Words []decide.LimitGossip
 }
