--- a/peer/placement.go
+++ b/peer/placement.go
@@ -80,7 +80,7 @@
 type Relayed struct {
 	Keeper  string               // address, IP:port
 	Process wardturn.Incarnation // of that keeper
-	Lost    bool                 // the relay lost its connection to the keeper; Holding is empty
+	Lost    bool                 // the relay lost its connection to the keeper; there is no update
 	Holding Holding
 }
 
