--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -14,7 +14,7 @@
 	"wardturn/peer"
 )
 
-// samples holds one message of each kind, with every field set.
+// samples returns messages of many kinds with most of their fields set.
 func samples() []peer.Message {
 	id := wardturn.AttemptID{
 		Entry: "e1",
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestFramesRoundTrip(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	var buf []byte
 	for _, m := range samples() {
 		var err error
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestHostileFrames(t *testing.T) {
+func TestReadFrameRejectsMalformedFrames(t *testing.T) {
 	header := func(size uint32, rest ...byte) []byte {
 		return append(binary.BigEndian.AppendUint32(nil, size), rest...)
 	}
@@ -90,8 +90,9 @@
 	}
 }
 
-// TestTruncatedFrameCostsLittle announces the largest frame and sends nothing.
-func TestTruncatedFrameCostsLittle(t *testing.T) {
+// TestTruncatedFrameAllocatesLittle reads a frame that announces the maximum size and ends
+// after a few bytes.
+func TestTruncatedFrameAllocatesLittle(t *testing.T) {
 	data := append(binary.BigEndian.AppendUint32(nil, peer.MaxFrame), byte(peer.KindChunk), 1, 2, 3)
 	_, scratch, err := peer.ReadFrame(bytes.NewReader(data), nil)
 	if err == nil {
@@ -99,7 +100,7 @@
 	}
 	const bound = 128 << 10
 	if cap(scratch) > bound {
-		t.Fatalf("%d bytes were set aside for 3 that came", cap(scratch))
+		t.Fatalf("%d bytes were allocated for 3 bytes received", cap(scratch))
 	}
 }
 
@@ -117,7 +118,7 @@
 			return
 		}
 		if _, err := peer.AppendFrame(nil, m); err != nil && !errors.Is(err, peer.ErrFrameTooLarge) {
-			t.Fatalf("message that was read cannot be written: %v", err)
+			t.Fatalf("decoded message can't be encoded: %v", err)
 		}
 	})
 }
--- a/peer/memory_test.go
+++ b/peer/memory_test.go
@@ -11,15 +11,15 @@
 	"wardturn/process"
 )
 
-// idle is a side of a connection that does nothing.
-type idle struct{}
+// nopHandler is a ClientHandler that ignores messages.
+type nopHandler struct{}
 
-func (idle) Handle(*peer.Conn, peer.Message) {}
-func (idle) Closed(*peer.Conn, error)        {}
-func (idle) Connected(*peer.Conn)            {}
+func (nopHandler) Handle(*peer.Conn, peer.Message) {}
+func (nopHandler) Closed(*peer.Conn, error)        {}
+func (nopHandler) Connected(*peer.Conn)            {}
 
-// heapOf returns the bytes of heap and stacks that are in use.
-func heapOf() uint64 {
+// memoryInUse returns the bytes of heap and stack in use.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -27,14 +27,16 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// A gateway has a connection to each engine's keeper and a keeper one of each gateway: with
-// 64 KiB of buffer for each the buffers alone took 36 MB of a gateway before 576 engines.
+// TestMemoryOfConnections guards against too much memory per connection. A gateway has a
+// connection to the keeper of each engine, and a keeper has one from each gateway. With
+// buffers of 64 KiB per connection, the buffers alone took 36 MB of a gateway with 576
+// engines.
 func TestMemoryOfConnections(t *testing.T) {
 	const (
-		budget   = 128 << 20 // bytes of a daemon
-		part     = 4         // of which its connections may take one in so many
-		most     = 2100      // connections of a gateway in two years
-		mostEach = 2 * budget / part / most
+		budget     = 128 << 20 // memory of a process in bytes
+		share      = 4         // connections may use 1/share of it
+		maxConns   = 2100      // expected connections of a gateway in two years
+		maxPerConn = 2 * budget / share / maxConns
 	)
 	identity := func(process wardturn.Incarnation) peer.Identity {
 		return peer.Identity{
@@ -47,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := peer.NewServer(ln, nil, process.Clock{}, identity("server"), idle{})
+	server := peer.NewServer(ln, nil, process.Clock{}, identity("server"), nopHandler{})
 	defer server.Close()
 	var clients []*peer.Client
 	defer func() {
@@ -57,7 +59,7 @@
 	}()
 	connect := func(n int) {
 		for range n {
-			clients = append(clients, peer.NewClient(ln.Addr().String(), nil, process.Clock{}, identity("client"), idle{}))
+			clients = append(clients, peer.NewClient(ln.Addr().String(), nil, process.Clock{}, identity("client"), nopHandler{}))
 		}
 		for _, c := range clients {
 			for c.Conn() == nil {
@@ -65,14 +67,14 @@
 			}
 		}
 	}
-	connect(50) // what a process has once does not count
+	connect(50) // exclude one-time allocations from the measurement
 	for _, n := range []int{100, 1000} {
-		before := heapOf()
+		before := memoryInUse()
 		connect(n)
-		each := (int64(heapOf()) - int64(before)) / int64(n)
-		t.Logf("%d connections: %d bytes each", n, each)
-		if each > mostEach {
-			t.Errorf("%d connections: %d bytes each, at most %d", n, each, mostEach)
+		perConn := (int64(memoryInUse()) - int64(before)) / int64(n)
+		t.Logf("%d connections: %d bytes each", n, perConn)
+		if perConn > maxPerConn {
+			t.Errorf("%d connections: %d bytes each, at most %d", n, perConn, maxPerConn)
 		}
 	}
 }
--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -8,19 +8,19 @@
 	"wardturn"
 )
 
-// Mirror keeps the full holding of an engine from what its keeper tells.
+// Mirror maintains the full state of an engine from the state updates of its keeper.
 type Mirror struct {
-	last     Holding // without adapters
+	latest   Holding // without Adapters and Gone
 	adapters map[wardturn.ModelAdapter]HeldAdapter
 }
 
-// Take adds a word. It reports false for a change that does not follow what is
-// known: the keeper has to be asked for the full holding.
+// Take applies a state update. It returns false for an incremental update that does not
+// directly follow the last applied one; the full state has to be requested then.
 func (m *Mirror) Take(h *Holding) bool {
 	switch {
 	case h.Full:
 		m.adapters = make(map[wardturn.ModelAdapter]HeldAdapter, len(h.Adapters))
-	case m.adapters == nil || h.Seq != m.last.Seq+1:
+	case m.adapters == nil || h.Seq != m.latest.Seq+1:
 		return false
 	}
 	for _, a := range h.Adapters {
@@ -29,31 +29,31 @@
 	for _, key := range h.Gone {
 		delete(m.adapters, key)
 	}
-	m.last = *h
-	m.last.Adapters = nil
-	m.last.Gone = nil
+	m.latest = *h
+	m.latest.Adapters = nil
+	m.latest.Gone = nil
 	return true
 }
 
-// Known reports whether a full holding was told.
+// Known reports whether the full state is known.
 func (m *Mirror) Known() bool {
 	return m.adapters != nil
 }
 
-// Forget drops the holding.
+// Forget discards the state. The next update has to be full.
 func (m *Mirror) Forget() {
 	m.adapters = nil
 }
 
-// Full returns the full holding as it is now.
+// Full returns the current full state.
 func (m *Mirror) Full() Holding {
-	h := m.last
+	h := m.latest
 	h.Full = true
 	h.Adapters = slices.SortedFunc(maps.Values(m.adapters), CompareHeld)
 	return h
 }
 
 // CompareHeld orders adapters by name.
-func CompareHeld(x, y HeldAdapter) int {
-	return strings.Compare(string(x.Adapter.Adapter), string(y.Adapter.Adapter))
+func CompareHeld(a, b HeldAdapter) int {
+	return strings.Compare(string(a.Adapter.Adapter), string(b.Adapter.Adapter))
 }
