--- a/control/catalog.go
+++ b/control/catalog.go
@@ -10,8 +10,8 @@
 	"wardturn"
 )
 
-// Catalog is the typed view of the configuration that requests are checked
-// against. It follows a replica and is safe for concurrent use.
+// Catalog is a typed view of the configuration for the admission of requests. It is
+// updated when its replica changes, and is safe for concurrent use.
 type Catalog struct {
 	replica *Replica
 
@@ -24,7 +24,7 @@
 	opKeys   map[string]wardturn.TeamID   // by digest
 }
 
-// NewCatalog returns a catalog that follows the replica.
+// NewCatalog returns a catalog that is kept up to date with the replica.
 func NewCatalog(r *Replica) *Catalog {
 	c := &Catalog{
 		replica:  r,
@@ -42,8 +42,9 @@
 	return c
 }
 
-// load takes the present state of a document. It is read under the lock, so that
-// of two loads the one that writes last has the newer state.
+// load updates the catalog with the current version of a document. It reads the
+// document while it holds the lock, so that of two concurrent loads the one that writes
+// last has the newer version.
 func (c *Catalog) load(key Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,7 +66,8 @@
 	}
 }
 
-// put replaces or removes an entry. Bodies were checked before publication.
+// put replaces an entry, or removes it if ok is false. A body that cannot be decoded
+// removes the entry too; bodies are validated before publication.
 func put[K comparable, V any](m map[K]V, k K, body []byte, ok bool) {
 	var v V
 	if !ok || yaml.Unmarshal(body, &v) != nil {
@@ -75,7 +77,7 @@
 	m[k] = v
 }
 
-// move replaces the keys of one owner.
+// move replaces the key digests of one owner.
 func move[O comparable](m map[string]O, owner O, old, now []string) {
 	for _, k := range old {
 		if m[k] == owner {
@@ -95,7 +97,7 @@
 	return d, ok
 }
 
-// Adapters returns the adapters' names in order.
+// Adapters returns the names of all adapters, sorted.
 func (c *Catalog) Adapters() []wardturn.AdapterID {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -107,8 +109,8 @@
 	return list
 }
 
-// Resolve fills in the version in force of a reference without one, and reports
-// whether the adapter has the version.
+// Resolve sets the default version in a reference that has none. It returns the base
+// model and reports whether the adapter has the version.
 func (c *Catalog) Resolve(ref wardturn.AdapterRef) (wardturn.AdapterRef, wardturn.BaseModel, bool) {
 	d, ok := c.Adapter(ref.Adapter)
 	if !ok {
@@ -137,7 +139,7 @@
 	return d, ok
 }
 
-// CallerOfKey returns the caller that a key belongs to.
+// CallerOfKey returns the caller that the key with the given digest belongs to.
 func (c *Catalog) CallerOfKey(digest string) (wardturn.CallerID, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -145,7 +147,7 @@
 	return id, ok
 }
 
-// TeamOfKey returns the team that an operator's key belongs to.
+// TeamOfKey returns the team that the operator key with the given digest belongs to.
 func (c *Catalog) TeamOfKey(digest string) (wardturn.TeamID, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -153,13 +155,13 @@
 	return id, ok
 }
 
-// KeyDigest returns the digest under which a key is configured.
+// KeyDigest returns the digest by which a key is configured.
 func KeyDigest(key string) string {
 	return wardturn.DigestKey(key).String()
 }
 
-// Allowed reports whether a name matches one of the patterns: names, or
-// prefixes that end in a star.
+// Allowed reports whether a name matches one of the patterns. A pattern is a name, or a
+// prefix followed by *.
 func Allowed(patterns []string, name string) bool {
 	return slices.ContainsFunc(patterns, func(p string) bool {
 		if prefix, ok := strings.CutSuffix(p, "*"); ok {
--- a/control/catalog_internal_test.go
+++ b/control/catalog_internal_test.go
@@ -13,8 +13,8 @@
 	"wardturn/standin"
 )
 
-// TestCatalogKeepsNewerDocument checks that of two loads of a document at the same
-// time, the one that read the older state does not put it over the newer one.
+// TestCatalogKeepsNewerDocument checks that, of two concurrent loads of a document, one
+// that read the older version does not overwrite the newer one.
 func TestCatalogKeepsNewerDocument(t *testing.T) {
 	g := gomega.NewWithT(t)
 	log := standin.NewLog(process.Clock{}, standin.LogConfig{})
@@ -34,7 +34,7 @@
 		g.Expect(err).NotTo(gomega.HaveOccurred())
 	}
 	publish("p1", 0, "{base_model: m, team: t, version: 1}")
-	// A catalog that follows nothing: only the load below writes to it.
+	// The catalog does not watch the replica: only the load below writes to it.
 	c := &Catalog{
 		replica:  r,
 		adapters: make(map[wardturn.AdapterID]AdapterDoc),
@@ -51,7 +51,7 @@
 			c.mu.RUnlock()
 		}
 		return free
-	}).WithTimeout(10*time.Second).Should(gomega.BeFalse(), "the load waits to write")
+	}).WithTimeout(10*time.Second).Should(gomega.BeFalse(), "the load waits for the write lock")
 	publish("p2", 1, "{base_model: m, team: t, version: 2}")
 	c.mu.RUnlock()
 	g.Eventually(ended).WithTimeout(10 * time.Second).Should(gomega.BeClosed())
--- a/control/check.go
+++ b/control/check.go
@@ -16,7 +16,7 @@
 	"wardturn/report"
 )
 
-// CheckDoc checks a document before publication. The error is a *DocProblem.
+// CheckDoc validates a document before publication. The error is a *DocProblem.
 func CheckDoc(file string, key Key, body []byte) error {
 	if !wardturn.ValidName(NameOf(key)) {
 		return docProblem(file, 1, fmt.Sprintf("key %q is not kind/name", key))
@@ -55,7 +55,7 @@
 	return n
 }
 
-// lineOfField returns the line of a top-level field, or 1.
+// lineOfField returns the line of a top-level field, or 1 if there is none.
 func lineOfField(body []byte, field string) int {
 	var n yaml.Node
 	if yaml.Unmarshal(body, &n) != nil || len(n.Content) == 0 {
@@ -69,15 +69,15 @@
 	return 1
 }
 
-// document is a typed document that can check itself.
+// document is a typed document with its validation.
 type document interface {
-	// problem returns the field at fault and the reason.
+	// problem returns the first invalid field and the reason, or empty strings.
 	problem() (field, reason string)
-	// deep checks what needs the document's text.
+	// deep runs the checks that need the text of the document.
 	deep(file string, body []byte) error
 }
 
-// shallow is embedded by documents that need no deep check.
+// shallow is embedded by documents that have no checks of their text.
 type shallow struct{}
 
 func (shallow) deep(string, []byte) error { return nil }
@@ -125,7 +125,7 @@
 
 var digestForm = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// isNoDigest reports whether a text is not the digest of a key.
+// isNoDigest reports whether s is not the digest of a key.
 func isNoDigest(s string) bool {
 	return !digestForm.MatchString(s)
 }
@@ -170,7 +170,7 @@
 	return "", ""
 }
 
-// deep checks the program; the line is that of the document.
+// deep checks the policy program. Lines in errors are lines of the document.
 func (d *checkPolicy) deep(file string, body []byte) error {
 	_, err := policy.Check(file, d.Source)
 	var p *policy.Problem
--- a/control/claims.go
+++ b/control/claims.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// claimLinger is how long the first claim of a batch waits for others.
+	// claimLinger is how long the first claim of a batch waits for more claims.
 	claimLinger = 2 * time.Millisecond
-	// claimBatch bounds the claims in one record.
+	// claimBatch is the maximum number of claims in one record.
 	claimBatch = 512
-	// claimLimit bounds the time from a claim to its answer.
+	// claimLimit is the timeout of a claim, and of the append of a batch.
 	claimLimit = 2 * time.Second
 )
 
-// Claimer claims idempotency keys for one agent. Claims that come together
-// share a record, and one append is under way at a time, so the number of
-// appends is bounded by the log's latency and not by the traffic.
+// Claimer claims idempotency keys for one agent. Concurrent claims are batched into
+// one record, and only one append is in progress at a time, so that the rate of
+// appends is bounded by the log's latency and does not grow with the traffic.
 type Claimer struct {
 	replica  *Replica
 	upstream wardturn.UpstreamID
@@ -42,7 +42,8 @@
 	ready  chan struct{}
 }
 
-// NewClaimer returns a claimer for an agent. The replica must keep claims.
+// NewClaimer returns a claimer for an agent. The replica must have been created with
+// keepClaims set.
 func NewClaimer(replica *Replica, clock wardturn.Clock, upstream wardturn.UpstreamID, process wardturn.Incarnation) *Claimer {
 	return &Claimer{
 		replica:  replica,
@@ -52,10 +53,10 @@
 	}
 }
 
-// Claim appends a claim, reads the log up to it, and returns the first claim of
-// the key. The caller may run the request only if the result is its own attempt
-// and not too old. With an error nothing may run: the claim may or may not be
-// on the log, and its attempt is never used again.
+// Claim appends a claim, waits until the log is read up to it, and returns the first
+// claim of the key. The caller may run the request only if the result has its own
+// attempt ID and is not too old. After an error the request must not run: the claim
+// may or may not be on the log, and its attempt ID must not be used again.
 func (c *Claimer) Claim(ctx context.Context, claim Claim) (ClaimResult, error) {
 	p := &pendingClaim{
 		claim: claim,
@@ -79,7 +80,8 @@
 	defer c.replica.mu.Unlock()
 	res, ok := c.replica.state.First(claim.Caller, claim.Key)
 	if !ok {
-		// Read and already forgotten: the key is too old to tell.
+		// The claim was applied and has already expired, so an earlier claim of
+		// the key may have expired too.
 		return ClaimResult{
 			Claim:  claim,
 			TooOld: true,
@@ -88,7 +90,7 @@
 	return res, nil
 }
 
-// Counts returns the claims made and the appends that carried them.
+// Counts returns the number of claims and the number of appends that contained them.
 func (c *Claimer) Counts() (claims, appends int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +110,7 @@
 	}
 }
 
-// flush appends what waits until nothing does.
+// flush appends the waiting claims in batches until none are left.
 func (c *Claimer) flush() {
 	for {
 		batch := c.take()
@@ -138,8 +140,8 @@
 	return batch
 }
 
-// append is tried once: after a lost reply the batch may be on the log, and its
-// attempts must not run.
+// append appends a batch. It does not retry: after a lost reply the batch may be on
+// the log, and its requests must not run.
 func (c *Claimer) append(batch []*pendingClaim) (wardturn.Offset, error) {
 	list := make([]Claim, 0, len(batch))
 	for _, p := range batch {
--- a/control/claimstate.go
+++ b/control/claimstate.go
@@ -28,15 +28,16 @@
 	s.forgetClaims()
 }
 
-// supersedes reports whether a claim may replace the one held: it names that
-// one's attempt and asks for the same.
+// supersedes reports whether claim cl may replace the current claim of its key: it
+// names the current claim's attempt and has the same request digest.
 func supersedes(cl, have Claim) bool {
 	return cl.Supersedes == have.Attempt && cl.Digest == have.Digest
 }
 
-// tooOld reports whether an earlier claim of the key may have been forgotten,
-// or may have been out of retention before this process read the log. A key that
-// comes from the future could be claimed before its time, so it is refused too.
+// tooOld reports whether an earlier claim of the key may have expired, or may have
+// been dropped from the log before this process read it. A key with a
+// creation time too far in the future is refused as well: it could have been claimed
+// before that time, so comparing it with the horizon would not find missed claims.
 func (s *State) tooOld(cl Claim) bool {
 	age := s.logTime.Sub(cl.Created)
 	if age > ClaimWindow || age < -KeySkew {
@@ -48,8 +49,8 @@
 func (s *State) forgetClaims() {
 	for len(s.order) > 0 {
 		c := s.claims[s.order[0]]
-		// A key is remembered for two windows: one in which it may be used, and
-		// one for clocks and delays.
+		// Claims are kept for twice ClaimWindow: once for the time in which the
+		// key may be used, and once as a margin for clock skew and delays.
 		if s.logTime.Sub(c.Claim.Created) <= 2*ClaimWindow {
 			return
 		}
--- a/control/docs.go
+++ b/control/docs.go
@@ -13,7 +13,7 @@
 	"wardturn"
 )
 
-// The kinds of documents.
+// Kinds of documents.
 const (
 	KindAdapter   = "adapter"
 	KindService   = "service"
@@ -28,14 +28,14 @@
 type AdapterDoc struct {
 	BaseModel wardturn.BaseModel `yaml:"base_model"`
 	Team      wardturn.TeamID    `yaml:"team"`
-	Version   wardturn.Version   `yaml:"version"`  // in force when a request names none
-	Versions  []wardturn.Version `yaml:"versions"` // that may be asked for by number
+	Version   wardturn.Version   `yaml:"version"`  // used when a request names none
+	Versions  []wardturn.Version `yaml:"versions"` // that requests may select
 }
 
 // ServiceDoc configures a plain service.
 type ServiceDoc struct {
 	Team          wardturn.TeamID `yaml:"team"`
-	NotRepeatable []string        `yaml:"not_repeatable"` // methods; ALL for every one
+	NotRepeatable []string        `yaml:"not_repeatable"` // methods, or ALL
 	Deadline      Duration        `yaml:"deadline"`
 }
 
@@ -45,18 +45,18 @@
 	KeyDigests  []string        `yaml:"key_digests"` // SHA-256 in hexadecimal
 	Adapters    []string        `yaml:"adapters"`    // names, or prefixes ending in *
 	Services    []string        `yaml:"services"`    // names, or prefixes ending in *
-	Rate        float64         `yaml:"rate"`        // requests a second; 0: no limit
+	Rate        float64         `yaml:"rate"`        // requests per second; 0: no limit
 	Burst       float64         `yaml:"burst"`
-	Concurrency int             `yaml:"concurrency"` // requests at once; 0: no limit
+	Concurrency int             `yaml:"concurrency"` // concurrent requests; 0: no limit
 }
 
 // TeamDoc configures a team.
 type TeamDoc struct {
 	Operators []string `yaml:"operators"` // SHA-256 of their keys in hexadecimal
-	Share     float64  `yaml:"share"`     // weight of its use of full upstreams; 0: 1
+	Share     float64  `yaml:"share"`     // weight in the fair sharing of full upstreams; 0 means 1
 }
 
-// PolicyDoc is a published policy.
+// PolicyDoc is a scheduling policy. At most one of Active and Shadow is set.
 type PolicyDoc struct {
 	Active bool   `yaml:"active"`
 	Shadow bool   `yaml:"shadow"`
@@ -68,16 +68,16 @@
 	Team      wardturn.TeamID `yaml:"team"`
 	Indicator string          `yaml:"indicator"`
 	Threshold Duration        `yaml:"threshold"`
-	Target    float64         `yaml:"target"` // part of good events, 0 to 1
+	Target    float64         `yaml:"target"` // required fraction of good events, between 0 and 1
 	Window    Duration        `yaml:"window"`
 }
 
-// DrainDoc orders an upstream to leave.
+// DrainDoc orders an upstream to drain.
 type DrainDoc struct {
 	Reason string `yaml:"reason"`
 }
 
-// Duration is a time as operators write it, as in 1.5s.
+// Duration is a time.Duration that is written as in 1.5s in YAML.
 type Duration time.Duration
 
 // UnmarshalYAML implements yaml.Unmarshaler.
@@ -102,13 +102,13 @@
 	return p.File + ":" + strconv.Itoa(p.Line) + ": " + p.Reason
 }
 
-// KindOf returns the kind of a key.
+// KindOf returns the kind of the document that a key names.
 func KindOf(k Key) string {
 	kind, _, _ := strings.Cut(string(k), "/")
 	return kind
 }
 
-// NameOf returns the name of a key, without its kind.
+// NameOf returns the name of the document that a key names, without its kind.
 func NameOf(k Key) string {
 	_, name, _ := strings.Cut(string(k), "/")
 	return name
@@ -119,7 +119,7 @@
 	return Key(kind + "/" + name)
 }
 
-// DrainKey is the document that orders an upstream to leave.
+// DrainKey returns the key of the document that orders an upstream to drain.
 func DrainKey(id wardturn.UpstreamID) Key {
 	return KeyOf(KindDrain, string(id))
 }
@@ -129,16 +129,16 @@
 	return !slices.Contains(d.NotRepeatable, "ALL") && !slices.Contains(d.NotRepeatable, method)
 }
 
-// ServiceOf returns a service's configuration, or the zero value.
+// ServiceOf returns the configuration of a service, or the zero value if it has none.
 func ServiceOf(r *Replica, name wardturn.ServiceName) ServiceDoc {
 	var d ServiceDoc
 	if doc, ok := r.Get(KeyOf(KindService, string(name))); ok {
-		_ = yaml.Unmarshal(doc.Body, &d) // checked before publication
+		_ = yaml.Unmarshal(doc.Body, &d) // validated before publication
 	}
 	return d
 }
 
-// Shares returns the weights of the teams that have one.
+// Shares returns the configured weights by team. Teams without one are left out.
 func Shares(r *Replica) map[wardturn.TeamID]float64 {
 	weights := make(map[wardturn.TeamID]float64)
 	for _, d := range r.Docs(KindTeam) {
@@ -150,20 +150,22 @@
 	return weights
 }
 
-// NamedPolicy is a policy of the configuration with its name and version.
+// NamedPolicy is a published policy with its name and version.
 type NamedPolicy struct {
 	PolicyDoc
 	Name    string
 	Version wardturn.Offset
 }
 
-// ActivePolicy returns the active policy. If several are, the newest is.
+// ActivePolicy returns the active policy. If several are marked as active, it is the
+// one that was published last.
 func ActivePolicy(r *Replica) (NamedPolicy, bool) {
 	return newestPolicy(r, func(p PolicyDoc) bool { return p.Active })
 }
 
-// ShadowPolicy returns the policy that runs beside the active one. If several
-// should, the newest does.
+// ShadowPolicy returns the policy that is evaluated next to the active one, without
+// effect on requests. If several are marked as shadow, it is the one that was published
+// last.
 func ShadowPolicy(r *Replica) (NamedPolicy, bool) {
 	return newestPolicy(r, func(p PolicyDoc) bool { return p.Shadow })
 }
@@ -184,13 +186,13 @@
 	return best, best.Version > 0
 }
 
-// EncodePage encodes a page for a peer.
+// EncodePage encodes a page for a peer. DecodePage decodes it.
 func EncodePage(p Page) ([]byte, error) {
 	data, err := msgpack.Marshal(p)
 	return data, errors.Wrap(err, "control: encode page")
 }
 
-// DecodePage decodes a page of a peer.
+// DecodePage decodes a page that was received from a peer.
 func DecodePage(data []byte) (p Page, err error) {
 	defer func() {
 		if v := recover(); v != nil {
--- a/control/history.go
+++ b/control/history.go
@@ -6,15 +6,15 @@
 	"wardturn"
 )
 
-// historyKept bounds the publications that a process remembers one by one. The
-// log itself holds them for its retention.
+// historyKept is the maximum number of publications that a process keeps in its
+// history. The log has all of them until its retention ends.
 const historyKept = 10_000
 
-// Entry is one line of the audit record: who published what, when, and whether
-// it was accepted.
+// Entry is an entry of the audit history: who published what, when, and whether it was
+// accepted.
 type Entry struct {
 	Version  wardturn.Offset `json:"version"` // offset of the record
-	At       time.Time       `json:"at"`      // by the log's clock
+	At       time.Time       `json:"at"`      // by the clock of the log
 	Who      string          `json:"who"`
 	ID       PublicationID   `json:"id"`
 	Accepted bool            `json:"accepted"`
@@ -43,8 +43,8 @@
 	}
 }
 
-// History returns up to limit entries after an offset, oldest first; those that
-// touch a key, or all.
+// History returns up to limit entries after an offset, oldest first. If key is not
+// empty, only entries that change this document are returned.
 func (r *Replica) History(key Key, after wardturn.Offset, limit int) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/control/record.go
+++ b/control/record.go
@@ -9,19 +9,18 @@
 	"wardturn"
 )
 
-// Key names a document: its kind, a slash and its name.
+// Key identifies a document. It has the form kind/name.
 type Key string
 
-// PublicationID names one publication, so that a lost reply can be settled by
-// reading on.
+// PublicationID identifies a publication. A publisher that lost the reply to its
+// append finds the publication on the log by its ID.
 type PublicationID string
 
-// ErrBadRecord is returned for a record that cannot be decoded. Readers skip
-// such records: what one reader cannot decode, none can.
+// ErrBadRecord is returned for a record that cannot be decoded. Readers skip such
+// records. This keeps their states equal, since no reader can decode them.
 var ErrBadRecord = errors.New("control: malformed record")
 
-// Record is what wardturn appends to the platform's log. Exactly one of the
-// pointers is set.
+// Record is a record of the platform's log. Exactly one of the fields is set.
 type Record struct {
 	Change   *Change   `msgpack:"c,omitempty"`
 	Snapshot *Snapshot `msgpack:"s,omitempty"`
@@ -29,7 +28,7 @@
 	Start    *Start    `msgpack:"a,omitempty"`
 }
 
-// Change is one publication: all of its documents are accepted, or none.
+// Change is one publication. Either all of its documents are accepted or none is.
 type Change struct {
 	ID   PublicationID `msgpack:"i"`
 	Who  string        `msgpack:"w"`
@@ -40,12 +39,13 @@
 // DocChange replaces, creates or deletes one document.
 type DocChange struct {
 	Key    Key             `msgpack:"k"`
-	Base   wardturn.Offset `msgpack:"b"` // version replaced; zero: must not exist
+	Base   wardturn.Offset `msgpack:"b"` // version that is replaced; zero: the document must not exist
 	Delete bool            `msgpack:"x,omitempty"`
 	Body   []byte          `msgpack:"y,omitempty"`
 }
 
-// Snapshot is one part of all documents in force after the record at Through.
+// Snapshot is one part of a snapshot of all current documents as of the record at
+// offset Through.
 type Snapshot struct {
 	Through wardturn.Offset `msgpack:"t"`
 	Part    int             `msgpack:"p"`
@@ -54,7 +54,7 @@
 	Results []Result        `msgpack:"r,omitempty"` // of recent publications
 }
 
-// Doc is a document in force.
+// Doc is the current version of a document.
 type Doc struct {
 	Key     Key             `msgpack:"k"`
 	Version wardturn.Offset `msgpack:"v"`
@@ -70,30 +70,30 @@
 	List     []Claim              `msgpack:"l"`
 }
 
-// Claim says that an attempt is about to run a request that may not be
-// repeated.
+// Claim announces that an attempt is about to run a request that may not be repeated.
 type Claim struct {
 	Caller  wardturn.CallerID       `msgpack:"c"`
 	Key     wardturn.IdempotencyKey `msgpack:"k"`
 	Digest  wardturn.Digest         `msgpack:"d"`
 	Created time.Time               `msgpack:"t"`
 	Attempt wardturn.AttemptID      `msgpack:"a"`
-	// Supersedes is an attempt with the same key whose agent said that it did
-	// not run and will not. Its claim is replaced.
+	// Supersedes is an earlier attempt with the same key, whose agent reported that
+	// it did not run the request and never will. This claim replaces its claim.
 	Supersedes wardturn.AttemptID `msgpack:"s,omitempty"`
 }
 
-// Start is an agent's first record. Its offset is the agent's fence.
+// Start is the first record of an agent process. Its offset is the fencing token of
+// the process.
 type Start struct {
 	Upstream wardturn.UpstreamID  `msgpack:"u"`
 	Process  wardturn.Incarnation `msgpack:"p"`
 }
 
-// recordVersion is the first byte of every record of this package; records that
-// start otherwise belong to others.
+// recordVersion is the first byte of every record of this package. Records that start
+// with another byte were appended by other users of the log.
 const recordVersion = 0xd1
 
-// Encode returns a record's bytes.
+// Encode encodes a record for the log.
 func Encode(rec Record) ([]byte, error) {
 	body, err := msgpack.Marshal(&rec)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return append([]byte{recordVersion}, body...), nil
 }
 
-// Decode reads a record's bytes.
+// Decode decodes a record of the log.
 func Decode(data []byte) (rec Record, err error) {
 	if len(data) == 0 || data[0] != recordVersion {
 		return rec, ErrBadRecord
--- a/control/replica.go
+++ b/control/replica.go
@@ -20,28 +20,29 @@
 	appendTries = 3
 )
 
-// ErrConflict is wrapped by the error of a publication that another overtook.
-var ErrConflict = errors.New("control: version is no longer in force")
+// ErrConflict is wrapped by the error of a publication that was not accepted because the
+// current version of a document was not the one that the publication replaces.
+var ErrConflict = errors.New("control: base version is not the current version")
 
-// Replica is a process's copy of the configuration. It follows the log in a
-// goroutine of its own until Close.
+// Replica is the copy of the configuration in one process. A goroutine reads the log
+// and applies its records until Close is called.
 type Replica struct {
 	log    wardturn.Log
 	clock  wardturn.Clock
 	logger hclog.Logger
 
-	// taking is held while records or a peer's documents are taken and the
-	// watchers told of them: they hear of one change after the other.
+	// taking is held while records or a peer's documents are applied and the
+	// watchers are called, so that watchers are called for one change at a time.
 	taking sync.Mutex
-	dirty  []Key // changed by what is taken now
+	dirty  []Key // keys of the documents changed by the current update
 
 	mu       sync.Mutex
 	state    *State
-	visible  wardturn.Offset // applied, and the watchers were told
-	changed  chan struct{}   // closed and replaced after each page
+	visible  wardturn.Offset // applied offset for which the watchers were called
+	changed  chan struct{}   // closed and replaced after each update
 	watchers []func(Key)
-	lastRead time.Time // of the latest successful read
-	tailed   bool      // reading started near the log's end
+	lastRead time.Time // time of the latest successful read
+	tailed   bool      // reading started near the end of the log
 
 	keepClaims bool
 
@@ -49,7 +50,8 @@
 	done   chan struct{}
 }
 
-// NewReplica starts to follow the log from its oldest record.
+// NewReplica returns a replica that starts reading the log. With keepClaims it reads
+// from the oldest record; without, it may skip to the newest tailRecords records.
 func NewReplica(log wardturn.Log, clock wardturn.Clock, logger hclog.Logger, keepClaims bool) *Replica {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Replica{
@@ -73,57 +75,57 @@
 	return r
 }
 
-// Close stops following.
+// Close stops reading the log and waits until the goroutine has ended.
 func (r *Replica) Close() {
 	r.cancel()
 	<-r.done
 }
 
-// Watch calls f for each document that changes from now on, for one change at a
-// time. Register watchers before they matter and read the present state after.
+// Watch registers f to be called for each document that changes from now on, one change
+// at a time. To miss no change, call Watch first and read the current documents after.
 func (r *Replica) Watch(f func(Key)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.watchers = append(r.watchers, f)
 }
 
-// Applied returns the newest offset that was applied and that all watchers have
-// been told of.
+// Applied returns the newest offset that was applied and for which all watchers have
+// been called.
 func (r *Replica) Applied() wardturn.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.visible
 }
 
-// Get returns a document in force.
+// Get returns the current version of a document.
 func (r *Replica) Get(key Key) (Doc, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Get(key)
 }
 
-// Docs returns the documents of a kind, or all.
+// Docs returns the documents of a kind, or all if kind is empty, sorted by key.
 func (r *Replica) Docs(kind string) []Doc {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Docs(kind)
 }
 
-// Fence returns the fence of an upstream's newest agent.
+// Fence returns the fencing token of an upstream's newest agent process.
 func (r *Replica) Fence(id wardturn.UpstreamID) wardturn.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Fence(id)
 }
 
-// LastRead returns when the log was last read with success.
+// LastRead returns the time of the latest successful read of the log.
 func (r *Replica) LastRead() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastRead
 }
 
-// Seed adopts a peer's configuration; see State.Seed.
+// Seed installs the configuration of a peer; see State.Seed.
 func (r *Replica) Seed(page Page, applied wardturn.Offset) {
 	r.taking.Lock()
 	defer r.taking.Unlock()
@@ -134,8 +136,8 @@
 	r.tell()
 }
 
-// tell tells the watchers of the documents that what was taken changed, then those
-// that wait. Taking is held.
+// tell calls the watchers for each changed document and then wakes the goroutines in
+// wait. The caller holds taking.
 func (r *Replica) tell() {
 	r.mu.Lock()
 	watchers := r.watchers
@@ -151,9 +153,9 @@
 	r.announce()
 }
 
-// tailRecords is how many records before the log's end a process that needs only
-// the configuration starts to read. Snapshots come far more often; should none be
-// there, it starts again from the log's first record.
+// tailRecords is how many records before the end of the log a process that needs only
+// the configuration starts to read. Snapshots are appended far more often than that; if
+// none is found, the process starts again from the first record of the log.
 const tailRecords = 20_000
 
 func (r *Replica) follow(ctx context.Context) {
@@ -175,7 +177,7 @@
 			r.skip(next, page.First)
 		default:
 			if wait == minBackoff && ctx.Err() == nil {
-				r.logger.Warn("log unreadable", "next", next, "error", err)
+				r.logger.Warn("reading the log failed; retrying", "next", next, "error", err)
 			}
 			r.pause(ctx, wait)
 			wait = min(2*wait, maxBackoff)
@@ -190,8 +192,8 @@
 	return r.state.Read() + 1
 }
 
-// startNearEnd skips most of a long log. A log that cannot be read now is read
-// from its start later.
+// startNearEnd skips all but the last tailRecords records of the log. If the log cannot
+// be read now, nothing is skipped and it is read from its first record later.
 func (r *Replica) startNearEnd(ctx context.Context) {
 	page, err := r.log.Read(ctx, 1, 1, 0)
 	if err != nil && !errors.Is(err, wardturn.ErrOutOfRetention) {
@@ -205,8 +207,8 @@
 	}
 }
 
-// startOver reads the log from its first record after no base was found near its
-// end.
+// startOver resets the state, to read the log from its first record, if the end of the
+// log had no snapshot to serve as the baseline.
 func (r *Replica) startOver() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -245,13 +247,14 @@
 	}
 }
 
-// announce wakes those that wait for records. The lock is held.
+// announce wakes the goroutines in wait. The caller holds mu.
 func (r *Replica) announce() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// pause waits about d, with jitter so that many processes do not act together.
+// pause sleeps for between d/2 and 3d/2, at random, so that many processes do not act
+// at the same time.
 func (r *Replica) pause(ctx context.Context, d time.Duration) {
 	wardturn.Sleep(ctx, r.clock, d/2+rand.N(d))
 }
@@ -263,8 +266,8 @@
 	})
 }
 
-// wait returns when a condition holds for the state that all watchers were told
-// of.
+// wait returns when a condition holds for a state for which all watchers have been
+// called.
 func (r *Replica) wait(ctx context.Context, holds func(*State) bool) error {
 	for {
 		r.mu.Lock()
@@ -282,9 +285,9 @@
 	}
 }
 
-// Publish appends a change and returns what became of it. An error other than
-// ErrConflict leaves open whether the change was accepted; publishing it again
-// with the same id settles that without harm.
+// Publish appends a change and returns its result. After an error other than
+// ErrConflict it is unknown whether the change was accepted. It is safe to publish it
+// again with the same ID, which returns the result of the first append.
 func (r *Replica) Publish(ctx context.Context, c Change) (Result, error) {
 	data, err := Encode(Record{
 		Change: &c,
@@ -310,7 +313,7 @@
 	return res, nil
 }
 
-// append appends a record whose repetition is harmless.
+// append appends a record, with retries. The record must be idempotent.
 func (r *Replica) append(ctx context.Context, data []byte) error {
 	var err error
 	wait := minBackoff
@@ -319,8 +322,8 @@
 			return nil
 		}
 		if errors.Is(err, wardturn.ErrReplyLost) {
-			// It may be on the log: the caller reads on to find out, and the
-			// next try repeats it without harm.
+			// The record may be on the log. Appending it again is safe, and the
+			// caller finds out by reading the log.
 			r.pause(ctx, wait)
 		} else {
 			r.pause(ctx, 2*wait)
@@ -330,7 +333,8 @@
 	return err
 }
 
-// AppendStart appends the agent's start record and returns its fence.
+// AppendStart appends the start record of an agent process and returns its fencing
+// token.
 func (r *Replica) AppendStart(ctx context.Context, s Start) (wardturn.Fence, error) {
 	data, err := Encode(Record{
 		Start: &s,
--- a/control/replica_test.go
+++ b/control/replica_test.go
@@ -30,7 +30,7 @@
 	return r
 }
 
-// countingLog counts the records read.
+// countingLog counts the records that are read.
 type countingLog struct {
 	wardturn.Log
 	records atomic.Int64
@@ -62,7 +62,7 @@
 		log = standin.NewLog(process.Clock{}, standin.LogConfig{})
 	})
 
-	It("accepts exactly one of two racing publications, everywhere", func() {
+	It("accepts exactly one of two concurrent publications in all processes", func() {
 		x, y, z := replica(log), replica(log), replica(log)
 		var wg sync.WaitGroup
 		errs := make([]error, 2)
@@ -85,7 +85,7 @@
 		}
 	})
 
-	It("publishes once although replies are lost", func() {
+	It("publishes once when replies are lost", func() {
 		lost := 0
 		log.SetFaults(standin.LogFaults{
 			LoseReply: func() bool {
@@ -96,11 +96,11 @@
 		r := replica(log)
 		res, err := r.Publish(ctx, change("p", 0, "body"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(res.Version).To(Equal(wardturn.Offset(1)), "the first copy counts")
+		Expect(res.Version).To(Equal(wardturn.Offset(1)), "offset of the first of the three appends")
 		Expect(log.Appends()).To(Equal(3))
 	})
 
-	It("refuses to publish while the log is out, and goes on with what it has", func() {
+	It("fails to publish while the log is unavailable, and keeps its documents", func() {
 		r := replica(log)
 		_, err := r.Publish(ctx, change("p", 0, "body"))
 		Expect(err).NotTo(HaveOccurred())
@@ -133,7 +133,7 @@
 		Expect(doc.Version).To(Equal(wardturn.Offset(1)), "the original version")
 	})
 
-	It("starts near the end of a long log, and over again if there is no snapshot", func() {
+	It("starts near the end of a long log, and from the first record if it finds no snapshot", func() {
 		first := replica(log)
 		_, err := first.Publish(ctx, change("p", 0, "body"))
 		Expect(err).NotTo(HaveOccurred())
@@ -156,15 +156,15 @@
 			}).WithTimeout(10 * time.Second).Should(BeTrue())
 			return int(counting.records.Load())
 		}
-		Expect(newcomer()).To(BeNumerically(">", 20_002), "no snapshot: the end, then everything")
+		Expect(newcomer()).To(BeNumerically(">", 20_002), "no snapshot: reads the end, then all records")
 		Expect(first.Snapshot(ctx)).To(Succeed())
 		fill()
-		Expect(newcomer()).To(BeNumerically(">", 20_002), "the snapshot is too far back")
+		Expect(newcomer()).To(BeNumerically(">", 20_002), "the snapshot is before the last 20 000 records")
 		Expect(first.Snapshot(ctx)).To(Succeed())
 		Expect(newcomer()).To(BeNumerically("<=", 20_002))
 	})
 
-	It("takes a peer's documents while the log is out, and never older ones", func() {
+	It("never replaces documents by older ones of a peer", func() {
 		r := replica(log)
 		_, err := r.Publish(ctx, change("p", 0, "new"))
 		Expect(err).NotTo(HaveOccurred())
@@ -181,7 +181,7 @@
 })
 
 var _ = Describe("Claimer", func() {
-	It("lets one of many racing claims run and appends them in batches", func() {
+	It("lets one of many concurrent claims of a key run and appends them in batches", func() {
 		log := standin.NewLog(process.Clock{}, standin.LogConfig{
 			Latency: 5 * time.Millisecond,
 		})
--- a/control/seed_test.go
+++ b/control/seed_test.go
@@ -12,7 +12,7 @@
 	"wardturn/standin"
 )
 
-// told collects the keys that a replica tells of.
+// told records the keys of the documents for which a watcher was called.
 type told struct {
 	mu   sync.Mutex
 	keys []control.Key
@@ -32,7 +32,7 @@
 	return keys
 }
 
-// docAt is a document that was published at an offset.
+// docAt returns a document that was published at an offset.
 func docAt(key control.Key, version wardturn.Offset, body string) control.Doc {
 	return control.Doc{
 		Key:     key,
@@ -41,8 +41,8 @@
 	}
 }
 
-var _ = Describe("Documents of a peer", func() {
-	It("tell the watchers also of documents that are gone", func() {
+var _ = Describe("Replica.Seed", func() {
+	It("calls the watchers for deleted documents too", func() {
 		log := standin.NewLog(process.Clock{}, standin.LogConfig{})
 		log.SetFaults(standin.LogFaults{
 			Down: true,
@@ -71,7 +71,7 @@
 		Expect(known).To(BeFalse(), "the key of a caller that was deleted")
 	})
 
-	It("are not taken when records between them and the log as read were missed", func() {
+	It("ignores a configuration if records after it were skipped", func() {
 		const peerAt, first = 200, 250
 		record := func(offset wardturn.Offset, base wardturn.Offset, body string) wardturn.LogRecord {
 			c := change(body, base, body)
@@ -86,8 +86,8 @@
 		}
 		s := control.NewState(false)
 		s.Skip(first)
-		// The record at 230, which this process missed, put version 230 in
-		// force; the one at 250 replaces it.
+		// The skipped record at 230 published version 230, which the record at
+		// 250 replaces.
 		s.Apply(record(first, 230, "newest"))
 		s.Seed(control.Page{
 			Docs: []control.Doc{
@@ -95,6 +95,6 @@
 			},
 		}, peerAt)
 		Expect(s.Based()).To(BeFalse())
-		Expect(s.Applied()).To(BeZero(), "what is in force at 250 is not known")
+		Expect(s.Applied()).To(BeZero(), "the current version at 250 is unknown")
 	})
 })
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -9,10 +9,11 @@
 	"wardturn"
 )
 
-// snapshotPartBytes bounds the documents in one part of a snapshot.
+// snapshotPartBytes is the maximum size of the documents in one part of a snapshot. A
+// larger document has a part of its own.
 const snapshotPartBytes = 256 << 10
 
-// parts divides documents into parts of bounded size.
+// parts divides documents into parts of at most about snapshotPartBytes.
 func parts(docs []Doc) [][]Doc {
 	var list [][]Doc
 	var part []Doc
@@ -29,8 +30,8 @@
 	return append(list, part)
 }
 
-// Snapshot appends all documents in force again, with their versions. Two
-// processes may do it at the same time; the second is without effect.
+// Snapshot appends all current documents again, with their versions. Several processes
+// may append a snapshot at the same time; the later ones have no effect.
 func (r *Replica) Snapshot(ctx context.Context) error {
 	r.mu.Lock()
 	through := r.state.Applied()
@@ -39,7 +40,7 @@
 	based := r.state.Based()
 	r.mu.Unlock()
 	if !based {
-		return errors.Wrap(wardturn.ErrUnavailable, "control: nothing to make a snapshot from")
+		return errors.Wrap(wardturn.ErrUnavailable, "control: no baseline to make a snapshot from")
 	}
 	list := parts(docs)
 	for i, part := range list {
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// snapshotDue reports whether the newest snapshot is older than a time, or so far
-// back that a process which starts near the log's end would soon miss it.
+// snapshotDue reports whether the newest snapshot is older than age, or so many records
+// back that a process that starts reading near the end of the log would soon miss it.
 func (r *Replica) snapshotDue(age time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -79,9 +80,9 @@
 	return r.clock.Now().Sub(r.state.SnapshotTime()) > age
 }
 
-// KeepSnapshots makes a snapshot whenever the newest is older than a time, until
-// ctx ends. Every entry host does this; each waits a random part of the time
-// first, so that nearly always one is first and the others see its snapshot.
+// KeepSnapshots appends a snapshot whenever one is due, until ctx ends. Every entry
+// host runs it. Each waits for a random time before it appends, so that usually one
+// host appends the snapshot and the others see it in time.
 func (r *Replica) KeepSnapshots(ctx context.Context, every time.Duration) {
 	for ctx.Err() == nil {
 		r.pause(ctx, every/snapshotChecks)
@@ -98,18 +99,19 @@
 	}
 }
 
-// snapshotChecks is how often within the time between two snapshots it is
-// checked whether one is due.
+// snapshotChecks is how many times per snapshot interval a process checks whether a
+// snapshot is due.
 const snapshotChecks = 4
 
-// Page is a part of a process's configuration, for a peer.
+// Page is a part of the configuration of a process. Peers exchange pages while the log
+// is unavailable.
 type Page struct {
 	Docs    []Doc    `msgpack:"d"`
-	Results []Result `msgpack:"r"` // of recent publications; in the first page
+	Results []Result `msgpack:"r"` // of recent publications; only in the first page
 }
 
-// Page returns one page of the configuration for a peer, the number of pages, and
-// the offset that they stand for.
+// Page returns the page with index i of the configuration, the number of pages, and the
+// offset of the record up to which the configuration was applied.
 func (r *Replica) Page(i int) (p Page, pages int, applied wardturn.Offset) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/control/state.go
+++ b/control/state.go
@@ -8,61 +8,63 @@
 	"wardturn"
 )
 
-// ClaimWindow is how long a claim is remembered, in the log's time. A key that
-// was created longer ago is refused.
+// ClaimWindow is the maximum age of an idempotency key, by the clock of the log. Older
+// keys are refused.
 const ClaimWindow = 10 * time.Minute
 
-// KeySkew is how far the clock by which a key was created may be ahead of the
-// log's.
+// KeySkew is how far the clock that gave a key its creation time may be ahead of the
+// clock of the log.
 const KeySkew = time.Minute
 
 const (
-	// publicationsKept bounds the publications whose results are remembered.
+	// publicationsKept is the maximum number of publications whose results are kept.
 	publicationsKept = 4096
-	// resultsInSnapshot bounds those that a snapshot passes on. A publisher
-	// repeats itself only within seconds.
+	// resultsInSnapshot is the maximum number of results in a snapshot. It can be
+	// smaller because publishers retry for a few seconds only.
 	resultsInSnapshot = 256
 )
 
-// Result says what became of a publication.
+// Result is the outcome of a publication.
 type Result struct {
 	ID       PublicationID   `msgpack:"i"`
 	Accepted bool            `msgpack:"a"`
-	Version  wardturn.Offset `msgpack:"v"`           // of the record
-	Conflict Key             `msgpack:"c,omitempty"` // the first document whose version differed
-	InForce  wardturn.Offset `msgpack:"f,omitempty"` // that document's version
+	Version  wardturn.Offset `msgpack:"v"`           // offset of the record
+	Conflict Key             `msgpack:"c,omitempty"` // first document whose version differed from its Base
+	InForce  wardturn.Offset `msgpack:"f,omitempty"` // current version of that document
 }
 
-// ClaimResult says who claimed a key first.
+// ClaimResult is the first claim of a key and its origin.
 type ClaimResult struct {
 	Claim    Claim
 	Upstream wardturn.UpstreamID
 	Process  wardturn.Incarnation
 	Offset   wardturn.Offset
-	TooOld   bool // the key was created before the remembered window
+	TooOld   bool // an earlier claim of the key may be unknown
 }
 
-// State is the fold of the log's records. It is not safe for concurrent use.
+// State is the state machine to which the records of the log are applied. It is not
+// safe for concurrent use.
 //
-// A process that cannot read the log from its first record has no base: it does
-// not know which versions were in force, so it cannot tell which publications
-// were accepted. It keeps them until a whole snapshot gives it a base, then
-// replays those that came after. Until then it holds the documents that it held
-// before. A process with a base has no use for snapshots and ignores them.
+// A process that cannot read the log from its first record has no baseline, that is, no
+// complete set of documents to apply publications to: it does not know the current
+// versions, so it cannot tell which publications were accepted. It queues publications
+// until a complete snapshot provides the baseline, and then applies those that follow
+// the snapshot. Until then it keeps the documents that it had before. A process with a
+// baseline ignores the documents in snapshots.
 type State struct {
-	read     wardturn.Offset // newest record taken
-	applied  wardturn.Offset // the documents are those in force after this record
-	from     wardturn.Offset // every record since this one was taken
+	read     wardturn.Offset // offset of the newest record that was read
+	applied  wardturn.Offset // the documents are current as of this record
+	from     wardturn.Offset // all records from this one up to read were read
 	based    bool
-	backlog  []pendingChange // while there is no base
+	backlog  []pendingChange // publications that were read without a baseline
 	logTime  time.Time
-	snapAt   time.Time // of the newest whole snapshot
-	snapRead wardturn.Offset
+	snapAt   time.Time       // time of the newest complete snapshot
+	snapRead wardturn.Offset // offset of its last part
 	docs     map[Key]Doc
 	claims   map[claimKey]ClaimResult
-	order    []claimKey // of claims, by offset
-	gap      bool       // records before the next one were not read
-	horizon  time.Time  // claims before this may have been missed
+	order    []claimKey // claimed keys by offset of the first claim
+	gap      bool       // records just before the next one were not read
+	horizon  time.Time  // claims before this time may have been missed; zero: none
 	starts   map[wardturn.UpstreamID]wardturn.Offset
 	results  map[PublicationID]Result
 	recent   []PublicationID
@@ -77,21 +79,21 @@
 	key    wardturn.IdempotencyKey
 }
 
-// pendingChange is a publication that waits for a base.
+// pendingChange is a publication that is queued until there is a baseline.
 type pendingChange struct {
 	record wardturn.LogRecord
 	change *Change
 }
 
-// partial is a snapshot whose parts are still coming.
+// partial is a snapshot of which not all parts were read yet.
 type partial struct {
 	have    map[int]bool
 	docs    map[Key]Doc
 	results []Result
 }
 
-// NewState returns the fold of an empty log. Claims are kept only if asked for:
-// entry hosts do not need them.
+// NewState returns the state of an empty log. Claims are kept only if keepClaims is
+// set, because entry hosts do not need them.
 func NewState(keepClaims bool) *State {
 	return &State{
 		from:     1,
@@ -106,29 +108,30 @@
 	}
 }
 
-// Read returns the offset of the newest record taken.
+// Read returns the offset of the newest record that was read.
 func (s *State) Read() wardturn.Offset {
 	return s.read
 }
 
-// Based reports whether the documents follow the log.
+// Based reports whether the state has a baseline, so that publications are applied as
+// they are read.
 func (s *State) Based() bool {
 	return s.based
 }
 
-// Applied returns the offset of the record after which the documents held were
-// in force. Without a base it lags behind Read.
+// Applied returns the offset of the record up to which the documents are current.
+// Without a baseline it is lower than Read.
 func (s *State) Applied() wardturn.Offset {
 	return s.applied
 }
 
-// Get returns a document in force.
+// Get returns the current version of a document.
 func (s *State) Get(key Key) (Doc, bool) {
 	d, ok := s.docs[key]
 	return d, ok
 }
 
-// Docs returns the documents of a kind, or all, in order of their keys.
+// Docs returns the documents of a kind, or all if kind is empty, sorted by key.
 func (s *State) Docs(kind string) []Doc {
 	var list []Doc
 	for key, d := range s.docs {
@@ -142,18 +145,19 @@
 	return list
 }
 
-// Result returns what became of a publication.
+// Result returns the outcome of a publication, if it is still kept.
 func (s *State) Result(id PublicationID) (Result, bool) {
 	r, ok := s.results[id]
 	return r, ok
 }
 
-// Fence returns the offset of an upstream's newest start record.
+// Fence returns the fencing token of an upstream's newest agent process: the offset of
+// its start record.
 func (s *State) Fence(id wardturn.UpstreamID) wardturn.Offset {
 	return s.starts[id]
 }
 
-// First returns the first claim of a key.
+// First returns the first claim of a key, or the claim that superseded it.
 func (s *State) First(caller wardturn.CallerID, key wardturn.IdempotencyKey) (ClaimResult, bool) {
 	r, ok := s.claims[claimKey{
 		caller: caller,
@@ -162,8 +166,8 @@
 	return r, ok
 }
 
-// Apply folds one record. Records come in the order of their offsets; one that
-// was applied before is ignored.
+// Apply applies one record. Records have to be passed in the order of their offsets; a
+// record that was read before is ignored.
 func (s *State) Apply(lr wardturn.LogRecord) {
 	if lr.Offset <= s.read {
 		return
@@ -204,8 +208,9 @@
 	}
 }
 
-// Skip records that the records before an offset are out of retention. What was
-// published and claimed by them can no longer be known.
+// Skip makes first the offset of the next record without reading the records before it,
+// for example because they are out of retention. The state loses its baseline, since
+// the publications and claims in the skipped records are unknown.
 func (s *State) Skip(first wardturn.Offset) {
 	if first-1 <= s.read {
 		return
@@ -220,7 +225,7 @@
 
 func (s *State) applyChange(lr wardturn.LogRecord, c *Change) {
 	if _, seen := s.results[c.ID]; seen {
-		return // the same publication appended twice after a lost reply
+		return // appended again after a lost reply
 	}
 	res := Result{
 		ID:       c.ID,
@@ -262,7 +267,7 @@
 	s.onChange(dc.Key)
 }
 
-// Recent returns the results of the latest publications, for a snapshot.
+// Recent returns the results of the newest publications, for a snapshot.
 func (s *State) Recent() []Result {
 	list := make([]Result, 0, resultsInSnapshot)
 	for _, id := range s.recent[max(0, len(s.recent)-resultsInSnapshot):] {
@@ -271,7 +276,7 @@
 	return list
 }
 
-// SnapshotTime returns the log's time of the newest whole snapshot.
+// SnapshotTime returns the log time of the newest complete snapshot.
 func (s *State) SnapshotTime() time.Time {
 	return s.snapAt
 }
@@ -285,9 +290,9 @@
 	}
 }
 
-// applySnapshot collects the parts of a snapshot. A whole one gives a base to a
-// process that has none, if it has read every record since the snapshot was
-// made.
+// applySnapshot collects the parts of a snapshot. If the state has no baseline, a
+// complete snapshot becomes the baseline, provided that all records after the
+// snapshot's Through offset were read.
 func (s *State) applySnapshot(lr wardturn.LogRecord, snap *Snapshot) {
 	p := s.partial[snap.Through]
 	if p == nil {
@@ -315,7 +320,8 @@
 	}
 }
 
-// rebase replaces the documents by a snapshot's and replays what came after it.
+// rebase replaces the documents by those of a snapshot and applies the queued
+// publications that follow it.
 func (s *State) rebase(through wardturn.Offset, p *partial) {
 	old := s.docs
 	s.docs = p.docs
@@ -344,9 +350,10 @@
 	}
 }
 
-// Seed adopts the documents of a peer while the log is out: those in force after
-// the record at applied, and the results of publications up to it. They are not taken if they are older than those held, or
-// if records between them and the oldest one read were missed.
+// Seed installs the configuration of a peer while the log is unavailable: the documents
+// as of the record at offset applied, and the results of publications up to it. It does
+// nothing if the configuration is not newer than the present one, or if records between
+// it and the oldest record that was read are missing.
 func (s *State) Seed(page Page, applied wardturn.Offset) {
 	missed := s.read > applied && s.from > applied+1
 	if applied <= s.applied || missed {
--- a/control/state_model_test.go
+++ b/control/state_model_test.go
@@ -13,7 +13,8 @@
 	"wardturn/control"
 )
 
-// TestMain fixes the seed of the model checks; see package decide's.
+// TestMain makes the model checks deterministic: it sets the seed, the number of checks
+// and the number of steps unless flags do.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == f.DefValue {
@@ -23,25 +24,25 @@
 		_ = f.Value.Set("300")
 	}
 	if f := flag.Lookup("rapid.steps"); f.Value.String() == f.DefValue {
-		_ = f.Value.Set("60") // a fault needs several events to show
+		_ = f.Value.Set("60") // a fault can take several events to show
 	}
 	os.Exit(m.Run())
 }
 
 var start = time.Date(2026, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// logModel is a log with retention that several processes read at their own
-// pace, start late and restart. Publishers race, repeat themselves after lost
-// replies, and snapshots are made from whatever their maker has read.
+// logModel models a log with retention and several processes that read it at different
+// speeds, start late and restart. Publications conflict and are repeated after lost
+// replies. Snapshots contain what the process that appends them has read.
 type logModel struct {
 	now     time.Time
 	log     []wardturn.LogRecord
 	first   int // index of the oldest record retained
 	readers []*reader
-	truth   *control.State // reads everything at once
+	truth   *control.State // reads every record as it is appended
 	sent    []control.Change
-	inForce map[control.Key]wardturn.Offset // highest version ever accepted, by the truth
-	created map[string]time.Time            // of the keys
+	inForce map[control.Key]wardturn.Offset // highest version that truth ever accepted
+	created map[string]time.Time            // creation times of idempotency keys
 	ran     map[string]int
 	next    uint64
 }
@@ -95,7 +96,7 @@
 	}
 }
 
-// Publish has an operator publish by what one process has read.
+// Publish publishes a change that is based on the documents of one process.
 func (m *logModel) Publish(t *rapid.T) {
 	r := m.readers[rapid.IntRange(0, modelReaders-1).Draw(t, "by")]
 	m.next++
@@ -119,7 +120,7 @@
 	})
 }
 
-// Repeat has a publisher repeat itself, as after a lost reply.
+// Repeat appends the newest publication again, as after a lost reply.
 func (m *logModel) Repeat(t *rapid.T) {
 	if len(m.sent) == 0 {
 		t.Skip("nothing published")
@@ -134,7 +135,7 @@
 	}
 }
 
-// Snapshot has one process append what it has read, in parts.
+// Snapshot appends a snapshot of one process, in one or two parts.
 func (m *logModel) Snapshot(t *rapid.T) {
 	r := m.readers[rapid.IntRange(0, modelReaders-1).Draw(t, "by")]
 	if !r.state.Based() {
@@ -161,8 +162,8 @@
 	}
 }
 
-// Drop ends the retention of old records. The snapshot that covers them was
-// appended before, as the rule for snapshots demands.
+// Drop ends the retention of old records, but only of those that a snapshot covers, as
+// snapshots are appended before the retention of their documents' records ends.
 func (m *logModel) Drop(t *rapid.T) {
 	covered := 0
 	for i := len(m.log) - 1; i >= 0 && covered == 0; i-- {
@@ -177,7 +178,7 @@
 	m.first = rapid.IntRange(m.first, covered).Draw(t, "first")
 }
 
-// Read has a process read some records.
+// Read lets a process read up to 5 records.
 func (m *logModel) Read(t *rapid.T) {
 	r := m.readers[rapid.IntRange(0, modelReaders-1).Draw(t, "who")]
 	n := rapid.IntRange(1, 5).Draw(t, "records")
@@ -195,12 +196,13 @@
 	}
 }
 
-// Restart replaces a process by one that knows nothing.
+// Restart replaces a process by one with an empty state.
 func (m *logModel) Restart(t *rapid.T) {
 	m.readers[rapid.IntRange(0, modelReaders-1).Draw(t, "who")] = newReader()
 }
 
-// Claim has an agent claim a key, read up to the claim, and run if it may.
+// Claim appends a claim for an agent, lets the agent read up to it, and counts a run if
+// the claim allows it.
 func (m *logModel) Claim(t *rapid.T) {
 	r := m.readers[rapid.IntRange(0, modelReaders-1).Draw(t, "by")]
 	key := fmt.Sprint("k", rapid.IntRange(0, 4).Draw(t, "key"))
@@ -233,7 +235,9 @@
 	}
 }
 
-// Check holds after every step.
+// Check verifies after every step that no key ran twice, that no process replaced a
+// document by an older one or has a version that was never accepted, and that processes
+// that have read the whole log have the same documents.
 func (m *logModel) Check(t *rapid.T) {
 	for key, n := range m.ran {
 		if n > 1 {
@@ -256,7 +260,7 @@
 	}
 }
 
-// compare holds a process that has read everything against the truth.
+// compare checks that a process that has read the whole log has the documents of truth.
 func (m *logModel) compare(t *rapid.T, i int, r *reader) {
 	want := m.truth.Docs("")
 	got := r.state.Docs("")
--- a/policy/builtin.go
+++ b/policy/builtin.go
@@ -7,7 +7,7 @@
 	"wardturn"
 )
 
-// The names of the built-in policies.
+// Names of the built-in policies.
 const (
 	NameDefault     = "builtin:default"
 	NameLRU         = "builtin:lru"
@@ -16,27 +16,27 @@
 )
 
 const (
-	// rateWeight is what one request a second is worth, in waiting requests.
+	// rateWeight is the weight of a predicted rate of one request per second. The
+	// unit of all weights is one waiting interactive request.
 	rateWeight = 4.0
-	// ageWeight is what a second of waiting adds to an adapter's value, in
-	// waiting requests.
+	// ageWeight is the weight of each second that the oldest interactive request
+	// has waited.
 	ageWeight = 0.05
-	// batchWeight is what a waiting batch request is worth, in waiting
-	// interactive requests.
+	// batchWeight is the weight of a waiting batch request.
 	batchWeight = 0.01
-	// batchLimit bounds what waiting batch requests add to an adapter's value.
+	// batchLimit is the maximum weight of all waiting batch requests of an adapter.
 	batchLimit = 0.1
-	// defaultHold bounds how long the default policy lets batch work wait.
+	// defaultHold is how long the default policy lets batch requests wait.
 	defaultHold = 30 * time.Minute
-	// batchRun is the number of waiting batch requests, in engine steps full of
-	// them, that start a run.
+	// batchRun is how many full engine batches of batch requests have to wait
+	// before the default policy starts to run them.
 	batchRun = 6
 )
 
-// Default is the policy in force until an operator publishes another. It keeps
-// the adapters of the highest predicted rate, loads for the most waiting
-// requests, lets waiting grow in value with age, and holds batch work until an
-// engine has enough of it to fill its steps.
+// Default is the policy that is used until an operator publishes another. The value of
+// an adapter grows with its predicted request rate, with the number of its waiting
+// requests, and with the age of the oldest of them. Batch requests are held until there
+// are enough of them to run the engine with full batches.
 type Default struct{}
 
 // Name implements wardturn.Policy.
@@ -66,22 +66,22 @@
 	return 0
 }
 
-// lru values residents by recency and loads in order of arrival. It never
-// holds.
+// lru evicts the least recently used adapter and loads adapters in order of arrival. It
+// never holds batch requests.
 type lru struct {
 	name string
 }
 
-// NewLRU returns the baseline for least-loaded routing with least recently used
-// slots.
+// NewLRU returns the baseline that combines least-loaded routing with LRU eviction of
+// adapters.
 func NewLRU() wardturn.Policy {
 	return lru{
 		name: NameLRU,
 	}
 }
 
-// NewAffinity returns the baseline for plain adapter affinity, which manages
-// its slots as NewLRU does.
+// NewAffinity returns the baseline that routes by adapter affinity only. It manages
+// slots like NewLRU.
 func NewAffinity() wardturn.Policy {
 	return lru{
 		name: NameAffinity,
@@ -93,8 +93,8 @@
 	return p.name
 }
 
-// Slot implements wardturn.Policy. Anything that waits beats anything idle, as
-// in a plain cache; the longest wait goes first.
+// Slot implements wardturn.Policy. Adapters with waiting requests have higher values
+// than all others, as in a plain LRU cache; among them the longest wait has the highest.
 func (lru) Slot(in wardturn.SlotInput) float64 {
 	if in.Waiting+in.BatchWait > 0 {
 		return 1 + max(in.WaitingLong, in.BatchLong).Seconds()
--- a/policy/check.go
+++ b/policy/check.go
@@ -6,19 +6,20 @@
 	"wardturn"
 )
 
-// Sample is what one function returned for one sample input.
+// Sample is the result of one function for one sample input.
 type Sample struct {
 	Function string
 	Sample   string
 	Value    float64
 }
 
-// slotSample and queueSample are inputs that every program must handle.
+// slotSample is a sample input of slot.
 type slotSample struct {
 	name string
 	in   wardturn.SlotInput
 }
 
+// queueSample is a sample input of hold and order.
 type queueSample struct {
 	name string
 	in   wardturn.QueueInput
@@ -81,8 +82,8 @@
 	}
 }
 
-// Check compiles a program and evaluates its functions on sample inputs. The
-// error is a *Problem that names the place.
+// Check compiles a program and evaluates its functions on sample inputs, which every
+// program has to handle without failing. The error is a *Problem with the position.
 func Check(file, src string) ([]Sample, error) {
 	p, err := Compile(file, src)
 	if err != nil {
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -9,7 +9,7 @@
 	"wardturn"
 )
 
-// Field documents one attribute of a policy function's parameter.
+// Field describes one attribute of the parameter of a policy function.
 type Field struct {
 	Name string
 	Unit string
@@ -51,7 +51,7 @@
 	}
 }
 
-// errUnhashable is returned when a program uses an input as a key.
+// errUnhashable is returned when a program uses an input as the key of a dict.
 var errUnhashable = errors.New("policy input is not hashable")
 
 // slotValue is a SlotInput as a frozen Starlark value.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -39,7 +39,7 @@
 		Entry("not a number", "def order(r):\n  return 'x'", 1, 1, "not a finite number"),
 		Entry("infinite", "def order(r):\n  return float('inf')", 1, 1, "not a finite number"),
 		Entry("no loading", "load('x', 'y')\ndef slot(a):\n  return 1", 1, 1, "load"),
-		Entry("endless at the top", "x = [i for i in range(1000000)]", 1, 8, "too many steps"),
+		Entry("too many steps at the top level", "x = [i for i in range(1000000)]", 1, 8, "too many steps"),
 	)
 })
 
@@ -49,7 +49,7 @@
 		Waiting: 3,
 	}
 
-	It("falls back for one decision when a call fails, and counts it", func() {
+	It("uses the default for one decision when a call fails, and counts the failure", func() {
 		p, err := policy.Compile("p", "def slot(a):\n  if a.waiting == 3:\n    fail('no')\n  return 7.0")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Slot(in)).To(Equal(policy.Default{}.Slot(in)))
@@ -58,15 +58,15 @@
 		Expect(p.LastError()).To(MatchError(ContainSubstring("p:3:")))
 	})
 
-	It("falls back when a call takes too many steps", func() {
+	It("uses the default when a call takes too many steps", func() {
 		p, err := policy.Compile("p", "def slot(a):\n  n = 0\n  for i in range(1000000):\n    n += i\n  return n")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Slot(in)).To(Equal(policy.Default{}.Slot(in)))
 		Expect(p.Counters()).To(Equal(policy.Counters{Calls: 1, Failures: 1, Overruns: 1}))
-		Expect(p.Slot(in)).To(Equal(policy.Default{}.Slot(in)), "the next call starts afresh")
+		Expect(p.Slot(in)).To(Equal(policy.Default{}.Slot(in)), "each call has its own step limit")
 	})
 
-	It("bounds what hold returns", func() {
+	It("limits the result of hold", func() {
 		p, err := policy.Compile("p", "def hold(r):\n  return -5 if r.running else 1e18")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Hold(wardturn.QueueInput{})).To(Equal(24 * time.Hour))
@@ -101,7 +101,7 @@
 	})
 })
 
-var _ = Describe("The page for policy writers", func() {
+var _ = Describe("docs/operators/policies.md", func() {
 	page, err := os.ReadFile("../docs/operators/policies.md")
 
 	It("has examples that pass the check", func() {
--- a/policy/program.go
+++ b/policy/program.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// callSteps bounds one call of a policy function.
+	// callSteps is the maximum number of Starlark steps of one call of a function.
 	callSteps = 10_000
-	// initSteps bounds the top level of a program.
+	// initSteps is the maximum number of Starlark steps of a program's top level.
 	initSteps = 100_000
-	// maxSource bounds a program's text, in bytes.
+	// maxSource is the maximum size of a program, in bytes.
 	maxSource = 64 << 10
-	// maxHold bounds what hold may return.
+	// maxHold is the maximum result of hold; larger ones are reduced to it.
 	maxHold = 24 * time.Hour
 )
 
-// Problem says where and why a program was rejected.
+// Problem is the error for a program that was rejected, or for a call that failed.
 type Problem struct {
 	File   string
 	Line   int
@@ -40,12 +40,11 @@
 // Counters counts the calls of a program.
 type Counters struct {
 	Calls    int
-	Failures int // calls that fell back, overruns included
-	Overruns int
+	Failures int // calls that used the fallback, including overruns
+	Overruns int // calls that exceeded the step limit
 }
 
-// Program is a compiled policy. It is not safe for concurrent use; compile one
-// for each user.
+// Program is a compiled policy. It is not safe for concurrent use.
 type Program struct {
 	name     string
 	fallback wardturn.Policy
@@ -57,15 +56,14 @@
 	args     [1]starlark.Value
 }
 
-// The functions that a program may define.
+// Functions that a program may define.
 const (
 	funcSlot  = "slot"
 	funcHold  = "hold"
 	funcOrder = "order"
 )
 
-// Compile reads a program and runs its top level. A rejected program returns a
-// *Problem.
+// Compile parses a program and runs its top level. The error is a *Problem.
 func Compile(name, src string) (*Program, error) {
 	if len(src) > maxSource {
 		return nil, problemAt(name, 1, 1, "program is larger than 64 KiB")
@@ -137,7 +135,8 @@
 	}
 }
 
-// toProblem finds the position that an error of the library carries.
+// toProblem converts an error of the Starlark library to a Problem. It uses the position
+// in the error, or line 1, column 1 if the error has none.
 func toProblem(file string, err error) *Problem {
 	var syntaxErr syntax.Error
 	if errors.As(err, &syntaxErr) {
@@ -203,12 +202,12 @@
 	return v
 }
 
-// Counters returns how the program's calls ended so far.
+// Counters returns the counts of the calls so far.
 func (p *Program) Counters() Counters {
 	return p.counters
 }
 
-// LastError returns the latest failure, or nil.
+// LastError returns the error of the latest failed call, or nil if none failed.
 func (p *Program) LastError() error {
 	return p.lastErr
 }
@@ -237,7 +236,7 @@
 	return f, true
 }
 
-// discard keeps a program's print calls from doing I/O.
+// discard ignores the output of a program's print calls, which must do no I/O.
 func discard(*starlark.Thread, string) {}
 
 func (p *Program) fail(err error) {
--- a/policy/shipped.go
+++ b/policy/shipped.go
@@ -1,7 +1,7 @@
 package policy
 
 import (
-	_ "embed" // for the shipped programs
+	_ "embed" // for the source of the shipped programs
 
 	"github.com/cockroachdb/errors"
 
@@ -14,16 +14,16 @@
 //go:embed tampere.star
 var tampereSource string
 
-// The names of the shipped programs.
+// Names of the shipped programs.
 const (
 	NameZurich  = "zurich"
 	NameTampere = "tampere"
 )
 
-// ErrUnknown is returned for a name that is no built-in policy.
+// ErrUnknown is returned for a name that is not that of a built-in policy.
 var ErrUnknown = errors.New("policy: no such built-in policy")
 
-// ShippedSource returns the text of a shipped program.
+// ShippedSource returns the source of a shipped program.
 func ShippedSource(name string) (string, bool) {
 	switch name {
 	case NameZurich:
@@ -34,9 +34,9 @@
 	return "", false
 }
 
-// Builtin returns a built-in or shipped policy by its name. The clairvoyant
-// bound is not among them: it exists only inside an experiment, which knows
-// the trace ahead.
+// Builtin returns the built-in policy or shipped program with the given name. It does
+// not know NameClairvoyant: this policy exists only in experiments, where the future
+// requests of the trace are known.
 func Builtin(name string) (wardturn.Policy, error) {
 	switch name {
 	case NameDefault, "":
--- a/policy/tampere.star
+++ b/policy/tampere.star
@@ -1,8 +1,8 @@
-# tampere: overnight summaries wait until an engine has a batch's worth of them
-# and then run together, so that its steps are full. Interactive work comes
-# first, as the mechanism sees to.
+# tampere: batch requests (overnight summaries) wait until an upstream has enough
+# of them to run the engine with full batches. The scheduler runs interactive
+# requests first, whatever the policy says.
 
-# Batch requests that start a run, at one engine.
+# Number of batch requests queued at one upstream that starts a run.
 RUN = 96
 
 def slot(a):
--- a/policy/zurich.star
+++ b/policy/zurich.star
@@ -1,6 +1,6 @@
-# zurich: a passenger is standing at the host, so load stalls weigh most.
-# Batch work runs beside interactive work on adapters that are ready anyway, and
-# hardly ever takes a slot of its own.
+# zurich: users wait for the answer in person, so load stalls weigh most. Batch
+# requests run next to interactive ones on adapters that are loaded anyway, and
+# hardly ever cause a load.
 
 def slot(a):
     value = 4.0 * a.rate
--- a/report/burn.go
+++ b/report/burn.go
@@ -13,13 +13,13 @@
 	Name      string          `json:"name"`
 	Team      wardturn.TeamID `json:"team"`
 	Indicator Indicator       `json:"indicator"`
-	Threshold time.Duration   `json:"threshold_ns"` // zero: any answer is good
-	Target    float64         `json:"target"`       // part of good events
+	Threshold time.Duration   `json:"threshold_ns"` // zero: any answered request is good
+	Target    float64         `json:"target"`       // required fraction of good events
 	Window    time.Duration   `json:"window_ns"`
 }
 
-// Alert is a pair of windows and the burn rate at which both must be for it to
-// fire: at a rate of 14.4 over an hour, 2% of a 30-day budget is gone.
+// Alert is a multi-window burn-rate alert. It fires if the burn rate is at least Rate
+// over both windows. A rate of 14.4 over an hour uses 2% of a 30-day budget.
 type Alert struct {
 	Name  string
 	Long  time.Duration
@@ -45,17 +45,17 @@
 	}
 }
 
-// Span is what is known of one span of time.
+// Span has the events and the burn rate of one alert window.
 type Span struct {
 	Length time.Duration `json:"length_ns"`
 	Events uint64        `json:"events"`
 	Bad    uint64        `json:"bad"`
-	Burn   float64       `json:"burn"`    // rate; meaningless without events
-	Known  float64       `json:"known"`   // part of the process minutes that were counted
-	NoData bool          `json:"no_data"` // nothing is known: not the same as no burn
+	Burn   float64       `json:"burn"`    // burn rate; meaningless without events
+	Known  float64       `json:"known"`   // fraction of the minutes of all processes that have counts
+	NoData bool          `json:"no_data"` // no events, so the burn rate is unknown, not zero
 }
 
-// Firing says whether an alert fires.
+// Firing is the state of an alert.
 type Firing struct {
 	Alert string `json:"alert"`
 	Long  Span   `json:"long"`
@@ -63,7 +63,8 @@
 	Fires bool   `json:"fires"`
 }
 
-// Line is one objective's part of a report, for all policies or for one.
+// Line is the report on one objective, over all policies if Policy is empty and
+// otherwise for one.
 type Line struct {
 	Objective Objective     `json:"objective"`
 	Policy    string        `json:"policy,omitempty"`
@@ -71,7 +72,7 @@
 	Minutes   []MinutePoint `json:"minutes"`
 }
 
-// MinutePoint is one minute of an objective for plots.
+// MinutePoint has the events of one minute, for plots.
 type MinutePoint struct {
 	Start  time.Time `json:"start"`
 	Events uint64    `json:"events"`
@@ -79,7 +80,7 @@
 	Known  bool      `json:"known"`
 }
 
-// Burn is a report on service-level burn.
+// Burn is a report on the burn rates of objectives.
 type Burn struct {
 	At        time.Time `json:"at"`
 	Processes int       `json:"processes"`
@@ -87,8 +88,8 @@
 	Lines     []Line    `json:"lines"`
 }
 
-// Compute makes a report from what the processes counted. Processes that did
-// not answer are named in missing; their minutes are unknown.
+// Compute computes a report from the counts of the processes. Processes that did not
+// answer are listed in missing; their minutes are unknown.
 func Compute(at time.Time, objectives []Objective, batches []Batch, missing []string) Burn {
 	b := Burn{
 		At:        at,
@@ -104,8 +105,8 @@
 	return b
 }
 
-// policiesOf returns the policies under which an objective's events happened, if
-// there were several.
+// policiesOf returns the policies that were active during the events of an objective,
+// sorted, or nil if there are fewer than two.
 func policiesOf(o Objective, batches []Batch) []string {
 	var list []string
 	for _, b := range batches {
@@ -144,7 +145,8 @@
 	return l
 }
 
-// span merges the whole minutes of the last length before at.
+// span computes the Span of the given length that ends at the last full minute before
+// at.
 func span(at time.Time, length time.Duration, o Objective, policy string, batches []Batch, missing int) Span {
 	end := at.Truncate(Minute)
 	start := end.Add(-length)
@@ -175,8 +177,8 @@
 	return s
 }
 
-// knownMinutes counts the whole minutes of a span during which a process was
-// counting.
+// knownMinutes returns the number of full minutes between start and end for which a
+// process has counts.
 func knownMinutes(b Batch, start, end time.Time) int {
 	from := b.Started.Truncate(Minute)
 	if !from.Equal(b.Started) {
@@ -192,7 +194,7 @@
 	return max(0, int(to.Sub(from)/Minute))
 }
 
-// plotMinutes is the length of the plots.
+// plotMinutes is the number of minutes in a plot.
 const plotMinutes = 60
 
 func minutes(at time.Time, o Objective, policy string, batches []Batch) []MinutePoint {
@@ -220,7 +222,7 @@
 	return list
 }
 
-// Firing returns the lines with an alert that fires.
+// Firing returns the lines with at least one firing alert.
 func (b Burn) Firing() []Line {
 	var list []Line
 	for _, l := range b.Lines {
@@ -231,7 +233,7 @@
 	return list
 }
 
-// SortObjectives orders objectives by team and name.
+// SortObjectives sorts objectives by team and name.
 func SortObjectives(list []Objective) {
 	slices.SortFunc(list, func(x, y Objective) int {
 		if c := strings.Compare(string(x.Team), string(y.Team)); c != 0 {
--- a/report/burn_test.go
+++ b/report/burn_test.go
@@ -25,8 +25,8 @@
 	Policy:    "p",
 }
 
-// counted returns a process that counted good and bad events in each of the last
-// minutes, and the time at the end.
+// counted returns the counts of a process with good and bad events in each of the last
+// minutes, and the time at the end of them.
 func counted(minutes, good, bad int) (report.Batch, time.Time) {
 	clock := standin.NewClock()
 	r := report.NewRecorder(clock, "p")
@@ -65,7 +65,7 @@
 	if b := report.Compute(at, []report.Objective{objective}, []report.Batch{burning}, nil); !b.Lines[0].Alerts[0].Fires {
 		t.Fatalf("burn %v over both windows does not fire", b.Lines[0].Alerts[0].Long.Burn)
 	}
-	// The same hour, with the last ten minutes well again.
+	// The same hour without bad events in the last ten minutes.
 	var over report.Batch
 	over.Started = burning.Started
 	over.At = burning.At
@@ -77,13 +77,13 @@
 		over.Windows = append(over.Windows, w)
 	}
 	if b := report.Compute(at, []report.Objective{objective}, []report.Batch{over}, nil); b.Lines[0].Alerts[0].Fires {
-		t.Fatal("an alert goes on after the short window is well")
+		t.Fatal("the alert still fires after the burn rate of the short window fell")
 	}
 }
 
-// TestGapsAreUnknown has one of two processes missing: the burn of the other
-// counts, and half of the minutes are said to be unknown. As zero they would
-// halve the burn.
+// TestGapsAreUnknown checks a report with one of two processes missing: the burn rate is
+// that of the other process, and half of the minutes are unknown. Counting them as
+// minutes without bad events would halve the burn rate.
 func TestGapsAreUnknown(t *testing.T) {
 	b, at := counted(60, 80, 20)
 	burn := report.Compute(at, []report.Objective{stall}, []report.Batch{b}, []string{"gone"})
--- a/report/doc.go
+++ b/report/doc.go
@@ -1,13 +1,13 @@
-// Package report measures how fast a team uses up the error budgets of its
-// service-level objectives.
+// Package report computes the burn rates of the error budgets of service-level
+// objectives.
 //
-// Entries count events in histograms, one for each minute, indicator, team and
-// policy. The windows of all entries are merged. A budget is the part of events
-// that may be bad; its burn rate over a window is the part that was bad, divided
-// by the budget: at 1 the budget lasts exactly as long as the objective's window.
-// Each burn is looked at over a long and a short window together, so that an
-// alert is neither late to come nor late to go.
+// Entry processes count events in histograms, one for each minute, indicator, team and
+// policy. A report merges the histograms of all processes. The error budget is the
+// fraction of events that may be bad. The burn rate over a window is the fraction that
+// was bad divided by the budget: at a burn rate of 1 the budget lasts exactly as long as
+// the window of the objective. Alerts require a high burn rate over both a long and a
+// short window, so that they neither fire nor clear late.
 //
-// Minutes for which an entry's counts are missing are unknown. They are said to
-// be so, and never count as zero.
+// Minutes for which the counts of a process are missing are reported as unknown. They
+// are not counted as minutes without events.
 package report
--- a/report/text.go
+++ b/report/text.go
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%.2f", s.Burn)
 }
 
-// page is the report as one HTML page that needs nothing else.
+// page is the template of the HTML report. The page refers to no other files.
 var page = template.Must(template.New("burn").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
 <style>
@@ -107,7 +107,7 @@
 	Known  string
 }
 
-// WriteHTML writes the report as a page with plots that needs no other file.
+// WriteHTML writes the report as a self-contained HTML page with plots.
 func (b Burn) WriteHTML(w io.Writer) error {
 	data := pageData{
 		At:        b.At.UTC().Format(time.RFC3339),
@@ -161,8 +161,8 @@
 	return r
 }
 
-// plot draws the burn rate of the last hour by minute, with gaps where nothing
-// is known.
+// plot returns an SVG plot of the burn rate by minute of the last hour. Minutes without
+// events are gaps.
 func (l Line) plot() (string, error) {
 	p := plot.New()
 	p.Title.Text = "burn rate by minute, last hour (gaps: unknown)"
@@ -204,7 +204,7 @@
 	return string(svg), nil
 }
 
-// segments returns the runs of minutes of which something is known.
+// segments returns the burn rates of each run of consecutive minutes with events.
 func (l Line) segments() []plotter.XYs {
 	var list []plotter.XYs
 	var run plotter.XYs
--- a/report/windows.go
+++ b/report/windows.go
@@ -9,7 +9,7 @@
 	"wardturn"
 )
 
-// Indicator names what is measured.
+// Indicator is the name of a service-level indicator.
 type Indicator string
 
 // The indicators.
@@ -17,8 +17,8 @@
 	LoadStall  Indicator = "load_stall"
 	FirstToken Indicator = "first_token"
 	TokenGap   Indicator = "token_gap" // mean time between tokens of an answer
-	Lookup     Indicator = "lookup"    // whole call of a plain service
-	Answered   Indicator = "answered"  // good if the request was done
+	Lookup     Indicator = "lookup"    // duration of a call of a plain service
+	Answered   Indicator = "answered"  // good if the request completed
 )
 
 // Indicators lists all indicators.
@@ -26,15 +26,15 @@
 	return []Indicator{LoadStall, FirstToken, TokenGap, Lookup, Answered}
 }
 
-// Key names one series of windows.
+// Key identifies a series of windows.
 type Key struct {
 	Indicator Indicator       `json:"indicator"`
 	Team      wardturn.TeamID `json:"team"`
 	Policy    string          `json:"policy"`
 }
 
-// bounds are the upper edges of the buckets, in seconds: powers of two to the
-// half, from 1 ms to about 90 s. Above is one more bucket.
+// bounds are the inclusive upper bounds of the histogram buckets. They grow by a factor
+// of √2, from 1 ms to about 90 s. One more bucket counts all longer times.
 var bounds = makeBounds()
 
 const (
@@ -53,8 +53,8 @@
 	return list
 }
 
-// Histogram counts events by bucket. Bad are events that can be good at no
-// threshold: requests that were not done.
+// Histogram counts events by duration. Bad counts events that are bad at any threshold:
+// requests that did not complete.
 type Histogram struct {
 	Counts [bucketCount + 1]uint32 `json:"counts"`
 	Bad    uint32                  `json:"bad"`
@@ -83,8 +83,9 @@
 	return n
 }
 
-// Good returns the events at or below a threshold, which is rounded up to the
-// edge of its bucket. A zero threshold takes every event that was not bad.
+// Good returns the number of events at or below a threshold, which is rounded up to the
+// upper bound of its bucket. With a zero threshold it returns the number of all events
+// that are not in Bad.
 func (h *Histogram) Good(threshold time.Duration) uint64 {
 	last := bucketCount
 	if threshold > 0 {
@@ -97,7 +98,7 @@
 	return n
 }
 
-// Window is one minute of one series.
+// Window has the counts of one series in one minute.
 type Window struct {
 	Key
 	Start time.Time `json:"start"`
@@ -107,11 +108,12 @@
 // Minute is the length of a window.
 const Minute = time.Minute
 
-// minutesKept bounds the windows that an entry keeps: six hours.
+// minutesKept is the number of minutes that a recorder keeps: six hours, the longest
+// alert window.
 const minutesKept = 360
 
-// seriesKept bounds the series of one minute. Events of further ones count in
-// the series without team and policy.
+// seriesKept is the number of series per minute that are counted separately. Events of
+// further series are counted in one series per indicator, without team and policy.
 const seriesKept = 512
 
 // Recorder counts the events of one process. It is safe for concurrent use.
@@ -121,7 +123,7 @@
 	started time.Time
 
 	mu      sync.Mutex
-	minutes []minute // ascending
+	minutes []minute // in order of start
 }
 
 type minute struct {
@@ -129,7 +131,7 @@
 	series map[Key]*Histogram
 }
 
-// NewRecorder returns a recorder that starts counting now.
+// NewRecorder returns a recorder for the events of a process from now on.
 func NewRecorder(clock wardturn.Clock, process wardturn.Incarnation) *Recorder {
 	return &Recorder{
 		process: process,
@@ -138,14 +140,14 @@
 	}
 }
 
-// Add counts an event of a series.
+// Add counts an event of a series with its duration.
 func (r *Recorder) Add(k Key, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.histogram(k).Add(d)
 }
 
-// AddBad counts an event that was bad whatever the threshold.
+// AddBad counts an event that is bad at any threshold.
 func (r *Recorder) AddBad(k Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,7 +181,8 @@
 	return h
 }
 
-// Batch is what one process counted, and from when on.
+// Batch has the counts of one process. It counts since Started; At is the time at which
+// the counts were taken.
 type Batch struct {
 	Process wardturn.Incarnation `json:"process"`
 	Started time.Time            `json:"started"`
@@ -187,7 +190,7 @@
 	Windows []Window             `json:"windows"`
 }
 
-// Batch returns the windows that start at or after a time.
+// Batch returns the windows that start at or after since.
 func (r *Recorder) Batch(since time.Time) Batch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -218,7 +221,7 @@
 	return b
 }
 
-// String returns the key for sorting and messages.
+// String returns the key in the form indicator/team/policy.
 func (k Key) String() string {
 	return string(k.Indicator) + "/" + string(k.Team) + "/" + k.Policy
 }
