--- a/control/catalog.go
+++ b/control/catalog.go
@@ -15,60 +15,60 @@
 type Catalog struct {
 	replica *Replica
 
-	mu       sync.RWMutex
-	adapters map[wardturn.AdapterID]AdapterDoc
-	services map[wardturn.ServiceName]ServiceDoc
-	callers  map[wardturn.CallerID]CallerDoc
-	teams    map[wardturn.TeamID]TeamDoc
-	keys     map[string]wardturn.CallerID // by digest
-	opKeys   map[string]wardturn.TeamID   // by digest
+	mu          sync.RWMutex
+	adapters    map[wardturn.AdapterID]AdapterDoc
+	services    map[wardturn.ServiceName]ServiceDoc
+	callers     map[wardturn.CallerID]CallerDoc
+	teams       map[wardturn.TeamID]TeamDoc
+	callerByKey map[string]wardturn.CallerID // by digest
+	teamByKey   map[string]wardturn.TeamID   // by digest
 }
 
 // NewCatalog returns a catalog that is kept up to date with the replica.
 func NewCatalog(r *Replica) *Catalog {
 	c := &Catalog{
-		replica:  r,
-		adapters: make(map[wardturn.AdapterID]AdapterDoc),
-		services: make(map[wardturn.ServiceName]ServiceDoc),
-		callers:  make(map[wardturn.CallerID]CallerDoc),
-		teams:    make(map[wardturn.TeamID]TeamDoc),
-		keys:     make(map[string]wardturn.CallerID),
-		opKeys:   make(map[string]wardturn.TeamID),
+		replica:     r,
+		adapters:    make(map[wardturn.AdapterID]AdapterDoc),
+		services:    make(map[wardturn.ServiceName]ServiceDoc),
+		callers:     make(map[wardturn.CallerID]CallerDoc),
+		teams:       make(map[wardturn.TeamID]TeamDoc),
+		callerByKey: make(map[string]wardturn.CallerID),
+		teamByKey:   make(map[string]wardturn.TeamID),
 	}
-	r.Watch(c.load)
+	r.Watch(c.update)
 	for _, d := range r.Docs("") {
-		c.load(d.Key)
+		c.update(d.Key)
 	}
 	return c
 }
 
-// load updates the catalog with the current version of a document. It reads the
+// update updates the catalog with the current version of a document. It reads the
 // document while it holds the lock, so that of two concurrent loads the one that writes
 // last has the newer version.
-func (c *Catalog) load(key Key) {
+func (c *Catalog) update(key Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	d, ok := c.replica.Get(key)
 	name := NameOf(key)
 	switch KindOf(key) {
 	case KindAdapter:
-		put(c.adapters, wardturn.AdapterID(name), d.Body, ok)
+		updateEntry(c.adapters, wardturn.AdapterID(name), d.Body, ok)
 	case KindService:
-		put(c.services, wardturn.ServiceName(name), d.Body, ok)
+		updateEntry(c.services, wardturn.ServiceName(name), d.Body, ok)
 	case KindCaller:
 		old := c.callers[wardturn.CallerID(name)]
-		put(c.callers, wardturn.CallerID(name), d.Body, ok)
-		move(c.keys, wardturn.CallerID(name), old.KeyDigests, c.callers[wardturn.CallerID(name)].KeyDigests)
+		updateEntry(c.callers, wardturn.CallerID(name), d.Body, ok)
+		replaceKeys(c.callerByKey, wardturn.CallerID(name), old.KeyDigests, c.callers[wardturn.CallerID(name)].KeyDigests)
 	case KindTeam:
 		old := c.teams[wardturn.TeamID(name)]
-		put(c.teams, wardturn.TeamID(name), d.Body, ok)
-		move(c.opKeys, wardturn.TeamID(name), old.Operators, c.teams[wardturn.TeamID(name)].Operators)
+		updateEntry(c.teams, wardturn.TeamID(name), d.Body, ok)
+		replaceKeys(c.teamByKey, wardturn.TeamID(name), old.Operators, c.teams[wardturn.TeamID(name)].Operators)
 	}
 }
 
-// put replaces an entry, or removes it if ok is false. A body that cannot be decoded
-// removes the entry too; bodies are validated before publication.
-func put[K comparable, V any](m map[K]V, k K, body []byte, ok bool) {
+// updateEntry replaces an entry, or removes it if ok is false. A body that cannot be
+// decoded removes the entry too; bodies are validated before publication.
+func updateEntry[K comparable, V any](m map[K]V, k K, body []byte, ok bool) {
 	var v V
 	if !ok || yaml.Unmarshal(body, &v) != nil {
 		delete(m, k)
@@ -77,8 +77,8 @@
 	m[k] = v
 }
 
-// move replaces the key digests of one owner.
-func move[O comparable](m map[string]O, owner O, old, now []string) {
+// replaceKeys replaces the key digests of one owner.
+func replaceKeys[O comparable](m map[string]O, owner O, old, now []string) {
 	for _, k := range old {
 		if m[k] == owner {
 			delete(m, k)
@@ -143,7 +143,7 @@
 func (c *Catalog) CallerOfKey(digest string) (wardturn.CallerID, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	id, ok := c.keys[digest]
+	id, ok := c.callerByKey[digest]
 	return id, ok
 }
 
@@ -151,7 +151,7 @@
 func (c *Catalog) TeamOfKey(digest string) (wardturn.TeamID, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	id, ok := c.opKeys[digest]
+	id, ok := c.teamByKey[digest]
 	return id, ok
 }
 
--- a/control/catalog_internal_test.go
+++ b/control/catalog_internal_test.go
@@ -43,7 +43,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		c.load("adapter/a")
+		c.update("adapter/a")
 	}()
 	g.Eventually(func() bool {
 		free := c.mu.TryRLock()
--- a/control/check.go
+++ b/control/check.go
@@ -19,24 +19,24 @@
 // CheckDoc validates a document before publication. The error is a *DocProblem.
 func CheckDoc(file string, key Key, body []byte) error {
 	if !wardturn.ValidName(NameOf(key)) {
-		return docProblem(file, 1, fmt.Sprintf("key %q is not kind/name", key))
+		return newDocProblem(file, 1, fmt.Sprintf("key %q is not kind/name", key))
 	}
 	doc, err := newDoc(KindOf(key))
 	if err != nil {
-		return docProblem(file, 1, err.Error())
+		return newDocProblem(file, 1, err.Error())
 	}
 	dec := yaml.NewDecoder(bytes.NewReader(body))
 	dec.KnownFields(true)
 	if err := dec.Decode(doc); err != nil {
-		return docProblem(file, lineOf(err), strings.TrimPrefix(err.Error(), "yaml: "))
+		return newDocProblem(file, errorLine(err), strings.TrimPrefix(err.Error(), "yaml: "))
 	}
-	if field, reason := doc.problem(); reason != "" {
-		return docProblem(file, lineOfField(body, field), field+" "+reason)
+	if field, reason := doc.invalidField(); reason != "" {
+		return newDocProblem(file, fieldLine(body, field), field+" "+reason)
 	}
-	return doc.deep(file, body)
+	return doc.checkText(file, body)
 }
 
-func docProblem(file string, line int, reason string) error {
+func newDocProblem(file string, line int, reason string) error {
 	return &DocProblem{
 		File:   file,
 		Line:   line,
@@ -46,7 +46,7 @@
 
 var lineNumber = regexp.MustCompile(`line (\d+)`)
 
-func lineOf(err error) int {
+func errorLine(err error) int {
 	m := lineNumber.FindStringSubmatch(err.Error())
 	if m == nil {
 		return 1
@@ -55,8 +55,8 @@
 	return n
 }
 
-// lineOfField returns the line of a top-level field, or 1 if there is none.
-func lineOfField(body []byte, field string) int {
+// fieldLine returns the line of a top-level field, or 1 if there is none.
+func fieldLine(body []byte, field string) int {
 	var n yaml.Node
 	if yaml.Unmarshal(body, &n) != nil || len(n.Content) == 0 {
 		return 1
@@ -71,23 +71,23 @@
 
 // document is a typed document with its validation.
 type document interface {
-	// problem returns the first invalid field and the reason, or empty strings.
-	problem() (field, reason string)
-	// deep runs the checks that need the text of the document.
-	deep(file string, body []byte) error
+	// invalidField returns the first invalid field and the reason, or empty strings.
+	invalidField() (field, reason string)
+	// checkText runs the checks that need the text of the document.
+	checkText(file string, body []byte) error
 }
 
-// shallow is embedded by documents that have no checks of their text.
-type shallow struct{}
+// noTextCheck is embedded by documents that have no checks of their text.
+type noTextCheck struct{}
 
-func (shallow) deep(string, []byte) error { return nil }
+func (noTextCheck) checkText(string, []byte) error { return nil }
 
 type checkAdapter struct {
-	AdapterDoc `yaml:",inline"`
-	shallow    `yaml:"-"`
+	AdapterDoc  `yaml:",inline"`
+	noTextCheck `yaml:"-"`
 }
 
-func (d *checkAdapter) problem() (field, reason string) {
+func (d *checkAdapter) invalidField() (field, reason string) {
 	switch {
 	case !wardturn.ValidName(string(d.BaseModel)):
 		return "base_model", "must be a name"
@@ -100,11 +100,11 @@
 }
 
 type checkService struct {
-	ServiceDoc `yaml:",inline"`
-	shallow    `yaml:"-"`
+	ServiceDoc  `yaml:",inline"`
+	noTextCheck `yaml:"-"`
 }
 
-func (d *checkService) problem() (field, reason string) {
+func (d *checkService) invalidField() (field, reason string) {
 	for _, m := range d.NotRepeatable {
 		switch m {
 		case "ALL", "GET", "POST", "PUT", "PATCH", "DELETE":
@@ -119,20 +119,20 @@
 }
 
 type checkCaller struct {
-	CallerDoc `yaml:",inline"`
-	shallow   `yaml:"-"`
+	CallerDoc   `yaml:",inline"`
+	noTextCheck `yaml:"-"`
 }
 
-var digestForm = regexp.MustCompile(`^[0-9a-f]{64}$`)
+var digestPattern = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// isNoDigest reports whether s is not the digest of a key.
-func isNoDigest(s string) bool {
-	return !digestForm.MatchString(s)
+// notDigest reports whether s is not the digest of a key.
+func notDigest(s string) bool {
+	return !digestPattern.MatchString(s)
 }
 
-func (d *checkCaller) problem() (field, reason string) {
+func (d *checkCaller) invalidField() (field, reason string) {
 	switch {
-	case slices.ContainsFunc(d.KeyDigests, isNoDigest):
+	case slices.ContainsFunc(d.KeyDigests, notDigest):
 		return "key_digests", "must be SHA-256 in hexadecimal"
 	case d.Rate < 0:
 		return "rate", "must not be negative"
@@ -145,13 +145,13 @@
 }
 
 type checkTeam struct {
-	TeamDoc `yaml:",inline"`
-	shallow `yaml:"-"`
+	TeamDoc     `yaml:",inline"`
+	noTextCheck `yaml:"-"`
 }
 
-func (d *checkTeam) problem() (field, reason string) {
+func (d *checkTeam) invalidField() (field, reason string) {
 	switch {
-	case slices.ContainsFunc(d.Operators, isNoDigest):
+	case slices.ContainsFunc(d.Operators, notDigest):
 		return "operators", "must be SHA-256 in hexadecimal"
 	case d.Share < 0:
 		return "share", "must not be negative"
@@ -163,29 +163,29 @@
 	PolicyDoc `yaml:",inline"`
 }
 
-func (d *checkPolicy) problem() (field, reason string) {
+func (d *checkPolicy) invalidField() (field, reason string) {
 	if d.Active && d.Shadow {
 		return "shadow", "must not be set for an active policy"
 	}
 	return "", ""
 }
 
-// deep checks the policy program. Lines in errors are lines of the document.
-func (d *checkPolicy) deep(file string, body []byte) error {
+// checkText checks the policy program. Lines in errors are lines of the document.
+func (d *checkPolicy) checkText(file string, body []byte) error {
 	_, err := policy.Check(file, d.Source)
 	var p *policy.Problem
 	if !errors.As(err, &p) {
 		return err
 	}
-	return docProblem(file, lineOfField(body, "source")+p.Line, p.Reason)
+	return newDocProblem(file, fieldLine(body, "source")+p.Line, p.Reason)
 }
 
 type checkObjective struct {
 	ObjectiveDoc `yaml:",inline"`
-	shallow      `yaml:"-"`
+	noTextCheck  `yaml:"-"`
 }
 
-func (d *checkObjective) problem() (field, reason string) {
+func (d *checkObjective) invalidField() (field, reason string) {
 	switch {
 	case !slices.Contains(report.Indicators(), report.Indicator(d.Indicator)):
 		return "indicator", fmt.Sprintf("must be one of %v", report.Indicators())
@@ -198,11 +198,11 @@
 }
 
 type checkDrain struct {
-	DrainDoc `yaml:",inline"`
-	shallow  `yaml:"-"`
+	DrainDoc    `yaml:",inline"`
+	noTextCheck `yaml:"-"`
 }
 
-func (d *checkDrain) problem() (field, reason string) {
+func (d *checkDrain) invalidField() (field, reason string) {
 	if d.Reason == "" {
 		return "reason", "must be set"
 	}
--- a/control/claims.go
+++ b/control/claims.go
@@ -13,10 +13,10 @@
 const (
 	// claimLinger is how long the first claim of a batch waits for more claims.
 	claimLinger = 2 * time.Millisecond
-	// claimBatch is the maximum number of claims in one record.
-	claimBatch = 512
-	// claimLimit is the timeout of a claim, and of the append of a batch.
-	claimLimit = 2 * time.Second
+	// maxClaimBatch is the maximum number of claims in one record.
+	maxClaimBatch = 512
+	// claimTimeout is the timeout of a claim, and of the append of a batch.
+	claimTimeout = 2 * time.Second
 )
 
 // Claimer claims idempotency keys for one agent. Concurrent claims are batched into
@@ -28,18 +28,18 @@
 	process  wardturn.Incarnation
 	clock    wardturn.Clock
 
-	mu      sync.Mutex
-	waiting []*pendingClaim
-	busy    bool
-	appends int
-	claims  int
+	mu        sync.Mutex
+	waiting   []*pendingClaim
+	appending bool
+	appends   int
+	claims    int
 }
 
 type pendingClaim struct {
 	claim  Claim
 	offset wardturn.Offset
 	err    error
-	ready  chan struct{}
+	done   chan struct{}
 }
 
 // NewClaimer returns a claimer for an agent. The replica must have been created with
@@ -60,13 +60,13 @@
 func (c *Claimer) Claim(ctx context.Context, claim Claim) (ClaimResult, error) {
 	p := &pendingClaim{
 		claim: claim,
-		ready: make(chan struct{}),
+		done:  make(chan struct{}),
 	}
-	ctx, cancel := wardturn.WithLimit(ctx, c.clock, claimLimit)
+	ctx, cancel := wardturn.WithLimit(ctx, c.clock, claimTimeout)
 	defer cancel()
 	c.enqueue(p)
 	select {
-	case <-p.ready:
+	case <-p.done:
 	case <-ctx.Done():
 		return ClaimResult{}, errors.Wrap(wardturn.ErrUnavailable, "control: claim not appended in time")
 	}
@@ -102,8 +102,8 @@
 	defer c.mu.Unlock()
 	c.waiting = append(c.waiting, p)
 	c.claims++
-	if !c.busy {
-		c.busy = true
+	if !c.appending {
+		c.appending = true
 		c.clock.AfterFunc(claimLinger, func() {
 			go c.flush()
 		})
@@ -113,7 +113,7 @@
 // flush appends the waiting claims in batches until none are left.
 func (c *Claimer) flush() {
 	for {
-		batch := c.take()
+		batch := c.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
@@ -121,19 +121,19 @@
 		for _, p := range batch {
 			p.offset = offset
 			p.err = err
-			close(p.ready)
+			close(p.done)
 		}
 	}
 }
 
-func (c *Claimer) take() []*pendingClaim {
+func (c *Claimer) nextBatch() []*pendingClaim {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := min(len(c.waiting), claimBatch)
+	n := min(len(c.waiting), maxClaimBatch)
 	batch := c.waiting[:n:n]
 	c.waiting = c.waiting[n:]
 	if n == 0 {
-		c.busy = false
+		c.appending = false
 		return nil
 	}
 	c.appends++
@@ -157,7 +157,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := wardturn.WithLimit(context.Background(), c.clock, claimLimit)
+	ctx, cancel := wardturn.WithLimit(context.Background(), c.clock, claimTimeout)
 	defer cancel()
 	return c.replica.log.Append(ctx, data)
 }
--- a/control/claimstate.go
+++ b/control/claimstate.go
@@ -22,10 +22,10 @@
 			TooOld:   s.tooOld(cl),
 		}
 		if !taken {
-			s.order = append(s.order, key)
+			s.claimOrder = append(s.claimOrder, key)
 		}
 	}
-	s.forgetClaims()
+	s.expireClaims()
 }
 
 // supersedes reports whether claim cl may replace the current claim of its key: it
@@ -43,18 +43,18 @@
 	if age > ClaimWindow || age < -KeySkew {
 		return true
 	}
-	return !s.horizon.IsZero() && cl.Created.Before(s.horizon.Add(KeySkew))
+	return !s.claimHorizon.IsZero() && cl.Created.Before(s.claimHorizon.Add(KeySkew))
 }
 
-func (s *State) forgetClaims() {
-	for len(s.order) > 0 {
-		c := s.claims[s.order[0]]
+func (s *State) expireClaims() {
+	for len(s.claimOrder) > 0 {
+		c := s.claims[s.claimOrder[0]]
 		// Claims are kept for twice ClaimWindow: once for the time in which the
 		// key may be used, and once as a margin for clock skew and delays.
 		if s.logTime.Sub(c.Claim.Created) <= 2*ClaimWindow {
 			return
 		}
-		delete(s.claims, s.order[0])
-		s.order = s.order[1:]
+		delete(s.claims, s.claimOrder[0])
+		s.claimOrder = s.claimOrder[1:]
 	}
 }
--- a/control/history.go
+++ b/control/history.go
@@ -6,9 +6,9 @@
 	"wardturn"
 )
 
-// historyKept is the maximum number of publications that a process keeps in its
+// maxHistory is the maximum number of publications that a process keeps in its
 // history. The log has all of them until its retention ends.
-const historyKept = 10_000
+const maxHistory = 10_000
 
 // Entry is an entry of the audit history: who published what, when, and whether it was
 // accepted.
@@ -22,7 +22,7 @@
 	Deleted  []Key           `json:"deleted,omitempty"`
 }
 
-func (s *State) audit(lr wardturn.LogRecord, c *Change, res Result) {
+func (s *State) addHistory(lr wardturn.LogRecord, c *Change, res Result) {
 	e := Entry{
 		Version:  lr.Offset,
 		At:       lr.Time,
@@ -38,7 +38,7 @@
 		e.Keys = append(e.Keys, d.Key)
 	}
 	s.history = append(s.history, e)
-	if len(s.history) > historyKept {
+	if len(s.history) > maxHistory {
 		s.history = s.history[1:]
 	}
 }
@@ -50,7 +50,7 @@
 	defer r.mu.Unlock()
 	var list []Entry
 	for _, e := range r.state.history {
-		if e.Version <= after || !e.touches(key) {
+		if e.Version <= after || !e.changes(key) {
 			continue
 		}
 		if len(list) == limit {
@@ -61,7 +61,7 @@
 	return list
 }
 
-func (e Entry) touches(key Key) bool {
+func (e Entry) changes(key Key) bool {
 	if key == "" {
 		return true
 	}
--- a/control/replica.go
+++ b/control/replica.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	readLimit   = 500
-	readWait    = 2 * time.Second
-	minBackoff  = 50 * time.Millisecond
-	maxBackoff  = 2 * time.Second
-	appendTries = 3
+	maxReadRecords = 500
+	readWait       = 2 * time.Second
+	minBackoff     = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	appendAttempts = 3
 )
 
 // ErrConflict is wrapped by the error of a publication that was not accepted because the
@@ -31,18 +31,18 @@
 	clock  wardturn.Clock
 	logger hclog.Logger
 
-	// taking is held while records or a peer's documents are applied and the
+	// updateMu is held while records or a peer's documents are applied and the
 	// watchers are called, so that watchers are called for one change at a time.
-	taking sync.Mutex
-	dirty  []Key // keys of the documents changed by the current update
+	updateMu    sync.Mutex
+	changedKeys []Key // keys of the documents changed by the current update
 
-	mu       sync.Mutex
-	state    *State
-	visible  wardturn.Offset // applied offset for which the watchers were called
-	changed  chan struct{}   // closed and replaced after each update
-	watchers []func(Key)
-	lastRead time.Time // time of the latest successful read
-	tailed   bool      // reading started near the end of the log
+	mu             sync.Mutex
+	state          *State
+	notifiedOffset wardturn.Offset // applied offset for which the watchers were called
+	updated        chan struct{}   // closed and replaced after each update
+	watchers       []func(Key)
+	lastRead       time.Time // time of the latest successful read
+	startedNearEnd bool      // reading started near the end of the log
 
 	keepClaims bool
 
@@ -59,18 +59,18 @@
 		clock:   clock,
 		logger:  logger.Named("control"),
 		state:   NewState(keepClaims),
-		changed: make(chan struct{}),
+		updated: make(chan struct{}),
 		cancel:  cancel,
 
 		keepClaims: keepClaims,
 		done:       make(chan struct{}),
 	}
 	r.state.onChange = func(k Key) {
-		r.dirty = append(r.dirty, k)
+		r.changedKeys = append(r.changedKeys, k)
 	}
 	go func() {
 		defer close(r.done)
-		r.follow(ctx)
+		r.readLog(ctx)
 	}()
 	return r
 }
@@ -94,7 +94,7 @@
 func (r *Replica) Applied() wardturn.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.visible
+	return r.notifiedOffset
 }
 
 // Get returns the current version of a document.
@@ -127,30 +127,30 @@
 
 // Seed installs the configuration of a peer; see State.Seed.
 func (r *Replica) Seed(page Page, applied wardturn.Offset) {
-	r.taking.Lock()
-	defer r.taking.Unlock()
+	r.updateMu.Lock()
+	defer r.updateMu.Unlock()
 	r.mu.Lock()
-	r.dirty = r.dirty[:0]
+	r.changedKeys = r.changedKeys[:0]
 	r.state.Seed(page, applied)
 	r.mu.Unlock()
-	r.tell()
+	r.notifyWatchers()
 }
 
-// tell calls the watchers for each changed document and then wakes the goroutines in
-// wait. The caller holds taking.
-func (r *Replica) tell() {
+// notifyWatchers calls the watchers for each changed document and then wakes the
+// goroutines in waitUntil. The caller holds updateMu.
+func (r *Replica) notifyWatchers() {
 	r.mu.Lock()
 	watchers := r.watchers
 	r.mu.Unlock()
-	for _, key := range r.dirty {
+	for _, key := range r.changedKeys {
 		for _, f := range watchers {
 			f(key)
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.visible = r.state.Applied()
-	r.announce()
+	r.notifiedOffset = r.state.Applied()
+	r.wakeWaiters()
 }
 
 // tailRecords is how many records before the end of the log a process that needs only
@@ -158,35 +158,35 @@
 // none is found, the process starts again from the first record of the log.
 const tailRecords = 20_000
 
-func (r *Replica) follow(ctx context.Context) {
+func (r *Replica) readLog(ctx context.Context) {
 	if !r.keepClaims {
 		r.startNearEnd(ctx)
 	}
 	wait := minBackoff
 	for ctx.Err() == nil {
-		next := r.next()
-		page, err := r.log.Read(ctx, next, readLimit, readWait)
+		next := r.nextOffset()
+		page, err := r.log.Read(ctx, next, maxReadRecords, readWait)
 		switch {
 		case err == nil:
 			wait = minBackoff
 			r.apply(page)
-			if r.next() >= page.Next {
-				r.startOver()
+			if r.nextOffset() >= page.Next {
+				r.restartFromFirst()
 			}
 		case errors.Is(err, wardturn.ErrOutOfRetention):
-			r.skip(next, page.First)
+			r.skipTo(next, page.First)
 		default:
 			if wait == minBackoff && ctx.Err() == nil {
 				r.logger.Warn("reading the log failed; retrying", "next", next, "error", err)
 			}
-			r.pause(ctx, wait)
+			r.sleepWithJitter(ctx, wait)
 			wait = min(2*wait, maxBackoff)
 		}
 	}
 }
 
-// next returns the offset to read from.
-func (r *Replica) next() wardturn.Offset {
+// nextOffset returns the offset to read from.
+func (r *Replica) nextOffset() wardturn.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Read() + 1
@@ -202,77 +202,77 @@
 	if page.Next-page.First > tailRecords {
 		r.mu.Lock()
 		r.state.Skip(page.Next - tailRecords)
-		r.tailed = true
+		r.startedNearEnd = true
 		r.mu.Unlock()
 	}
 }
 
-// startOver resets the state, to read the log from its first record, if the end of the
-// log had no snapshot to serve as the baseline.
-func (r *Replica) startOver() {
+// restartFromFirst resets the state, to read the log from its first record, if the end
+// of the log had no snapshot to serve as the baseline.
+func (r *Replica) restartFromFirst() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.tailed || r.state.Based() {
+	if !r.startedNearEnd || r.state.Based() {
 		return
 	}
-	r.tailed = false
+	r.startedNearEnd = false
 	onChange := r.state.onChange
 	r.state = NewState(r.keepClaims)
 	r.state.onChange = onChange
 }
 
-func (r *Replica) skip(next, first wardturn.Offset) {
+func (r *Replica) skipTo(next, first wardturn.Offset) {
 	r.logger.Warn("records out of retention", "next", next, "first", first)
-	r.taking.Lock()
-	defer r.taking.Unlock()
+	r.updateMu.Lock()
+	defer r.updateMu.Unlock()
 	r.mu.Lock()
-	r.dirty = r.dirty[:0]
+	r.changedKeys = r.changedKeys[:0]
 	r.state.Skip(first)
 	r.mu.Unlock()
-	r.tell()
+	r.notifyWatchers()
 }
 
 func (r *Replica) apply(page wardturn.LogPage) {
-	r.taking.Lock()
-	defer r.taking.Unlock()
+	r.updateMu.Lock()
+	defer r.updateMu.Unlock()
 	r.mu.Lock()
-	r.dirty = r.dirty[:0]
+	r.changedKeys = r.changedKeys[:0]
 	for _, rec := range page.Records {
 		r.state.Apply(rec)
 	}
 	r.lastRead = r.clock.Now()
 	r.mu.Unlock()
 	if len(page.Records) > 0 {
-		r.tell()
+		r.notifyWatchers()
 	}
 }
 
-// announce wakes the goroutines in wait. The caller holds mu.
-func (r *Replica) announce() {
-	close(r.changed)
-	r.changed = make(chan struct{})
+// wakeWaiters wakes the goroutines in waitUntil. The caller holds mu.
+func (r *Replica) wakeWaiters() {
+	close(r.updated)
+	r.updated = make(chan struct{})
 }
 
-// pause sleeps for between d/2 and 3d/2, at random, so that many processes do not act
-// at the same time.
-func (r *Replica) pause(ctx context.Context, d time.Duration) {
+// sleepWithJitter sleeps for between d/2 and 3d/2, at random, so that many processes do
+// not act at the same time.
+func (r *Replica) sleepWithJitter(ctx context.Context, d time.Duration) {
 	wardturn.Sleep(ctx, r.clock, d/2+rand.N(d))
 }
 
 // WaitFor returns when the record at an offset has been applied.
 func (r *Replica) WaitFor(ctx context.Context, offset wardturn.Offset) error {
-	return r.wait(ctx, func(s *State) bool {
+	return r.waitUntil(ctx, func(s *State) bool {
 		return s.Applied() >= offset
 	})
 }
 
-// wait returns when a condition holds for a state for which all watchers have been
+// waitUntil returns when a condition holds for a state for which all watchers have been
 // called.
-func (r *Replica) wait(ctx context.Context, holds func(*State) bool) error {
+func (r *Replica) waitUntil(ctx context.Context, holds func(*State) bool) error {
 	for {
 		r.mu.Lock()
-		ok := r.visible == r.state.Applied() && holds(r.state)
-		changed := r.changed
+		ok := r.notifiedOffset == r.state.Applied() && holds(r.state)
+		changed := r.updated
 		r.mu.Unlock()
 		if ok {
 			return nil
@@ -299,7 +299,7 @@
 		return Result{}, err
 	}
 	var res Result
-	err = r.wait(ctx, func(s *State) bool {
+	err = r.waitUntil(ctx, func(s *State) bool {
 		var ok bool
 		res, ok = s.Result(c.ID)
 		return ok
@@ -317,16 +317,16 @@
 func (r *Replica) append(ctx context.Context, data []byte) error {
 	var err error
 	wait := minBackoff
-	for range appendTries {
+	for range appendAttempts {
 		if _, err = r.log.Append(ctx, data); err == nil {
 			return nil
 		}
 		if errors.Is(err, wardturn.ErrReplyLost) {
 			// The record may be on the log. Appending it again is safe, and the
 			// caller finds out by reading the log.
-			r.pause(ctx, wait)
+			r.sleepWithJitter(ctx, wait)
 		} else {
-			r.pause(ctx, 2*wait)
+			r.sleepWithJitter(ctx, 2*wait)
 		}
 		wait *= 2
 	}
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -9,17 +9,17 @@
 	"wardturn"
 )
 
-// snapshotPartBytes is the maximum size of the documents in one part of a snapshot. A
+// maxSnapshotPartBytes is the maximum size of the documents in one part of a snapshot. A
 // larger document has a part of its own.
-const snapshotPartBytes = 256 << 10
+const maxSnapshotPartBytes = 256 << 10
 
-// parts divides documents into parts of at most about snapshotPartBytes.
-func parts(docs []Doc) [][]Doc {
+// splitDocs divides documents into parts of at most about maxSnapshotPartBytes.
+func splitDocs(docs []Doc) [][]Doc {
 	var list [][]Doc
 	var part []Doc
 	size := 0
 	for _, d := range docs {
-		if size > 0 && size+len(d.Body) > snapshotPartBytes {
+		if size > 0 && size+len(d.Body) > maxSnapshotPartBytes {
 			list = append(list, part)
 			part = nil
 			size = 0
@@ -42,7 +42,7 @@
 	if !based {
 		return errors.Wrap(wardturn.ErrUnavailable, "control: no baseline to make a snapshot from")
 	}
-	list := parts(docs)
+	list := splitDocs(docs)
 	for i, part := range list {
 		snap := Snapshot{
 			Through: through,
@@ -74,7 +74,7 @@
 	if !r.state.Based() || len(r.state.docs) == 0 {
 		return false
 	}
-	if r.state.read-r.state.snapRead > tailRecords/2 {
+	if r.state.readOffset-r.state.snapshotOffset > tailRecords/2 {
 		return true
 	}
 	return r.clock.Now().Sub(r.state.SnapshotTime()) > age
@@ -85,11 +85,11 @@
 // host appends the snapshot and the others see it in time.
 func (r *Replica) KeepSnapshots(ctx context.Context, every time.Duration) {
 	for ctx.Err() == nil {
-		r.pause(ctx, every/snapshotChecks)
+		r.sleepWithJitter(ctx, every/snapshotChecksPerInterval)
 		if !r.snapshotDue(every) {
 			continue
 		}
-		r.pause(ctx, every/snapshotChecks)
+		r.sleepWithJitter(ctx, every/snapshotChecksPerInterval)
 		if ctx.Err() != nil || !r.snapshotDue(every) {
 			continue
 		}
@@ -99,9 +99,9 @@
 	}
 }
 
-// snapshotChecks is how many times per snapshot interval a process checks whether a
-// snapshot is due.
-const snapshotChecks = 4
+// snapshotChecksPerInterval is how many times per snapshot interval a process checks
+// whether a snapshot is due.
+const snapshotChecksPerInterval = 4
 
 // Page is a part of the configuration of a process. Peers exchange pages while the log
 // is unavailable.
@@ -115,7 +115,7 @@
 func (r *Replica) Page(i int) (p Page, pages int, applied wardturn.Offset) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := parts(r.state.Docs(""))
+	list := splitDocs(r.state.Docs(""))
 	if i >= 0 && i < len(list) {
 		p.Docs = list[i]
 	}
--- a/control/state.go
+++ b/control/state.go
@@ -17,11 +17,11 @@
 const KeySkew = time.Minute
 
 const (
-	// publicationsKept is the maximum number of publications whose results are kept.
-	publicationsKept = 4096
-	// resultsInSnapshot is the maximum number of results in a snapshot. It can be
+	// maxResults is the maximum number of publications whose results are kept.
+	maxResults = 4096
+	// maxSnapshotResults is the maximum number of results in a snapshot. It can be
 	// smaller because publishers retry for a few seconds only.
-	resultsInSnapshot = 256
+	maxSnapshotResults = 256
 )
 
 // Result is the outcome of a publication.
@@ -52,26 +52,26 @@
 // the snapshot. Until then it keeps the documents that it had before. A process with a
 // baseline ignores the documents in snapshots.
 type State struct {
-	read     wardturn.Offset // offset of the newest record that was read
-	applied  wardturn.Offset // the documents are current as of this record
-	from     wardturn.Offset // all records from this one up to read were read
-	based    bool
-	backlog  []pendingChange // publications that were read without a baseline
-	logTime  time.Time
-	snapAt   time.Time       // time of the newest complete snapshot
-	snapRead wardturn.Offset // offset of its last part
-	docs     map[Key]Doc
-	claims   map[claimKey]ClaimResult
-	order    []claimKey // claimed keys by offset of the first claim
-	gap      bool       // records just before the next one were not read
-	horizon  time.Time  // claims before this time may have been missed; zero: none
-	starts   map[wardturn.UpstreamID]wardturn.Offset
-	results  map[PublicationID]Result
-	recent   []PublicationID
-	history  []Entry
-	partial  map[wardturn.Offset]*partial
-	keepAll  bool
-	onChange func(Key)
+	readOffset       wardturn.Offset // offset of the newest record that was read
+	applied          wardturn.Offset // the documents are current as of this record
+	firstRead        wardturn.Offset // all records from this one up to readOffset were read
+	hasBaseline      bool
+	backlog          []pendingChange // publications that were read without a baseline
+	logTime          time.Time
+	snapshotTime     time.Time       // time of the newest complete snapshot
+	snapshotOffset   wardturn.Offset // offset of its last part
+	docs             map[Key]Doc
+	claims           map[claimKey]ClaimResult
+	claimOrder       []claimKey // claimed keys by offset of the first claim
+	skipped          bool       // records just before the next one were not read
+	claimHorizon     time.Time  // claims before this time may have been missed; zero: none
+	fences           map[wardturn.UpstreamID]wardturn.Offset
+	results          map[PublicationID]Result
+	resultOrder      []PublicationID
+	history          []Entry
+	partialSnapshots map[wardturn.Offset]*partialSnapshot
+	keepClaims       bool
+	onChange         func(Key)
 }
 
 type claimKey struct {
@@ -85,38 +85,38 @@
 	change *Change
 }
 
-// partial is a snapshot of which not all parts were read yet.
-type partial struct {
-	have    map[int]bool
-	docs    map[Key]Doc
-	results []Result
+// partialSnapshot is a snapshot of which not all parts were read yet.
+type partialSnapshot struct {
+	received map[int]bool
+	docs     map[Key]Doc
+	results  []Result
 }
 
 // NewState returns the state of an empty log. Claims are kept only if keepClaims is
 // set, because entry hosts do not need them.
 func NewState(keepClaims bool) *State {
 	return &State{
-		from:     1,
-		based:    true,
-		docs:     make(map[Key]Doc),
-		claims:   make(map[claimKey]ClaimResult),
-		starts:   make(map[wardturn.UpstreamID]wardturn.Offset),
-		results:  make(map[PublicationID]Result),
-		partial:  make(map[wardturn.Offset]*partial),
-		keepAll:  keepClaims,
-		onChange: func(Key) {},
+		firstRead:        1,
+		hasBaseline:      true,
+		docs:             make(map[Key]Doc),
+		claims:           make(map[claimKey]ClaimResult),
+		fences:           make(map[wardturn.UpstreamID]wardturn.Offset),
+		results:          make(map[PublicationID]Result),
+		partialSnapshots: make(map[wardturn.Offset]*partialSnapshot),
+		keepClaims:       keepClaims,
+		onChange:         func(Key) {},
 	}
 }
 
 // Read returns the offset of the newest record that was read.
 func (s *State) Read() wardturn.Offset {
-	return s.read
+	return s.readOffset
 }
 
 // Based reports whether the state has a baseline, so that publications are applied as
 // they are read.
 func (s *State) Based() bool {
-	return s.based
+	return s.hasBaseline
 }
 
 // Applied returns the offset of the record up to which the documents are current.
@@ -154,7 +154,7 @@
 // Fence returns the fencing token of an upstream's newest agent process: the offset of
 // its start record.
 func (s *State) Fence(id wardturn.UpstreamID) wardturn.Offset {
-	return s.starts[id]
+	return s.fences[id]
 }
 
 // First returns the first claim of a key, or the claim that superseded it.
@@ -169,24 +169,24 @@
 // Apply applies one record. Records have to be passed in the order of their offsets; a
 // record that was read before is ignored.
 func (s *State) Apply(lr wardturn.LogRecord) {
-	if lr.Offset <= s.read {
+	if lr.Offset <= s.readOffset {
 		return
 	}
-	s.read = lr.Offset
-	defer s.advance()
+	s.readOffset = lr.Offset
+	defer s.updateApplied()
 	if lr.Time.After(s.logTime) {
 		s.logTime = lr.Time
 	}
-	if s.gap {
-		s.gap = false
-		s.horizon = lr.Time
+	if s.skipped {
+		s.skipped = false
+		s.claimHorizon = lr.Time
 	}
 	rec, err := Decode(lr.Data)
 	if err != nil {
 		return
 	}
 	switch {
-	case rec.Change != nil && s.based:
+	case rec.Change != nil && s.hasBaseline:
 		s.applyChange(lr, rec.Change)
 	case rec.Change != nil:
 		s.backlog = append(s.backlog, pendingChange{
@@ -195,16 +195,16 @@
 		})
 	case rec.Snapshot != nil:
 		s.applySnapshot(lr, rec.Snapshot)
-	case rec.Claims != nil && s.keepAll:
+	case rec.Claims != nil && s.keepClaims:
 		s.applyClaims(lr, rec.Claims)
 	case rec.Start != nil:
-		s.starts[rec.Start.Upstream] = lr.Offset
+		s.fences[rec.Start.Upstream] = lr.Offset
 	}
 }
 
-func (s *State) advance() {
-	if s.based {
-		s.applied = s.read
+func (s *State) updateApplied() {
+	if s.hasBaseline {
+		s.applied = s.readOffset
 	}
 }
 
@@ -212,15 +212,15 @@
 // for example because they are out of retention. The state loses its baseline, since
 // the publications and claims in the skipped records are unknown.
 func (s *State) Skip(first wardturn.Offset) {
-	if first-1 <= s.read {
+	if first-1 <= s.readOffset {
 		return
 	}
-	s.read = first - 1
-	s.from = first
-	s.based = false
+	s.readOffset = first - 1
+	s.firstRead = first
+	s.hasBaseline = false
 	s.backlog = nil
-	s.gap = true
-	clear(s.partial)
+	s.skipped = true
+	clear(s.partialSnapshots)
 }
 
 func (s *State) applyChange(lr wardturn.LogRecord, c *Change) {
@@ -242,17 +242,17 @@
 		res.InForce = have
 		break
 	}
-	s.remember(res)
-	s.audit(lr, c, res)
+	s.addResult(res)
+	s.addHistory(lr, c, res)
 	if !res.Accepted {
 		return
 	}
 	for _, dc := range c.Docs {
-		s.put(lr, c, dc)
+		s.applyDoc(lr, c, dc)
 	}
 }
 
-func (s *State) put(lr wardturn.LogRecord, c *Change, dc DocChange) {
+func (s *State) applyDoc(lr wardturn.LogRecord, c *Change, dc DocChange) {
 	if dc.Delete {
 		delete(s.docs, dc.Key)
 	} else {
@@ -269,8 +269,8 @@
 
 // Recent returns the results of the newest publications, for a snapshot.
 func (s *State) Recent() []Result {
-	list := make([]Result, 0, resultsInSnapshot)
-	for _, id := range s.recent[max(0, len(s.recent)-resultsInSnapshot):] {
+	list := make([]Result, 0, maxSnapshotResults)
+	for _, id := range s.resultOrder[max(0, len(s.resultOrder)-maxSnapshotResults):] {
 		list = append(list, s.results[id])
 	}
 	return list
@@ -278,15 +278,15 @@
 
 // SnapshotTime returns the log time of the newest complete snapshot.
 func (s *State) SnapshotTime() time.Time {
-	return s.snapAt
+	return s.snapshotTime
 }
 
-func (s *State) remember(res Result) {
+func (s *State) addResult(res Result) {
 	s.results[res.ID] = res
-	s.recent = append(s.recent, res.ID)
-	if len(s.recent) > publicationsKept {
-		delete(s.results, s.recent[0])
-		s.recent = s.recent[1:]
+	s.resultOrder = append(s.resultOrder, res.ID)
+	if len(s.resultOrder) > maxResults {
+		delete(s.results, s.resultOrder[0])
+		s.resultOrder = s.resultOrder[1:]
 	}
 }
 
@@ -294,38 +294,38 @@
 // complete snapshot becomes the baseline, provided that all records after the
 // snapshot's Through offset were read.
 func (s *State) applySnapshot(lr wardturn.LogRecord, snap *Snapshot) {
-	p := s.partial[snap.Through]
+	p := s.partialSnapshots[snap.Through]
 	if p == nil {
-		p = &partial{
-			have: make(map[int]bool),
-			docs: make(map[Key]Doc),
+		p = &partialSnapshot{
+			received: make(map[int]bool),
+			docs:     make(map[Key]Doc),
 		}
-		s.partial[snap.Through] = p
+		s.partialSnapshots[snap.Through] = p
 	}
-	p.have[snap.Part] = true
+	p.received[snap.Part] = true
 	p.results = append(p.results, snap.Results...)
-	if !s.based {
+	if !s.hasBaseline {
 		for _, d := range snap.Docs {
 			p.docs[d.Key] = d
 		}
 	}
-	if len(p.have) < snap.Parts {
+	if len(p.received) < snap.Parts {
 		return
 	}
-	delete(s.partial, snap.Through)
-	s.snapAt = lr.Time
-	s.snapRead = lr.Offset
-	if !s.based && snap.Through+1 >= s.from {
-		s.rebase(snap.Through, p)
+	delete(s.partialSnapshots, snap.Through)
+	s.snapshotTime = lr.Time
+	s.snapshotOffset = lr.Offset
+	if !s.hasBaseline && snap.Through+1 >= s.firstRead {
+		s.installBaseline(snap.Through, p)
 	}
 }
 
-// rebase replaces the documents by those of a snapshot and applies the queued
+// installBaseline replaces the documents by those of a snapshot and applies the queued
 // publications that follow it.
-func (s *State) rebase(through wardturn.Offset, p *partial) {
+func (s *State) installBaseline(through wardturn.Offset, p *partialSnapshot) {
 	old := s.docs
 	s.docs = p.docs
-	s.based = true
+	s.hasBaseline = true
 	for key := range old {
 		if s.docs[key].Version != old[key].Version {
 			s.onChange(key)
@@ -338,7 +338,7 @@
 	}
 	for _, res := range p.results {
 		if _, known := s.results[res.ID]; !known {
-			s.remember(res)
+			s.addResult(res)
 		}
 	}
 	backlog := s.backlog
@@ -355,20 +355,20 @@
 // nothing if the configuration is not newer than the present one, or if records between
 // it and the oldest record that was read are missing.
 func (s *State) Seed(page Page, applied wardturn.Offset) {
-	missed := s.read > applied && s.from > applied+1
+	missed := s.readOffset > applied && s.firstRead > applied+1
 	if applied <= s.applied || missed {
 		return
 	}
-	p := &partial{
+	p := &partialSnapshot{
 		docs:    make(map[Key]Doc, len(page.Docs)),
 		results: page.Results,
 	}
 	for _, d := range page.Docs {
 		p.docs[d.Key] = d
 	}
-	s.rebase(applied, p)
-	s.read = max(s.read, applied)
-	s.from = applied + 1
-	s.gap = true
-	s.advance()
+	s.installBaseline(applied, p)
+	s.readOffset = max(s.readOffset, applied)
+	s.firstRead = applied + 1
+	s.skipped = true
+	s.updateApplied()
 }
--- a/policy/builtin.go
+++ b/policy/builtin.go
@@ -24,13 +24,13 @@
 	ageWeight = 0.05
 	// batchWeight is the weight of a waiting batch request.
 	batchWeight = 0.01
-	// batchLimit is the maximum weight of all waiting batch requests of an adapter.
-	batchLimit = 0.1
+	// maxBatchValue is the maximum total weight of all waiting batch requests of an adapter.
+	maxBatchValue = 0.1
 	// defaultHold is how long the default policy lets batch requests wait.
 	defaultHold = 30 * time.Minute
-	// batchRun is how many full engine batches of batch requests have to wait
+	// minFullBatches is how many full engine batches of batch requests have to wait
 	// before the default policy starts to run them.
-	batchRun = 6
+	minFullBatches = 6
 )
 
 // Default is the policy that is used until an operator publishes another. The value of
@@ -50,12 +50,12 @@
 	if in.Waiting > 0 {
 		v += float64(in.Waiting) + ageWeight*in.WaitingLong.Seconds()
 	}
-	return v + min(batchWeight*float64(in.BatchWait), batchLimit)
+	return v + min(batchWeight*float64(in.BatchWait), maxBatchValue)
 }
 
 // Hold implements wardturn.Policy.
 func (Default) Hold(in wardturn.QueueInput) time.Duration {
-	if in.BatchRuns > 0 || in.BatchQueued >= batchRun*in.Batch {
+	if in.BatchRuns > 0 || in.BatchQueued >= minFullBatches*in.Batch {
 		return 0
 	}
 	return defaultHold
@@ -99,10 +99,10 @@
 	if in.Waiting+in.BatchWait > 0 {
 		return 1 + max(in.WaitingLong, in.BatchLong).Seconds()
 	}
-	return math.Exp(-in.Idle.Seconds() / recencyScale)
+	return math.Exp(-in.Idle.Seconds() / recencyScaleSeconds)
 }
 
-const recencyScale = 3600.0
+const recencyScaleSeconds = 3600.0
 
 // Hold implements wardturn.Policy.
 func (lru) Hold(wardturn.QueueInput) time.Duration {
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -73,7 +73,7 @@
 func (v *slotValue) Hash() (uint32, error) { return 0, errUnhashable }
 
 // AttrNames implements starlark.HasAttrs.
-func (v *slotValue) AttrNames() []string { return names(SlotFields()) }
+func (v *slotValue) AttrNames() []string { return fieldNames(SlotFields()) }
 
 // Attr implements starlark.HasAttrs.
 func (v *slotValue) Attr(name string) (starlark.Value, error) {
@@ -123,7 +123,7 @@
 func (v *queueValue) Hash() (uint32, error) { return 0, errUnhashable }
 
 // AttrNames implements starlark.HasAttrs.
-func (v *queueValue) AttrNames() []string { return names(QueueFields()) }
+func (v *queueValue) AttrNames() []string { return fieldNames(QueueFields()) }
 
 // Attr implements starlark.HasAttrs.
 func (v *queueValue) Attr(name string) (starlark.Value, error) {
@@ -160,7 +160,7 @@
 	return starlark.Float(d.Seconds())
 }
 
-func names(fields []Field) []string {
+func fieldNames(fields []Field) []string {
 	list := make([]string, 0, len(fields))
 	for _, f := range fields {
 		list = append(list, f.Name)
--- a/policy/program.go
+++ b/policy/program.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// callSteps is the maximum number of Starlark steps of one call of a function.
-	callSteps = 10_000
-	// initSteps is the maximum number of Starlark steps of a program's top level.
-	initSteps = 100_000
-	// maxSource is the maximum size of a program, in bytes.
-	maxSource = 64 << 10
+	// maxCallSteps is the maximum number of Starlark steps of one call of a function.
+	maxCallSteps = 10_000
+	// maxInitSteps is the maximum number of Starlark steps of a program's top level.
+	maxInitSteps = 100_000
+	// maxSourceBytes is the maximum size of a program, in bytes.
+	maxSourceBytes = 64 << 10
 	// maxHold is the maximum result of hold; larger ones are reduced to it.
 	maxHold = 24 * time.Hour
 )
@@ -65,8 +65,8 @@
 
 // Compile parses a program and runs its top level. The error is a *Problem.
 func Compile(name, src string) (*Program, error) {
-	if len(src) > maxSource {
-		return nil, problemAt(name, 1, 1, "program is larger than 64 KiB")
+	if len(src) > maxSourceBytes {
+		return nil, newProblem(name, 1, 1, "program is larger than 64 KiB")
 	}
 	globals, err := execute(name, src)
 	if err != nil {
@@ -89,7 +89,7 @@
 		}
 	}
 	if p.slot == nil && p.hold == nil && p.order == nil {
-		return nil, problemAt(name, 1, 1, "program defines none of slot, hold and order")
+		return nil, newProblem(name, 1, 1, "program defines none of slot, hold and order")
 	}
 	return p, nil
 }
@@ -97,13 +97,13 @@
 func execute(name, src string) (starlark.StringDict, error) {
 	thread := &starlark.Thread{
 		Name:  name,
-		Print: discard,
+		Print: discardOutput,
 	}
-	thread.SetMaxExecutionSteps(initSteps)
+	thread.SetMaxExecutionSteps(maxInitSteps)
 	opts := &syntax.FileOptions{}
 	globals, err := starlark.ExecFileOptions(opts, thread, name, src, starlark.StringDict{})
 	if err != nil {
-		return nil, toProblem(name, err)
+		return nil, problemOf(name, err)
 	}
 	globals.Freeze()
 	return globals, nil
@@ -116,17 +116,17 @@
 	}
 	fn, ok := v.(*starlark.Function)
 	if !ok {
-		return problemAt(file, 1, 1, name+" is not a function")
+		return newProblem(file, 1, 1, name+" is not a function")
 	}
 	if fn.NumParams() != 1 || fn.HasVarargs() || fn.HasKwargs() {
 		pos := fn.Position()
-		return problemAt(file, int(pos.Line), int(pos.Col), name+" must take exactly one parameter")
+		return newProblem(file, int(pos.Line), int(pos.Col), name+" must take exactly one parameter")
 	}
 	*into = fn
 	return nil
 }
 
-func problemAt(file string, line, column int, reason string) *Problem {
+func newProblem(file string, line, column int, reason string) *Problem {
 	return &Problem{
 		File:   file,
 		Line:   line,
@@ -135,29 +135,29 @@
 	}
 }
 
-// toProblem converts an error of the Starlark library to a Problem. It uses the position
+// problemOf converts an error of the Starlark library to a Problem. It uses the position
 // in the error, or line 1, column 1 if the error has none.
-func toProblem(file string, err error) *Problem {
+func problemOf(file string, err error) *Problem {
 	var syntaxErr syntax.Error
 	if errors.As(err, &syntaxErr) {
-		return problemAt(file, int(syntaxErr.Pos.Line), int(syntaxErr.Pos.Col), syntaxErr.Msg)
+		return newProblem(file, int(syntaxErr.Pos.Line), int(syntaxErr.Pos.Col), syntaxErr.Msg)
 	}
 	var resolveErrs resolve.ErrorList
 	if errors.As(err, &resolveErrs) && len(resolveErrs) > 0 {
 		first := resolveErrs[0]
-		return problemAt(file, int(first.Pos.Line), int(first.Pos.Col), first.Msg)
+		return newProblem(file, int(first.Pos.Line), int(first.Pos.Col), first.Msg)
 	}
 	var evalErr *starlark.EvalError
 	if errors.As(err, &evalErr) {
 		for i := len(evalErr.CallStack) - 1; i >= 0; i-- {
 			pos := evalErr.CallStack[i].Pos
 			if pos.Line > 0 {
-				return problemAt(file, int(pos.Line), int(pos.Col), evalErr.Msg)
+				return newProblem(file, int(pos.Line), int(pos.Col), evalErr.Msg)
 			}
 		}
-		return problemAt(file, 1, 1, evalErr.Msg)
+		return newProblem(file, 1, 1, evalErr.Msg)
 	}
-	return problemAt(file, 1, 1, err.Error())
+	return newProblem(file, 1, 1, err.Error())
 }
 
 // Name implements wardturn.Policy.
@@ -216,30 +216,30 @@
 	p.counters.Calls++
 	thread := starlark.Thread{
 		Name:  p.name,
-		Print: discard,
+		Print: discardOutput,
 	}
-	thread.SetMaxExecutionSteps(callSteps)
+	thread.SetMaxExecutionSteps(maxCallSteps)
 	p.args[0] = arg
 	v, err := starlark.Call(&thread, fn, p.args[:], nil)
 	if err != nil {
-		p.fail(toProblem(p.name, err))
-		if thread.Steps >= callSteps {
+		p.recordFailure(problemOf(p.name, err))
+		if thread.Steps >= maxCallSteps {
 			p.counters.Overruns++
 		}
 		return 0, false
 	}
 	f, ok := starlark.AsFloat(v)
 	if !ok || math.IsNaN(f) || math.IsInf(f, 0) {
-		p.fail(problemAt(p.name, 1, 1, fn.Name()+" returned "+v.String()+", not a finite number"))
+		p.recordFailure(newProblem(p.name, 1, 1, fn.Name()+" returned "+v.String()+", not a finite number"))
 		return 0, false
 	}
 	return f, true
 }
 
-// discard ignores the output of a program's print calls, which must do no I/O.
-func discard(*starlark.Thread, string) {}
+// discardOutput ignores the output of a program's print calls, which must do no I/O.
+func discardOutput(*starlark.Thread, string) {}
 
-func (p *Program) fail(err error) {
+func (p *Program) recordFailure(err error) {
 	p.counters.Failures++
 	p.lastErr = err
 }
--- a/report/burn.go
+++ b/report/burn.go
@@ -97,9 +97,9 @@
 		Missing:   missing,
 	}
 	for _, o := range objectives {
-		b.Lines = append(b.Lines, line(at, o, "", batches, len(missing)))
+		b.Lines = append(b.Lines, newLine(at, o, "", batches, len(missing)))
 		for _, policy := range policiesOf(o, batches) {
-			b.Lines = append(b.Lines, line(at, o, policy, batches, len(missing)))
+			b.Lines = append(b.Lines, newLine(at, o, policy, batches, len(missing)))
 		}
 	}
 	return b
@@ -127,7 +127,7 @@
 	return k.Indicator == o.Indicator && (o.Team == "" || k.Team == o.Team) && (policy == "" || k.Policy == policy)
 }
 
-func line(at time.Time, o Objective, policy string, batches []Batch, missing int) Line {
+func newLine(at time.Time, o Objective, policy string, batches []Batch, missing int) Line {
 	l := Line{
 		Objective: o,
 		Policy:    policy,
@@ -135,19 +135,19 @@
 	for _, a := range Alerts() {
 		f := Firing{
 			Alert: a.Name,
-			Long:  span(at, a.Long, o, policy, batches, missing),
-			Short: span(at, a.Short, o, policy, batches, missing),
+			Long:  newSpan(at, a.Long, o, policy, batches, missing),
+			Short: newSpan(at, a.Short, o, policy, batches, missing),
 		}
 		f.Fires = !f.Long.NoData && !f.Short.NoData && f.Long.Burn >= a.Rate && f.Short.Burn >= a.Rate
 		l.Alerts = append(l.Alerts, f)
 	}
-	l.Minutes = minutes(at, o, policy, batches)
+	l.Minutes = minutePoints(at, o, policy, batches)
 	return l
 }
 
-// span computes the Span of the given length that ends at the last full minute before
-// at.
-func span(at time.Time, length time.Duration, o Objective, policy string, batches []Batch, missing int) Span {
+// newSpan computes the Span of the given length that ends with the last full minute
+// before at.
+func newSpan(at time.Time, length time.Duration, o Objective, policy string, batches []Batch, missing int) Span {
 	end := at.Truncate(Minute)
 	start := end.Add(-length)
 	s := Span{
@@ -197,7 +197,7 @@
 // plotMinutes is the number of minutes in a plot.
 const plotMinutes = 60
 
-func minutes(at time.Time, o Objective, policy string, batches []Batch) []MinutePoint {
+func minutePoints(at time.Time, o Objective, policy string, batches []Batch) []MinutePoint {
 	end := at.Truncate(Minute)
 	var list []MinutePoint
 	for start := end.Add(-plotMinutes * Minute); start.Before(end); start = start.Add(Minute) {
--- a/report/text.go
+++ b/report/text.go
@@ -29,36 +29,36 @@
 	for _, l := range b.Lines {
 		for _, f := range l.Alerts {
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%g%%\t%s\t%s\t%s\t%s\t%d\t%.0f%%\t\n",
-				l.Objective.Name, l.Objective.Team, l.Objective.Indicator, l.Objective.goodIf(),
-				100*l.Objective.Target, l.Policy, f.state(), f.Long.burn(), f.Short.burn(), f.Long.Events, 100*f.Long.Known)
+				l.Objective.Name, l.Objective.Team, l.Objective.Indicator, l.Objective.goodCondition(),
+				100*l.Objective.Target, l.Policy, f.stateText(), f.Long.burnText(), f.Short.burnText(), f.Long.Events, 100*f.Long.Known)
 		}
 	}
 	return t.Flush()
 }
 
-func (o Objective) goodIf() string {
+func (o Objective) goodCondition() string {
 	if o.Threshold == 0 {
 		return "done"
 	}
 	return "<= " + o.Threshold.String()
 }
 
-func (f Firing) state() string {
+func (f Firing) stateText() string {
 	if f.Fires {
 		return f.Alert + " FIRES"
 	}
 	return f.Alert
 }
 
-func (s Span) burn() string {
+func (s Span) burnText() string {
 	if s.NoData {
 		return "unknown"
 	}
 	return fmt.Sprintf("%.2f", s.Burn)
 }
 
-// page is the template of the HTML report. The page refers to no other files.
-var page = template.Must(template.New("burn").Parse(`<!doctype html>
+// pageTemplate is the template of the HTML report. The page refers to no other files.
+var pageTemplate = template.Must(template.New("burn").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
 <style>
 body{font:15px/1.45 system-ui,sans-serif;margin:2rem auto;max-width:62rem;color:#1b2733}
@@ -115,39 +115,39 @@
 		Missing:   b.Missing,
 	}
 	for _, l := range b.Lines {
-		pl, err := l.page()
+		pl, err := l.pageLine()
 		if err != nil {
 			return err
 		}
 		data.Lines = append(data.Lines, pl)
 	}
-	return errors.Wrap(page.Execute(w, data), "report")
+	return errors.Wrap(pageTemplate.Execute(w, data), "report")
 }
 
-func (l Line) page() (pageLine, error) {
+func (l Line) pageLine() (pageLine, error) {
 	o := l.Objective
 	pl := pageLine{
 		Title: fmt.Sprintf("%s: %s", o.Team, o.Name),
-		Text:  fmt.Sprintf("%g%% of %s events %s, over %s.", 100*o.Target, o.Indicator, o.goodIf(), o.Window),
+		Text:  fmt.Sprintf("%g%% of %s events %s, over %s.", 100*o.Target, o.Indicator, o.goodCondition(), o.Window),
 	}
 	if l.Policy != "" {
 		pl.Title += ", policy " + l.Policy
 	}
 	for _, f := range l.Alerts {
 		for _, s := range []Span{f.Long, f.Short} {
-			pl.Rows = append(pl.Rows, row(f, s))
+			pl.Rows = append(pl.Rows, newPageRow(f, s))
 		}
 	}
-	svg, err := l.plot()
+	svg, err := l.plotSVG()
 	pl.Plot = template.HTML(svg)
 	return pl, err
 }
 
-func row(f Firing, s Span) pageRow {
+func newPageRow(f Firing, s Span) pageRow {
 	r := pageRow{
 		Alert:  f.Alert,
 		Window: s.Length.String(),
-		Burn:   s.burn(),
+		Burn:   s.burnText(),
 		Bad:    s.Bad,
 		Events: s.Events,
 		Known:  fmt.Sprintf("%.0f%%", 100*s.Known),
@@ -161,9 +161,9 @@
 	return r
 }
 
-// plot returns an SVG plot of the burn rate by minute of the last hour. Minutes without
-// events are gaps.
-func (l Line) plot() (string, error) {
+// plotSVG returns an SVG plot of the burn rate by minute of the last hour. Minutes
+// without events are gaps.
+func (l Line) plotSVG() (string, error) {
 	p := plot.New()
 	p.Title.Text = "burn rate by minute, last hour (gaps: unknown)"
 	p.X.Label.Text = "minutes ago"
--- a/report/windows.go
+++ b/report/windows.go
@@ -33,16 +33,16 @@
 	Policy    string          `json:"policy"`
 }
 
-// bounds are the inclusive upper bounds of the histogram buckets. They grow by a factor
-// of √2, from 1 ms to about 90 s. One more bucket counts all longer times.
-var bounds = makeBounds()
+// bucketBounds are the inclusive upper bounds of the histogram buckets. They grow by a
+// factor of √2, from 1 ms to about 90 s. One more bucket counts all longer times.
+var bucketBounds = newBucketBounds()
 
 const (
 	bucketCount = 34
 	firstBound  = time.Millisecond
 )
 
-func makeBounds() []time.Duration {
+func newBucketBounds() []time.Duration {
 	const rootTwo = 1.4142135623730951
 	list := make([]time.Duration, 0, bucketCount)
 	v := float64(firstBound)
@@ -62,7 +62,7 @@
 
 // Add counts an event.
 func (h *Histogram) Add(d time.Duration) {
-	i, _ := slices.BinarySearch(bounds, d)
+	i, _ := slices.BinarySearch(bucketBounds, d)
 	h.Counts[i]++
 }
 
@@ -89,7 +89,7 @@
 func (h *Histogram) Good(threshold time.Duration) uint64 {
 	last := bucketCount
 	if threshold > 0 {
-		last, _ = slices.BinarySearch(bounds, threshold)
+		last, _ = slices.BinarySearch(bucketBounds, threshold)
 	}
 	n := uint64(0)
 	for _, c := range h.Counts[:min(last+1, len(h.Counts))] {
@@ -108,13 +108,13 @@
 // Minute is the length of a window.
 const Minute = time.Minute
 
-// minutesKept is the number of minutes that a recorder keeps: six hours, the longest
+// maxMinutes is the number of minutes that a recorder keeps: six hours, the longest
 // alert window.
-const minutesKept = 360
+const maxMinutes = 360
 
-// seriesKept is the number of series per minute that are counted separately. Events of
+// maxSeries is the number of series per minute that are counted separately. Events of
 // further series are counted in one series per indicator, without team and policy.
-const seriesKept = 512
+const maxSeries = 512
 
 // Recorder counts the events of one process. It is safe for concurrent use.
 type Recorder struct {
@@ -123,10 +123,10 @@
 	started time.Time
 
 	mu      sync.Mutex
-	minutes []minute // in order of start
+	minutes []minuteCounts // in order of start
 }
 
-type minute struct {
+type minuteCounts struct {
 	start  time.Time
 	series map[Key]*Histogram
 }
@@ -158,17 +158,17 @@
 	start := r.clock.Now().Truncate(Minute)
 	n := len(r.minutes)
 	if n == 0 || r.minutes[n-1].start.Before(start) {
-		r.minutes = append(r.minutes, minute{
+		r.minutes = append(r.minutes, minuteCounts{
 			start:  start,
 			series: make(map[Key]*Histogram),
 		})
-		if len(r.minutes) > minutesKept {
+		if len(r.minutes) > maxMinutes {
 			r.minutes = r.minutes[1:]
 		}
 		n = len(r.minutes)
 	}
 	m := r.minutes[n-1]
-	if m.series[k] == nil && len(m.series) >= seriesKept {
+	if m.series[k] == nil && len(m.series) >= maxSeries {
 		k = Key{
 			Indicator: k.Indicator,
 		}
