--- a/control/catalog.go
+++ b/control/catalog.go
@@ -78,13 +78,13 @@
 }
 
 // replaceKeys replaces the key digests of one owner.
-func replaceKeys[O comparable](m map[string]O, owner O, old, now []string) {
-	for _, k := range old {
+func replaceKeys[O comparable](m map[string]O, owner O, oldDigests, digests []string) {
+	for _, k := range oldDigests {
 		if m[k] == owner {
 			delete(m, k)
 		}
 	}
-	for _, k := range now {
+	for _, k := range digests {
 		m[k] = owner
 	}
 }
--- a/control/claimstate.go
+++ b/control/claimstate.go
@@ -10,8 +10,8 @@
 			caller: cl.Caller,
 			key:    cl.Key,
 		}
-		have, taken := s.claims[key]
-		if taken && !supersedes(cl, have.Claim) {
+		current, claimed := s.claims[key]
+		if claimed && !supersedes(cl, current.Claim) {
 			continue
 		}
 		s.claims[key] = ClaimResult{
@@ -21,7 +21,7 @@
 			Offset:   lr.Offset,
 			TooOld:   s.tooOld(cl),
 		}
-		if !taken {
+		if !claimed {
 			s.claimOrder = append(s.claimOrder, key)
 		}
 	}
@@ -30,14 +30,14 @@
 
 // supersedes reports whether claim cl may replace the current claim of its key: it
 // names the current claim's attempt and has the same request digest.
-func supersedes(cl, have Claim) bool {
-	return cl.Supersedes == have.Attempt && cl.Digest == have.Digest
+func supersedes(cl, current Claim) bool {
+	return cl.Supersedes == current.Attempt && cl.Digest == current.Digest
 }
 
 // tooOld reports whether an earlier claim of the key may have expired, or may have
-// been dropped from the log before this process read it. A key with a
-// creation time too far in the future is refused as well: it could have been claimed
-// before that time, so comparing it with the horizon would not find missed claims.
+// been dropped from the log before this process read it. A key with a creation time too
+// far in the future is refused as well: it could have been claimed before that time, so
+// the comparison with claimHorizon would not show that a claim may be missing.
 func (s *State) tooOld(cl Claim) bool {
 	age := s.logTime.Sub(cl.Created)
 	if age > ClaimWindow || age < -KeySkew {
--- a/control/replica.go
+++ b/control/replica.go
@@ -162,13 +162,13 @@
 	if !r.keepClaims {
 		r.startNearEnd(ctx)
 	}
-	wait := minBackoff
+	backoff := minBackoff
 	for ctx.Err() == nil {
 		next := r.nextOffset()
 		page, err := r.log.Read(ctx, next, maxReadRecords, readWait)
 		switch {
 		case err == nil:
-			wait = minBackoff
+			backoff = minBackoff
 			r.apply(page)
 			if r.nextOffset() >= page.Next {
 				r.restartFromFirst()
@@ -176,11 +176,11 @@
 		case errors.Is(err, wardturn.ErrOutOfRetention):
 			r.skipTo(next, page.First)
 		default:
-			if wait == minBackoff && ctx.Err() == nil {
+			if backoff == minBackoff && ctx.Err() == nil {
 				r.logger.Warn("reading the log failed; retrying", "next", next, "error", err)
 			}
-			r.sleepWithJitter(ctx, wait)
-			wait = min(2*wait, maxBackoff)
+			r.sleepWithJitter(ctx, backoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
@@ -268,10 +268,10 @@
 
 // waitUntil returns when a condition holds for a state for which all watchers have been
 // called.
-func (r *Replica) waitUntil(ctx context.Context, holds func(*State) bool) error {
+func (r *Replica) waitUntil(ctx context.Context, condition func(*State) bool) error {
 	for {
 		r.mu.Lock()
-		ok := r.notifiedOffset == r.state.Applied() && holds(r.state)
+		ok := r.notifiedOffset == r.state.Applied() && condition(r.state)
 		changed := r.updated
 		r.mu.Unlock()
 		if ok {
@@ -316,7 +316,7 @@
 // append appends a record, with retries. The record must be idempotent.
 func (r *Replica) append(ctx context.Context, data []byte) error {
 	var err error
-	wait := minBackoff
+	backoff := minBackoff
 	for range appendAttempts {
 		if _, err = r.log.Append(ctx, data); err == nil {
 			return nil
@@ -324,11 +324,11 @@
 		if errors.Is(err, wardturn.ErrReplyLost) {
 			// The record may be on the log. Appending it again is safe, and the
 			// caller finds out by reading the log.
-			r.sleepWithJitter(ctx, wait)
+			r.sleepWithJitter(ctx, backoff)
 		} else {
-			r.sleepWithJitter(ctx, 2*wait)
+			r.sleepWithJitter(ctx, 2*backoff)
 		}
-		wait *= 2
+		backoff *= 2
 	}
 	return err
 }
--- a/control/replica_test.go
+++ b/control/replica_test.go
@@ -24,7 +24,7 @@
 	RunSpecs(t, "control")
 }
 
-func replica(log wardturn.Log) *control.Replica {
+func newReplica(log wardturn.Log) *control.Replica {
 	r := control.NewReplica(log, process.Clock{}, hclog.NewNullLogger(), true)
 	DeferCleanup(r.Close)
 	return r
@@ -42,7 +42,7 @@
 	return page, err
 }
 
-func change(id string, base wardturn.Offset, body string) control.Change {
+func newChange(id string, base wardturn.Offset, body string) control.Change {
 	return control.Change{
 		ID:  control.PublicationID(id),
 		Who: "test",
@@ -63,14 +63,14 @@
 	})
 
 	It("accepts exactly one of two concurrent publications in all processes", func() {
-		x, y, z := replica(log), replica(log), replica(log)
+		x, y, z := newReplica(log), newReplica(log), newReplica(log)
 		var wg sync.WaitGroup
 		errs := make([]error, 2)
 		for i, r := range []*control.Replica{x, y} {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				_, errs[i] = r.Publish(ctx, change(fmt.Sprint("p", i), 0, fmt.Sprint(i)))
+				_, errs[i] = r.Publish(ctx, newChange(fmt.Sprint("p", i), 0, fmt.Sprint(i)))
 			}()
 		}
 		wg.Wait()
@@ -86,28 +86,28 @@
 	})
 
 	It("publishes once when replies are lost", func() {
-		lost := 0
+		appends := 0
 		log.SetFaults(standin.LogFaults{
 			LoseReply: func() bool {
-				lost++
-				return lost <= 2
+				appends++
+				return appends <= 2
 			},
 		})
-		r := replica(log)
-		res, err := r.Publish(ctx, change("p", 0, "body"))
+		r := newReplica(log)
+		res, err := r.Publish(ctx, newChange("p", 0, "body"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(res.Version).To(Equal(wardturn.Offset(1)), "offset of the first of the three appends")
 		Expect(log.Appends()).To(Equal(3))
 	})
 
 	It("fails to publish while the log is unavailable, and keeps its documents", func() {
-		r := replica(log)
-		_, err := r.Publish(ctx, change("p", 0, "body"))
+		r := newReplica(log)
+		_, err := r.Publish(ctx, newChange("p", 0, "body"))
 		Expect(err).NotTo(HaveOccurred())
 		log.SetFaults(standin.LogFaults{
 			Down: true,
 		})
-		_, err = r.Publish(ctx, change("q", 1, "other"))
+		_, err = r.Publish(ctx, newChange("q", 1, "other"))
 		Expect(errors.Is(err, wardturn.ErrUnavailable)).To(BeTrue())
 		doc, _ := r.Get("adapter/a")
 		Expect(string(doc.Body)).To(Equal("body"))
@@ -118,24 +118,24 @@
 		log = standin.NewLog(clock, standin.LogConfig{
 			Retention: time.Hour,
 		})
-		first := replica(log)
-		_, err := first.Publish(ctx, change("p", 0, "body"))
+		first := newReplica(log)
+		_, err := first.Publish(ctx, newChange("p", 0, "body"))
 		Expect(err).NotTo(HaveOccurred())
 		clock.Advance(50 * time.Minute)
 		Expect(first.Snapshot(ctx)).To(Succeed())
 		clock.Advance(20 * time.Minute)
-		late := replica(log)
+		second := newReplica(log)
 		Eventually(func() bool {
-			_, ok := late.Get("adapter/a")
+			_, ok := second.Get("adapter/a")
 			return ok
 		}).Should(BeTrue())
-		doc, _ := late.Get("adapter/a")
+		doc, _ := second.Get("adapter/a")
 		Expect(doc.Version).To(Equal(wardturn.Offset(1)), "the original version")
 	})
 
 	It("starts near the end of a long log, and from the first record if it finds no snapshot", func() {
-		first := replica(log)
-		_, err := first.Publish(ctx, change("p", 0, "body"))
+		first := newReplica(log)
+		_, err := first.Publish(ctx, newChange("p", 0, "body"))
 		Expect(err).NotTo(HaveOccurred())
 		fill := func() {
 			for range 21_000 {
@@ -144,7 +144,7 @@
 			}
 		}
 		fill()
-		newcomer := func() int {
+		recordsRead := func() int {
 			counting := &countingLog{
 				Log: log,
 			}
@@ -156,17 +156,17 @@
 			}).WithTimeout(10 * time.Second).Should(BeTrue())
 			return int(counting.records.Load())
 		}
-		Expect(newcomer()).To(BeNumerically(">", 20_002), "no snapshot: reads the end, then all records")
+		Expect(recordsRead()).To(BeNumerically(">", 20_002), "no snapshot: reads the end, then all records")
 		Expect(first.Snapshot(ctx)).To(Succeed())
 		fill()
-		Expect(newcomer()).To(BeNumerically(">", 20_002), "the snapshot is before the last 20 000 records")
+		Expect(recordsRead()).To(BeNumerically(">", 20_002), "the snapshot is before the last 20 000 records")
 		Expect(first.Snapshot(ctx)).To(Succeed())
-		Expect(newcomer()).To(BeNumerically("<=", 20_002))
+		Expect(recordsRead()).To(BeNumerically("<=", 20_002))
 	})
 
 	It("never replaces documents by older ones of a peer", func() {
-		r := replica(log)
-		_, err := r.Publish(ctx, change("p", 0, "new"))
+		r := newReplica(log)
+		_, err := r.Publish(ctx, newChange("p", 0, "new"))
 		Expect(err).NotTo(HaveOccurred())
 		old := control.Doc{
 			Key:  "adapter/a",
@@ -192,7 +192,7 @@
 		var claimers []*control.Claimer
 		created := time.Now()
 		for i := range agents {
-			c := control.NewClaimer(replica(log), process.Clock{}, wardturn.UpstreamID(fmt.Sprint("u", i)), "p")
+			c := control.NewClaimer(newReplica(log), process.Clock{}, wardturn.UpstreamID(fmt.Sprint("u", i)), "p")
 			claimers = append(claimers, c)
 			for j := range each {
 				wg.Add(1)
--- a/control/seed_test.go
+++ b/control/seed_test.go
@@ -12,19 +12,19 @@
 	"wardturn/standin"
 )
 
-// told records the keys of the documents for which a watcher was called.
-type told struct {
+// watchedKeys records the keys of the documents for which a watcher was called.
+type watchedKeys struct {
 	mu   sync.Mutex
 	keys []control.Key
 }
 
-func (t *told) add(k control.Key) {
+func (t *watchedKeys) add(k control.Key) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.keys = append(t.keys, k)
 }
 
-func (t *told) take() []control.Key {
+func (t *watchedKeys) take() []control.Key {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	keys := t.keys
@@ -47,8 +47,8 @@
 		log.SetFaults(standin.LogFaults{
 			Down: true,
 		})
-		r := replica(log)
-		var t told
+		r := newReplica(log)
+		var t watchedKeys
 		r.Watch(t.add)
 		catalog := control.NewCatalog(r)
 		r.Seed(control.Page{
@@ -74,7 +74,7 @@
 	It("ignores a configuration if records after it were skipped", func() {
 		const peerAt, first = 200, 250
 		record := func(offset wardturn.Offset, base wardturn.Offset, body string) wardturn.LogRecord {
-			c := change(body, base, body)
+			c := newChange(body, base, body)
 			data, err := control.Encode(control.Record{
 				Change: &c,
 			})
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -66,9 +66,9 @@
 	return nil
 }
 
-// snapshotDue reports whether the newest snapshot is older than age, or so many records
+// snapshotDue reports whether the newest snapshot is older than maxAge, or so many records
 // back that a process that starts reading near the end of the log would soon miss it.
-func (r *Replica) snapshotDue(age time.Duration) bool {
+func (r *Replica) snapshotDue(maxAge time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.state.Based() || len(r.state.docs) == 0 {
@@ -77,20 +77,20 @@
 	if r.state.readOffset-r.state.snapshotOffset > tailRecords/2 {
 		return true
 	}
-	return r.clock.Now().Sub(r.state.SnapshotTime()) > age
+	return r.clock.Now().Sub(r.state.SnapshotTime()) > maxAge
 }
 
 // KeepSnapshots appends a snapshot whenever one is due, until ctx ends. Every entry
 // host runs it. Each waits for a random time before it appends, so that usually one
 // host appends the snapshot and the others see it in time.
-func (r *Replica) KeepSnapshots(ctx context.Context, every time.Duration) {
+func (r *Replica) KeepSnapshots(ctx context.Context, interval time.Duration) {
 	for ctx.Err() == nil {
-		r.sleepWithJitter(ctx, every/snapshotChecksPerInterval)
-		if !r.snapshotDue(every) {
+		r.sleepWithJitter(ctx, interval/snapshotChecksPerInterval)
+		if !r.snapshotDue(interval) {
 			continue
 		}
-		r.sleepWithJitter(ctx, every/snapshotChecksPerInterval)
-		if ctx.Err() != nil || !r.snapshotDue(every) {
+		r.sleepWithJitter(ctx, interval/snapshotChecksPerInterval)
+		if ctx.Err() != nil || !r.snapshotDue(interval) {
 			continue
 		}
 		if err := r.Snapshot(ctx); err != nil && ctx.Err() == nil {
--- a/control/state.go
+++ b/control/state.go
@@ -54,7 +54,7 @@
 type State struct {
 	readOffset       wardturn.Offset // offset of the newest record that was read
 	applied          wardturn.Offset // the documents are current as of this record
-	firstRead        wardturn.Offset // all records from this one up to readOffset were read
+	firstReadOffset  wardturn.Offset // all records from this one up to readOffset were read
 	hasBaseline      bool
 	backlog          []pendingChange // publications that were read without a baseline
 	logTime          time.Time
@@ -96,7 +96,7 @@
 // set, because entry hosts do not need them.
 func NewState(keepClaims bool) *State {
 	return &State{
-		firstRead:        1,
+		firstReadOffset:  1,
 		hasBaseline:      true,
 		docs:             make(map[Key]Doc),
 		claims:           make(map[claimKey]ClaimResult),
@@ -216,7 +216,7 @@
 		return
 	}
 	s.readOffset = first - 1
-	s.firstRead = first
+	s.firstReadOffset = first
 	s.hasBaseline = false
 	s.backlog = nil
 	s.skipped = true
@@ -233,13 +233,13 @@
 		Version:  lr.Offset,
 	}
 	for _, dc := range c.Docs {
-		have := s.docs[dc.Key].Version
-		if have == dc.Base {
+		current := s.docs[dc.Key].Version
+		if current == dc.Base {
 			continue
 		}
 		res.Accepted = false
 		res.Conflict = dc.Key
-		res.InForce = have
+		res.InForce = current
 		break
 	}
 	s.addResult(res)
@@ -315,7 +315,7 @@
 	delete(s.partialSnapshots, snap.Through)
 	s.snapshotTime = lr.Time
 	s.snapshotOffset = lr.Offset
-	if !s.hasBaseline && snap.Through+1 >= s.firstRead {
+	if !s.hasBaseline && snap.Through+1 >= s.firstReadOffset {
 		s.installBaseline(snap.Through, p)
 	}
 }
@@ -332,7 +332,7 @@
 		}
 	}
 	for key := range s.docs {
-		if _, had := old[key]; !had {
+		if _, existed := old[key]; !existed {
 			s.onChange(key)
 		}
 	}
@@ -355,7 +355,7 @@
 // nothing if the configuration is not newer than the present one, or if records between
 // it and the oldest record that was read are missing.
 func (s *State) Seed(page Page, applied wardturn.Offset) {
-	missed := s.readOffset > applied && s.firstRead > applied+1
+	missed := s.readOffset > applied && s.firstReadOffset > applied+1
 	if applied <= s.applied || missed {
 		return
 	}
@@ -368,7 +368,7 @@
 	}
 	s.installBaseline(applied, p)
 	s.readOffset = max(s.readOffset, applied)
-	s.firstRead = applied + 1
+	s.firstReadOffset = applied + 1
 	s.skipped = true
 	s.updateApplied()
 }
--- a/control/state_model_test.go
+++ b/control/state_model_test.go
@@ -35,16 +35,16 @@
 // speeds, start late and restart. Publications conflict and are repeated after lost
 // replies. Snapshots contain what the process that appends them has read.
 type logModel struct {
-	now     time.Time
-	log     []wardturn.LogRecord
-	first   int // index of the oldest record retained
-	readers []*reader
-	truth   *control.State // reads every record as it is appended
-	sent    []control.Change
-	inForce map[control.Key]wardturn.Offset // highest version that truth ever accepted
-	created map[string]time.Time            // creation times of idempotency keys
-	ran     map[string]int
-	next    uint64
+	now       time.Time
+	log       []wardturn.LogRecord
+	first     int // index of the oldest record retained
+	readers   []*reader
+	reference *control.State // reads every record as it is appended
+	sent      []control.Change
+	accepted  map[control.Key]wardturn.Offset // highest version that reference ever had
+	created   map[string]time.Time            // creation times of idempotency keys
+	ran       map[string]int
+	next      uint64
 }
 
 type reader struct {
@@ -59,11 +59,11 @@
 
 func newLogModel() *logModel {
 	m := &logModel{
-		now:     start,
-		truth:   control.NewState(true),
-		inForce: make(map[control.Key]wardturn.Offset),
-		created: make(map[string]time.Time),
-		ran:     make(map[string]int),
+		now:       start,
+		reference: control.NewState(true),
+		accepted:  make(map[control.Key]wardturn.Offset),
+		created:   make(map[string]time.Time),
+		ran:       make(map[string]int),
 	}
 	for range modelReaders {
 		m.readers = append(m.readers, newReader())
@@ -90,9 +90,9 @@
 		Data:   data,
 	}
 	m.log = append(m.log, lr)
-	m.truth.Apply(lr)
-	for _, d := range m.truth.Docs("") {
-		m.inForce[d.Key] = max(m.inForce[d.Key], d.Version)
+	m.reference.Apply(lr)
+	for _, d := range m.reference.Docs("") {
+		m.accepted[d.Key] = max(m.accepted[d.Key], d.Version)
 	}
 }
 
@@ -126,11 +126,11 @@
 		t.Skip("nothing published")
 	}
 	c := m.sent[len(m.sent)-1]
-	before := len(m.truth.Docs(""))
+	before := len(m.reference.Docs(""))
 	m.append(t, control.Record{
 		Change: &c,
 	})
-	if len(m.truth.Docs("")) != before {
+	if len(m.reference.Docs("")) != before {
 		t.Fatal("a repeated publication changed the documents")
 	}
 }
@@ -139,7 +139,7 @@
 func (m *logModel) Snapshot(t *rapid.T) {
 	r := m.readers[rapid.IntRange(0, modelReaders-1).Draw(t, "by")]
 	if !r.state.Based() {
-		t.Skip("no base")
+		t.Skip("no baseline")
 	}
 	docs := r.state.Docs("")
 	through := r.state.Applied()
@@ -250,7 +250,7 @@
 				t.Fatalf("process %d went back from %d to %d for %s", i, r.seen[d.Key], d.Version, d.Key)
 			}
 			r.seen[d.Key] = d.Version
-			if d.Version > m.inForce[d.Key] {
+			if d.Version > m.accepted[d.Key] {
 				t.Fatalf("process %d holds version %d of %s, which was never accepted", i, d.Version, d.Key)
 			}
 		}
@@ -260,9 +260,10 @@
 	}
 }
 
-// compare checks that a process that has read the whole log has the documents of truth.
+// compare checks that a process that has read the whole log has the documents of
+// reference.
 func (m *logModel) compare(t *rapid.T, i int, r *reader) {
-	want := m.truth.Docs("")
+	want := m.reference.Docs("")
 	got := r.state.Docs("")
 	if len(want) != len(got) {
 		t.Fatalf("process %d has %d documents, want %d", i, len(got), len(want))
--- a/policy/program.go
+++ b/policy/program.go
@@ -78,13 +78,13 @@
 	}
 	for _, f := range []struct {
 		name string
-		into *starlark.Callable
+		dst  *starlark.Callable
 	}{
 		{funcSlot, &p.slot},
 		{funcHold, &p.hold},
 		{funcOrder, &p.order},
 	} {
-		if err := bind(name, globals, f.name, f.into); err != nil {
+		if err := bind(name, globals, f.name, f.dst); err != nil {
 			return nil, err
 		}
 	}
@@ -109,7 +109,7 @@
 	return globals, nil
 }
 
-func bind(file string, globals starlark.StringDict, name string, into *starlark.Callable) error {
+func bind(file string, globals starlark.StringDict, name string, dst *starlark.Callable) error {
 	v, ok := globals[name]
 	if !ok {
 		return nil
@@ -122,7 +122,7 @@
 		pos := fn.Position()
 		return newProblem(file, int(pos.Line), int(pos.Col), name+" must take exactly one parameter")
 	}
-	*into = fn
+	*dst = fn
 	return nil
 }
 
--- a/report/burn.go
+++ b/report/burn.go
@@ -163,9 +163,9 @@
 			}
 		}
 	}
-	all := (len(batches) + missing) * int(length/Minute)
-	if all > 0 {
-		s.Known = float64(known) / float64(all)
+	total := (len(batches) + missing) * int(length/Minute)
+	if total > 0 {
+		s.Known = float64(known) / float64(total)
 	}
 	s.Events = sum.Total()
 	s.NoData = s.Events == 0
--- a/report/burn_test.go
+++ b/report/burn_test.go
@@ -25,9 +25,9 @@
 	Policy:    "p",
 }
 
-// counted returns the counts of a process with good and bad events in each of the last
+// countEvents returns the counts of a process with good and bad events in each of the last
 // minutes, and the time at the end of them.
-func counted(minutes, good, bad int) (report.Batch, time.Time) {
+func countEvents(minutes, good, bad int) (report.Batch, time.Time) {
 	clock := standin.NewClock()
 	r := report.NewRecorder(clock, "p")
 	for range minutes {
@@ -44,7 +44,7 @@
 }
 
 func TestBurnRate(t *testing.T) {
-	b, at := counted(60, 80, 20)
+	b, at := countEvents(60, 80, 20)
 	burn := report.Compute(at, []report.Objective{stall}, []report.Batch{b, b}, nil)
 	fast := burn.Lines[0].Alerts[0]
 	if fast.Long.Events != 2*60*100 || fast.Long.Bad != 2*60*20 {
@@ -61,22 +61,22 @@
 func TestAlertNeedsBothWindows(t *testing.T) {
 	objective := stall
 	objective.Target = 0.99
-	burning, at := counted(60, 80, 20)
+	burning, at := countEvents(60, 80, 20)
 	if b := report.Compute(at, []report.Objective{objective}, []report.Batch{burning}, nil); !b.Lines[0].Alerts[0].Fires {
 		t.Fatalf("burn %v over both windows does not fire", b.Lines[0].Alerts[0].Long.Burn)
 	}
 	// The same hour without bad events in the last ten minutes.
-	var over report.Batch
-	over.Started = burning.Started
-	over.At = burning.At
+	var recovered report.Batch
+	recovered.Started = burning.Started
+	recovered.At = burning.At
 	for _, w := range burning.Windows {
 		if w.Start.After(at.Add(-11 * time.Minute)) {
 			w.Histogram = report.Histogram{}
 			w.Add(time.Millisecond)
 		}
-		over.Windows = append(over.Windows, w)
+		recovered.Windows = append(recovered.Windows, w)
 	}
-	if b := report.Compute(at, []report.Objective{objective}, []report.Batch{over}, nil); b.Lines[0].Alerts[0].Fires {
+	if b := report.Compute(at, []report.Objective{objective}, []report.Batch{recovered}, nil); b.Lines[0].Alerts[0].Fires {
 		t.Fatal("the alert still fires after the burn rate of the short window fell")
 	}
 }
@@ -85,18 +85,18 @@
 // that of the other process, and half of the minutes are unknown. Counting them as
 // minutes without bad events would halve the burn rate.
 func TestGapsAreUnknown(t *testing.T) {
-	b, at := counted(60, 80, 20)
+	b, at := countEvents(60, 80, 20)
 	burn := report.Compute(at, []report.Objective{stall}, []report.Batch{b}, []string{"gone"})
 	long := burn.Lines[0].Alerts[0].Long
 	if long.Known != 0.5 || long.Burn < 1.99 {
 		t.Fatalf("known %v, burn %v; want 0.5 and 2", long.Known, long.Burn)
 	}
-	nothing := report.Compute(at, []report.Objective{stall}, nil, []string{"gone"})
-	if s := nothing.Lines[0].Alerts[0].Long; !s.NoData {
+	empty := report.Compute(at, []report.Objective{stall}, nil, []string{"gone"})
+	if s := empty.Lines[0].Alerts[0].Long; !s.NoData {
 		t.Fatalf("%+v, want no data", s)
 	}
 	var text bytes.Buffer
-	if err := nothing.WriteText(&text); err != nil || !strings.Contains(text.String(), "unknown") {
+	if err := empty.WriteText(&text); err != nil || !strings.Contains(text.String(), "unknown") {
 		t.Fatalf("%v %s", err, text.String())
 	}
 }
@@ -119,7 +119,7 @@
 }
 
 func TestHTMLStandsAlone(t *testing.T) {
-	b, at := counted(60, 80, 20)
+	b, at := countEvents(60, 80, 20)
 	var page bytes.Buffer
 	if err := report.Compute(at, []report.Objective{stall}, []report.Batch{b}, nil).WriteHTML(&page); err != nil {
 		t.Fatal(err)
@@ -130,9 +130,9 @@
 			t.Errorf("page lacks %q", want)
 		}
 	}
-	for _, never := range []string{"<script", "<link", " src="} {
-		if strings.Contains(html, never) {
-			t.Errorf("page has %q", never)
+	for _, forbidden := range []string{"<script", "<link", " src="} {
+		if strings.Contains(html, forbidden) {
+			t.Errorf("page has %q", forbidden)
 		}
 	}
 }
