--- a/control/claims.go
+++ b/control/claims.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// claimLinger is how long the first claim of a batch waits for others.
+	// claimLinger is how long the first claim of a batch waits for more claims.
 	claimLinger = 2 * time.Millisecond
-	// claimBatch bounds the claims in one record.
-	claimBatch = 512
-	// claimLimit bounds the time from a claim to its answer.
-	claimLimit = 2 * time.Second
+	// maxClaimBatch is the maximum number of claims in one record.
+	maxClaimBatch = 512
+	// claimTimeout is the timeout of a claim, and of the append of a batch.
+	claimTimeout = 2 * time.Second
 )
 
-// Claimer claims idempotency keys for one agent. Claims that come together
-// share a record, and one append is under way at a time, so the number of
-// appends is bounded by the log's latency and not by the traffic.
+// Claimer claims idempotency keys for one agent. Concurrent claims are batched into
+// one record, and only one append is in progress at a time, so that the rate of
+// appends is bounded by the log's latency and does not grow with the traffic.
 type Claimer struct {
 	replica  *Replica
 	upstream wardturn.UpstreamID
 	process  wardturn.Incarnation
 	clock    wardturn.Clock
 
-	mu      sync.Mutex
-	waiting []*pendingClaim
-	busy    bool
-	appends int
-	claims  int
+	mu        sync.Mutex
+	waiting   []*pendingClaim
+	appending bool
+	appends   int
+	claims    int
 }
 
 type pendingClaim struct {
 	claim  Claim
 	offset wardturn.Offset
 	err    error
-	ready  chan struct{}
+	done   chan struct{}
 }
 
-// NewClaimer returns a claimer for an agent. The replica must keep claims.
+// NewClaimer returns a claimer for an agent. The replica must have been created with
+// keepClaims set.
 func NewClaimer(replica *Replica, clock wardturn.Clock, upstream wardturn.UpstreamID, process wardturn.Incarnation) *Claimer {
 	return &Claimer{
 		replica:  replica,
@@ -52,20 +53,20 @@
 	}
 }
 
-// Claim appends a claim, reads the log up to it, and returns the first claim of
-// the key. The caller may run the request only if the result is its own attempt
-// and not too old. With an error nothing may run: the claim may or may not be
-// on the log, and its attempt is never used again.
+// Claim appends a claim, waits until the log is read up to it, and returns the first
+// claim of the key. The caller may run the request only if the result has its own
+// attempt ID and is not too old. After an error the request must not run: the claim
+// may or may not be on the log, and its attempt ID must not be used again.
 func (c *Claimer) Claim(ctx context.Context, claim Claim) (ClaimResult, error) {
 	p := &pendingClaim{
 		claim: claim,
-		ready: make(chan struct{}),
+		done:  make(chan struct{}),
 	}
-	ctx, cancel := wardturn.WithLimit(ctx, c.clock, claimLimit)
+	ctx, cancel := wardturn.WithLimit(ctx, c.clock, claimTimeout)
 	defer cancel()
 	c.enqueue(p)
 	select {
-	case <-p.ready:
+	case <-p.done:
 	case <-ctx.Done():
 		return ClaimResult{}, errors.Wrap(wardturn.ErrUnavailable, "control: claim not appended in time")
 	}
@@ -79,7 +80,8 @@
 	defer c.replica.mu.Unlock()
 	res, ok := c.replica.state.First(claim.Caller, claim.Key)
 	if !ok {
-		// Read and already forgotten: the key is too old to tell.
+		// The claim was applied and has already expired, so an earlier claim of
+		// the key may have expired too.
 		return ClaimResult{
 			Claim:  claim,
 			TooOld: true,
@@ -88,7 +90,7 @@
 	return res, nil
 }
 
-// Counts returns the claims made and the appends that carried them.
+// Counts returns the number of claims and the number of appends that contained them.
 func (c *Claimer) Counts() (claims, appends int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,18 +102,18 @@
 	defer c.mu.Unlock()
 	c.waiting = append(c.waiting, p)
 	c.claims++
-	if !c.busy {
-		c.busy = true
+	if !c.appending {
+		c.appending = true
 		c.clock.AfterFunc(claimLinger, func() {
 			go c.flush()
 		})
 	}
 }
 
-// flush appends what waits until nothing does.
+// flush appends the waiting claims in batches until none are left.
 func (c *Claimer) flush() {
 	for {
-		batch := c.take()
+		batch := c.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
@@ -119,27 +121,27 @@
 		for _, p := range batch {
 			p.offset = offset
 			p.err = err
-			close(p.ready)
+			close(p.done)
 		}
 	}
 }
 
-func (c *Claimer) take() []*pendingClaim {
+func (c *Claimer) nextBatch() []*pendingClaim {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := min(len(c.waiting), claimBatch)
+	n := min(len(c.waiting), maxClaimBatch)
 	batch := c.waiting[:n:n]
 	c.waiting = c.waiting[n:]
 	if n == 0 {
-		c.busy = false
+		c.appending = false
 		return nil
 	}
 	c.appends++
 	return batch
 }
 
-// append is tried once: after a lost reply the batch may be on the log, and its
-// attempts must not run.
+// append appends a batch. It does not retry: after a lost reply the batch may be on
+// the log, and its requests must not run.
 func (c *Claimer) append(batch []*pendingClaim) (wardturn.Offset, error) {
 	list := make([]Claim, 0, len(batch))
 	for _, p := range batch {
@@ -155,7 +157,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := wardturn.WithLimit(context.Background(), c.clock, claimLimit)
+	ctx, cancel := wardturn.WithLimit(context.Background(), c.clock, claimTimeout)
 	defer cancel()
 	return c.replica.log.Append(ctx, data)
 }
--- a/control/claimstate.go
+++ b/control/claimstate.go
@@ -10,8 +10,8 @@
 			caller: cl.Caller,
 			key:    cl.Key,
 		}
-		have, taken := s.claims[key]
-		if taken && !supersedes(cl, have.Claim) {
+		current, claimed := s.claims[key]
+		if claimed && !supersedes(cl, current.Claim) {
 			continue
 		}
 		s.claims[key] = ClaimResult{
@@ -21,39 +21,40 @@
 			Offset:   lr.Offset,
 			TooOld:   s.tooOld(cl),
 		}
-		if !taken {
-			s.order = append(s.order, key)
+		if !claimed {
+			s.claimOrder = append(s.claimOrder, key)
 		}
 	}
-	s.forgetClaims()
+	s.expireClaims()
 }
 
-// supersedes reports whether a claim may replace the one held: it names that
-// one's attempt and asks for the same.
-func supersedes(cl, have Claim) bool {
-	return cl.Supersedes == have.Attempt && cl.Digest == have.Digest
+// supersedes reports whether claim cl may replace the current claim of its key: it
+// names the current claim's attempt and has the same request digest.
+func supersedes(cl, current Claim) bool {
+	return cl.Supersedes == current.Attempt && cl.Digest == current.Digest
 }
 
-// tooOld reports whether an earlier claim of the key may have been forgotten,
-// or may have been out of retention before this process read the log. A key that
-// comes from the future could be claimed before its time, so it is refused too.
+// tooOld reports whether an earlier claim of the key may have expired, or may have
+// been dropped from the log before this process read it. A key with a creation time too
+// far in the future is refused as well: it could have been claimed before that time, so
+// the comparison with claimHorizon would not show that a claim may be missing.
 func (s *State) tooOld(cl Claim) bool {
 	age := s.logTime.Sub(cl.Created)
 	if age > ClaimWindow || age < -KeySkew {
 		return true
 	}
-	return !s.horizon.IsZero() && cl.Created.Before(s.horizon.Add(KeySkew))
+	return !s.claimHorizon.IsZero() && cl.Created.Before(s.claimHorizon.Add(KeySkew))
 }
 
-func (s *State) forgetClaims() {
-	for len(s.order) > 0 {
-		c := s.claims[s.order[0]]
-		// A key is remembered for two windows: one in which it may be used, and
-		// one for clocks and delays.
+func (s *State) expireClaims() {
+	for len(s.claimOrder) > 0 {
+		c := s.claims[s.claimOrder[0]]
+		// Claims are kept for twice ClaimWindow: once for the time in which the
+		// key may be used, and once as a margin for clock skew and delays.
 		if s.logTime.Sub(c.Claim.Created) <= 2*ClaimWindow {
 			return
 		}
-		delete(s.claims, s.order[0])
-		s.order = s.order[1:]
+		delete(s.claims, s.claimOrder[0])
+		s.claimOrder = s.claimOrder[1:]
 	}
 }
--- a/control/history.go
+++ b/control/history.go
@@ -6,15 +6,15 @@
 	"wardturn"
 )
 
-// historyKept bounds the publications that a process remembers one by one. The
-// log itself holds them for its retention.
-const historyKept = 10_000
+// maxHistory is the maximum number of publications that a process keeps in its
+// history. The log has all of them until its retention ends.
+const maxHistory = 10_000
 
-// Entry is one line of the audit record: who published what, when, and whether
-// it was accepted.
+// Entry is an entry of the audit history: who published what, when, and whether it was
+// accepted.
 type Entry struct {
 	Version  wardturn.Offset `json:"version"` // offset of the record
-	At       time.Time       `json:"at"`      // by the log's clock
+	At       time.Time       `json:"at"`      // by the clock of the log
 	Who      string          `json:"who"`
 	ID       PublicationID   `json:"id"`
 	Accepted bool            `json:"accepted"`
@@ -22,7 +22,7 @@
 	Deleted  []Key           `json:"deleted,omitempty"`
 }
 
-func (s *State) audit(lr wardturn.LogRecord, c *Change, res Result) {
+func (s *State) addHistory(lr wardturn.LogRecord, c *Change, res Result) {
 	e := Entry{
 		Version:  lr.Offset,
 		At:       lr.Time,
@@ -38,19 +38,19 @@
 		e.Keys = append(e.Keys, d.Key)
 	}
 	s.history = append(s.history, e)
-	if len(s.history) > historyKept {
+	if len(s.history) > maxHistory {
 		s.history = s.history[1:]
 	}
 }
 
-// History returns up to limit entries after an offset, oldest first; those that
-// touch a key, or all.
+// History returns up to limit entries after an offset, oldest first. If key is not
+// empty, only entries that change this document are returned.
 func (r *Replica) History(key Key, after wardturn.Offset, limit int) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []Entry
 	for _, e := range r.state.history {
-		if e.Version <= after || !e.touches(key) {
+		if e.Version <= after || !e.changes(key) {
 			continue
 		}
 		if len(list) == limit {
@@ -61,7 +61,7 @@
 	return list
 }
 
-func (e Entry) touches(key Key) bool {
+func (e Entry) changes(key Key) bool {
 	if key == "" {
 		return true
 	}
--- a/control/replica.go
+++ b/control/replica.go
@@ -13,35 +13,36 @@
 )
 
 const (
-	readLimit   = 500
-	readWait    = 2 * time.Second
-	minBackoff  = 50 * time.Millisecond
-	maxBackoff  = 2 * time.Second
-	appendTries = 3
+	maxReadRecords = 500
+	readWait       = 2 * time.Second
+	minBackoff     = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	appendAttempts = 3
 )
 
-// ErrConflict is wrapped by the error of a publication that another overtook.
-var ErrConflict = errors.New("control: version is no longer in force")
+// ErrConflict is wrapped by the error of a publication that was not accepted because the
+// current version of a document was not the one that the publication replaces.
+var ErrConflict = errors.New("control: base version is not the current version")
 
-// Replica is a process's copy of the configuration. It follows the log in a
-// goroutine of its own until Close.
+// Replica is the copy of the configuration in one process. A goroutine reads the log
+// and applies its records until Close is called.
 type Replica struct {
 	log    wardturn.Log
 	clock  wardturn.Clock
 	logger hclog.Logger
 
-	// taking is held while records or a peer's documents are taken and the
-	// watchers told of them: they hear of one change after the other.
-	taking sync.Mutex
-	dirty  []Key // changed by what is taken now
+	// updateMu is held while records or a peer's documents are applied and the
+	// watchers are called, so that watchers are called for one change at a time.
+	updateMu    sync.Mutex
+	changedKeys []Key // keys of the documents changed by the current update
 
-	mu       sync.Mutex
-	state    *State
-	visible  wardturn.Offset // applied, and the watchers were told
-	changed  chan struct{}   // closed and replaced after each page
-	watchers []func(Key)
-	lastRead time.Time // of the latest successful read
-	tailed   bool      // reading started near the log's end
+	mu             sync.Mutex
+	state          *State
+	notifiedOffset wardturn.Offset // applied offset for which the watchers were called
+	updated        chan struct{}   // closed and replaced after each update
+	watchers       []func(Key)
+	lastRead       time.Time // time of the latest successful read
+	startedNearEnd bool      // reading started near the end of the log
 
 	keepClaims bool
 
@@ -49,7 +50,8 @@
 	done   chan struct{}
 }
 
-// NewReplica starts to follow the log from its oldest record.
+// NewReplica returns a replica that starts reading the log. With keepClaims it reads
+// from the oldest record; without, it may skip to the newest tailRecords records.
 func NewReplica(log wardturn.Log, clock wardturn.Clock, logger hclog.Logger, keepClaims bool) *Replica {
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &Replica{
@@ -57,141 +59,141 @@
 		clock:   clock,
 		logger:  logger.Named("control"),
 		state:   NewState(keepClaims),
-		changed: make(chan struct{}),
+		updated: make(chan struct{}),
 		cancel:  cancel,
 
 		keepClaims: keepClaims,
 		done:       make(chan struct{}),
 	}
 	r.state.onChange = func(k Key) {
-		r.dirty = append(r.dirty, k)
+		r.changedKeys = append(r.changedKeys, k)
 	}
 	go func() {
 		defer close(r.done)
-		r.follow(ctx)
+		r.readLog(ctx)
 	}()
 	return r
 }
 
-// Close stops following.
+// Close stops reading the log and waits until the goroutine has ended.
 func (r *Replica) Close() {
 	r.cancel()
 	<-r.done
 }
 
-// Watch calls f for each document that changes from now on, for one change at a
-// time. Register watchers before they matter and read the present state after.
+// Watch registers f to be called for each document that changes from now on, one change
+// at a time. To miss no change, call Watch first and read the current documents after.
 func (r *Replica) Watch(f func(Key)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.watchers = append(r.watchers, f)
 }
 
-// Applied returns the newest offset that was applied and that all watchers have
-// been told of.
+// Applied returns the newest offset that was applied and for which all watchers have
+// been called.
 func (r *Replica) Applied() wardturn.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.visible
+	return r.notifiedOffset
 }
 
-// Get returns a document in force.
+// Get returns the current version of a document.
 func (r *Replica) Get(key Key) (Doc, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Get(key)
 }
 
-// Docs returns the documents of a kind, or all.
+// Docs returns the documents of a kind, or all if kind is empty, sorted by key.
 func (r *Replica) Docs(kind string) []Doc {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Docs(kind)
 }
 
-// Fence returns the fence of an upstream's newest agent.
+// Fence returns the fencing token of an upstream's newest agent process.
 func (r *Replica) Fence(id wardturn.UpstreamID) wardturn.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Fence(id)
 }
 
-// LastRead returns when the log was last read with success.
+// LastRead returns the time of the latest successful read of the log.
 func (r *Replica) LastRead() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastRead
 }
 
-// Seed adopts a peer's configuration; see State.Seed.
+// Seed installs the configuration of a peer; see State.Seed.
 func (r *Replica) Seed(page Page, applied wardturn.Offset) {
-	r.taking.Lock()
-	defer r.taking.Unlock()
+	r.updateMu.Lock()
+	defer r.updateMu.Unlock()
 	r.mu.Lock()
-	r.dirty = r.dirty[:0]
+	r.changedKeys = r.changedKeys[:0]
 	r.state.Seed(page, applied)
 	r.mu.Unlock()
-	r.tell()
+	r.notifyWatchers()
 }
 
-// tell tells the watchers of the documents that what was taken changed, then those
-// that wait. Taking is held.
-func (r *Replica) tell() {
+// notifyWatchers calls the watchers for each changed document and then wakes the
+// goroutines in waitUntil. The caller holds updateMu.
+func (r *Replica) notifyWatchers() {
 	r.mu.Lock()
 	watchers := r.watchers
 	r.mu.Unlock()
-	for _, key := range r.dirty {
+	for _, key := range r.changedKeys {
 		for _, f := range watchers {
 			f(key)
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.visible = r.state.Applied()
-	r.announce()
+	r.notifiedOffset = r.state.Applied()
+	r.wakeWaiters()
 }
 
-// tailRecords is how many records before the log's end a process that needs only
-// the configuration starts to read. Snapshots come far more often; should none be
-// there, it starts again from the log's first record.
+// tailRecords is how many records before the end of the log a process that needs only
+// the configuration starts to read. Snapshots are appended far more often than that; if
+// none is found, the process starts again from the first record of the log.
 const tailRecords = 20_000
 
-func (r *Replica) follow(ctx context.Context) {
+func (r *Replica) readLog(ctx context.Context) {
 	if !r.keepClaims {
 		r.startNearEnd(ctx)
 	}
-	wait := minBackoff
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		next := r.next()
-		page, err := r.log.Read(ctx, next, readLimit, readWait)
+		next := r.nextOffset()
+		page, err := r.log.Read(ctx, next, maxReadRecords, readWait)
 		switch {
 		case err == nil:
-			wait = minBackoff
+			backoff = minBackoff
 			r.apply(page)
-			if r.next() >= page.Next {
-				r.startOver()
+			if r.nextOffset() >= page.Next {
+				r.restartFromFirst()
 			}
 		case errors.Is(err, wardturn.ErrOutOfRetention):
-			r.skip(next, page.First)
+			r.skipTo(next, page.First)
 		default:
-			if wait == minBackoff && ctx.Err() == nil {
-				r.logger.Warn("log unreadable", "next", next, "error", err)
+			if backoff == minBackoff && ctx.Err() == nil {
+				r.logger.Warn("reading the log failed; retrying", "next", next, "error", err)
 			}
-			r.pause(ctx, wait)
-			wait = min(2*wait, maxBackoff)
+			r.sleepWithJitter(ctx, backoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 }
 
-// next returns the offset to read from.
-func (r *Replica) next() wardturn.Offset {
+// nextOffset returns the offset to read from.
+func (r *Replica) nextOffset() wardturn.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Read() + 1
 }
 
-// startNearEnd skips most of a long log. A log that cannot be read now is read
-// from its start later.
+// startNearEnd skips all but the last tailRecords records of the log. If the log cannot
+// be read now, nothing is skipped and it is read from its first record later.
 func (r *Replica) startNearEnd(ctx context.Context) {
 	page, err := r.log.Read(ctx, 1, 1, 0)
 	if err != nil && !errors.Is(err, wardturn.ErrOutOfRetention) {
@@ -200,76 +202,77 @@
 	if page.Next-page.First > tailRecords {
 		r.mu.Lock()
 		r.state.Skip(page.Next - tailRecords)
-		r.tailed = true
+		r.startedNearEnd = true
 		r.mu.Unlock()
 	}
 }
 
-// startOver reads the log from its first record after no base was found near its
-// end.
-func (r *Replica) startOver() {
+// restartFromFirst resets the state, to read the log from its first record, if the end
+// of the log had no snapshot to serve as the baseline.
+func (r *Replica) restartFromFirst() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.tailed || r.state.Based() {
+	if !r.startedNearEnd || r.state.Based() {
 		return
 	}
-	r.tailed = false
+	r.startedNearEnd = false
 	onChange := r.state.onChange
 	r.state = NewState(r.keepClaims)
 	r.state.onChange = onChange
 }
 
-func (r *Replica) skip(next, first wardturn.Offset) {
+func (r *Replica) skipTo(next, first wardturn.Offset) {
 	r.logger.Warn("records out of retention", "next", next, "first", first)
-	r.taking.Lock()
-	defer r.taking.Unlock()
+	r.updateMu.Lock()
+	defer r.updateMu.Unlock()
 	r.mu.Lock()
-	r.dirty = r.dirty[:0]
+	r.changedKeys = r.changedKeys[:0]
 	r.state.Skip(first)
 	r.mu.Unlock()
-	r.tell()
+	r.notifyWatchers()
 }
 
 func (r *Replica) apply(page wardturn.LogPage) {
-	r.taking.Lock()
-	defer r.taking.Unlock()
+	r.updateMu.Lock()
+	defer r.updateMu.Unlock()
 	r.mu.Lock()
-	r.dirty = r.dirty[:0]
+	r.changedKeys = r.changedKeys[:0]
 	for _, rec := range page.Records {
 		r.state.Apply(rec)
 	}
 	r.lastRead = r.clock.Now()
 	r.mu.Unlock()
 	if len(page.Records) > 0 {
-		r.tell()
+		r.notifyWatchers()
 	}
 }
 
-// announce wakes those that wait for records. The lock is held.
-func (r *Replica) announce() {
-	close(r.changed)
-	r.changed = make(chan struct{})
+// wakeWaiters wakes the goroutines in waitUntil. The caller holds mu.
+func (r *Replica) wakeWaiters() {
+	close(r.updated)
+	r.updated = make(chan struct{})
 }
 
-// pause waits about d, with jitter so that many processes do not act together.
-func (r *Replica) pause(ctx context.Context, d time.Duration) {
+// sleepWithJitter sleeps for between d/2 and 3d/2, at random, so that many processes do
+// not act at the same time.
+func (r *Replica) sleepWithJitter(ctx context.Context, d time.Duration) {
 	wardturn.Sleep(ctx, r.clock, d/2+rand.N(d))
 }
 
 // WaitFor returns when the record at an offset has been applied.
 func (r *Replica) WaitFor(ctx context.Context, offset wardturn.Offset) error {
-	return r.wait(ctx, func(s *State) bool {
+	return r.waitUntil(ctx, func(s *State) bool {
 		return s.Applied() >= offset
 	})
 }
 
-// wait returns when a condition holds for the state that all watchers were told
-// of.
-func (r *Replica) wait(ctx context.Context, holds func(*State) bool) error {
+// waitUntil returns when a condition holds for a state for which all watchers have been
+// called.
+func (r *Replica) waitUntil(ctx context.Context, condition func(*State) bool) error {
 	for {
 		r.mu.Lock()
-		ok := r.visible == r.state.Applied() && holds(r.state)
-		changed := r.changed
+		ok := r.notifiedOffset == r.state.Applied() && condition(r.state)
+		changed := r.updated
 		r.mu.Unlock()
 		if ok {
 			return nil
@@ -282,9 +285,9 @@
 	}
 }
 
-// Publish appends a change and returns what became of it. An error other than
-// ErrConflict leaves open whether the change was accepted; publishing it again
-// with the same id settles that without harm.
+// Publish appends a change and returns its result. After an error other than
+// ErrConflict it is unknown whether the change was accepted. It is safe to publish it
+// again with the same ID, which returns the result of the first append.
 func (r *Replica) Publish(ctx context.Context, c Change) (Result, error) {
 	data, err := Encode(Record{
 		Change: &c,
@@ -296,7 +299,7 @@
 		return Result{}, err
 	}
 	var res Result
-	err = r.wait(ctx, func(s *State) bool {
+	err = r.waitUntil(ctx, func(s *State) bool {
 		var ok bool
 		res, ok = s.Result(c.ID)
 		return ok
@@ -310,27 +313,28 @@
 	return res, nil
 }
 
-// append appends a record whose repetition is harmless.
+// append appends a record, with retries. The record must be idempotent.
 func (r *Replica) append(ctx context.Context, data []byte) error {
 	var err error
-	wait := minBackoff
-	for range appendTries {
+	backoff := minBackoff
+	for range appendAttempts {
 		if _, err = r.log.Append(ctx, data); err == nil {
 			return nil
 		}
 		if errors.Is(err, wardturn.ErrReplyLost) {
-			// It may be on the log: the caller reads on to find out, and the
-			// next try repeats it without harm.
-			r.pause(ctx, wait)
+			// The record may be on the log. Appending it again is safe, and the
+			// caller finds out by reading the log.
+			r.sleepWithJitter(ctx, backoff)
 		} else {
-			r.pause(ctx, 2*wait)
+			r.sleepWithJitter(ctx, 2*backoff)
 		}
-		wait *= 2
+		backoff *= 2
 	}
 	return err
 }
 
-// AppendStart appends the agent's start record and returns its fence.
+// AppendStart appends the start record of an agent process and returns its fencing
+// token.
 func (r *Replica) AppendStart(ctx context.Context, s Start) (wardturn.Fence, error) {
 	data, err := Encode(Record{
 		Start: &s,
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -9,16 +9,17 @@
 	"wardturn"
 )
 
-// snapshotPartBytes bounds the documents in one part of a snapshot.
-const snapshotPartBytes = 256 << 10
+// maxSnapshotPartBytes is the maximum size of the documents in one part of a snapshot. A
+// larger document has a part of its own.
+const maxSnapshotPartBytes = 256 << 10
 
-// parts divides documents into parts of bounded size.
-func parts(docs []Doc) [][]Doc {
+// splitDocs divides documents into parts of at most about maxSnapshotPartBytes.
+func splitDocs(docs []Doc) [][]Doc {
 	var list [][]Doc
 	var part []Doc
 	size := 0
 	for _, d := range docs {
-		if size > 0 && size+len(d.Body) > snapshotPartBytes {
+		if size > 0 && size+len(d.Body) > maxSnapshotPartBytes {
 			list = append(list, part)
 			part = nil
 			size = 0
@@ -29,8 +30,8 @@
 	return append(list, part)
 }
 
-// Snapshot appends all documents in force again, with their versions. Two
-// processes may do it at the same time; the second is without effect.
+// Snapshot appends all current documents again, with their versions. Several processes
+// may append a snapshot at the same time; the later ones have no effect.
 func (r *Replica) Snapshot(ctx context.Context) error {
 	r.mu.Lock()
 	through := r.state.Applied()
@@ -39,9 +40,9 @@
 	based := r.state.Based()
 	r.mu.Unlock()
 	if !based {
-		return errors.Wrap(wardturn.ErrUnavailable, "control: nothing to make a snapshot from")
+		return errors.Wrap(wardturn.ErrUnavailable, "control: no baseline to make a snapshot from")
 	}
-	list := parts(docs)
+	list := splitDocs(docs)
 	for i, part := range list {
 		snap := Snapshot{
 			Through: through,
@@ -65,31 +66,31 @@
 	return nil
 }
 
-// snapshotDue reports whether the newest snapshot is older than a time, or so far
-// back that a process which starts near the log's end would soon miss it.
-func (r *Replica) snapshotDue(age time.Duration) bool {
+// snapshotDue reports whether the newest snapshot is older than maxAge, or so many records
+// back that a process that starts reading near the end of the log would soon miss it.
+func (r *Replica) snapshotDue(maxAge time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.state.Based() || len(r.state.docs) == 0 {
 		return false
 	}
-	if r.state.read-r.state.snapRead > tailRecords/2 {
+	if r.state.readOffset-r.state.snapshotOffset > tailRecords/2 {
 		return true
 	}
-	return r.clock.Now().Sub(r.state.SnapshotTime()) > age
+	return r.clock.Now().Sub(r.state.SnapshotTime()) > maxAge
 }
 
-// KeepSnapshots makes a snapshot whenever the newest is older than a time, until
-// ctx ends. Every entry host does this; each waits a random part of the time
-// first, so that nearly always one is first and the others see its snapshot.
-func (r *Replica) KeepSnapshots(ctx context.Context, every time.Duration) {
+// KeepSnapshots appends a snapshot whenever one is due, until ctx ends. Every entry
+// host runs it. Each waits for a random time before it appends, so that usually one
+// host appends the snapshot and the others see it in time.
+func (r *Replica) KeepSnapshots(ctx context.Context, interval time.Duration) {
 	for ctx.Err() == nil {
-		r.pause(ctx, every/snapshotChecks)
-		if !r.snapshotDue(every) {
+		r.sleepWithJitter(ctx, interval/snapshotChecksPerInterval)
+		if !r.snapshotDue(interval) {
 			continue
 		}
-		r.pause(ctx, every/snapshotChecks)
-		if ctx.Err() != nil || !r.snapshotDue(every) {
+		r.sleepWithJitter(ctx, interval/snapshotChecksPerInterval)
+		if ctx.Err() != nil || !r.snapshotDue(interval) {
 			continue
 		}
 		if err := r.Snapshot(ctx); err != nil && ctx.Err() == nil {
@@ -98,22 +99,23 @@
 	}
 }
 
-// snapshotChecks is how often within the time between two snapshots it is
-// checked whether one is due.
-const snapshotChecks = 4
+// snapshotChecksPerInterval is how many times per snapshot interval a process checks
+// whether a snapshot is due.
+const snapshotChecksPerInterval = 4
 
-// Page is a part of a process's configuration, for a peer.
+// Page is a part of the configuration of a process. Peers exchange pages while the log
+// is unavailable.
 type Page struct {
 	Docs    []Doc    `msgpack:"d"`
-	Results []Result `msgpack:"r"` // of recent publications; in the first page
+	Results []Result `msgpack:"r"` // of recent publications; only in the first page
 }
 
-// Page returns one page of the configuration for a peer, the number of pages, and
-// the offset that they stand for.
+// Page returns the page with index i of the configuration, the number of pages, and the
+// offset of the record up to which the configuration was applied.
 func (r *Replica) Page(i int) (p Page, pages int, applied wardturn.Offset) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := parts(r.state.Docs(""))
+	list := splitDocs(r.state.Docs(""))
 	if i >= 0 && i < len(list) {
 		p.Docs = list[i]
 	}
--- a/policy/program.go
+++ b/policy/program.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// callSteps bounds one call of a policy function.
-	callSteps = 10_000
-	// initSteps bounds the top level of a program.
-	initSteps = 100_000
-	// maxSource bounds a program's text, in bytes.
-	maxSource = 64 << 10
-	// maxHold bounds what hold may return.
+	// maxCallSteps is the maximum number of Starlark steps of one call of a function.
+	maxCallSteps = 10_000
+	// maxInitSteps is the maximum number of Starlark steps of a program's top level.
+	maxInitSteps = 100_000
+	// maxSourceBytes is the maximum size of a program, in bytes.
+	maxSourceBytes = 64 << 10
+	// maxHold is the maximum result of hold; larger ones are reduced to it.
 	maxHold = 24 * time.Hour
 )
 
-// Problem says where and why a program was rejected.
+// Problem is the error for a program that was rejected, or for a call that failed.
 type Problem struct {
 	File   string
 	Line   int
@@ -40,12 +40,11 @@
 // Counters counts the calls of a program.
 type Counters struct {
 	Calls    int
-	Failures int // calls that fell back, overruns included
-	Overruns int
+	Failures int // calls that used the fallback, including overruns
+	Overruns int // calls that exceeded the step limit
 }
 
-// Program is a compiled policy. It is not safe for concurrent use; compile one
-// for each user.
+// Program is a compiled policy. It is not safe for concurrent use.
 type Program struct {
 	name     string
 	fallback wardturn.Policy
@@ -57,18 +56,17 @@
 	args     [1]starlark.Value
 }
 
-// The functions that a program may define.
+// Functions that a program may define.
 const (
 	funcSlot  = "slot"
 	funcHold  = "hold"
 	funcOrder = "order"
 )
 
-// Compile reads a program and runs its top level. A rejected program returns a
-// *Problem.
+// Compile parses a program and runs its top level. The error is a *Problem.
 func Compile(name, src string) (*Program, error) {
-	if len(src) > maxSource {
-		return nil, problemAt(name, 1, 1, "program is larger than 64 KiB")
+	if len(src) > maxSourceBytes {
+		return nil, newProblem(name, 1, 1, "program is larger than 64 KiB")
 	}
 	globals, err := execute(name, src)
 	if err != nil {
@@ -80,18 +78,18 @@
 	}
 	for _, f := range []struct {
 		name string
-		into *starlark.Callable
+		dst  *starlark.Callable
 	}{
 		{funcSlot, &p.slot},
 		{funcHold, &p.hold},
 		{funcOrder, &p.order},
 	} {
-		if err := bind(name, globals, f.name, f.into); err != nil {
+		if err := bind(name, globals, f.name, f.dst); err != nil {
 			return nil, err
 		}
 	}
 	if p.slot == nil && p.hold == nil && p.order == nil {
-		return nil, problemAt(name, 1, 1, "program defines none of slot, hold and order")
+		return nil, newProblem(name, 1, 1, "program defines none of slot, hold and order")
 	}
 	return p, nil
 }
@@ -99,36 +97,36 @@
 func execute(name, src string) (starlark.StringDict, error) {
 	thread := &starlark.Thread{
 		Name:  name,
-		Print: discard,
+		Print: discardOutput,
 	}
-	thread.SetMaxExecutionSteps(initSteps)
+	thread.SetMaxExecutionSteps(maxInitSteps)
 	opts := &syntax.FileOptions{}
 	globals, err := starlark.ExecFileOptions(opts, thread, name, src, starlark.StringDict{})
 	if err != nil {
-		return nil, toProblem(name, err)
+		return nil, problemOf(name, err)
 	}
 	globals.Freeze()
 	return globals, nil
 }
 
-func bind(file string, globals starlark.StringDict, name string, into *starlark.Callable) error {
+func bind(file string, globals starlark.StringDict, name string, dst *starlark.Callable) error {
 	v, ok := globals[name]
 	if !ok {
 		return nil
 	}
 	fn, ok := v.(*starlark.Function)
 	if !ok {
-		return problemAt(file, 1, 1, name+" is not a function")
+		return newProblem(file, 1, 1, name+" is not a function")
 	}
 	if fn.NumParams() != 1 || fn.HasVarargs() || fn.HasKwargs() {
 		pos := fn.Position()
-		return problemAt(file, int(pos.Line), int(pos.Col), name+" must take exactly one parameter")
+		return newProblem(file, int(pos.Line), int(pos.Col), name+" must take exactly one parameter")
 	}
-	*into = fn
+	*dst = fn
 	return nil
 }
 
-func problemAt(file string, line, column int, reason string) *Problem {
+func newProblem(file string, line, column int, reason string) *Problem {
 	return &Problem{
 		File:   file,
 		Line:   line,
@@ -137,28 +135,29 @@
 	}
 }
 
-// toProblem finds the position that an error of the library carries.
-func toProblem(file string, err error) *Problem {
+// problemOf converts an error of the Starlark library to a Problem. It uses the position
+// in the error, or line 1, column 1 if the error has none.
+func problemOf(file string, err error) *Problem {
 	var syntaxErr syntax.Error
 	if errors.As(err, &syntaxErr) {
-		return problemAt(file, int(syntaxErr.Pos.Line), int(syntaxErr.Pos.Col), syntaxErr.Msg)
+		return newProblem(file, int(syntaxErr.Pos.Line), int(syntaxErr.Pos.Col), syntaxErr.Msg)
 	}
 	var resolveErrs resolve.ErrorList
 	if errors.As(err, &resolveErrs) && len(resolveErrs) > 0 {
 		first := resolveErrs[0]
-		return problemAt(file, int(first.Pos.Line), int(first.Pos.Col), first.Msg)
+		return newProblem(file, int(first.Pos.Line), int(first.Pos.Col), first.Msg)
 	}
 	var evalErr *starlark.EvalError
 	if errors.As(err, &evalErr) {
 		for i := len(evalErr.CallStack) - 1; i >= 0; i-- {
 			pos := evalErr.CallStack[i].Pos
 			if pos.Line > 0 {
-				return problemAt(file, int(pos.Line), int(pos.Col), evalErr.Msg)
+				return newProblem(file, int(pos.Line), int(pos.Col), evalErr.Msg)
 			}
 		}
-		return problemAt(file, 1, 1, evalErr.Msg)
+		return newProblem(file, 1, 1, evalErr.Msg)
 	}
-	return problemAt(file, 1, 1, err.Error())
+	return newProblem(file, 1, 1, err.Error())
 }
 
 // Name implements wardturn.Policy.
@@ -203,12 +202,12 @@
 	return v
 }
 
-// Counters returns how the program's calls ended so far.
+// Counters returns the counts of the calls so far.
 func (p *Program) Counters() Counters {
 	return p.counters
 }
 
-// LastError returns the latest failure, or nil.
+// LastError returns the error of the latest failed call, or nil if none failed.
 func (p *Program) LastError() error {
 	return p.lastErr
 }
@@ -217,30 +216,30 @@
 	p.counters.Calls++
 	thread := starlark.Thread{
 		Name:  p.name,
-		Print: discard,
+		Print: discardOutput,
 	}
-	thread.SetMaxExecutionSteps(callSteps)
+	thread.SetMaxExecutionSteps(maxCallSteps)
 	p.args[0] = arg
 	v, err := starlark.Call(&thread, fn, p.args[:], nil)
 	if err != nil {
-		p.fail(toProblem(p.name, err))
-		if thread.Steps >= callSteps {
+		p.recordFailure(problemOf(p.name, err))
+		if thread.Steps >= maxCallSteps {
 			p.counters.Overruns++
 		}
 		return 0, false
 	}
 	f, ok := starlark.AsFloat(v)
 	if !ok || math.IsNaN(f) || math.IsInf(f, 0) {
-		p.fail(problemAt(p.name, 1, 1, fn.Name()+" returned "+v.String()+", not a finite number"))
+		p.recordFailure(newProblem(p.name, 1, 1, fn.Name()+" returned "+v.String()+", not a finite number"))
 		return 0, false
 	}
 	return f, true
 }
 
-// discard keeps a program's print calls from doing I/O.
-func discard(*starlark.Thread, string) {}
+// discardOutput ignores the output of a program's print calls, which must do no I/O.
+func discardOutput(*starlark.Thread, string) {}
 
-func (p *Program) fail(err error) {
+func (p *Program) recordFailure(err error) {
 	p.counters.Failures++
 	p.lastErr = err
 }
