--- a/agent/agent.go
+++ b/agent/agent.go
@@ -21,7 +21,7 @@
 	sweepEach = 5 * time.Second
 )
 
-// Deps are what an agent is built from.
+// Deps holds the dependencies of an Agent.
 type Deps struct {
 	dig.In
 
@@ -52,31 +52,32 @@
 	server  *peer.Server
 	tls     *tls.Config
 
-	// applying is held from the reading of a document until it is in force, so that
-	// an older one does not land after a newer. It is taken before mu.
+	// applyMu is held from the read of a configuration document until the document is
+	// in force, so that an older version is not applied after a newer one. It is
+	// acquired before mu.
 	applying sync.Mutex
 
 	mu       sync.Mutex
 	core     *decide.Agent
 	ledger   *decide.Ledger
 	attempts map[wardturn.AttemptID]*attempt
-	past     []*attempt // whose answers are kept, oldest first
-	kept     int        // bytes of them
+	past     []*attempt // ended attempts whose responses are retained, oldest first
+	kept     int        // total bytes of the retained responses
 	orders   decide.Orders
 	fence    wardturn.Fence
-	unfenced int             // orders not given for want of a fence
-	builtin  wardturn.Policy // in force while none is published
+	unfenced int             // orders not sent because there is no fence yet
+	builtin  wardturn.Policy // in force while no policy is published
 	alloc    *allocatorRole
 	started  time.Time
-	listed   listedAs // what the platform's list has shown of this process
+	listed   listedAs // states of this agent seen in the host list
 	leaving  bool
-	idle     chan struct{} // closed when leaving and nothing is left
+	idle     chan struct{} // closed when the agent is leaving and has no work left
 	closed   bool
 	tasks    *process.Tasks
 }
 
-// New starts an agent. It serves at once with what its engine holds; orders to
-// the engine wait for the fence from the log.
+// New starts an agent. It immediately serves requests for the adapters that its
+// engine holds; orders to the engine wait until the log has assigned a fence.
 func New(d Deps) *Agent {
 	cfg := d.Config.WithDefaults()
 	now := d.Clock.Now()
@@ -123,7 +124,7 @@
 	}
 }
 
-// begin starts what happens by itself.
+// begin starts the background tasks and applies the current configuration.
 func (a *Agent) begin() {
 	a.tasks.Every(tickEvery, a.tick)
 	a.tasks.Every(sweepEach, a.sweep)
@@ -144,8 +145,8 @@
 	return a.server.Addr().String()
 }
 
-// Close ends the agent at once, as a crash would: nothing is waited for. Use
-// Leave before for a planned stop.
+// Close stops the agent immediately, as a crash would, without waiting for running
+// requests. For a planned shutdown call Leave first.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	a.closed = true
@@ -157,8 +158,8 @@
 	a.tasks.Wait()
 }
 
-// Leave refuses new work, hands queued work back as not run, and returns a
-// channel that is closed when the last running request has ended.
+// Leave makes the agent refuse new requests and return the queued ones as not run. It
+// returns a channel that is closed when the last running request has ended.
 func (a *Agent) Leave() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -166,7 +167,7 @@
 	return a.idle
 }
 
-// leave starts to leave; the lock is held.
+// leave starts the shutdown. a.mu is held.
 func (a *Agent) leave(why string) {
 	if a.leaving {
 		return
@@ -185,7 +186,7 @@
 	}
 }
 
-// checkIdle closes idle when a leaving agent has nothing left to do.
+// checkIdle closes a.idle if the agent is leaving and has no work left. a.mu is held.
 func (a *Agent) checkIdle() {
 	if !a.leaving || !a.core.Idle() {
 		return
@@ -202,7 +203,7 @@
 	}
 }
 
-// do passes an event to the core and carries out its orders; the lock is held.
+// do passes an event to the core and executes the resulting orders. a.mu is held.
 func (a *Agent) do(event func(now time.Time, out *decide.Orders)) {
 	orders := a.orders
 	a.orders = decide.Orders{}
@@ -212,7 +213,7 @@
 	a.orders = orders
 }
 
-// event is do for callers without the lock.
+// event is like do, for callers that do not hold a.mu.
 func (a *Agent) event(f func(now time.Time, out *decide.Orders)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -246,7 +247,7 @@
 	a.checkIdle()
 }
 
-// sweep forgets ended attempts with their answers.
+// sweep removes ended attempts and their responses after the configured time.
 func (a *Agent) sweep() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -264,20 +265,20 @@
 	a.metrics.observe(a.core, len(a.attempts))
 }
 
-// Status is a copy of an agent's state for status pages and tests.
+// Status is a snapshot of an agent's state for status pages and tests.
 type Status struct {
 	Hint    decide.Hint
 	Slots   []decide.SlotView
 	Fence   wardturn.Fence
 	Config  wardturn.Offset
 	Leaving bool
-	Policy  string // in force
-	// Refusals counts orders that the agent did not give for want of a fence.
+	Policy  string // name of the policy in force
+	// Refusals counts the orders that the agent did not send because it had no fence.
 	Refusals int
-	Shadow   *decide.ShadowStats // nil without a shadow policy
+	Shadow   *decide.ShadowStats // nil if there is no shadow policy
 }
 
-// Status returns the agent's present state.
+// Status returns a snapshot of the agent's state.
 func (a *Agent) Status() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -22,15 +22,15 @@
 	Version: 1,
 }
 
-// fakeEngine holds one adapter and answers with what its test sends.
+// fakeEngine holds adapterA and responds with the data that the test sends.
 type fakeEngine struct {
 	clock wardturn.Clock
 	runs  chan fakeRun
 	loads chan wardturn.SlotOrder
 }
 
-// fakeRun is one request under way. What is sent to answer is emitted; closing
-// it ends the answer.
+// fakeRun is a running request. Data sent to answer is emitted; closing the channel
+// ends the response.
 type fakeRun struct {
 	answer chan<- []byte
 }
@@ -81,7 +81,8 @@
 	}, nil
 }
 
-// tester is an entry that sends messages of its own making.
+// tester is a test client that connects to an agent as an entry and sends arbitrary
+// messages.
 type tester struct {
 	t      *testing.T
 	agent  *agent.Agent
@@ -200,7 +201,7 @@
 	}
 }
 
-// end skips to the end of an attempt and returns it with the bytes before.
+// end returns the next End message and the response bytes received before it.
 func (x *tester) end() (*peer.End, string) {
 	x.t.Helper()
 	data := ""
@@ -214,8 +215,8 @@
 	}
 }
 
-// quiet checks that the agent has sent nothing more: the answer to a later
-// question comes first.
+// quiet checks that the agent has sent no further message: the reply to an Attach for
+// an unknown attempt must be the next message received.
 func (x *tester) quiet(seq uint64) {
 	x.t.Helper()
 	x.send(&peer.Attach{
@@ -223,7 +224,7 @@
 		Process: agentProcess,
 	})
 	if e, ok := x.next().(*peer.End); !ok || e.Attempt != attempt(seq) {
-		x.t.Fatal("the agent sent something that it must not send")
+		x.t.Fatal("unexpected message from the agent")
 	}
 }
 
@@ -237,10 +238,10 @@
 	if e, data := x.end(); e.Outcome.Kind != wardturn.Done || data != "answer" {
 		t.Fatalf("%+v %q", e.Outcome, data)
 	}
-	x.submit(1, peer.Window) // late
+	x.submit(1, peer.Window) // duplicate after the end
 	x.quiet(99)
 	if len(x.engine.runs) != 0 {
-		t.Fatal("a copy ran")
+		t.Fatal("a duplicate ran")
 	}
 }
 
@@ -253,12 +254,12 @@
 	if e, _ := x.end(); e.Outcome.Kind != wardturn.NotRun {
 		t.Fatalf("%+v", e.Outcome)
 	}
-	x.submit(7, peer.Window) // delayed on its way
+	x.submit(7, peer.Window) // delayed in the network
 	if e, _ := x.end(); e.Outcome.Kind != wardturn.NotRun {
 		t.Fatalf("delayed copy: %+v", e.Outcome)
 	}
 	if len(x.engine.runs) != 0 {
-		t.Fatal("an attempt ran that was said not to have run")
+		t.Fatal("an attempt ran that was reported as not run")
 	}
 }
 
@@ -327,7 +328,7 @@
 	run.answer <- []byte("89") // blocks: the buffer is full
 	x.next()                   // head
 	x.submit(2, peer.Window)
-	<-x.engine.runs // the other runs meanwhile,
+	<-x.engine.runs // the other request runs meanwhile
 	x.send(&peer.Cancel{
 		Attempt: attempt(1),
 	})
@@ -336,8 +337,8 @@
 	}
 }
 
-// TestKeptAnswersAreBounded ends two answers that do not fit together: the older
-// one's outcome is unknown to whoever asks again, never wrong.
+// TestKeptAnswersAreBounded ends two attempts whose responses together exceed KeepBytes.
+// An entry that asks for the older one must get an unknown outcome, never a wrong one.
 func TestKeptAnswersAreBounded(t *testing.T) {
 	x := newTester(t, agent.Config{
 		KeepBytes: 15,
@@ -361,8 +362,9 @@
 	}
 }
 
-// TestNoOrdersWithoutFence starts an agent while the log is out: it serves what
-// its engine holds, and orders nothing until it has a fence from the log.
+// TestNoOrdersWithoutFence starts an agent while the log is unavailable. The agent must
+// serve the adapters that its engine holds, and send no orders until the log has
+// assigned a fence.
 func TestNoOrdersWithoutFence(t *testing.T) {
 	x := newTesterWithLog(t, agent.Config{}, standin.LogFaults{
 		Down: true,
@@ -377,15 +379,15 @@
 		Credit:     peer.Window,
 	})
 	x.submit(2, peer.Window)
-	run := <-x.engine.runs // what is loaded is served
+	run := <-x.engine.runs // the loaded adapter is served
 	close(run.answer)
 	if e, _ := x.end(); e.Attempt != attempt(2) || e.Outcome.Kind != wardturn.Done {
 		t.Fatalf("%+v", e)
 	}
-	// Let the agent refuse itself the load a few times.
+	// Wait until the agent has suppressed the load order a few times.
 	for x.agent.Status().Refusals < 2 {
 		if len(x.engine.loads) != 0 {
-			t.Fatal("an order without a fence")
+			t.Fatal("order sent without a fence")
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/agent/allocator.go
+++ b/agent/allocator.go
@@ -10,16 +10,16 @@
 	"wardturn/peer"
 )
 
-// allocatorRole is an agent's part in sharing the weight store: it finds the
-// allocator of its model by rendezvous hashing over the live hosts, sends it
-// wishes, and is the allocator itself when the hash says so.
+// allocatorRole implements an agent's part in sharing the weight store. It selects the
+// allocator of the agent's model by rendezvous hashing over the live hosts, sends it
+// permit requests, and runs the allocator itself if the hash selects this agent.
 type allocatorRole struct {
 	agent *Agent
 
 	mu     sync.Mutex
-	holder wardturn.UpstreamID // who allocates; empty while unknown
-	client *peer.Client        // to the holder, if that is another agent
-	core   *decide.Allocator   // set once this agent has been asked
+	holder wardturn.UpstreamID // upstream whose agent is the allocator; empty while unknown
+	client *peer.Client        // connection to the allocator, if it is another agent
+	core   *decide.Allocator   // created on the first permit request to this agent
 	conns  map[wardturn.UpstreamID]*peer.Conn
 	timer  wardturn.Timer
 	closed bool
@@ -32,14 +32,14 @@
 	}
 }
 
-// epochOf makes an allocator's epoch from its process name.
+// epochOf derives an allocator's epoch from its process name. It is never zero.
 func epochOf(p wardturn.Incarnation) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(p))
 	return h.Sum64() | 1
 }
 
-// setHosts finds the allocator among the live hosts.
+// setHosts selects the allocator from the host list and connects to it.
 func (r *allocatorRole) setHosts(hosts []wardturn.Host) {
 	cfg := r.agent.cfg
 	if cfg.Model == "" {
@@ -66,7 +66,7 @@
 	}
 }
 
-// wish sends the agent's wish to the allocator. The agent's lock is held.
+// wish sends the agent's permit request to the allocator. The agent's mutex is held.
 func (r *allocatorRole) wish(w decide.Wish) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +84,8 @@
 	}
 }
 
-// onWish takes another agent's wish. Whoever is asked allocates.
+// onWish handles another agent's permit request. An agent acts as the allocator as soon
+// as it receives one, whatever its own host list says.
 func (r *allocatorRole) onWish(c *peer.Conn, w decide.Wish) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,8 +105,8 @@
 	return r.core
 }
 
-// decide passes an event to the allocator, sends the grants and sets the timer
-// for the next permit. The role's lock is held.
+// decide passes an event to the allocator, sends the resulting grants and sets the
+// timer for the next permit. r.mu is held.
 func (r *allocatorRole) decide(event func(now time.Time, out []decide.Grant) []decide.Grant) {
 	for _, g := range event(r.agent.clock.Now(), nil) {
 		r.grant(g)
@@ -127,7 +128,8 @@
 
 func (r *allocatorRole) grant(g decide.Grant) {
 	if g.Upstream == r.agent.cfg.Upstream {
-		// The agent's lock may be held by the caller: take the grant after.
+		// The caller may hold the agent's mutex, so the grant is applied in another
+		// goroutine.
 		r.agent.tasks.Go(func() {
 			r.agent.granted(g)
 		})
@@ -160,7 +162,7 @@
 	}
 }
 
-// grants is the role as the handler of its connection to the allocator.
+// grants handles the connection to the allocator, which delivers the grants.
 type grants allocatorRole
 
 // Connected implements peer.ClientHandler.
--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -9,40 +9,40 @@
 	"wardturn/peer"
 )
 
-// attempt is one attempt that this agent runs, has queued, or ended a while
-// ago. The agent's lock guards it.
+// attempt is an attempt that is queued, running, or has ended but is still
+// remembered. It is guarded by Agent.mu.
 type attempt struct {
 	id         wardturn.AttemptID
 	req        wardturn.Request
-	supersedes wardturn.AttemptID // known not to have run, for the same key
-	newest     bool               // asked for the version in force
-	config     wardturn.Offset    // by which its entry found that version
-	replaced   wardturn.Offset    // configuration by which another version is in force
-	conn       *peer.Conn         // that gets the answer; nil while the entry is away
-	credit     int64              // offset up to which the entry takes bytes
-	sent       int64              // offset up to which bytes went to conn
-	base       int64              // offset of buf
+	supersedes wardturn.AttemptID // earlier attempt for the same key, known not to have run
+	newest     bool               // the caller requested the current version of the adapter
+	config     wardturn.Offset    // configuration in which its entry found that version
+	replaced   wardturn.Offset    // configuration that replaced the version
+	conn       *peer.Conn         // receives the response; nil while the entry is disconnected
+	credit     int64              // offset up to which the entry accepts bytes
+	sent       int64              // offset up to which bytes were sent to conn
+	base       int64              // offset of the first byte of buf
 	buf        []byte
 	head       *peer.Head
 	headSent   bool
 	arrived    time.Time
 	stalled    time.Duration
-	withdrawn  bool // nobody waits for it
+	withdrawn  bool // canceled by its entry
 	ended      bool
 	outcome    wardturn.Outcome
-	first      control.ClaimResult // of the key, if another attempt was first
-	cancel     context.CancelFunc  // of the running request
-	space      chan struct{}       // closed when buf has room again; nil if it has
-	orphan     wardturn.Timer      // ends an attempt without an entry
+	first      control.ClaimResult // the earlier claim of the key by another attempt
+	cancel     context.CancelFunc  // cancels the running request
+	space      chan struct{}       // closed when buf has room again; nil if nobody waits for room
+	orphan     wardturn.Timer      // cancels the attempt if no entry attaches
 	endedAt    time.Time
-	follow     []*attempt // copies that send the answer to other requests
+	follow     []*attempt // copies that send the response to other requests
 }
 
 func (t *attempt) end() int64 {
 	return t.base + int64(len(t.buf))
 }
 
-// attach directs the answer to a connection, from an offset on.
+// attach sends the response to a connection, starting at offset from.
 func (t *attempt) attach(c *peer.Conn, from, credit int64) {
 	t.conn = c
 	t.headSent = false
@@ -54,11 +54,12 @@
 	}
 }
 
-// maxChunk bounds the bytes in one message, so that attempts share the
-// connection evenly.
+// maxChunk limits the bytes of a response in one message, so that the attempts on a
+// connection share it evenly.
 const maxChunk = 32 << 10
 
-// flush sends what the credit allows, and the end once everything was sent.
+// flush sends the buffered bytes that the credit allows, and the end once everything has
+// been sent. a.mu is held.
 func (a *Agent) flush(t *attempt) {
 	if t.conn == nil {
 		return
@@ -86,7 +87,7 @@
 	if err := t.conn.Send(m); err == nil {
 		return
 	}
-	t.conn = nil // Closed, which comes later, does not find the attempt
+	t.conn = nil // so the later call of Closed does not find the attempt
 	if !t.ended {
 		a.expectBack(t)
 	}
@@ -106,8 +107,8 @@
 	t.conn = nil
 }
 
-// emit takes a piece of an answer from the upstream. It blocks while the entry
-// takes nothing and the buffer is full.
+// emit appends data from the upstream to the response. It blocks while the buffer is
+// full and the entry gives no credit.
 func (a *Agent) emit(ctx context.Context, t *attempt, data []byte) error {
 	for {
 		space := a.tryEmit(t, data)
@@ -122,12 +123,13 @@
 	}
 }
 
-// tryEmit appends data, or returns a channel that is closed when there is room.
+// tryEmit appends data and returns nil, or returns a channel that is closed when there
+// may be room.
 func (a *Agent) tryEmit(t *attempt, data []byte) <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if t.ended {
-		return nil // canceled meanwhile
+		return nil // canceled in the meantime
 	}
 	if len(t.buf) > 0 && len(t.buf)+len(data) > a.cfg.AnswerBuffer {
 		a.trim(t)
@@ -141,8 +143,9 @@
 	return nil
 }
 
-// keep remembers an ended answer for a lost entry, within the bytes that all of
-// them may take. An answer dropped for others is unknown to whoever asks again.
+// keep retains the response of an ended attempt for an entry that lost its connection.
+// The oldest responses are dropped when the total exceeds Config.KeepBytes; an entry
+// that asks for a dropped response is told that the outcome is unknown.
 func (a *Agent) keep(t *attempt) {
 	a.past = append(a.past, t)
 	a.kept += len(t.buf)
@@ -162,8 +165,8 @@
 	}
 }
 
-// trim drops the bytes that the entry has passed on: all but the last window
-// before its credit.
+// trim drops the bytes that the entry has forwarded, which are all those more than one
+// credit window before its credit.
 func (a *Agent) trim(t *attempt) {
 	passed := min(t.credit-peer.Window, t.sent)
 	if n := passed - t.base; n > 0 {
@@ -172,8 +175,8 @@
 	}
 }
 
-// listener returns the attempt, or the copy of it, whose answer goes to a
-// connection.
+// listener returns the attempt, or the copy of it, whose response goes to connection c.
+// It returns nil if there is none.
 func (a *Agent) listener(c *peer.Conn, id wardturn.AttemptID) *attempt {
 	t := a.attempts[id]
 	if t == nil || t.conn == c {
@@ -187,7 +190,7 @@
 	return nil
 }
 
-// onCredit lets an answer go on.
+// onCredit raises the credit of a response and continues sending it. a.mu is held.
 func (a *Agent) onCredit(c *peer.Conn, m *peer.Credit) {
 	t := a.listener(c, m.Attempt)
 	if t == nil || m.Upto <= t.credit {
--- a/agent/behind_internal_test.go
+++ b/agent/behind_internal_test.go
@@ -11,13 +11,14 @@
 	"wardturn/standin"
 )
 
-// TestRefusalsWithoutTheLog checks what a charge is told while the log is out: by an
-// agent that has the configuration of the entry, that the log is not there for its
-// claim; by one that is behind, that it cannot catch up. It runs at neither.
+// TestRefusalsWithoutTheLog checks the refusal of a non-repeatable request while the log
+// is unavailable. An agent that has the entry's configuration reports that the log is
+// unavailable for the claim; an agent that is behind reports that its configuration is
+// stale. The request must run in neither case.
 func TestRefusalsWithoutTheLog(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		config wardturn.Offset // of the entry; the agent has read nothing
+		config wardturn.Offset // of the entry; the agent has read no configuration
 		want   wardturn.Reason
 	}{
 		{
--- a/agent/claim_internal_test.go
+++ b/agent/claim_internal_test.go
@@ -13,14 +13,14 @@
 	"wardturn/standin"
 )
 
-// patience bounds a wait for something that must come.
+// patience is the timeout for expected events.
 const patience = 20 * time.Second
 
-// gatedLog holds back appends.
+// gatedLog blocks appends until gate is closed.
 type gatedLog struct {
 	wardturn.Log
-	entered chan struct{} // an append waits
-	gate    chan struct{} // closed to let it go
+	entered chan struct{} // receives a value when an append blocks
+	gate    chan struct{} // closed to unblock appends
 }
 
 func (l *gatedLog) Append(ctx context.Context, data []byte) (wardturn.Offset, error) {
@@ -41,7 +41,7 @@
 	}, nil
 }
 
-// claiming is an agent with a charge whose claim waits for the log.
+// claiming is an agent with a non-repeatable request whose claim waits for the log.
 type claiming struct {
 	*Agent
 	clock   *standin.Clock
@@ -76,13 +76,13 @@
 		Left:       left,
 	}, clock.Now(), true)
 	gomega.NewWithT(t).Eventually(func() int {
-		clock.Advance(time.Millisecond) // the claim waits a moment for others
+		clock.Advance(time.Millisecond) // claims are appended in batches after a short delay
 		return len(c.log.entered)
 	}).WithTimeout(patience).Should(gomega.Equal(1))
 	return c
 }
 
-// outcome lets the append go and returns the attempt's outcome.
+// outcome unblocks the append and returns the attempt's outcome.
 func (c *claiming) outcome(t *testing.T) wardturn.Outcome {
 	t.Helper()
 	close(c.log.gate)
@@ -96,8 +96,8 @@
 	return outcome
 }
 
-// TestChargeDoesNotBeginLate checks that a request whose claim took longer than its
-// deadline allows is not given to the service.
+// TestChargeDoesNotBeginLate checks that a request whose deadline passes during its claim
+// is not sent to the service.
 func TestChargeDoesNotBeginLate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newClaiming(t, 200*time.Millisecond)
@@ -106,8 +106,8 @@
 	g.Expect(c.service.calls.Load()).To(gomega.BeZero())
 }
 
-// TestChargeOfCallerThatLeftDoesNotBegin checks that a request which its entry
-// withdrew while its claim was under way is not given to the service.
+// TestChargeOfCallerThatLeftDoesNotBegin checks that a request that its entry cancels
+// during its claim is not sent to the service.
 func TestChargeOfCallerThatLeftDoesNotBegin(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newClaiming(t, time.Minute)
--- a/agent/config.go
+++ b/agent/config.go
@@ -17,21 +17,21 @@
 	Model         wardturn.BaseModel
 	Service       wardturn.ServiceName
 	Slots         int // adapter slots of the engine
-	MaxRunning    int // requests that run at once
-	MaxQueue      int // requests that wait at most
+	MaxRunning    int // maximum number of running requests
+	MaxQueue      int // maximum number of waiting requests
 	Store         decide.StoreLimit
-	StoreAgents   int           // agents that share the store, as a first guess
-	ReportEvery   time.Duration // between reads of the engine's report
-	HostsEvery    time.Duration // between reads of the host list
-	RequireFence  bool          // give no orders without a fence from the log
-	AnswerBuffer  int           // bytes of an answer kept for a slow or lost entry
-	KeepBytes     int           // of all ended answers together
-	Remember      time.Duration // time for which ended attempts are remembered
-	RememberCount int           // number of ended attempts remembered
-	OrphanGrace   time.Duration // time that an attempt runs on without an entry
+	StoreAgents   int           // initial estimate of the number of agents that share the store
+	ReportEvery   time.Duration // interval between reads of the engine's report
+	HostsEvery    time.Duration // interval between reads of the host list
+	RequireFence  bool          // send no orders before the log has assigned a fence
+	AnswerBuffer  int           // bytes of a response buffered for a slow or disconnected entry
+	KeepBytes     int           // total bytes retained of the responses of ended attempts
+	Remember      time.Duration // how long ended attempts are remembered
+	RememberCount int           // maximum number of ended attempts remembered
+	OrphanGrace   time.Duration // how long an attempt runs on after its entry has disconnected
 }
 
-// The defaults of Config.
+// Default values of Config.
 const (
 	DefaultReportEvery   = 500 * time.Millisecond
 	DefaultHostsEvery    = time.Second
@@ -43,7 +43,7 @@
 	DefaultMaxRunning    = 16
 )
 
-// WithDefaults returns the configuration with zero values replaced.
+// WithDefaults returns a copy of c with zero values replaced by their defaults.
 func (c Config) WithDefaults() Config {
 	c.ReportEvery = cmp.Or(c.ReportEvery, DefaultReportEvery)
 	c.HostsEvery = cmp.Or(c.HostsEvery, DefaultHostsEvery)
@@ -57,7 +57,7 @@
 	return c
 }
 
-// Check returns every problem of the configuration.
+// Check returns all problems of the configuration.
 func (c Config) Check() wardturn.SettingProblems {
 	var list wardturn.SettingProblems
 	list.Require(wardturn.ValidName(string(c.Upstream)), "upstream", "must be a name")
--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,10 +1,10 @@
-// Package agent is the process that stands beside one upstream, as a library.
+// Package agent implements the process that runs next to one upstream.
 //
-// An Agent is the only process that gives its upstream orders. It owns the
+// An Agent is the only process that sends orders to its upstream. It manages the
 // adapter slots of an engine, the queue of waiting requests and the running
-// ones; the decisions are those of package decide. Towards entry hosts it keeps
-// three promises: a request answered "not run" did not and will not run; an
-// answer that was started can be fetched again after a lost connection; and a
-// request that may not be repeated is claimed on the platform's log before it
-// runs.
+// requests; package decide makes the decisions. It guarantees the following to the
+// entry processes: a request that is reported as not run did not and will not run; a
+// response that has started can be fetched again after the connection is lost; and
+// the idempotency key of a request that must not be repeated is claimed on the
+// platform's log before the request runs.
 package agent
--- a/agent/inbound.go
+++ b/agent/inbound.go
@@ -9,11 +9,11 @@
 	"wardturn/peer"
 )
 
-// catchUpLimit is how long a request waits for the configuration that its entry
-// decided by.
+// catchUpLimit is how long a request waits until the agent has applied the
+// configuration with which its entry made its decisions.
 const catchUpLimit = time.Second
 
-// inbound is the agent as the handler of its connections.
+// inbound handles the connections of an Agent.
 type inbound Agent
 
 // Handle implements peer.Handler.
@@ -49,8 +49,8 @@
 	}
 }
 
-// Closed implements peer.Handler. The attempts of the connection go on for a
-// while, for the entry to come back.
+// Closed implements peer.Handler. The attempts of the connection continue for
+// Config.OrphanGrace, so that the entry can reconnect.
 func (in *inbound) Closed(c *peer.Conn, _ error) {
 	a := (*Agent)(in)
 	a.mu.Lock()
@@ -66,7 +66,8 @@
 	}
 }
 
-// expectBack cancels an attempt that no entry asks for again.
+// expectBack starts the timer that cancels an attempt unless an entry attaches to it
+// within Config.OrphanGrace. a.mu is held.
 func (a *Agent) expectBack(t *attempt) {
 	t.orphan = a.clock.AfterFunc(a.cfg.OrphanGrace, func() {
 		a.mu.Lock()
@@ -77,8 +78,8 @@
 	})
 }
 
-// onSubmit admits an attempt, after catching up with the entry's configuration. The
-// time for that is part of the attempt's.
+// onSubmit admits an attempt after the agent has caught up with the configuration of
+// the entry. The time for that counts against the attempt's deadline.
 func (a *Agent) onSubmit(c *peer.Conn, m *peer.Submit) {
 	came := a.clock.Now()
 	if a.replica.Applied() >= m.Config {
@@ -92,7 +93,8 @@
 	})
 }
 
-// admit takes an attempt that came at a time.
+// admit queues a new attempt that arrived at came. It refuses the attempt if the agent is
+// not up to date with the entry's configuration, or if the adapter version was replaced.
 func (a *Agent) admit(c *peer.Conn, m *peer.Submit, came time.Time, upToDate bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -100,7 +102,7 @@
 	switch {
 	case state == decide.AttemptNew:
 	case a.attempts[m.Attempt] != nil:
-		return // a copy: the attempt has its answer's connection already
+		return // a duplicate: the response already goes to the attempt's connection
 	default:
 		a.replyEnd(c, m.Attempt, outcome)
 		return
@@ -174,7 +176,8 @@
 	}
 }
 
-// onAttach answers an entry that lost its connection.
+// onAttach handles an entry that asks for an attempt after its connection was lost. a.mu
+// is held.
 func (a *Agent) onAttach(c *peer.Conn, m *peer.Attach) {
 	if m.Process != a.cfg.Process {
 		a.replyEnd(c, m.Attempt, wardturn.Uncertain(wardturn.ReasonAgentRestarted))
@@ -191,14 +194,15 @@
 	case outcome.Kind == wardturn.NotRun:
 		a.replyEnd(c, m.Attempt, outcome)
 	default:
-		// It ran or may have, and the answer is not here any more.
+		// It may have run, and its response is no longer available.
 		a.replyEnd(c, m.Attempt, wardturn.Uncertain(wardturn.ReasonUpstreamLost))
 	}
 }
 
-// onFollow answers a request whose idempotency key an earlier attempt claimed.
-// It gets that attempt's answer once there is one, from a copy: the request that
-// started it must not lose its own.
+// onFollow handles a request whose idempotency key was claimed by an earlier attempt.
+// Once that attempt has ended, the request gets a copy of its response. The copy has
+// its own connection and offsets, so that the request that started the attempt still
+// gets the response too.
 func (a *Agent) onFollow(c *peer.Conn, t *attempt, m *peer.Attach) {
 	switch {
 	case !t.ended:
@@ -206,7 +210,7 @@
 	case t.outcome.Kind != wardturn.Done || t.base > 0:
 		outcome := t.outcome
 		if outcome.Kind == wardturn.Done {
-			outcome = wardturn.Uncertain(wardturn.ReasonUpstreamLost) // not kept in full
+			outcome = wardturn.Uncertain(wardturn.ReasonUpstreamLost) // only part of it is retained
 		}
 		a.replyEnd(c, m.Attempt, outcome)
 	default:
@@ -224,8 +228,9 @@
 	}
 }
 
-// onCancel withdraws an attempt that nobody waits for. What may not be repeated
-// and has been sent runs on to its end; while its claim is under way it has not.
+// onCancel cancels an attempt that nobody waits for any more. A non-repeatable request
+// that has been sent to the upstream runs to completion; one whose claim is still in
+// progress has not been sent. a.mu is held.
 func (a *Agent) onCancel(id wardturn.AttemptID) {
 	t := a.attempts[id]
 	if t == nil || t.ended {
@@ -244,7 +249,7 @@
 	}
 }
 
-// finish records an attempt's outcome and tells the entry.
+// finish records an attempt's outcome and sends it to the entry. a.mu is held.
 func (a *Agent) finish(t *attempt, outcome wardturn.Outcome) {
 	now := a.clock.Now()
 	if !a.ledger.End(now, t.id, outcome) {
@@ -275,7 +280,7 @@
 	page, pages, applied := a.replica.Page(m.Page)
 	data, err := control.EncodePage(page)
 	if err != nil {
-		a.logger.Error("configuration page", "error", err)
+		a.logger.Error("encoding configuration page failed", "error", err)
 		return
 	}
 	_ = c.Send(&peer.ConfigPage{
--- a/agent/late_test.go
+++ b/agent/late_test.go
@@ -14,11 +14,11 @@
 	"wardturn/standin"
 )
 
-// patience bounds a wait for something that must come.
+// patience is the timeout for expected events.
 const patience = 20 * time.Second
 
-// TestTimeToCatchUpCounts checks that the time in which the agent catches up with
-// the entry's configuration is taken from the time that a request has.
+// TestTimeToCatchUpCounts checks that the time in which the agent catches up with the
+// entry's configuration counts against the deadline of a request.
 func TestTimeToCatchUpCounts(t *testing.T) {
 	const left, behind = 200 * time.Millisecond, 300 * time.Millisecond
 	g := gomega.NewWithT(t)
@@ -37,12 +37,12 @@
 		Left:       left,
 		Credit:     peer.Window,
 	})
-	x.quiet(99) // the agent has it
+	x.quiet(99) // the agent has received the request and not replied
 	clock.Advance(behind)
 	_, err := x.log.Append(context.Background(), []byte("another's record"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	end, ok := x.next().(*peer.End)
-	g.Expect(ok).To(gomega.BeTrue(), "it began")
+	g.Expect(ok).To(gomega.BeTrue(), "the request started")
 	g.Expect(end.Outcome.Kind).To(gomega.Equal(wardturn.NotRun))
 	g.Expect(end.Outcome.Reason).To(gomega.Equal(wardturn.ReasonDeadline))
 }
--- a/agent/leaving_internal_test.go
+++ b/agent/leaving_internal_test.go
@@ -9,16 +9,17 @@
 	"wardturn/standin"
 )
 
-// plainService answers nothing.
+// plainService returns empty responses.
 type plainService struct{}
 
 func (plainService) Call(context.Context, wardturn.Request) (wardturn.ServiceResponse, error) {
 	return wardturn.ServiceResponse{}, nil
 }
 
-// An agent left for good at once when the platform's list, which lags, still had the entry
-// of the process before it under the same name, which had left: "leaving" with the reason
-// "host list" right after "agent started", and its upstream served no more.
+// TestLeavingEntryOfAPredecessor guards against an agent that shuts down right after its
+// start because the host list, which lags, still contains the leaving entry of the
+// previous process for the same upstream. The logs showed "leaving" with the reason
+// "host list" directly after "agent started", and the upstream served nothing any more.
 func TestLeavingEntryOfAPredecessor(t *testing.T) {
 	entry := func(state wardturn.HostState) []wardturn.Host {
 		return []wardturn.Host{{
@@ -30,37 +31,37 @@
 	start := func(t *testing.T) *Agent {
 		return newPlainAgent(t, clock, standin.NewLog(clock, standin.LogConfig{}), plainService{})
 	}
-	t.Run("is passed over", func(t *testing.T) {
+	t.Run("is ignored", func(t *testing.T) {
 		a := start(t)
 		a.onHosts(entry(wardturn.HostLeaving))
 		if a.Status().Leaving {
-			t.Error("the agent leaves by an entry of before its start")
+			t.Error("the agent is leaving because of an entry from before its start")
 		}
 	})
-	t.Run("is passed over after one that still had it live", func(t *testing.T) {
+	t.Run("is ignored after a live entry", func(t *testing.T) {
 		a := start(t)
 		a.onHosts(entry(wardturn.HostLive))
 		a.onHosts(entry(wardturn.HostLeaving))
 		if a.Status().Leaving {
-			t.Error("the agent leaves by an entry of before its start")
+			t.Error("the agent is leaving because of an entry from before its start")
 		}
 	})
-	t.Run("does not hide that this one is to leave", func(t *testing.T) {
+	t.Run("does not hide a leaving entry of this process", func(t *testing.T) {
 		a := start(t)
 		a.onHosts(entry(wardturn.HostLeaving))
 		a.onHosts(entry(wardturn.HostLive))
 		a.onHosts(entry(wardturn.HostLeaving))
 		if !a.Status().Leaving {
-			t.Error("the agent stays, though the list had it live and then leaving")
+			t.Error("the agent is not leaving, although the list showed it as live and then as leaving")
 		}
 	})
-	t.Run("counts if it stays longer than a list is behind", func(t *testing.T) {
+	t.Run("counts if it stays longer than the list lags", func(t *testing.T) {
 		a := start(t)
 		a.onHosts(entry(wardturn.HostLeaving))
 		clock.Advance(30 * time.Second)
 		a.onHosts(entry(wardturn.HostLeaving))
 		if !a.Status().Leaving {
-			t.Error("the agent stays, though the list has had it leaving for 30 s")
+			t.Error("the agent is not leaving, although the list has shown it as leaving for 30 s")
 		}
 	})
 }
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -10,8 +10,8 @@
 	"wardturn/process"
 )
 
-// Metrics are an agent's counters, gauges and histograms. Labels are bounded:
-// none carries an adapter, a caller or a request.
+// Metrics holds an agent's counters, gauges and histograms. The number of label
+// values is bounded: no label contains an adapter, a caller or a request.
 type Metrics struct {
 	scope    tally.Scope
 	running  tally.Gauge
@@ -71,7 +71,7 @@
 	}
 }
 
-// observe takes the core's present state.
+// observe updates the gauges from the state of the core.
 func (m *Metrics) observe(core *decide.Agent, attempts int) {
 	h := core.Hint()
 	m.running.Update(float64(h.Running))
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -17,7 +17,7 @@
 	maxFenceRetry = 5 * time.Second
 )
 
-// startOrder gives the engine an order; the lock is held.
+// startOrder sends an order to the engine in the background. a.mu is held.
 func (a *Agent) startOrder(so decide.SlotOrder, do func(wardturn.SlotOrder)) {
 	order := wardturn.SlotOrder{
 		ID:      so.ID,
@@ -53,8 +53,9 @@
 	})
 }
 
-// give carries out an order, unless this agent may give none: without a fence,
-// a later agent could not be told from it.
+// give sends an order to the engine. If a fence is required and there is none yet, it
+// returns ErrFenced instead: the engine could not tell such an order from the orders
+// of a later agent.
 func (a *Agent) give(order wardturn.SlotOrder, do func(context.Context, wardturn.SlotOrder) error) error {
 	if order.Fence == 0 && a.cfg.RequireFence {
 		a.mu.Lock()
@@ -65,8 +66,8 @@
 	return do(a.tasks.Context(), order)
 }
 
-// resultOf tells orders that were refused from those that may have been carried
-// out.
+// resultOf converts the error of an order to its result. It distinguishes orders that
+// were refused from those that may have been executed.
 func resultOf(err error) decide.OrderResult {
 	switch {
 	case err == nil:
@@ -83,8 +84,8 @@
 	return decide.OrderUncertain
 }
 
-// takeFence appends the start record until that succeeds. Its offset is the
-// agent's fence.
+// takeFence appends the agent's start record to the log, with retries until it
+// succeeds. The offset of the record is the agent's fence.
 func (a *Agent) takeFence() {
 	wait := fenceRetry
 	for a.tasks.Context().Err() == nil {
@@ -99,8 +100,8 @@
 			a.logger.Info("fence taken", "fence", fence)
 			return
 		}
-		// After a lost reply another start record is appended: a fence of one's
-		// own that is too high is harmless.
+		// If the reply was lost, the retry appends a second start record. That is
+		// harmless: it only gives this agent a higher fence.
 		if !a.tasks.Pause(wait) {
 			return
 		}
@@ -108,7 +109,7 @@
 	}
 }
 
-// watchEngine reads the engine's report again and again.
+// watchEngine polls the engine's report.
 func (a *Agent) watchEngine() {
 	for a.tasks.Pause(a.cfg.ReportEvery) {
 		rep, err := a.engine.Report(a.tasks.Context())
@@ -121,7 +122,7 @@
 	}
 }
 
-// watchHosts reads the host list again and again.
+// watchHosts polls the host list.
 func (a *Agent) watchHosts() {
 	for {
 		hosts, err := a.hosts.Hosts(a.tasks.Context())
@@ -134,18 +135,20 @@
 	}
 }
 
-// listedAs is what the list has shown under an agent's name since its start. The entries of
-// a process before it may come first, live or leaving: an agent that left by them would
-// serve no more for good. Only a live entry after a leaving one is surely its own.
+// listedAs records which states of the agent's upstream the host list has shown since
+// the agent started. The list lags, so at first it may still contain the entry of the
+// previous process for the same upstream, either live or leaving. An agent that shut
+// down because of that entry would stop serving for good. Only a live entry that
+// follows a leaving one certainly belongs to this process.
 type listedAs uint8
 
 const (
-	listedBefore  listedAs = iota // perhaps as the process before
-	listedLeaving                 // as leaving, perhaps that one
-	listedAgain                   // as live after that
+	listedBefore  listedAs = iota // no leaving entry yet; a live one may be the previous process
+	listedLeaving                 // leaving; may be the previous process
+	listedAgain                   // live after leaving: this process
 )
 
-// next returns what the list has shown after one more entry.
+// next returns the state after another entry for the upstream.
 func (l listedAs) next(s wardturn.HostState) listedAs {
 	switch {
 	case l == listedBefore && s == wardturn.HostLeaving:
@@ -156,8 +159,8 @@
 	return l
 }
 
-// listBehind is how long the list may still have the entry of the process before this one:
-// five times the 2 s that the embedded system's list is behind.
+// listBehind is how long the list may still contain the entry of the previous process:
+// five times the 2 s by which the list of the embedded system lags.
 const listBehind = 10 * time.Second
 
 func (a *Agent) onHosts(hosts []wardturn.Host) {
@@ -175,7 +178,7 @@
 	}
 }
 
-// onConfig reacts to a changed document.
+// onConfig handles a changed configuration document.
 func (a *Agent) onConfig(key control.Key) {
 	switch {
 	case key == control.DrainKey(a.cfg.Upstream):
@@ -189,7 +192,7 @@
 	}
 }
 
-// checkDrain leaves if an operator ordered it.
+// checkDrain starts the shutdown if an operator has requested a drain of the upstream.
 func (a *Agent) checkDrain() {
 	if _, ok := a.replica.Get(control.DrainKey(a.cfg.Upstream)); !ok {
 		return
@@ -199,10 +202,10 @@
 	a.leave("operator")
 }
 
-// applyPolicy puts the active policy of the configuration in force, and the
-// shadow policy beside it. A program that does not compile here, though it was
-// checked before publication, leaves the present one in force; without an active
-// policy the one of the start is.
+// applyPolicy applies the active policy and the shadow policy of the configuration.
+// Programs are checked before publication; if the active one still does not compile
+// here, the present policies stay in force. Without a published active policy the
+// built-in one is used.
 func (a *Agent) applyPolicy() {
 	a.applying.Lock()
 	defer a.applying.Unlock()
@@ -224,10 +227,10 @@
 	defer a.mu.Unlock()
 	a.core.SetPolicy(active)
 	a.core.SetShadow(beside)
-	a.logger.Info("policy in force", "policy", active.Name(), "config", a.replica.Applied())
+	a.logger.Info("policy applied", "policy", active.Name(), "config", a.replica.Applied())
 }
 
-// applyShares puts the teams' shares of the configuration in force.
+// applyShares applies the teams' shares of the configuration.
 func (a *Agent) applyShares() {
 	a.applying.Lock()
 	defer a.applying.Unlock()
--- a/agent/orphan_internal_test.go
+++ b/agent/orphan_internal_test.go
@@ -10,7 +10,7 @@
 	"wardturn/standin"
 )
 
-// lostEntry is the side of a connection that is lost.
+// lostEntry is the entry's side of the connection that the test closes.
 type lostEntry struct {
 	up chan *peer.Conn
 }
@@ -21,9 +21,9 @@
 
 func (*lostEntry) Closed(*peer.Conn, error) {}
 
-// TestOrphanIsNoticedByAnEarlierSend checks that the grace of an attempt without an
-// entry begins also when a piece of its answer finds the connection closed before
-// the agent is told of that.
+// TestOrphanIsNoticedByAnEarlierSend checks that the orphan timer of an attempt starts
+// also if a send fails because the connection is closed before the agent's Closed
+// handler has run.
 func TestOrphanIsNoticedByAnEarlierSend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	clock := standin.NewClock()
--- a/agent/policy_internal_test.go
+++ b/agent/policy_internal_test.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// appendTime is far over what a goroutine takes to start, and under what
-	// slowSource takes.
+	// appendTime is far longer than a goroutine takes to start, and shorter than
+	// slowSource takes to compile.
 	appendTime = 20 * time.Millisecond
-	// slowSource takes 0.28 to 0.45 s to compile, in one step of the program (three
-	// compilations, nothing else running).
+	// slowSource takes 0.28 to 0.45 s to compile (three compilations on an idle
+	// machine), in a single step of the program.
 	slowSource  = "x = len(sorted(range(10000000)))\ndef slot(a):\n  return 1\n"
 	quickSource = "def slot(a):\n  return 2\n"
 )
 
-// newPlainAgent starts an agent of a plain service.
+// newPlainAgent starts an agent for a plain service.
 func newPlainAgent(t *testing.T, clock wardturn.Clock, log wardturn.Log, service wardturn.Service) *Agent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestNewerPolicyStaysInForce checks that a policy which takes long to compile, as
-// at the start of the agent, is not put over one that came meanwhile.
+// TestNewerPolicyStaysInForce checks that a policy that takes long to compile, as at the
+// start of the agent, does not replace a policy that was published meanwhile.
 func TestNewerPolicyStaysInForce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	clock := process.Clock{}
--- a/agent/run.go
+++ b/agent/run.go
@@ -13,7 +13,7 @@
 	"wardturn/peer"
 )
 
-// startRun runs an attempt that the core let go; the lock is held.
+// startRun runs an attempt that the core has started. a.mu is held.
 func (a *Agent) startRun(st decide.Start) {
 	t := a.attempts[st.Attempt]
 	if t == nil || t.ended {
@@ -28,8 +28,8 @@
 	})
 }
 
-// run claims an attempt if it may not be repeated, gives it to the upstream and
-// records the outcome.
+// run claims the key of an attempt that must not be repeated, sends the attempt to the
+// upstream and records the outcome.
 func (a *Agent) run(ctx context.Context, t *attempt) {
 	if !a.repeatable(t) {
 		if outcome, ok := a.claim(ctx, t); !ok {
@@ -48,8 +48,8 @@
 	a.runService(ctx, t)
 }
 
-// repeatable reports whether an attempt may run without a claim. The agent's
-// own configuration counts beside the entry's, in case the entry is behind.
+// repeatable reports whether an attempt may run without a claim. For a service, both the
+// entry's and the agent's configuration must allow it, as the entry's may be outdated.
 func (a *Agent) repeatable(t *attempt) bool {
 	if !t.req.Repeatable {
 		return false
@@ -60,9 +60,11 @@
 	return control.ServiceOf(a.replica, t.req.Service).Repeatable(t.req.Method)
 }
 
-// beginSend marks the attempt as possibly run, and tells the entry that it
-// runs. From here on "not run" needs the upstream's word. It returns the reason for
-// which the attempt must not be sent any more, if there is one: a claim takes time.
+// beginSend marks the attempt as possibly run and, for an engine, notifies the entry
+// that it runs. From then on the attempt counts as not run only if the upstream says so.
+// If the attempt must no longer be sent, beginSend returns the reason instead: during
+// the claim the deadline may have passed, the adapter version may have been replaced, or
+// the attempt may have been canceled.
 func (a *Agent) beginSend(t *attempt) wardturn.Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -81,7 +83,7 @@
 	return wardturn.ReasonNone
 }
 
-// sendHead starts the answer; the lock is held.
+// sendHead sends the status and headers of the response. a.mu is held.
 func (a *Agent) sendHead(t *attempt, status int, header []wardturn.HeaderField) {
 	t.head = &peer.Head{
 		Attempt: t.id,
@@ -93,7 +95,8 @@
 	a.flush(t)
 }
 
-// claim claims the attempt's key on the log and reports whether it may run.
+// claim claims the attempt's idempotency key on the log and reports whether the attempt
+// may run.
 func (a *Agent) claim(ctx context.Context, t *attempt) (wardturn.Outcome, bool) {
 	res, err := a.claimer.Claim(ctx, control.Claim{
 		Caller:  t.req.Caller,
@@ -141,8 +144,8 @@
 	a.ended(t, a.outcomeOf(t, err))
 }
 
-// again lets an attempt wait again whose adapter the engine turned out not to
-// hold. It did not run.
+// again requeues an attempt that the engine did not run because it does not hold the
+// adapter. It reports false if part of the response was received or the agent is leaving.
 func (a *Agent) again(t *attempt) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -169,7 +172,7 @@
 	a.ended(t, a.outcomeOf(t, err))
 }
 
-// outcomeOf turns a driver's error into an outcome.
+// outcomeOf converts the error of an upstream client to an outcome.
 func (a *Agent) outcomeOf(t *attempt, err error) wardturn.Outcome {
 	switch {
 	case err == nil:
@@ -181,16 +184,16 @@
 	case errors.Is(err, context.Canceled):
 		return wardturn.Uncertain(wardturn.ReasonCanceled)
 	}
-	a.logger.Warn("upstream failed", "request", t.req.ID, "attempt", t.id, "adapter", t.req.Adapter, "error", err)
+	a.logger.Warn("upstream request failed", "request", t.req.ID, "attempt", t.id, "adapter", t.req.Adapter, "error", err)
 	return wardturn.Uncertain(wardturn.ReasonUpstreamLost)
 }
 
-// ended records the end of an attempt that the core had started.
+// ended records the end of an attempt that the core has started.
 func (a *Agent) ended(t *attempt, outcome wardturn.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
-		return // whoever asks again learns that this process is gone
+		return // an entry that asks for the attempt finds out that this process has stopped
 	}
 	a.do(func(now time.Time, out *decide.Orders) {
 		a.core.Finished(now, t.id, out)
--- a/agent/version.go
+++ b/agent/version.go
@@ -10,8 +10,9 @@
 	"wardturn/decide"
 )
 
-// outOfForce reports whether an attempt that asked for the version in force is for
-// another one by now, and records the configuration that says so; the lock is held.
+// outOfForce reports whether an attempt that requested the current version of its
+// adapter has a version that has been replaced since. If so, it records the offset of
+// the configuration that replaced the version. a.mu is held.
 func (a *Agent) outOfForce(t *attempt) bool {
 	if !t.newest {
 		return false
@@ -28,8 +29,9 @@
 	return true
 }
 
-// replaceVersion hands back the waiting attempts for an adapter that asked for the
-// version in force and are for another one. Their entries send them again.
+// replaceVersion refuses the waiting attempts that requested the current version of an
+// adapter and whose version has been replaced. Their entries resend them with the new
+// version.
 func (a *Agent) replaceVersion(id wardturn.AdapterID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -42,7 +44,7 @@
 			waited = a.core.Cancel(now, t.id, out)
 		})
 		if !waited {
-			t.replaced = 0 // it runs
+			t.replaced = 0 // it is running already
 			continue
 		}
 		a.finish(t, wardturn.Refused(wardturn.ReasonStaleConfig, 0))
--- a/driver/await.go
+++ b/driver/await.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// await runs f and returns its result. If ctx ends first, ended is false and err is
-// the error of ctx. The HTTP library cannot be told to give up a request under way;
-// f is then left to end by itself, so it must own whatever it uses.
+// await runs f in a goroutine and returns its result. If ctx ends first, ended is
+// false and err is the error of ctx. fasthttp cannot cancel a request in progress, so
+// f then continues in the background and must own everything that it uses.
 func await[T any](ctx context.Context, f func() (T, error)) (v T, ended bool, err error) {
 	type result struct {
 		v   T
--- a/driver/doc.go
+++ b/driver/doc.go
@@ -1,8 +1,7 @@
-// Package driver has the clients of the systems outside wardturn:
-// the log and host list, model engines and plain services of the embedded system.
+// Package driver contains clients for the systems outside wardturn: the log and
+// the host list of the platform, model engines, and plain HTTP services.
 //
-// Each driver speaks the published protocol of its system. Engines are met
-// through the OpenAI-compatible API with dynamic LoRA loading that serving
-// engines publish, the log and the host list through small JSON interfaces over
-// HTTP, plain services through HTTP as it is.
+// Each client uses the public protocol of its system: the OpenAI-compatible API
+// with dynamic LoRA loading for engines, JSON over HTTP for the log and the host
+// list, and unmodified HTTP for plain services.
 package driver
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -22,27 +22,27 @@
 	maxAnswer    = 16 << 20
 	engineConns  = 4096
 	readPiece    = 16 << 10
-	silentLimit  = 2 * time.Minute // without a byte of an answer
+	silentLimit  = 2 * time.Minute // maximum time without a byte of the response
 	maxFirstPart = 64 << 10
 )
 
 var (
-	// ErrWrongVersion is returned when an engine answers on another adapter
-	// version than the one asked for. No byte of the answer is passed on.
-	ErrWrongVersion = errors.New("driver: engine answered on another adapter version")
-	errBadAnswer    = errors.New("driver: unreadable answer of the engine")
+	// ErrWrongVersion is returned when the response of an engine names another
+	// adapter or version than the request. No byte of the response is forwarded.
+	ErrWrongVersion = errors.New("driver: engine used another adapter version")
+	errBadAnswer    = errors.New("driver: malformed engine response")
 )
 
-// Engine is a client of a model engine with an OpenAI-compatible API and
-// dynamic LoRA loading. Adapters are named "adapter@version" towards it, and
-// the name in its answer is checked.
+// Engine is a client for a model engine with an OpenAI-compatible API and dynamic
+// LoRA loading. In requests an adapter is named "adapter@version"; the client
+// checks that the response names the same adapter and version.
 type Engine struct {
 	base   string
 	client *fasthttp.Client
 	stream *fasthttp.Client
 }
 
-// NewEngine returns a client of the engine at an address, IP:port.
+// NewEngine returns a client for the engine at addr, which has the form IP:port.
 func NewEngine(addr string) *Engine {
 	return &Engine{
 		base: "http://" + addr,
@@ -60,8 +60,8 @@
 	}
 }
 
-// Run implements wardturn.Engine. Cancelling ctx closes the connection at the
-// next piece of the answer, which the engine takes as a cancel.
+// Run implements wardturn.Engine. After ctx is canceled, the connection is closed
+// at the next read from the response, and the engine treats that as a cancellation.
 func (e *Engine) Run(ctx context.Context, r wardturn.EngineRequest, emit func([]byte) error) (wardturn.EngineResult, error) {
 	res, _, err := await(ctx, func() (wardturn.EngineResult, error) {
 		return e.run(ctx, r, emit)
@@ -91,8 +91,9 @@
 	return e.pass(ctx, r, res, emit)
 }
 
-// refusal reads an error answer. Codes that say so mean that nothing ran, and
-// so do the statuses for a request that the engine did not accept.
+// refusal converts an error response to an error. Besides the codes that codeError
+// recognizes, the statuses 400, 404, 429 and 503 mean that the engine did not accept
+// the request and that nothing ran.
 func (e *Engine) refusal(res *fasthttp.Response) error {
 	err := codeError(res)
 	switch res.StatusCode() {
@@ -119,7 +120,7 @@
 	return p.result, err
 }
 
-// passer copies an answer and checks the model named in its first part.
+// passer forwards a response and checks the model named in its first part.
 type passer struct {
 	ctx     context.Context
 	want    wardturn.AdapterRef
@@ -130,8 +131,8 @@
 	result  wardturn.EngineResult
 }
 
-// readBuffers holds buffers for reading answers, by pointer so that the pool does
-// not allocate.
+// readBuffers pools buffers for reading responses. It holds pointers, because
+// putting a slice into the pool would allocate.
 var readBuffers = sync.Pool{
 	New: func() any {
 		buf := make([]byte, readPiece)
@@ -159,7 +160,7 @@
 			return p.finish()
 		}
 		if err != nil {
-			return errors.Wrap(err, "engine: answer cut short")
+			return errors.Wrap(err, "engine: reading response")
 		}
 	}
 }
@@ -184,7 +185,8 @@
 	sseDone = []byte("data: [DONE]\n\n")
 )
 
-// check compares the model of the first part, then passes it on.
+// check compares the model named in the first part with the requested one and
+// forwards the part if they match.
 func (p *passer) check() error {
 	doc := p.first
 	if bytes.HasPrefix(doc, sseData) {
@@ -213,14 +215,14 @@
 	return p.emit(data)
 }
 
-// finish checks that the answer is whole: a stream ends with its end marker, a
-// document is one JSON value.
+// finish checks that the response is complete: a stream ends with the [DONE]
+// marker, and a document is a single JSON value.
 func (p *passer) finish() error {
 	if !p.checked {
 		return p.check()
 	}
 	if bytes.HasPrefix(p.first, sseData) && !bytes.Equal(p.tail, sseDone) {
-		return errors.Wrap(errBadAnswer, "stream without its end")
+		return errors.Wrap(errBadAnswer, "stream ended without [DONE]")
 	}
 	return nil
 }
@@ -279,7 +281,8 @@
 	return codeError(res)
 }
 
-// codeError turns an error answer into the error that its code stands for.
+// codeError converts an error response to the error for its code, or to an error
+// with the status and message if the code is unknown.
 func codeError(res *fasthttp.Response) error {
 	var body ErrorBody
 	_ = json.Unmarshal(res.Body(), &body)
--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -13,7 +13,7 @@
 	"wardturn/standin"
 )
 
-// serve answers every request with h and returns the address.
+// serve starts a server with the handler h and returns its address.
 func serve(t *testing.T, h fasthttp.RequestHandler) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -54,7 +54,7 @@
 		name   string
 		status int
 		body   string
-		want   error // nil: whole
+		want   error // nil if no particular error is expected
 		fails  bool
 		passed string
 	}{
@@ -75,7 +75,7 @@
 			t.Errorf("%s: error %v, want %v", c.name, err, c.want)
 		}
 		if c.status == 500 && (errors.Is(err, wardturn.ErrNotStarted) || errors.Is(err, wardturn.ErrNotLoaded)) {
-			t.Errorf("%s: a broken engine may have run the request", c.name)
+			t.Errorf("%s: the error says that the request did not run, but it may have", c.name)
 		}
 		if passed != c.passed {
 			t.Errorf("%s: passed %q, want %q", c.name, passed, c.passed)
@@ -92,9 +92,8 @@
 	}
 }
 
-// deafAddr returns an address that refuses connections. Its port is the near end of a
-// connection, which is bound until the test ends, so that nothing else can listen
-// there.
+// deafAddr returns an address that refuses connections. Its port is the local port of
+// an open connection, so nothing else can listen on it until the test ends.
 func deafAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -113,7 +112,8 @@
 	return c.LocalAddr().String()
 }
 
-// TestEngineLost closes the connection after the request was taken.
+// TestEngineLost checks that the error does not say "not started" if the engine closes
+// the connection after it has read the request: the request may have run.
 func TestEngineLost(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/driver/hosts.go
+++ b/driver/hosts.go
@@ -17,9 +17,9 @@
 
 const hostsLimit = 2 * time.Second
 
-// HostList is a client of the platform's list of hosts. It asks for the list only
-// if it has changed: thousands of hosts every second would cost more than all
-// else that a process does for control.
+// HostList is a client for the platform's list of hosts. It uses conditional
+// requests (ETag, If-None-Match): downloading a list of thousands of hosts every
+// second would cost more than all other control traffic of a process.
 type HostList struct {
 	url    string
 	client *fasthttp.Client
@@ -29,7 +29,7 @@
 	hosts []wardturn.Host
 }
 
-// NewHostList returns a client of the list at an address, IP:port.
+// NewHostList returns a client for the list at addr, which has the form IP:port.
 func NewHostList(addr string) *HostList {
 	return &HostList{
 		url:    "http://" + addr + PathHosts,
@@ -71,8 +71,8 @@
 	return slices.Clone(hosts), nil
 }
 
-// notSent reports whether an error of a request means that the connection was
-// never made, so that nothing reached the other side.
+// notSent reports whether a request failed before a connection was established, so
+// that no part of it reached the server.
 func notSent(err error) bool {
 	if errors.Is(err, fasthttp.ErrNoFreeConns) || errors.Is(err, fasthttp.ErrDialTimeout) {
 		return true
--- a/driver/log.go
+++ b/driver/log.go
@@ -18,20 +18,21 @@
 	maxLogPage     = 64 << 20
 )
 
-// Log is a client of the platform's log.
+// Log is a client for the platform's log.
 type Log struct {
 	base   string
 	client *fasthttp.Client
 }
 
-// NewLog returns a client of the log at an address, IP:port.
+// NewLog returns a client for the log at addr, which has the form IP:port.
 func NewLog(addr string) *Log {
 	return &Log{
 		base: "http://" + addr,
 		client: &fasthttp.Client{
 			MaxResponseBodySize: maxLogPage,
 			MaxConnsPerHost:     8,
-			// A lost reply must surface: the append may have taken effect.
+			// A lost reply must be reported to the caller and not retried, because
+			// the append may have taken effect.
 			MaxIdemponentCallAttempts: 1,
 		},
 	}
@@ -68,12 +69,13 @@
 	}
 	var a Appended
 	if err := json.Unmarshal(res.Body(), &a); err != nil {
-		return 0, errors.Wrap(wardturn.ErrReplyLost, "log: unreadable reply")
+		return 0, errors.Wrap(wardturn.ErrReplyLost, "log: malformed append response")
 	}
 	return a.Offset, nil
 }
 
-// appendError tells a request that was never sent from one whose reply is lost.
+// appendError returns ErrUnavailable for a request that was never sent, and
+// ErrReplyLost for one that the log may have received.
 func appendError(err error) error {
 	if notSent(err) {
 		return errors.Wrapf(wardturn.ErrUnavailable, "log: %v", err)
@@ -113,7 +115,7 @@
 	status := res.StatusCode()
 	if status == fasthttp.StatusOK || status == fasthttp.StatusGone {
 		if err := json.Unmarshal(res.Body(), &p); err != nil {
-			return wardturn.LogPage{}, errors.Wrap(wardturn.ErrUnavailable, "log: unreadable page")
+			return wardturn.LogPage{}, errors.Wrap(wardturn.ErrUnavailable, "log: malformed page")
 		}
 	}
 	switch status {
@@ -141,7 +143,8 @@
 	return page
 }
 
-// limitOf returns the time left of ctx, at most limit.
+// limitOf returns the time until the deadline of ctx, at most limit and at least
+// one millisecond.
 func limitOf(ctx context.Context, limit time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/driver/service.go
+++ b/driver/service.go
@@ -12,14 +12,14 @@
 
 const serviceLimit = 30 * time.Second
 
-// Service is a client of a plain service. Requests pass through it with their
-// method, path, headers and body.
+// Service is a client for a plain service. It forwards requests with their method,
+// path, headers and body.
 type Service struct {
 	base   string
 	client *fasthttp.Client
 }
 
-// NewService returns a client of the service at an address, IP:port.
+// NewService returns a client for the service at addr, which has the form IP:port.
 func NewService(addr string) *Service {
 	return &Service{
 		base: "http://" + addr,
@@ -72,8 +72,8 @@
 	return out, nil
 }
 
-// hopHeader reports whether a header belongs to one connection and is not
-// passed on.
+// hopHeader reports whether a response header applies to a single connection or is
+// generated anew for each one, and is therefore not forwarded.
 func hopHeader(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Upgrade", "Date", "Server":
--- a/driver/wire.go
+++ b/driver/wire.go
@@ -6,13 +6,13 @@
 	"wardturn"
 )
 
-// The paths of the log and of the host list.
+// URL paths of the log and of the host list.
 const (
 	PathRecords = "/v1/records"
 	PathHosts   = "/v1/hosts"
 )
 
-// The paths of a model engine.
+// URL paths of a model engine.
 const (
 	PathCompletions     = "/v1/completions"
 	PathChatCompletions = "/v1/chat/completions"
@@ -22,45 +22,45 @@
 	PathReport          = "/v1/report"
 )
 
-// The headers that wardturn adds towards engines and services.
+// Headers that wardturn adds to requests to engines and services.
 const (
 	HeaderFence   = "X-Order-Fence"
 	HeaderOrder   = "X-Order-Id"
 	HeaderAttempt = "X-Request-Id"
 )
 
-// Appended is the log's answer to an append.
+// Appended is the body of the log's response to an append.
 type Appended struct {
 	Offset wardturn.Offset `json:"offset"`
 }
 
-// WireRecord is one record of the log as JSON; Data is base64.
+// WireRecord is one log record. Data is encoded as base64 in JSON.
 type WireRecord struct {
 	Offset wardturn.Offset `json:"offset"`
 	Time   time.Time       `json:"time"`
 	Data   []byte          `json:"data"`
 }
 
-// WirePage is the log's answer to a read.
+// WirePage is the body of the log's response to a read.
 type WirePage struct {
 	First   wardturn.Offset `json:"first"`
 	Next    wardturn.Offset `json:"next"`
 	Records []WireRecord    `json:"records"`
 }
 
-// AdapterOrder is the body of a load or unload of an adapter.
+// AdapterOrder is the body of a request to load or unload an adapter.
 type AdapterOrder struct {
 	Name string `json:"lora_name"`
 	Path string `json:"lora_path,omitempty"`
 }
 
-// ErrorBody is the error shape of the OpenAI API, which engines send and
-// callers get.
+// ErrorBody is the error body of the OpenAI API. Engines send it, and callers
+// receive errors in the same format.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail is the inner object of ErrorBody.
+// ErrorDetail is the error object inside an ErrorBody.
 type ErrorDetail struct {
 	Message string `json:"message"`
 	Type    string `json:"type"`
@@ -68,7 +68,7 @@
 	Param   string `json:"param,omitempty"`
 }
 
-// The error codes with which an engine says that nothing ran.
+// Error codes with which an engine reports that it executed nothing.
 const (
 	CodeNotLoaded   = "adapter_not_loaded"
 	CodeFenced      = "fenced"
