--- a/driver/engine.go
+++ b/driver/engine.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	orderLimit   = 60 * time.Second
-	reportLimit  = 2 * time.Second
-	maxAnswer    = 16 << 20
-	engineConns  = 4096
-	readPiece    = 16 << 10
-	silentLimit  = 2 * time.Minute // maximum time without a byte of the response
-	maxFirstPart = 64 << 10
+	orderTimeout    = 60 * time.Second
+	reportTimeout   = 2 * time.Second
+	maxResponseSize = 16 << 20
+	maxConns        = 4096
+	readBufferSize  = 16 << 10
+	readTimeout     = 2 * time.Minute // maximum time without a byte of the response
+	maxFirstPart    = 64 << 10
 )
 
 var (
 	// ErrWrongVersion is returned when the response of an engine names another
 	// adapter or version than the request. No byte of the response is forwarded.
-	ErrWrongVersion = errors.New("driver: engine used another adapter version")
-	errBadAnswer    = errors.New("driver: malformed engine response")
+	ErrWrongVersion      = errors.New("driver: engine used another adapter version")
+	errMalformedResponse = errors.New("driver: malformed engine response")
 )
 
 // Engine is a client for a model engine with an OpenAI-compatible API and dynamic
@@ -47,15 +47,15 @@
 	return &Engine{
 		base: "http://" + addr,
 		client: &fasthttp.Client{
-			MaxConnsPerHost:           engineConns,
+			MaxConnsPerHost:           maxConns,
 			MaxIdemponentCallAttempts: 1,
 		},
 		stream: &fasthttp.Client{
-			MaxConnsPerHost:           engineConns,
+			MaxConnsPerHost:           maxConns,
 			MaxIdemponentCallAttempts: 1,
 			StreamResponseBody:        true,
-			ReadTimeout:               silentLimit,
-			MaxResponseBodySize:       maxAnswer,
+			ReadTimeout:               readTimeout,
+			MaxResponseBodySize:       maxResponseSize,
 		},
 	}
 }
@@ -86,15 +86,15 @@
 		return wardturn.EngineResult{}, errors.Wrap(err, "engine")
 	}
 	if res.StatusCode() != fasthttp.StatusOK {
-		return wardturn.EngineResult{}, e.refusal(res)
+		return wardturn.EngineResult{}, e.responseError(res)
 	}
-	return e.pass(ctx, r, res, emit)
+	return e.forward(ctx, r, res, emit)
 }
 
-// refusal converts an error response to an error. Besides the codes that codeError
+// responseError converts an error response to an error. Besides the codes that codeError
 // recognizes, the statuses 400, 404, 429 and 503 mean that the engine did not accept
 // the request and that nothing ran.
-func (e *Engine) refusal(res *fasthttp.Response) error {
+func (e *Engine) responseError(res *fasthttp.Response) error {
 	err := codeError(res)
 	switch res.StatusCode() {
 	case fasthttp.StatusBadRequest, fasthttp.StatusNotFound, fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
@@ -105,13 +105,13 @@
 	return err
 }
 
-func (e *Engine) pass(ctx context.Context, r wardturn.EngineRequest, res *fasthttp.Response, emit func([]byte) error) (wardturn.EngineResult, error) {
+func (e *Engine) forward(ctx context.Context, r wardturn.EngineRequest, res *fasthttp.Response, emit func([]byte) error) (wardturn.EngineResult, error) {
 	body := res.BodyStream()
 	if body == nil {
 		body = bytes.NewReader(res.Body())
 	}
 	defer res.CloseBodyStream()
-	p := passer{
+	p := forwarder{
 		ctx:  ctx,
 		want: r.Adapter,
 		emit: emit,
@@ -120,8 +120,8 @@
 	return p.result, err
 }
 
-// passer forwards a response and checks the model named in its first part.
-type passer struct {
+// forwarder forwards a response and checks the model named in its first part.
+type forwarder struct {
 	ctx     context.Context
 	want    wardturn.AdapterRef
 	emit    func([]byte) error
@@ -135,14 +135,14 @@
 // putting a slice into the pool would allocate.
 var readBuffers = sync.Pool{
 	New: func() any {
-		buf := make([]byte, readPiece)
+		buf := make([]byte, readBufferSize)
 		return &buf
 	},
 }
 
-var parsers fastjson.ParserPool
+var jsonParsers fastjson.ParserPool
 
-func (p *passer) copy(body io.Reader) error {
+func (p *forwarder) copy(body io.Reader) error {
 	pooled := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(pooled)
 	buf := *pooled
@@ -152,7 +152,7 @@
 			return p.ctx.Err()
 		}
 		if n > 0 {
-			if err := p.piece(buf[:n]); err != nil {
+			if err := p.add(buf[:n]); err != nil {
 				return err
 			}
 		}
@@ -165,9 +165,9 @@
 	}
 }
 
-func (p *passer) piece(data []byte) error {
+func (p *forwarder) add(data []byte) error {
 	if p.checked {
-		return p.pass(data)
+		return p.forward(data)
 	}
 	p.first = append(p.first, data...)
 	if len(p.first) > maxFirstPart {
@@ -187,16 +187,16 @@
 
 // check compares the model named in the first part with the requested one and
 // forwards the part if they match.
-func (p *passer) check() error {
+func (p *forwarder) check() error {
 	doc := p.first
 	if bytes.HasPrefix(doc, sseData) {
 		doc, _, _ = bytes.Cut(doc[len(sseData):], sseEnd)
 	}
-	parser := parsers.Get()
-	defer parsers.Put(parser)
+	parser := jsonParsers.Get()
+	defer jsonParsers.Put(parser)
 	v, err := parser.ParseBytes(doc)
 	if err != nil {
-		return errors.Wrapf(errBadAnswer, "%v", err)
+		return errors.Wrapf(errMalformedResponse, "%v", err)
 	}
 	ref, err := wardturn.ParseAdapterRef(string(v.GetStringBytes("model")))
 	if err != nil || ref != p.want {
@@ -204,10 +204,10 @@
 	}
 	p.checked = true
 	p.result.Adapter = ref
-	return p.pass(p.first)
+	return p.forward(p.first)
 }
 
-func (p *passer) pass(data []byte) error {
+func (p *forwarder) forward(data []byte) error {
 	p.tail = append(p.tail, data...)
 	if extra := len(p.tail) - len(sseDone); extra > 0 {
 		p.tail = append(p.tail[:0], p.tail[extra:]...)
@@ -217,12 +217,12 @@
 
 // finish checks that the response is complete: a stream ends with the [DONE]
 // marker, and a document is a single JSON value.
-func (p *passer) finish() error {
+func (p *forwarder) finish() error {
 	if !p.checked {
 		return p.check()
 	}
 	if bytes.HasPrefix(p.first, sseData) && !bytes.Equal(p.tail, sseDone) {
-		return errors.Wrap(errBadAnswer, "stream ended without [DONE]")
+		return errors.Wrap(errMalformedResponse, "stream ended without [DONE]")
 	}
 	return nil
 }
@@ -246,7 +246,7 @@
 
 func (e *Engine) order(ctx context.Context, path string, order wardturn.SlotOrder, body AdapterOrder) error {
 	_, ended, err := await(ctx, func() (struct{}, error) {
-		return struct{}{}, e.send(ctx, path, order, body)
+		return struct{}{}, e.sendOrder(ctx, path, order, body)
 	})
 	if !ended {
 		return errors.Wrap(wardturn.ErrReplyLost, "engine: order canceled")
@@ -254,7 +254,7 @@
 	return err
 }
 
-func (e *Engine) send(ctx context.Context, path string, order wardturn.SlotOrder, body AdapterOrder) error {
+func (e *Engine) sendOrder(ctx context.Context, path string, order wardturn.SlotOrder, body AdapterOrder) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return errors.Wrap(err, "engine: order")
@@ -269,7 +269,7 @@
 	req.Header.Set(HeaderFence, strconv.FormatInt(int64(order.Fence), 10))
 	req.Header.Set(HeaderOrder, strconv.FormatUint(uint64(order.ID), 10))
 	req.SetBodyRaw(data)
-	if err := e.client.DoTimeout(req, res, limitOf(ctx, orderLimit)); err != nil {
+	if err := e.client.DoTimeout(req, res, timeoutFor(ctx, orderTimeout)); err != nil {
 		if notSent(err) {
 			return errors.Wrapf(wardturn.ErrNotStarted, "engine: %v", err)
 		}
@@ -307,7 +307,7 @@
 // Report implements wardturn.Engine.
 func (e *Engine) Report(ctx context.Context) (wardturn.EngineReport, error) {
 	var rep wardturn.EngineReport
-	status, body, err := e.client.GetTimeout(nil, e.base+PathReport, limitOf(ctx, reportLimit))
+	status, body, err := e.client.GetTimeout(nil, e.base+PathReport, timeoutFor(ctx, reportTimeout))
 	if err != nil {
 		return rep, errors.Wrapf(wardturn.ErrUnavailable, "engine: %v", err)
 	}
--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -13,8 +13,8 @@
 	"wardturn/standin"
 )
 
-// serve starts a server with the handler h and returns its address.
-func serve(t *testing.T, h fasthttp.RequestHandler) string {
+// startServer starts a server with the handler h and returns its address.
+func startServer(t *testing.T, h fasthttp.RequestHandler) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,14 +40,14 @@
 	return res, got, err
 }
 
-func answer(status int, body string) fasthttp.RequestHandler {
+func respondWith(status int, body string) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.SetStatusCode(status)
 		ctx.SetBodyString(body)
 	}
 }
 
-const rightStart = "data: {\"model\":\"a@3\",\"choices\":[]}\n\n"
+const firstEvent = "data: {\"model\":\"a@3\",\"choices\":[]}\n\n"
 
 func TestEngineRun(t *testing.T) {
 	for _, c := range []struct {
@@ -58,19 +58,19 @@
 		fails  bool
 		passed string
 	}{
-		{"whole stream", 200, rightStart + "data: [DONE]\n\n", nil, false, rightStart + "data: [DONE]\n\n"},
+		{"whole stream", 200, firstEvent + "data: [DONE]\n\n", nil, false, firstEvent + "data: [DONE]\n\n"},
 		{"whole document", 200, `{"model":"a@3"}`, nil, false, `{"model":"a@3"}`},
 		{"another version", 200, "data: {\"model\":\"a@2\"}\n\ndata: [DONE]\n\n", driver.ErrWrongVersion, true, ""},
 		{"another adapter", 200, `{"model":"b@3"}`, driver.ErrWrongVersion, true, ""},
 		{"no model", 200, `{}`, driver.ErrWrongVersion, true, ""},
 		{"no JSON", 200, `oops`, nil, true, ""},
-		{"stream cut short", 200, rightStart, nil, true, rightStart},
+		{"stream cut short", 200, firstEvent, nil, true, firstEvent},
 		{"empty", 200, ``, nil, true, ""},
 		{"not loaded", 404, `{"error":{"code":"adapter_not_loaded"}}`, wardturn.ErrNotLoaded, true, ""},
 		{"refused", 429, `{"error":{"code":"busy"}}`, wardturn.ErrNotStarted, true, ""},
 		{"broken", 500, `{}`, nil, true, ""},
 	} {
-		res, passed, err := run(serve(t, answer(c.status, c.body)))
+		res, passed, err := run(startServer(t, respondWith(c.status, c.body)))
 		if c.fails != (err != nil) || c.want != nil && !errors.Is(err, c.want) {
 			t.Errorf("%s: error %v, want %v", c.name, err, c.want)
 		}
@@ -87,14 +87,14 @@
 }
 
 func TestEngineUnreachable(t *testing.T) {
-	if _, _, err := run(deafAddr(t)); !errors.Is(err, wardturn.ErrNotStarted) {
+	if _, _, err := run(refusingAddr(t)); !errors.Is(err, wardturn.ErrNotStarted) {
 		t.Fatalf("%v, want ErrNotStarted", err)
 	}
 }
 
-// deafAddr returns an address that refuses connections. Its port is the local port of
+// refusingAddr returns an address that refuses connections. Its port is the local port of
 // an open connection, so nothing else can listen on it until the test ends.
-func deafAddr(t *testing.T) string {
+func refusingAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -145,7 +145,7 @@
 		driver.CodeUnavailable: wardturn.ErrUnavailable,
 	}
 	for code, want := range codes {
-		addr := serve(t, answer(409, `{"error":{"code":"`+code+`"}}`))
+		addr := startServer(t, respondWith(409, `{"error":{"code":"`+code+`"}}`))
 		err := driver.NewEngine(addr).Load(context.Background(), wardturn.SlotOrder{
 			ID: 1,
 		})
--- a/driver/hosts.go
+++ b/driver/hosts.go
@@ -15,7 +15,7 @@
 	"wardturn"
 )
 
-const hostsLimit = 2 * time.Second
+const hostsTimeout = 2 * time.Second
 
 // HostList is a client for the platform's list of hosts. It uses conditional
 // requests (ETag, If-None-Match): downloading a list of thousands of hosts every
@@ -49,19 +49,19 @@
 	if l.etag != "" {
 		req.Header.Set(fasthttp.HeaderIfNoneMatch, l.etag)
 	}
-	if err := l.client.DoTimeout(req, res, limitOf(ctx, hostsLimit)); err != nil {
+	if err := l.client.DoTimeout(req, res, timeoutFor(ctx, hostsTimeout)); err != nil {
 		return nil, errors.Wrapf(wardturn.ErrUnavailable, "hosts: %v", err)
 	}
 	switch res.StatusCode() {
 	case fasthttp.StatusNotModified:
 		return slices.Clone(l.hosts), nil
 	case fasthttp.StatusOK:
-		return l.take(res)
+		return l.store(res)
 	}
 	return nil, errors.Wrapf(wardturn.ErrUnavailable, "hosts: status %d", res.StatusCode())
 }
 
-func (l *HostList) take(res *fasthttp.Response) ([]wardturn.Host, error) {
+func (l *HostList) store(res *fasthttp.Response) ([]wardturn.Host, error) {
 	var hosts []wardturn.Host
 	if err := json.Unmarshal(res.Body(), &hosts); err != nil {
 		return nil, errors.Wrapf(wardturn.ErrUnavailable, "hosts: %v", err)
--- a/driver/log.go
+++ b/driver/log.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	logAppendLimit = 3 * time.Second
-	logReadMargin  = 3 * time.Second
-	maxLogPage     = 64 << 20
+	logAppendTimeout = 3 * time.Second
+	logReadExtraTime = 3 * time.Second
+	maxLogPageSize   = 64 << 20
 )
 
 // Log is a client for the platform's log.
@@ -29,7 +29,7 @@
 	return &Log{
 		base: "http://" + addr,
 		client: &fasthttp.Client{
-			MaxResponseBodySize: maxLogPage,
+			MaxResponseBodySize: maxLogPageSize,
 			MaxConnsPerHost:     8,
 			// A lost reply must be reported to the caller and not retried, because
 			// the append may have taken effect.
@@ -57,7 +57,7 @@
 	req.SetRequestURI(l.base + PathRecords)
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetBodyRaw(data)
-	if err := l.client.DoTimeout(req, res, limitOf(ctx, logAppendLimit)); err != nil {
+	if err := l.client.DoTimeout(req, res, timeoutFor(ctx, logAppendTimeout)); err != nil {
 		return 0, appendError(err)
 	}
 	switch res.StatusCode() {
@@ -104,7 +104,7 @@
 	args.Set("from", strconv.FormatInt(int64(from), 10))
 	args.SetUint("limit", limit)
 	args.SetUint("wait_ms", int(wait.Milliseconds()))
-	if err := l.client.DoTimeout(req, res, limitOf(ctx, wait+logReadMargin)); err != nil {
+	if err := l.client.DoTimeout(req, res, timeoutFor(ctx, wait+logReadExtraTime)); err != nil {
 		return wardturn.LogPage{}, errors.Wrapf(wardturn.ErrUnavailable, "log: %v", err)
 	}
 	return readPage(res)
@@ -143,9 +143,9 @@
 	return page
 }
 
-// limitOf returns the time until the deadline of ctx, at most limit and at least
+// timeoutFor returns the time until the deadline of ctx, at most limit and at least
 // one millisecond.
-func limitOf(ctx context.Context, limit time.Duration) time.Duration {
+func timeoutFor(ctx context.Context, limit time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return limit
--- a/driver/service.go
+++ b/driver/service.go
@@ -10,7 +10,7 @@
 	"wardturn"
 )
 
-const serviceLimit = 30 * time.Second
+const serviceTimeout = 30 * time.Second
 
 // Service is a client for a plain service. It forwards requests with their method,
 // path, headers and body.
@@ -24,8 +24,8 @@
 	return &Service{
 		base: "http://" + addr,
 		client: &fasthttp.Client{
-			MaxConnsPerHost:           engineConns,
-			MaxResponseBodySize:       maxAnswer,
+			MaxConnsPerHost:           maxConns,
+			MaxResponseBodySize:       maxResponseSize,
 			MaxIdemponentCallAttempts: 1,
 		},
 	}
@@ -51,7 +51,7 @@
 	}
 	req.Header.Set(HeaderAttempt, string(r.ID))
 	req.SetBodyRaw(r.Body)
-	if err := s.client.DoTimeout(req, res, limitOf(ctx, serviceLimit)); err != nil {
+	if err := s.client.DoTimeout(req, res, timeoutFor(ctx, serviceTimeout)); err != nil {
 		if notSent(err) {
 			return wardturn.ServiceResponse{}, errors.Wrapf(wardturn.ErrNotStarted, "service: %v", err)
 		}
@@ -62,7 +62,7 @@
 		Body:   append([]byte(nil), res.Body()...),
 	}
 	for k, v := range res.Header.All() {
-		if !hopHeader(string(k)) {
+		if !isHopByHop(string(k)) {
 			out.Header = append(out.Header, wardturn.HeaderField{
 				Name:  string(k),
 				Value: string(v),
@@ -72,9 +72,9 @@
 	return out, nil
 }
 
-// hopHeader reports whether a response header applies to a single connection or is
+// isHopByHop reports whether a response header applies to a single connection or is
 // generated anew for each one, and is therefore not forwarded.
-func hopHeader(name string) bool {
+func isHopByHop(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Upgrade", "Date", "Server":
 		return true
