--- a/agent/agent.go
+++ b/agent/agent.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	tickEvery = 50 * time.Millisecond
-	sweepEach = 5 * time.Second
+	tickInterval  = 50 * time.Millisecond
+	sweepInterval = 5 * time.Second
 )
 
 // Deps holds the dependencies of an Agent.
@@ -55,25 +55,25 @@
 	// applyMu is held from the read of a configuration document until the document is
 	// in force, so that an older version is not applied after a newer one. It is
 	// acquired before mu.
-	applying sync.Mutex
+	applyMu sync.Mutex
 
-	mu       sync.Mutex
-	core     *decide.Agent
-	ledger   *decide.Ledger
-	attempts map[wardturn.AttemptID]*attempt
-	past     []*attempt // ended attempts whose responses are retained, oldest first
-	kept     int        // total bytes of the retained responses
-	orders   decide.Orders
-	fence    wardturn.Fence
-	unfenced int             // orders not sent because there is no fence yet
-	builtin  wardturn.Policy // in force while no policy is published
-	alloc    *allocatorRole
-	started  time.Time
-	listed   listedAs // states of this agent seen in the host list
-	leaving  bool
-	idle     chan struct{} // closed when the agent is leaving and has no work left
-	closed   bool
-	tasks    *process.Tasks
+	mu               sync.Mutex
+	core             *decide.Agent
+	ledger           *decide.Ledger
+	attempts         map[wardturn.AttemptID]*attempt
+	retained         []*attempt // ended attempts whose responses are retained, oldest first
+	retainedBytes    int        // total bytes of the retained responses
+	orders           decide.Orders
+	fence            wardturn.Fence
+	suppressedOrders int             // orders not sent because there is no fence yet
+	builtin          wardturn.Policy // in force while no policy is published
+	allocator        *allocatorRole
+	started          time.Time
+	listing          listingState // states of this agent seen in the host list
+	leaving          bool
+	idle             chan struct{} // closed when the agent is leaving and has no work left
+	closed           bool
+	tasks            *process.Tasks
 }
 
 // New starts an agent. It immediately serves requests for the adapters that its
@@ -105,9 +105,9 @@
 	}, d.Policy, a.newPermits())
 	a.replica = control.NewReplica(d.Log, d.Clock, a.logger, cfg.Service != "")
 	a.claimer = control.NewClaimer(a.replica, d.Clock, cfg.Upstream, cfg.Process)
-	a.alloc = newAllocatorRole(a)
-	a.server = peer.NewServer(d.Listener, d.TLS, d.Clock, a.identity(), (*inbound)(a))
-	a.begin()
+	a.allocator = newAllocatorRole(a)
+	a.server = peer.NewServer(d.Listener, d.TLS, d.Clock, a.identity(), (*peerHandler)(a))
+	a.start()
 	return a
 }
 
@@ -124,13 +124,13 @@
 	}
 }
 
-// begin starts the background tasks and applies the current configuration.
-func (a *Agent) begin() {
-	a.tasks.Every(tickEvery, a.tick)
-	a.tasks.Every(sweepEach, a.sweep)
+// start starts the background tasks and applies the current configuration.
+func (a *Agent) start() {
+	a.tasks.Every(tickInterval, a.tick)
+	a.tasks.Every(sweepInterval, a.sweep)
 	a.tasks.Go(a.watchHosts)
 	if a.engine != nil {
-		a.tasks.Go(a.takeFence)
+		a.tasks.Go(a.acquireFence)
 		a.tasks.Go(a.watchEngine)
 	}
 	a.replica.Watch(a.onConfig)
@@ -152,7 +152,7 @@
 	a.closed = true
 	a.mu.Unlock()
 	a.tasks.Stop()
-	a.alloc.close()
+	a.allocator.close()
 	a.server.Close()
 	a.replica.Close()
 	a.tasks.Wait()
@@ -163,18 +163,18 @@
 func (a *Agent) Leave() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.leave("signal")
+	a.startLeaving("signal")
 	return a.idle
 }
 
-// leave starts the shutdown. a.mu is held.
-func (a *Agent) leave(why string) {
+// startLeaving starts the shutdown. a.mu is held.
+func (a *Agent) startLeaving(why string) {
 	if a.leaving {
 		return
 	}
 	a.leaving = true
 	a.logger.Info("leaving", "why", why, "attempts", len(a.attempts))
-	a.do(a.core.Leave)
+	a.applyLocked(a.core.Leave)
 	a.server.Broadcast(a.hint())
 	a.checkIdle()
 }
@@ -203,24 +203,25 @@
 	}
 }
 
-// do passes an event to the core and executes the resulting orders. a.mu is held.
-func (a *Agent) do(event func(now time.Time, out *decide.Orders)) {
+// applyLocked passes an event to the core and executes the resulting orders. a.mu is
+// held.
+func (a *Agent) applyLocked(event func(now time.Time, out *decide.Orders)) {
 	orders := a.orders
 	a.orders = decide.Orders{}
 	orders.Reset()
 	event(a.clock.Now(), &orders)
-	a.carryOut(&orders)
+	a.execute(&orders)
 	a.orders = orders
 }
 
-// event is like do, for callers that do not hold a.mu.
-func (a *Agent) event(f func(now time.Time, out *decide.Orders)) {
+// apply is like applyLocked, for callers that do not hold a.mu.
+func (a *Agent) apply(f func(now time.Time, out *decide.Orders)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.do(f)
+	a.applyLocked(f)
 }
 
-func (a *Agent) carryOut(o *decide.Orders) {
+func (a *Agent) execute(o *decide.Orders) {
 	for _, r := range o.Refuse {
 		if t := a.attempts[r.Attempt]; t != nil {
 			a.finish(t, r.Outcome)
@@ -236,12 +237,12 @@
 		a.startRun(st)
 	}
 	for _, w := range o.Wish {
-		a.alloc.wish(w)
+		a.allocator.requestPermit(w)
 	}
 }
 
 func (a *Agent) tick() {
-	a.event(a.core.Tick)
+	a.apply(a.core.Tick)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.checkIdle()
@@ -257,7 +258,7 @@
 			delete(a.attempts, id)
 		}
 	}
-	for len(a.past) > 0 && now.Sub(a.past[0].endedAt) > a.cfg.Remember {
+	for len(a.retained) > 0 && now.Sub(a.retained[0].endedAt) > a.cfg.Remember {
 		a.dropOldest()
 	}
 	a.ledger.Sweep(now)
@@ -290,7 +291,7 @@
 		Leaving: a.leaving,
 		Policy:  a.core.PolicyName(),
 
-		Refusals: a.unfenced,
+		Refusals: a.suppressedOrders,
 	}
 	if sh, ok := a.core.Shadow(); ok {
 		st.Shadow = &sh
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -81,42 +81,42 @@
 	}, nil
 }
 
-// tester is a test client that connects to an agent as an entry and sends arbitrary
+// testEntry is a test client that connects to an agent as an entry and sends arbitrary
 // messages.
-type tester struct {
-	t      *testing.T
-	agent  *agent.Agent
-	engine *fakeEngine
-	log    *standin.Log
-	client *peer.Client
-	got    chan peer.Message
-	up     chan *peer.Conn
+type testEntry struct {
+	t         *testing.T
+	agent     *agent.Agent
+	engine    *fakeEngine
+	log       *standin.Log
+	client    *peer.Client
+	got       chan peer.Message
+	connected chan *peer.Conn
 }
 
-func (x *tester) Connected(c *peer.Conn) { x.up <- c }
+func (x *testEntry) Connected(c *peer.Conn) { x.connected <- c }
 
-func (x *tester) Handle(_ *peer.Conn, m peer.Message) {
+func (x *testEntry) Handle(_ *peer.Conn, m peer.Message) {
 	switch m.(type) {
 	case *peer.Head, *peer.Chunk, *peer.End:
 		x.got <- m
 	}
 }
 
-func (x *tester) Closed(*peer.Conn, error) {}
+func (x *testEntry) Closed(*peer.Conn, error) {}
 
 const agentProcess wardturn.Incarnation = "a1"
 
-func newTester(t *testing.T, cfg agent.Config) *tester {
+func newTestEntry(t *testing.T, cfg agent.Config) *testEntry {
 	t.Helper()
-	return newTesterWithLog(t, cfg, standin.LogFaults{})
+	return newTestEntryWithLog(t, cfg, standin.LogFaults{})
 }
 
-func newTesterWithLog(t *testing.T, cfg agent.Config, faults standin.LogFaults) *tester {
+func newTestEntryWithLog(t *testing.T, cfg agent.Config, faults standin.LogFaults) *testEntry {
 	t.Helper()
-	return newTesterOn(t, cfg, standin.NewFastClock(10), faults)
+	return newTestEntryWithClock(t, cfg, standin.NewFastClock(10), faults)
 }
 
-func newTesterOn(t *testing.T, cfg agent.Config, clock wardturn.Clock, faults standin.LogFaults) *tester {
+func newTestEntryWithClock(t *testing.T, cfg agent.Config, clock wardturn.Clock, faults standin.LogFaults) *testEntry {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -136,12 +136,12 @@
 		Parallel: 1,
 	}
 	cfg.ReportEvery = time.Millisecond
-	x := &tester{
-		t:      t,
-		engine: newFakeEngine(clock),
-		log:    standin.NewLog(clock, standin.LogConfig{}),
-		got:    make(chan peer.Message, 1024),
-		up:     make(chan *peer.Conn, 16),
+	x := &testEntry{
+		t:         t,
+		engine:    newFakeEngine(clock),
+		log:       standin.NewLog(clock, standin.LogConfig{}),
+		got:       make(chan peer.Message, 1024),
+		connected: make(chan *peer.Conn, 16),
 	}
 	x.log.SetFaults(faults)
 	x.agent = agent.New(agent.Deps{
@@ -162,7 +162,7 @@
 		Config:  func() wardturn.Offset { return 0 },
 	}, x)
 	t.Cleanup(x.client.Close)
-	<-x.up
+	<-x.connected
 	return x
 }
 
@@ -173,14 +173,14 @@
 	}
 }
 
-func (x *tester) send(m peer.Message) {
+func (x *testEntry) send(m peer.Message) {
 	x.t.Helper()
 	if err := x.client.Conn().Send(m); err != nil {
 		x.t.Fatal(err)
 	}
 }
 
-func (x *tester) submit(seq uint64, credit int64) {
+func (x *testEntry) submit(seq uint64, credit int64) {
 	x.t.Helper()
 	x.send(&peer.Submit{
 		Attempt:    attempt(seq),
@@ -190,7 +190,7 @@
 	})
 }
 
-func (x *tester) next() peer.Message {
+func (x *testEntry) next() peer.Message {
 	x.t.Helper()
 	select {
 	case m := <-x.got:
@@ -202,7 +202,7 @@
 }
 
 // end returns the next End message and the response bytes received before it.
-func (x *tester) end() (*peer.End, string) {
+func (x *testEntry) end() (*peer.End, string) {
 	x.t.Helper()
 	data := ""
 	for {
@@ -215,9 +215,9 @@
 	}
 }
 
-// quiet checks that the agent has sent no further message: the reply to an Attach for
-// an unknown attempt must be the next message received.
-func (x *tester) quiet(seq uint64) {
+// expectNothing checks that the agent has sent no further message: the reply to an
+// Attach for attempt seq, which it does not know, must be the next message received.
+func (x *testEntry) expectNothing(seq uint64) {
 	x.t.Helper()
 	x.send(&peer.Attach{
 		Attempt: attempt(seq),
@@ -229,7 +229,7 @@
 }
 
 func TestDuplicateSubmitRunsOnce(t *testing.T) {
-	x := newTester(t, agent.Config{})
+	x := newTestEntry(t, agent.Config{})
 	x.submit(1, peer.Window)
 	run := <-x.engine.runs
 	x.submit(1, peer.Window)
@@ -239,14 +239,14 @@
 		t.Fatalf("%+v %q", e.Outcome, data)
 	}
 	x.submit(1, peer.Window) // duplicate after the end
-	x.quiet(99)
+	x.expectNothing(99)
 	if len(x.engine.runs) != 0 {
 		t.Fatal("a duplicate ran")
 	}
 }
 
 func TestAskedForBeforeItCame(t *testing.T) {
-	x := newTester(t, agent.Config{})
+	x := newTestEntry(t, agent.Config{})
 	x.send(&peer.Attach{
 		Attempt: attempt(7),
 		Process: agentProcess,
@@ -256,7 +256,7 @@
 	}
 	x.submit(7, peer.Window) // delayed in the network
 	if e, _ := x.end(); e.Outcome.Kind != wardturn.NotRun {
-		t.Fatalf("delayed copy: %+v", e.Outcome)
+		t.Fatalf("delayed submit: %+v", e.Outcome)
 	}
 	if len(x.engine.runs) != 0 {
 		t.Fatal("an attempt ran that was reported as not run")
@@ -264,7 +264,7 @@
 }
 
 func TestAnotherProcessIsUnknown(t *testing.T) {
-	x := newTester(t, agent.Config{})
+	x := newTestEntry(t, agent.Config{})
 	x.send(&peer.Attach{
 		Attempt: attempt(1),
 		Process: "a0",
@@ -275,7 +275,7 @@
 }
 
 func TestCreditBoundsWhatIsSent(t *testing.T) {
-	x := newTester(t, agent.Config{})
+	x := newTestEntry(t, agent.Config{})
 	x.submit(1, 4)
 	run := <-x.engine.runs
 	run.answer <- []byte("0123456789")
@@ -286,7 +286,7 @@
 	if c, ok := x.next().(*peer.Chunk); !ok || string(c.Data) != "0123" {
 		t.Fatalf("%+v", c)
 	}
-	x.quiet(99)
+	x.expectNothing(99)
 	x.send(&peer.Credit{
 		Attempt: attempt(1),
 		Upto:    100,
@@ -297,14 +297,14 @@
 }
 
 func TestResumeFromOffset(t *testing.T) {
-	x := newTester(t, agent.Config{})
+	x := newTestEntry(t, agent.Config{})
 	x.submit(1, peer.Window)
 	run := <-x.engine.runs
 	run.answer <- []byte("0123456789")
 	x.next() // head
 	x.next() // chunk
 	x.client.Conn().Close()
-	<-x.up
+	<-x.connected
 	x.send(&peer.Attach{
 		Attempt: attempt(1),
 		Process: agentProcess,
@@ -319,7 +319,7 @@
 }
 
 func TestSlowCallerHoldsUpOnlyItself(t *testing.T) {
-	x := newTester(t, agent.Config{
+	x := newTestEntry(t, agent.Config{
 		AnswerBuffer: 8,
 	})
 	x.submit(1, 0)
@@ -340,7 +340,7 @@
 // TestKeptAnswersAreBounded ends two attempts whose responses together exceed KeepBytes.
 // An entry that asks for the older one must get an unknown outcome, never a wrong one.
 func TestKeptAnswersAreBounded(t *testing.T) {
-	x := newTester(t, agent.Config{
+	x := newTestEntry(t, agent.Config{
 		KeepBytes: 15,
 	})
 	for seq := uint64(1); seq <= 2; seq++ {
@@ -366,7 +366,7 @@
 // serve the adapters that its engine holds, and send no orders until the log has
 // assigned a fence.
 func TestNoOrdersWithoutFence(t *testing.T) {
-	x := newTesterWithLog(t, agent.Config{}, standin.LogFaults{
+	x := newTestEntryWithLog(t, agent.Config{}, standin.LogFaults{
 		Down: true,
 	})
 	x.send(&peer.Submit{
--- a/agent/allocator.go
+++ b/agent/allocator.go
@@ -16,13 +16,13 @@
 type allocatorRole struct {
 	agent *Agent
 
-	mu     sync.Mutex
-	holder wardturn.UpstreamID // upstream whose agent is the allocator; empty while unknown
-	client *peer.Client        // connection to the allocator, if it is another agent
-	core   *decide.Allocator   // created on the first permit request to this agent
-	conns  map[wardturn.UpstreamID]*peer.Conn
-	timer  wardturn.Timer
-	closed bool
+	mu          sync.Mutex
+	allocatorID wardturn.UpstreamID // of the allocator; empty while unknown
+	client      *peer.Client        // connection to the allocator, if it is another agent
+	core        *decide.Allocator   // created on the first permit request to this agent
+	conns       map[wardturn.UpstreamID]*peer.Conn
+	timer       wardturn.Timer
+	closed      bool
 }
 
 func newAllocatorRole(a *Agent) *allocatorRole {
@@ -50,15 +50,15 @@
 		return
 	}
 	r.mu.Lock()
-	if r.closed || h.Upstream == r.holder {
+	if r.closed || h.Upstream == r.allocatorID {
 		r.mu.Unlock()
 		return
 	}
-	r.holder = h.Upstream
+	r.allocatorID = h.Upstream
 	old := r.client
 	r.client = nil
 	if h.Upstream != cfg.Upstream {
-		r.client = peer.NewClient(h.Addr, r.agent.tls, r.agent.clock, r.agent.identity(), (*grants)(r))
+		r.client = peer.NewClient(h.Addr, r.agent.tls, r.agent.clock, r.agent.identity(), (*grantHandler)(r))
 	}
 	r.mu.Unlock()
 	if old != nil {
@@ -66,13 +66,14 @@
 	}
 }
 
-// wish sends the agent's permit request to the allocator. The agent's mutex is held.
-func (r *allocatorRole) wish(w decide.Wish) {
+// requestPermit sends the agent's permit request to the allocator. The agent's mutex is
+// held.
+func (r *allocatorRole) requestPermit(w decide.Wish) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case r.holder == r.agent.cfg.Upstream:
-		r.decide(func(now time.Time, out []decide.Grant) []decide.Grant {
+	case r.allocatorID == r.agent.cfg.Upstream:
+		r.apply(func(now time.Time, out []decide.Grant) []decide.Grant {
 			return r.allocator().Wish(now, w, out)
 		})
 	case r.client != nil:
@@ -84,16 +85,16 @@
 	}
 }
 
-// onWish handles another agent's permit request. An agent acts as the allocator as soon
-// as it receives one, whatever its own host list says.
-func (r *allocatorRole) onWish(c *peer.Conn, w decide.Wish) {
+// onPermitRequest handles another agent's permit request. An agent acts as the allocator
+// as soon as it receives one, whatever its own host list says.
+func (r *allocatorRole) onPermitRequest(c *peer.Conn, w decide.Wish) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed || r.agent.cfg.Model == "" {
 		return
 	}
 	r.conns[w.Upstream] = c
-	r.decide(func(now time.Time, out []decide.Grant) []decide.Grant {
+	r.apply(func(now time.Time, out []decide.Grant) []decide.Grant {
 		return r.allocator().Wish(now, w, out)
 	})
 }
@@ -105,11 +106,11 @@
 	return r.core
 }
 
-// decide passes an event to the allocator, sends the resulting grants and sets the
+// apply passes an event to the allocator, sends the resulting grants and sets the
 // timer for the next permit. r.mu is held.
-func (r *allocatorRole) decide(event func(now time.Time, out []decide.Grant) []decide.Grant) {
+func (r *allocatorRole) apply(event func(now time.Time, out []decide.Grant) []decide.Grant) {
 	for _, g := range event(r.agent.clock.Now(), nil) {
-		r.grant(g)
+		r.sendGrant(g)
 	}
 	if r.timer != nil {
 		r.timer.Stop()
@@ -122,16 +123,16 @@
 	r.timer = r.agent.clock.AfterFunc(wait+time.Millisecond, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.decide(r.core.Tick)
+		r.apply(r.core.Tick)
 	})
 }
 
-func (r *allocatorRole) grant(g decide.Grant) {
+func (r *allocatorRole) sendGrant(g decide.Grant) {
 	if g.Upstream == r.agent.cfg.Upstream {
 		// The caller may hold the agent's mutex, so the grant is applied in another
 		// goroutine.
 		r.agent.tasks.Go(func() {
-			r.agent.granted(g)
+			r.agent.applyGrant(g)
 		})
 		return
 	}
@@ -142,8 +143,8 @@
 	}
 }
 
-func (a *Agent) granted(g decide.Grant) {
-	a.event(func(now time.Time, out *decide.Orders) {
+func (a *Agent) applyGrant(g decide.Grant) {
+	a.apply(func(now time.Time, out *decide.Orders) {
 		a.core.Granted(now, g, out)
 	})
 }
@@ -162,18 +163,18 @@
 	}
 }
 
-// grants handles the connection to the allocator, which delivers the grants.
-type grants allocatorRole
+// grantHandler handles the connection to the allocator, which delivers the grants.
+type grantHandler allocatorRole
 
 // Connected implements peer.ClientHandler.
-func (*grants) Connected(*peer.Conn) {}
+func (*grantHandler) Connected(*peer.Conn) {}
 
 // Handle implements peer.Handler.
-func (g *grants) Handle(_ *peer.Conn, m peer.Message) {
+func (g *grantHandler) Handle(_ *peer.Conn, m peer.Message) {
 	if m, ok := m.(*peer.Grant); ok {
-		g.agent.granted(m.Grant)
+		g.agent.applyGrant(m.Grant)
 	}
 }
 
 // Closed implements peer.Handler.
-func (*grants) Closed(*peer.Conn, error) {}
+func (*grantHandler) Closed(*peer.Conn, error) {}
--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -12,30 +12,30 @@
 // attempt is an attempt that is queued, running, or has ended but is still
 // remembered. It is guarded by Agent.mu.
 type attempt struct {
-	id         wardturn.AttemptID
-	req        wardturn.Request
-	supersedes wardturn.AttemptID // earlier attempt for the same key, known not to have run
-	newest     bool               // the caller requested the current version of the adapter
-	config     wardturn.Offset    // configuration in which its entry found that version
-	replaced   wardturn.Offset    // configuration that replaced the version
-	conn       *peer.Conn         // receives the response; nil while the entry is disconnected
-	credit     int64              // offset up to which the entry accepts bytes
-	sent       int64              // offset up to which bytes were sent to conn
-	base       int64              // offset of the first byte of buf
-	buf        []byte
-	head       *peer.Head
-	headSent   bool
-	arrived    time.Time
-	stalled    time.Duration
-	withdrawn  bool // canceled by its entry
-	ended      bool
-	outcome    wardturn.Outcome
-	first      control.ClaimResult // the earlier claim of the key by another attempt
-	cancel     context.CancelFunc  // cancels the running request
-	space      chan struct{}       // closed when buf has room again; nil if nobody waits for room
-	orphan     wardturn.Timer      // cancels the attempt if no entry attaches
-	endedAt    time.Time
-	follow     []*attempt // copies that send the response to other requests
+	id           wardturn.AttemptID
+	req          wardturn.Request
+	supersedes   wardturn.AttemptID // attempt with the same key that did not run
+	wantsNewest  bool               // requested the current adapter version
+	config       wardturn.Offset    // configuration in which its entry found that version
+	replacedBy   wardturn.Offset    // configuration that replaced the version
+	conn         *peer.Conn         // of the entry; nil while it is disconnected
+	credit       int64              // offset up to which the entry accepts bytes
+	sent         int64              // offset up to which bytes were sent to conn
+	base         int64              // offset of the first byte of buf
+	buf          []byte
+	head         *peer.Head
+	headSent     bool
+	arrived      time.Time
+	adapterWait  time.Duration
+	canceled     bool // by its entry or the orphan timer
+	ended        bool
+	outcome      wardturn.Outcome
+	earlierClaim control.ClaimResult // the earlier claim of the key by another attempt
+	cancel       context.CancelFunc  // cancels the running request
+	spaceFreed   chan struct{}       // closed when buf has room; nil if nobody waits
+	orphanTimer  wardturn.Timer      // cancels the attempt if no entry attaches
+	endedAt      time.Time
+	copies       []*attempt // copies that send the response to other requests
 }
 
 func (t *attempt) end() int64 {
@@ -48,9 +48,9 @@
 	t.headSent = false
 	t.sent = from
 	t.credit = credit
-	if t.orphan != nil {
-		t.orphan.Stop()
-		t.orphan = nil
+	if t.orphanTimer != nil {
+		t.orphanTimer.Stop()
+		t.orphanTimer = nil
 	}
 }
 
@@ -89,7 +89,7 @@
 	}
 	t.conn = nil // so the later call of Closed does not find the attempt
 	if !t.ended {
-		a.expectBack(t)
+		a.startOrphanTimer(t)
 	}
 }
 
@@ -99,16 +99,16 @@
 		Outcome:       t.outcome,
 		Length:        t.end(),
 		Hint:          a.core.Hint(),
-		Config:        t.replaced,
-		First:         t.first.Claim.Attempt,
-		FirstUpstream: t.first.Upstream,
-		FirstProcess:  t.first.Process,
+		Config:        t.replacedBy,
+		First:         t.earlierClaim.Claim.Attempt,
+		FirstUpstream: t.earlierClaim.Upstream,
+		FirstProcess:  t.earlierClaim.Process,
 	})
 	t.conn = nil
 }
 
 // emit appends data from the upstream to the response. It blocks while the buffer is
-// full and the entry gives no credit.
+// full and the entry grants no credit.
 func (a *Agent) emit(ctx context.Context, t *attempt, data []byte) error {
 	for {
 		space := a.tryEmit(t, data)
@@ -135,30 +135,30 @@
 		a.trim(t)
 	}
 	if len(t.buf) > 0 && len(t.buf)+len(data) > a.cfg.AnswerBuffer {
-		t.space = make(chan struct{})
-		return t.space
+		t.spaceFreed = make(chan struct{})
+		return t.spaceFreed
 	}
 	t.buf = append(t.buf, data...)
 	a.flush(t)
 	return nil
 }
 
-// keep retains the response of an ended attempt for an entry that lost its connection.
+// retain keeps the response of an ended attempt for an entry that lost its connection.
 // The oldest responses are dropped when the total exceeds Config.KeepBytes; an entry
 // that asks for a dropped response is told that the outcome is unknown.
-func (a *Agent) keep(t *attempt) {
-	a.past = append(a.past, t)
-	a.kept += len(t.buf)
-	for a.kept > a.cfg.KeepBytes && len(a.past) > 1 {
+func (a *Agent) retain(t *attempt) {
+	a.retained = append(a.retained, t)
+	a.retainedBytes += len(t.buf)
+	for a.retainedBytes > a.cfg.KeepBytes && len(a.retained) > 1 {
 		a.dropOldest()
 	}
 }
 
 func (a *Agent) dropOldest() {
-	t := a.past[0]
-	a.past[0] = nil
-	a.past = a.past[1:]
-	a.kept -= len(t.buf)
+	t := a.retained[0]
+	a.retained[0] = nil
+	a.retained = a.retained[1:]
+	a.retainedBytes -= len(t.buf)
 	if t.conn == nil {
 		t.base = t.end()
 		t.buf = nil
@@ -168,21 +168,21 @@
 // trim drops the bytes that the entry has forwarded, which are all those more than one
 // credit window before its credit.
 func (a *Agent) trim(t *attempt) {
-	passed := min(t.credit-peer.Window, t.sent)
-	if n := passed - t.base; n > 0 {
+	forwarded := min(t.credit-peer.Window, t.sent)
+	if n := forwarded - t.base; n > 0 {
 		t.buf = append(t.buf[:0], t.buf[n:]...)
-		t.base = passed
+		t.base = forwarded
 	}
 }
 
-// listener returns the attempt, or the copy of it, whose response goes to connection c.
+// attemptFor returns the attempt, or the copy of it, whose response goes to connection c.
 // It returns nil if there is none.
-func (a *Agent) listener(c *peer.Conn, id wardturn.AttemptID) *attempt {
+func (a *Agent) attemptFor(c *peer.Conn, id wardturn.AttemptID) *attempt {
 	t := a.attempts[id]
 	if t == nil || t.conn == c {
 		return t
 	}
-	for _, f := range t.follow {
+	for _, f := range t.copies {
 		if f.conn == c {
 			return f
 		}
@@ -192,14 +192,14 @@
 
 // onCredit raises the credit of a response and continues sending it. a.mu is held.
 func (a *Agent) onCredit(c *peer.Conn, m *peer.Credit) {
-	t := a.listener(c, m.Attempt)
+	t := a.attemptFor(c, m.Attempt)
 	if t == nil || m.Upto <= t.credit {
 		return
 	}
 	t.credit = m.Upto
 	a.flush(t)
-	if t.space != nil {
-		close(t.space)
-		t.space = nil
+	if t.spaceFreed != nil {
+		close(t.spaceFreed)
+		t.spaceFreed = nil
 	}
 }
--- a/agent/behind_internal_test.go
+++ b/agent/behind_internal_test.go
@@ -39,7 +39,7 @@
 			log.SetFaults(standin.LogFaults{
 				Down: true,
 			})
-			service := &countedService{}
+			service := &countingService{}
 			a := newPlainAgent(t, clock, log, service)
 			id := wardturn.AttemptID{
 				Entry: "e1",
@@ -62,7 +62,7 @@
 					return t.outcome
 				}
 				return wardturn.Outcome{}
-			}).WithTimeout(patience).Should(gomega.Equal(wardturn.Refused(c.want, time.Second)))
+			}).WithTimeout(eventTimeout).Should(gomega.Equal(wardturn.Refused(c.want, time.Second)))
 			g.Expect(service.calls.Load()).To(gomega.BeZero())
 		})
 	}
--- a/agent/claim_internal_test.go
+++ b/agent/claim_internal_test.go
@@ -13,54 +13,54 @@
 	"wardturn/standin"
 )
 
-// patience is the timeout for expected events.
-const patience = 20 * time.Second
+// eventTimeout is the timeout for expected events.
+const eventTimeout = 20 * time.Second
 
-// gatedLog blocks appends until gate is closed.
-type gatedLog struct {
+// blockingLog blocks appends until gate is closed.
+type blockingLog struct {
 	wardturn.Log
-	entered chan struct{} // receives a value when an append blocks
+	blocked chan struct{} // receives a value when an append blocks
 	gate    chan struct{} // closed to unblock appends
 }
 
-func (l *gatedLog) Append(ctx context.Context, data []byte) (wardturn.Offset, error) {
-	l.entered <- struct{}{}
+func (l *blockingLog) Append(ctx context.Context, data []byte) (wardturn.Offset, error) {
+	l.blocked <- struct{}{}
 	<-l.gate
 	return l.Log.Append(ctx, data)
 }
 
-// countedService counts its calls.
-type countedService struct {
+// countingService is a service that counts its calls.
+type countingService struct {
 	calls atomic.Int32
 }
 
-func (s *countedService) Call(context.Context, wardturn.Request) (wardturn.ServiceResponse, error) {
+func (s *countingService) Call(context.Context, wardturn.Request) (wardturn.ServiceResponse, error) {
 	s.calls.Add(1)
 	return wardturn.ServiceResponse{
 		Status: 200,
 	}, nil
 }
 
-// claiming is an agent with a non-repeatable request whose claim waits for the log.
-type claiming struct {
+// pendingClaim is an agent with a non-repeatable request whose claim waits for the log.
+type pendingClaim struct {
 	*Agent
 	clock   *standin.Clock
-	log     *gatedLog
-	service *countedService
+	log     *blockingLog
+	service *countingService
 	id      wardturn.AttemptID
 }
 
-func newClaiming(t *testing.T, left time.Duration) *claiming {
+func newPendingClaim(t *testing.T, left time.Duration) *pendingClaim {
 	t.Helper()
 	clock := standin.NewClock()
-	c := &claiming{
+	c := &pendingClaim{
 		clock: clock,
-		log: &gatedLog{
+		log: &blockingLog{
 			Log:     standin.NewLog(clock, standin.LogConfig{}),
-			entered: make(chan struct{}, 1),
+			blocked: make(chan struct{}, 1),
 			gate:    make(chan struct{}),
 		},
-		service: &countedService{},
+		service: &countingService{},
 		id: wardturn.AttemptID{
 			Entry: "e1",
 			Seq:   1,
@@ -76,14 +76,14 @@
 		Left:       left,
 	}, clock.Now(), true)
 	gomega.NewWithT(t).Eventually(func() int {
-		clock.Advance(time.Millisecond) // claims are appended in batches after a short delay
-		return len(c.log.entered)
-	}).WithTimeout(patience).Should(gomega.Equal(1))
+		clock.Advance(time.Millisecond) // claims are batched for a short time
+		return len(c.log.blocked)
+	}).WithTimeout(eventTimeout).Should(gomega.Equal(1))
 	return c
 }
 
 // outcome unblocks the append and returns the attempt's outcome.
-func (c *claiming) outcome(t *testing.T) wardturn.Outcome {
+func (c *pendingClaim) outcome(t *testing.T) wardturn.Outcome {
 	t.Helper()
 	close(c.log.gate)
 	var outcome wardturn.Outcome
@@ -92,7 +92,7 @@
 		defer c.mu.Unlock()
 		outcome = c.attempts[c.id].outcome
 		return c.attempts[c.id].ended
-	}).WithTimeout(patience).Should(gomega.BeTrue())
+	}).WithTimeout(eventTimeout).Should(gomega.BeTrue())
 	return outcome
 }
 
@@ -100,7 +100,7 @@
 // is not sent to the service.
 func TestChargeDoesNotBeginLate(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := newClaiming(t, 200*time.Millisecond)
+	c := newPendingClaim(t, 200*time.Millisecond)
 	c.clock.Advance(300 * time.Millisecond)
 	g.Expect(c.outcome(t)).To(gomega.Equal(wardturn.Refused(wardturn.ReasonDeadline, 0)))
 	g.Expect(c.service.calls.Load()).To(gomega.BeZero())
@@ -110,7 +110,7 @@
 // during its claim is not sent to the service.
 func TestChargeOfCallerThatLeftDoesNotBegin(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := newClaiming(t, time.Minute)
+	c := newPendingClaim(t, time.Minute)
 	c.mu.Lock()
 	c.onCancel(c.id)
 	c.mu.Unlock()
--- a/agent/config.go
+++ b/agent/config.go
@@ -20,15 +20,15 @@
 	MaxRunning    int // maximum number of running requests
 	MaxQueue      int // maximum number of waiting requests
 	Store         decide.StoreLimit
-	StoreAgents   int           // initial estimate of the number of agents that share the store
+	StoreAgents   int           // initial estimate of the agents that share the store
 	ReportEvery   time.Duration // interval between reads of the engine's report
 	HostsEvery    time.Duration // interval between reads of the host list
 	RequireFence  bool          // send no orders before the log has assigned a fence
-	AnswerBuffer  int           // bytes of a response buffered for a slow or disconnected entry
+	AnswerBuffer  int           // bytes of a response buffered for a slow entry
 	KeepBytes     int           // total bytes retained of the responses of ended attempts
 	Remember      time.Duration // how long ended attempts are remembered
 	RememberCount int           // maximum number of ended attempts remembered
-	OrphanGrace   time.Duration // how long an attempt runs on after its entry has disconnected
+	OrphanGrace   time.Duration // how long an attempt runs on without an entry
 }
 
 // Default values of Config.
--- a/agent/inbound.go
+++ b/agent/inbound.go
@@ -9,21 +9,21 @@
 	"wardturn/peer"
 )
 
-// catchUpLimit is how long a request waits until the agent has applied the
+// catchUpTimeout is how long a request waits until the agent has applied the
 // configuration with which its entry made its decisions.
-const catchUpLimit = time.Second
+const catchUpTimeout = time.Second
 
-// inbound handles the connections of an Agent.
-type inbound Agent
+// peerHandler handles the connections of an Agent.
+type peerHandler Agent
 
 // Handle implements peer.Handler.
-func (in *inbound) Handle(c *peer.Conn, m peer.Message) {
+func (in *peerHandler) Handle(c *peer.Conn, m peer.Message) {
 	a := (*Agent)(in)
 	switch m := m.(type) {
 	case *peer.Submit:
 		a.onSubmit(c, m)
 	case *peer.Wish:
-		a.alloc.onWish(c, m.Wish)
+		a.allocator.onPermitRequest(c, m.Wish)
 	case *peer.ConfigPull:
 		a.onConfigPull(c, m)
 	case *peer.Ping:
@@ -34,11 +34,11 @@
 	default:
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.handle(c, m)
+		a.handleLocked(c, m)
 	}
 }
 
-func (a *Agent) handle(c *peer.Conn, m peer.Message) {
+func (a *Agent) handleLocked(c *peer.Conn, m peer.Message) {
 	switch m := m.(type) {
 	case *peer.Attach:
 		a.onAttach(c, m)
@@ -51,7 +51,7 @@
 
 // Closed implements peer.Handler. The attempts of the connection continue for
 // Config.OrphanGrace, so that the entry can reconnect.
-func (in *inbound) Closed(c *peer.Conn, _ error) {
+func (in *peerHandler) Closed(c *peer.Conn, _ error) {
 	a := (*Agent)(in)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,15 +61,15 @@
 		}
 		t.conn = nil
 		if !t.ended {
-			a.expectBack(t)
+			a.startOrphanTimer(t)
 		}
 	}
 }
 
-// expectBack starts the timer that cancels an attempt unless an entry attaches to it
-// within Config.OrphanGrace. a.mu is held.
-func (a *Agent) expectBack(t *attempt) {
-	t.orphan = a.clock.AfterFunc(a.cfg.OrphanGrace, func() {
+// startOrphanTimer starts the timer that cancels an attempt unless an entry attaches to
+// it within Config.OrphanGrace. a.mu is held.
+func (a *Agent) startOrphanTimer(t *attempt) {
+	t.orphanTimer = a.clock.AfterFunc(a.cfg.OrphanGrace, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if t.conn == nil && !t.ended {
@@ -81,21 +81,23 @@
 // onSubmit admits an attempt after the agent has caught up with the configuration of
 // the entry. The time for that counts against the attempt's deadline.
 func (a *Agent) onSubmit(c *peer.Conn, m *peer.Submit) {
-	came := a.clock.Now()
+	arrived := a.clock.Now()
 	if a.replica.Applied() >= m.Config {
-		a.admit(c, m, came, true)
+		a.admit(c, m, arrived, true)
 		return
 	}
 	a.tasks.Go(func() {
-		ctx, cancel := a.tasks.Limit(catchUpLimit)
+		ctx, cancel := a.tasks.Limit(catchUpTimeout)
 		defer cancel()
-		a.admit(c, m, came, a.replica.WaitFor(ctx, m.Config) == nil)
+		a.admit(c, m, arrived, a.replica.WaitFor(ctx, m.Config) == nil)
 	})
 }
 
-// admit queues a new attempt that arrived at came. It refuses the attempt if the agent is
-// not up to date with the entry's configuration, or if the adapter version was replaced.
-func (a *Agent) admit(c *peer.Conn, m *peer.Submit, came time.Time, upToDate bool) {
+// admit queues a new attempt. It refuses the attempt if the agent is not up to date with
+// the entry's configuration, or if the adapter version has been replaced. A duplicate of
+// an attempt in a.attempts is ignored; for an attempt that only the ledger remembers,
+// the entry gets the outcome.
+func (a *Agent) admit(c *peer.Conn, m *peer.Submit, arrived time.Time, upToDate bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	state, outcome := a.ledger.Submit(a.clock.Now(), m.Attempt)
@@ -109,12 +111,12 @@
 	}
 	t := &attempt{
 		id:      m.Attempt,
-		req:     request(came, m),
-		arrived: came,
+		req:     newRequest(arrived, m),
+		arrived: arrived,
 
-		supersedes: m.Supersedes,
-		newest:     m.Newest,
-		config:     m.Config,
+		supersedes:  m.Supersedes,
+		wantsNewest: m.Newest,
+		config:      m.Config,
 	}
 	t.attach(c, 0, m.Credit)
 	a.attempts[m.Attempt] = t
@@ -122,12 +124,12 @@
 		a.finish(t, wardturn.Refused(wardturn.ReasonStaleConfig, time.Second))
 		return
 	}
-	if a.outOfForce(t) {
+	if a.versionReplaced(t) {
 		a.finish(t, wardturn.Refused(wardturn.ReasonStaleConfig, 0))
 		return
 	}
-	a.do(func(now time.Time, out *decide.Orders) {
-		a.core.Admit(now, work(t), out)
+	a.applyLocked(func(now time.Time, out *decide.Orders) {
+		a.core.Admit(now, newWork(t), out)
 	})
 }
 
@@ -139,7 +141,7 @@
 	})
 }
 
-func request(came time.Time, m *peer.Submit) wardturn.Request {
+func newRequest(arrived time.Time, m *peer.Submit) wardturn.Request {
 	r := wardturn.Request{
 		ID:         m.Request,
 		Caller:     m.Caller,
@@ -159,12 +161,12 @@
 		Body:       m.Body,
 	}
 	if m.Left > 0 {
-		r.Deadline = came.Add(m.Left)
+		r.Deadline = arrived.Add(m.Left)
 	}
 	return r
 }
 
-func work(t *attempt) decide.Work {
+func newWork(t *attempt) decide.Work {
 	return decide.Work{
 		Attempt:  t.id,
 		Adapter:  t.req.Adapter,
@@ -210,7 +212,8 @@
 	case t.outcome.Kind != wardturn.Done || t.base > 0:
 		outcome := t.outcome
 		if outcome.Kind == wardturn.Done {
-			outcome = wardturn.Uncertain(wardturn.ReasonUpstreamLost) // only part of it is retained
+			// The response is no longer available in full.
+			outcome = wardturn.Uncertain(wardturn.ReasonUpstreamLost)
 		}
 		a.replyEnd(c, m.Attempt, outcome)
 	default:
@@ -223,7 +226,7 @@
 			outcome: t.outcome,
 		}
 		f.attach(c, m.From, m.Credit)
-		t.follow = append(t.follow, f)
+		t.copies = append(t.copies, f)
 		a.flush(f)
 	}
 }
@@ -236,9 +239,9 @@
 	if t == nil || t.ended {
 		return
 	}
-	t.withdrawn = true
+	t.canceled = true
 	queued := false
-	a.do(func(now time.Time, out *decide.Orders) {
+	a.applyLocked(func(now time.Time, out *decide.Orders) {
 		queued = a.core.Cancel(now, id, out)
 	})
 	switch {
@@ -258,13 +261,13 @@
 	t.ended = true
 	t.outcome = outcome
 	t.endedAt = now
-	if t.orphan != nil {
-		t.orphan.Stop()
-		t.orphan = nil
+	if t.orphanTimer != nil {
+		t.orphanTimer.Stop()
+		t.orphanTimer = nil
 	}
 	a.flush(t)
-	a.keep(t)
-	a.metrics.ended(t.req.Class, outcome, t.stalled)
+	a.retain(t)
+	a.metrics.attemptEnded(t.req.Class, outcome, t.adapterWait)
 	a.logger.Debug("attempt ended",
 		"request", t.req.ID,
 		"attempt", t.id,
--- a/agent/late_test.go
+++ b/agent/late_test.go
@@ -14,8 +14,8 @@
 	"wardturn/standin"
 )
 
-// patience is the timeout for expected events.
-const patience = 20 * time.Second
+// eventTimeout is the timeout for expected events.
+const eventTimeout = 20 * time.Second
 
 // TestTimeToCatchUpCounts checks that the time in which the agent catches up with the
 // entry's configuration counts against the deadline of a request.
@@ -23,12 +23,12 @@
 	const left, behind = 200 * time.Millisecond, 300 * time.Millisecond
 	g := gomega.NewWithT(t)
 	clock := standin.NewClock()
-	x := newTesterOn(t, agent.Config{}, clock, standin.LogFaults{})
+	x := newTestEntryWithClock(t, agent.Config{}, clock, standin.LogFaults{})
 	g.Eventually(func() bool {
 		clock.Advance(time.Millisecond)
 		st := x.agent.Status()
 		return st.Fence > 0 && st.Config > 0 && st.Slots[0].State == decide.SlotReady
-	}).WithTimeout(patience).Should(gomega.BeTrue())
+	}).WithTimeout(eventTimeout).Should(gomega.BeTrue())
 	x.send(&peer.Submit{
 		Attempt:    attempt(1),
 		Adapter:    adapterA,
@@ -37,7 +37,7 @@
 		Left:       left,
 		Credit:     peer.Window,
 	})
-	x.quiet(99) // the agent has received the request and not replied
+	x.expectNothing(99) // the agent has received the request and not replied
 	clock.Advance(behind)
 	_, err := x.log.Append(context.Background(), []byte("another's record"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/agent/leaving_internal_test.go
+++ b/agent/leaving_internal_test.go
@@ -9,10 +9,10 @@
 	"wardturn/standin"
 )
 
-// plainService returns empty responses.
-type plainService struct{}
+// emptyService returns empty responses.
+type emptyService struct{}
 
-func (plainService) Call(context.Context, wardturn.Request) (wardturn.ServiceResponse, error) {
+func (emptyService) Call(context.Context, wardturn.Request) (wardturn.ServiceResponse, error) {
 	return wardturn.ServiceResponse{}, nil
 }
 
@@ -29,7 +29,7 @@
 	}
 	clock := standin.NewClock()
 	start := func(t *testing.T) *Agent {
-		return newPlainAgent(t, clock, standin.NewLog(clock, standin.LogConfig{}), plainService{})
+		return newPlainAgent(t, clock, standin.NewLog(clock, standin.LogConfig{}), emptyService{})
 	}
 	t.Run("is ignored", func(t *testing.T) {
 		a := start(t)
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -13,20 +13,20 @@
 // Metrics holds an agent's counters, gauges and histograms. The number of label
 // values is bounded: no label contains an adapter, a caller or a request.
 type Metrics struct {
-	scope    tally.Scope
-	running  tally.Gauge
-	queued   tally.Gauge
-	wants    tally.Gauge
-	attempts tally.Gauge
-	outcomes *process.OutcomeCounters
-	stall    tally.Histogram
-	loadTime tally.Histogram
+	scope           tally.Scope
+	running         tally.Gauge
+	queued          tally.Gauge
+	waitingAdapters tally.Gauge
+	attempts        tally.Gauge
+	outcomes        *process.OutcomeCounters
+	loadStall       tally.Histogram
+	loadTime        tally.Histogram
 
-	shadowLoads   tally.Gauge
-	shadowWants   tally.Gauge
-	shadowVictims tally.Gauge
-	shadowHolds   tally.Gauge
-	shadowHeld    tally.Gauge
+	shadowLoads         tally.Gauge
+	shadowOtherAdapters tally.Gauge
+	shadowOtherVictims  tally.Gauge
+	shadowHolds         tally.Gauge
+	shadowOtherHolds    tally.Gauge
 }
 
 // NewMetrics registers an agent's metrics.
@@ -34,31 +34,31 @@
 	s := scope.SubScope("agent")
 	buckets := tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 17)
 	return &Metrics{
-		scope:    s,
-		running:  s.Gauge("running_requests"),
-		queued:   s.Gauge("queued_requests"),
-		wants:    s.Gauge("waiting_adapters"),
-		attempts: s.Gauge("remembered_attempts"),
-		outcomes: process.NewOutcomeCounters(s, "attempts_total"),
-		stall:    s.Histogram("load_stall_seconds", buckets),
-		loadTime: s.Histogram("load_seconds", buckets),
+		scope:           s,
+		running:         s.Gauge("running_requests"),
+		queued:          s.Gauge("queued_requests"),
+		waitingAdapters: s.Gauge("waiting_adapters"),
+		attempts:        s.Gauge("remembered_attempts"),
+		outcomes:        process.NewOutcomeCounters(s, "attempts_total"),
+		loadStall:       s.Histogram("load_stall_seconds", buckets),
+		loadTime:        s.Histogram("load_seconds", buckets),
 
-		shadowLoads:   s.Gauge("shadow_loads"),
-		shadowWants:   s.Gauge("shadow_loads_of_another_adapter"),
-		shadowVictims: s.Gauge("shadow_unloads_of_another_adapter"),
-		shadowHolds:   s.Gauge("shadow_holds"),
-		shadowHeld:    s.Gauge("shadow_holds_decided_otherwise"),
+		shadowLoads:         s.Gauge("shadow_loads"),
+		shadowOtherAdapters: s.Gauge("shadow_loads_of_another_adapter"),
+		shadowOtherVictims:  s.Gauge("shadow_unloads_of_another_adapter"),
+		shadowHolds:         s.Gauge("shadow_holds"),
+		shadowOtherHolds:    s.Gauge("shadow_holds_decided_otherwise"),
 	}
 }
 
-func (m *Metrics) ended(class wardturn.Class, outcome wardturn.Outcome, stalled time.Duration) {
+func (m *Metrics) attemptEnded(class wardturn.Class, outcome wardturn.Outcome, stalled time.Duration) {
 	m.outcomes.Count(class, outcome)
 	if outcome.Kind == wardturn.Done {
-		m.stall.RecordDuration(stalled)
+		m.loadStall.RecordDuration(stalled)
 	}
 }
 
-func (m *Metrics) loaded(result decide.OrderResult, took time.Duration) {
+func (m *Metrics) loadEnded(result decide.OrderResult, took time.Duration) {
 	name := "done"
 	if result != decide.OrderDone {
 		name = "failed"
@@ -76,13 +76,13 @@
 	h := core.Hint()
 	m.running.Update(float64(h.Running))
 	m.queued.Update(float64(h.Queued))
-	m.wants.Update(float64(h.Wants))
+	m.waitingAdapters.Update(float64(h.Wants))
 	m.attempts.Update(float64(attempts))
 	if sh, ok := core.Shadow(); ok {
 		m.shadowLoads.Update(float64(sh.Loads))
-		m.shadowWants.Update(float64(sh.Wants))
-		m.shadowVictims.Update(float64(sh.Victims))
+		m.shadowOtherAdapters.Update(float64(sh.Wants))
+		m.shadowOtherVictims.Update(float64(sh.Victims))
 		m.shadowHolds.Update(float64(sh.Holds))
-		m.shadowHeld.Update(float64(sh.Held))
+		m.shadowOtherHolds.Update(float64(sh.Held))
 	}
 }
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	fenceRetry    = 500 * time.Millisecond
+	minFenceRetry = 500 * time.Millisecond
 	maxFenceRetry = 5 * time.Second
 )
 
@@ -31,44 +31,44 @@
 
 func (a *Agent) load(order wardturn.SlotOrder) {
 	start := a.clock.Now()
-	err := a.give(order, a.engine.Load)
-	result := resultOf(err)
-	a.metrics.loaded(result, a.clock.Now().Sub(start))
+	err := a.sendOrder(order, a.engine.Load)
+	result := orderResult(err)
+	a.metrics.loadEnded(result, a.clock.Now().Sub(start))
 	if result != decide.OrderDone {
 		a.logger.Warn("load failed", "adapter", order.Adapter, "order", order.ID, "error", err)
 	}
-	a.event(func(now time.Time, out *decide.Orders) {
+	a.apply(func(now time.Time, out *decide.Orders) {
 		a.core.Loaded(now, order.ID, result, out)
 	})
 }
 
 func (a *Agent) unload(order wardturn.SlotOrder) {
-	err := a.give(order, a.engine.Unload)
-	result := resultOf(err)
+	err := a.sendOrder(order, a.engine.Unload)
+	result := orderResult(err)
 	if result != decide.OrderDone {
 		a.logger.Warn("unload failed", "adapter", order.Adapter, "order", order.ID, "error", err)
 	}
-	a.event(func(now time.Time, out *decide.Orders) {
+	a.apply(func(now time.Time, out *decide.Orders) {
 		a.core.Unloaded(now, order.ID, result, out)
 	})
 }
 
-// give sends an order to the engine. If a fence is required and there is none yet, it
+// sendOrder sends an order to the engine. If a fence is required and there is none yet, it
 // returns ErrFenced instead: the engine could not tell such an order from the orders
 // of a later agent.
-func (a *Agent) give(order wardturn.SlotOrder, do func(context.Context, wardturn.SlotOrder) error) error {
+func (a *Agent) sendOrder(order wardturn.SlotOrder, do func(context.Context, wardturn.SlotOrder) error) error {
 	if order.Fence == 0 && a.cfg.RequireFence {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.unfenced++
+		a.suppressedOrders++
 		return wardturn.ErrFenced
 	}
 	return do(a.tasks.Context(), order)
 }
 
-// resultOf converts the error of an order to its result. It distinguishes orders that
+// orderResult converts the error of an order to its result. It distinguishes orders that
 // were refused from those that may have been executed.
-func resultOf(err error) decide.OrderResult {
+func orderResult(err error) decide.OrderResult {
 	switch {
 	case err == nil:
 		return decide.OrderDone
@@ -84,10 +84,10 @@
 	return decide.OrderUncertain
 }
 
-// takeFence appends the agent's start record to the log, with retries until it
+// acquireFence appends the agent's start record to the log, with retries until it
 // succeeds. The offset of the record is the agent's fence.
-func (a *Agent) takeFence() {
-	wait := fenceRetry
+func (a *Agent) acquireFence() {
+	wait := minFenceRetry
 	for a.tasks.Context().Err() == nil {
 		fence, err := a.replica.AppendStart(a.tasks.Context(), control.Start{
 			Upstream: a.cfg.Upstream,
@@ -116,7 +116,7 @@
 		if err != nil {
 			continue
 		}
-		a.event(func(now time.Time, out *decide.Orders) {
+		a.apply(func(now time.Time, out *decide.Orders) {
 			a.core.Report(now, rep, out)
 		})
 	}
@@ -135,45 +135,45 @@
 	}
 }
 
-// listedAs records which states of the agent's upstream the host list has shown since
+// listingState records which states of the agent's upstream the host list has shown since
 // the agent started. The list lags, so at first it may still contain the entry of the
 // previous process for the same upstream, either live or leaving. An agent that shut
 // down because of that entry would stop serving for good. Only a live entry that
 // follows a leaving one certainly belongs to this process.
-type listedAs uint8
+type listingState uint8
 
 const (
-	listedBefore  listedAs = iota // no leaving entry yet; a live one may be the previous process
-	listedLeaving                 // leaving; may be the previous process
-	listedAgain                   // live after leaving: this process
+	listingInitial   listingState = iota // not yet leaving; live may be the previous process
+	listingLeaving                       // leaving; may be the previous process
+	listingLiveAgain                     // live after leaving: this process
 )
 
 // next returns the state after another entry for the upstream.
-func (l listedAs) next(s wardturn.HostState) listedAs {
+func (l listingState) next(s wardturn.HostState) listingState {
 	switch {
-	case l == listedBefore && s == wardturn.HostLeaving:
-		return listedLeaving
-	case l == listedLeaving && s == wardturn.HostLive:
-		return listedAgain
+	case l == listingInitial && s == wardturn.HostLeaving:
+		return listingLeaving
+	case l == listingLeaving && s == wardturn.HostLive:
+		return listingLiveAgain
 	}
 	return l
 }
 
-// listBehind is how long the list may still contain the entry of the previous process:
+// maxHostListLag is how long the list may still contain the entry of the previous process:
 // five times the 2 s by which the list of the embedded system lags.
-const listBehind = 10 * time.Second
+const maxHostListLag = 10 * time.Second
 
 func (a *Agent) onHosts(hosts []wardturn.Host) {
-	a.alloc.setHosts(hosts)
+	a.allocator.setHosts(hosts)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, h := range hosts {
 		if h.Upstream != a.cfg.Upstream {
 			continue
 		}
-		a.listed = a.listed.next(h.State)
-		if h.State == wardturn.HostLeaving && (a.listed == listedAgain || a.clock.Now().Sub(a.started) > listBehind) {
-			a.leave("host list")
+		a.listing = a.listing.next(h.State)
+		if h.State == wardturn.HostLeaving && (a.listing == listingLiveAgain || a.clock.Now().Sub(a.started) > maxHostListLag) {
+			a.startLeaving("host list")
 		}
 	}
 }
@@ -188,7 +188,7 @@
 	case control.KindOf(key) == control.KindTeam:
 		a.applyShares()
 	case control.KindOf(key) == control.KindAdapter:
-		a.replaceVersion(wardturn.AdapterID(control.NameOf(key)))
+		a.refuseReplaced(wardturn.AdapterID(control.NameOf(key)))
 	}
 }
 
@@ -199,7 +199,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.leave("operator")
+	a.startLeaving("operator")
 }
 
 // applyPolicy applies the active policy and the shadow policy of the configuration.
@@ -207,40 +207,40 @@
 // here, the present policies stay in force. Without a published active policy the
 // built-in one is used.
 func (a *Agent) applyPolicy() {
-	a.applying.Lock()
-	defer a.applying.Unlock()
+	a.applyMu.Lock()
+	defer a.applyMu.Unlock()
 	active := a.builtin
 	if doc, ok := control.ActivePolicy(a.replica); ok {
-		p := a.compile(doc)
+		p := a.compilePolicy(doc)
 		if p == nil {
 			return
 		}
 		active = p
 	}
-	var beside wardturn.Policy
+	var shadow wardturn.Policy
 	if doc, ok := control.ShadowPolicy(a.replica); ok {
-		if p := a.compile(doc); p != nil {
-			beside = p
+		if p := a.compilePolicy(doc); p != nil {
+			shadow = p
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.core.SetPolicy(active)
-	a.core.SetShadow(beside)
+	a.core.SetShadow(shadow)
 	a.logger.Info("policy applied", "policy", active.Name(), "config", a.replica.Applied())
 }
 
 // applyShares applies the teams' shares of the configuration.
 func (a *Agent) applyShares() {
-	a.applying.Lock()
-	defer a.applying.Unlock()
+	a.applyMu.Lock()
+	defer a.applyMu.Unlock()
 	weights := control.Shares(a.replica)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.core.SetShares(weights)
 }
 
-func (a *Agent) compile(doc control.NamedPolicy) wardturn.Policy {
+func (a *Agent) compilePolicy(doc control.NamedPolicy) wardturn.Policy {
 	p, err := policy.Compile(doc.Name, doc.Source)
 	if err != nil {
 		a.logger.Error("policy rejected", "policy", doc.Name, "version", doc.Version, "error", err)
--- a/agent/orphan_internal_test.go
+++ b/agent/orphan_internal_test.go
@@ -12,10 +12,10 @@
 
 // lostEntry is the entry's side of the connection that the test closes.
 type lostEntry struct {
-	up chan *peer.Conn
+	connected chan *peer.Conn
 }
 
-func (l *lostEntry) Connected(c *peer.Conn) { l.up <- c }
+func (l *lostEntry) Connected(c *peer.Conn) { l.connected <- c }
 
 func (*lostEntry) Handle(*peer.Conn, peer.Message) {}
 
@@ -27,15 +27,15 @@
 func TestOrphanIsNoticedByAnEarlierSend(t *testing.T) {
 	g := gomega.NewWithT(t)
 	clock := standin.NewClock()
-	log := &gatedLog{
+	log := &blockingLog{
 		Log:     standin.NewLog(clock, standin.LogConfig{}),
-		entered: make(chan struct{}, 1),
+		blocked: make(chan struct{}, 1),
 		gate:    make(chan struct{}),
 	}
 	t.Cleanup(func() { close(log.gate) })
-	a := newPlainAgent(t, clock, log, &countedService{})
+	a := newPlainAgent(t, clock, log, &countingService{})
 	entry := &lostEntry{
-		up: make(chan *peer.Conn, 1),
+		connected: make(chan *peer.Conn, 1),
 	}
 	client := peer.NewClient(a.Addr(), nil, clock, peer.Identity{
 		Role:    peer.RoleEntry,
@@ -47,7 +47,7 @@
 		Entry: "e1",
 		Seq:   1,
 	}
-	g.Expect((<-entry.up).Send(&peer.Submit{
+	g.Expect((<-entry.connected).Send(&peer.Submit{
 		Attempt:    id,
 		Service:    "s",
 		Method:     "POST",
@@ -59,7 +59,7 @@
 		defer a.mu.Unlock()
 		return a.attempts[id]
 	}
-	g.Eventually(running).WithTimeout(patience).ShouldNot(gomega.BeNil())
+	g.Eventually(running).WithTimeout(eventTimeout).ShouldNot(gomega.BeNil())
 	at := running()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -68,5 +68,5 @@
 		Attempt: id,
 	})
 	g.Expect(at.conn).To(gomega.BeNil())
-	g.Expect(at.orphan).NotTo(gomega.BeNil())
+	g.Expect(at.orphanTimer).NotTo(gomega.BeNil())
 }
--- a/agent/run.go
+++ b/agent/run.go
@@ -17,9 +17,9 @@
 func (a *Agent) startRun(st decide.Start) {
 	t := a.attempts[st.Attempt]
 	if t == nil || t.ended {
-		panic("agent: core started an attempt that has ended")
+		panic("agent: core started an unknown or ended attempt")
 	}
-	t.stalled = st.Stalled
+	t.adapterWait = st.Stalled
 	ctx, cancel := context.WithCancel(a.tasks.Context())
 	t.cancel = cancel
 	a.tasks.Go(func() {
@@ -33,12 +33,12 @@
 func (a *Agent) run(ctx context.Context, t *attempt) {
 	if !a.repeatable(t) {
 		if outcome, ok := a.claim(ctx, t); !ok {
-			a.ended(t, outcome)
+			a.recordEnd(t, outcome)
 			return
 		}
 	}
 	if reason := a.beginSend(t); reason != wardturn.ReasonNone {
-		a.ended(t, wardturn.Refused(reason, 0))
+		a.recordEnd(t, wardturn.Refused(reason, 0))
 		return
 	}
 	if a.engine != nil {
@@ -68,13 +68,13 @@
 func (a *Agent) beginSend(t *attempt) wardturn.Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	late := !t.req.Deadline.IsZero() && !a.clock.Now().Before(t.req.Deadline)
+	pastDeadline := !t.req.Deadline.IsZero() && !a.clock.Now().Before(t.req.Deadline)
 	switch {
-	case late:
+	case pastDeadline:
 		return wardturn.ReasonDeadline
-	case a.outOfForce(t):
+	case a.versionReplaced(t):
 		return wardturn.ReasonStaleConfig
-	case t.withdrawn, !a.ledger.Send(t.id):
+	case t.canceled, !a.ledger.Send(t.id):
 		return wardturn.ReasonCanceled
 	}
 	if a.engine != nil {
@@ -89,7 +89,7 @@
 		Attempt: t.id,
 		Status:  status,
 		Header:  header,
-		Stalled: t.stalled,
+		Stalled: t.adapterWait,
 		Queued:  a.clock.Now().Sub(t.arrived),
 	}
 	a.flush(t)
@@ -119,7 +119,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	t.first = res
+	t.earlierClaim = res
 	return wardturn.Refused(wardturn.ReasonDuplicate, 0), false
 }
 
@@ -135,18 +135,19 @@
 	}, func(data []byte) error {
 		return a.emit(ctx, t, data)
 	})
-	if errors.Is(err, wardturn.ErrNotLoaded) && a.again(t) {
+	if errors.Is(err, wardturn.ErrNotLoaded) && a.requeue(t) {
 		return
 	}
 	if err == nil && res.Adapter != t.req.Adapter {
 		err = driver.ErrWrongVersion
 	}
-	a.ended(t, a.outcomeOf(t, err))
+	a.recordEnd(t, a.outcomeOf(t, err))
 }
 
-// again requeues an attempt that the engine did not run because it does not hold the
-// adapter. It reports false if part of the response was received or the agent is leaving.
-func (a *Agent) again(t *attempt) bool {
+// requeue returns an attempt to the queue that the engine did not run because it does not
+// hold the adapter. It reports false, and does nothing, if part of the response has been
+// received or the agent is leaving.
+func (a *Agent) requeue(t *attempt) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(t.buf) > 0 || a.leaving {
@@ -155,7 +156,7 @@
 	a.ledger.Unsend(t.id)
 	t.head = nil
 	t.headSent = false
-	a.do(func(now time.Time, out *decide.Orders) {
+	a.applyLocked(func(now time.Time, out *decide.Orders) {
 		a.core.NotLoaded(now, t.id, out)
 	})
 	return true
@@ -169,7 +170,7 @@
 		a.mu.Unlock()
 		err = a.emit(ctx, t, res.Body)
 	}
-	a.ended(t, a.outcomeOf(t, err))
+	a.recordEnd(t, a.outcomeOf(t, err))
 }
 
 // outcomeOf converts the error of an upstream client to an outcome.
@@ -188,14 +189,14 @@
 	return wardturn.Uncertain(wardturn.ReasonUpstreamLost)
 }
 
-// ended records the end of an attempt that the core has started.
-func (a *Agent) ended(t *attempt, outcome wardturn.Outcome) {
+// recordEnd records the end of an attempt that the core has started.
+func (a *Agent) recordEnd(t *attempt, outcome wardturn.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
-		return // an entry that asks for the attempt finds out that this process has stopped
+		return // entries find out on reconnect that this process has stopped
 	}
-	a.do(func(now time.Time, out *decide.Orders) {
+	a.applyLocked(func(now time.Time, out *decide.Orders) {
 		a.core.Finished(now, t.id, out)
 	})
 	a.finish(t, outcome)
--- a/agent/version.go
+++ b/agent/version.go
@@ -10,11 +10,11 @@
 	"wardturn/decide"
 )
 
-// outOfForce reports whether an attempt that requested the current version of its
+// versionReplaced reports whether an attempt that requested the current version of its
 // adapter has a version that has been replaced since. If so, it records the offset of
 // the configuration that replaced the version. a.mu is held.
-func (a *Agent) outOfForce(t *attempt) bool {
-	if !t.newest {
+func (a *Agent) versionReplaced(t *attempt) bool {
+	if !t.wantsNewest {
 		return false
 	}
 	doc, ok := a.replica.Get(control.KeyOf(control.KindAdapter, string(t.req.Adapter.Adapter)))
@@ -25,26 +25,26 @@
 	if yaml.Unmarshal(doc.Body, &d) != nil || d.Version == t.req.Adapter.Version {
 		return false
 	}
-	t.replaced = doc.Version
+	t.replacedBy = doc.Version
 	return true
 }
 
-// replaceVersion refuses the waiting attempts that requested the current version of an
+// refuseReplaced refuses the waiting attempts that requested the current version of an
 // adapter and whose version has been replaced. Their entries resend them with the new
 // version.
-func (a *Agent) replaceVersion(id wardturn.AdapterID) {
+func (a *Agent) refuseReplaced(id wardturn.AdapterID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, t := range a.attempts {
-		if t.ended || t.req.Adapter.Adapter != id || !a.outOfForce(t) {
+		if t.ended || t.req.Adapter.Adapter != id || !a.versionReplaced(t) {
 			continue
 		}
-		waited := false
-		a.do(func(now time.Time, out *decide.Orders) {
-			waited = a.core.Cancel(now, t.id, out)
+		wasQueued := false
+		a.applyLocked(func(now time.Time, out *decide.Orders) {
+			wasQueued = a.core.Cancel(now, t.id, out)
 		})
-		if !waited {
-			t.replaced = 0 // it is running already
+		if !wasQueued {
+			t.replacedBy = 0 // it is running already
 			continue
 		}
 		a.finish(t, wardturn.Refused(wardturn.ReasonStaleConfig, 0))
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -111,13 +111,13 @@
 		body = bytes.NewReader(res.Body())
 	}
 	defer res.CloseBodyStream()
-	p := forwarder{
+	f := forwarder{
 		ctx:  ctx,
 		want: r.Adapter,
 		emit: emit,
 	}
-	err := p.copy(body)
-	return p.result, err
+	err := f.copy(body)
+	return f.result, err
 }
 
 // forwarder forwards a response and checks the model named in its first part.
@@ -142,22 +142,22 @@
 
 var jsonParsers fastjson.ParserPool
 
-func (p *forwarder) copy(body io.Reader) error {
+func (f *forwarder) copy(body io.Reader) error {
 	pooled := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(pooled)
 	buf := *pooled
 	for {
 		n, err := body.Read(buf)
-		if p.ctx.Err() != nil {
-			return p.ctx.Err()
+		if f.ctx.Err() != nil {
+			return f.ctx.Err()
 		}
 		if n > 0 {
-			if err := p.add(buf[:n]); err != nil {
+			if err := f.add(buf[:n]); err != nil {
 				return err
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return p.finish()
+			return f.finish()
 		}
 		if err != nil {
 			return errors.Wrap(err, "engine: reading response")
@@ -165,16 +165,16 @@
 	}
 }
 
-func (p *forwarder) add(data []byte) error {
-	if p.checked {
-		return p.forward(data)
+func (f *forwarder) add(data []byte) error {
+	if f.checked {
+		return f.forward(data)
 	}
-	p.first = append(p.first, data...)
-	if len(p.first) > maxFirstPart {
-		return p.check()
+	f.first = append(f.first, data...)
+	if len(f.first) > maxFirstPart {
+		return f.check()
 	}
-	if bytes.HasPrefix(p.first, sseData) && bytes.Contains(p.first, sseEnd) {
-		return p.check()
+	if bytes.HasPrefix(f.first, sseData) && bytes.Contains(f.first, sseEnd) {
+		return f.check()
 	}
 	return nil
 }
@@ -187,8 +187,8 @@
 
 // check compares the model named in the first part with the requested one and
 // forwards the part if they match.
-func (p *forwarder) check() error {
-	doc := p.first
+func (f *forwarder) check() error {
+	doc := f.first
 	if bytes.HasPrefix(doc, sseData) {
 		doc, _, _ = bytes.Cut(doc[len(sseData):], sseEnd)
 	}
@@ -199,29 +199,29 @@
 		return errors.Wrapf(errMalformedResponse, "%v", err)
 	}
 	ref, err := wardturn.ParseAdapterRef(string(v.GetStringBytes("model")))
-	if err != nil || ref != p.want {
-		return errors.Wrapf(ErrWrongVersion, "asked for %s, got %q", p.want, v.GetStringBytes("model"))
+	if err != nil || ref != f.want {
+		return errors.Wrapf(ErrWrongVersion, "asked for %s, got %q", f.want, v.GetStringBytes("model"))
 	}
-	p.checked = true
-	p.result.Adapter = ref
-	return p.forward(p.first)
+	f.checked = true
+	f.result.Adapter = ref
+	return f.forward(f.first)
 }
 
-func (p *forwarder) forward(data []byte) error {
-	p.tail = append(p.tail, data...)
-	if extra := len(p.tail) - len(sseDone); extra > 0 {
-		p.tail = append(p.tail[:0], p.tail[extra:]...)
+func (f *forwarder) forward(data []byte) error {
+	f.tail = append(f.tail, data...)
+	if extra := len(f.tail) - len(sseDone); extra > 0 {
+		f.tail = append(f.tail[:0], f.tail[extra:]...)
 	}
-	return p.emit(data)
+	return f.emit(data)
 }
 
 // finish checks that the response is complete: a stream ends with the [DONE]
 // marker, and a document is a single JSON value.
-func (p *forwarder) finish() error {
-	if !p.checked {
-		return p.check()
+func (f *forwarder) finish() error {
+	if !f.checked {
+		return f.check()
 	}
-	if bytes.HasPrefix(p.first, sseData) && !bytes.Equal(p.tail, sseDone) {
+	if bytes.HasPrefix(f.first, sseData) && !bytes.Equal(f.tail, sseDone) {
 		return errors.Wrap(errMalformedResponse, "stream ended without [DONE]")
 	}
 	return nil
--- a/driver/engine_test.go
+++ b/driver/engine_test.go
@@ -101,10 +101,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	near := net.Dialer{
+	dialer := net.Dialer{
 		LocalAddr: &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)},
 	}
-	c, err := near.Dial("tcp", ln.Addr().String())
+	c, err := dialer.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
