--- a/agent/claim_internal_test.go
+++ b/agent/claim_internal_test.go
@@ -16,16 +16,16 @@
 // eventTimeout is the timeout for expected events.
 const eventTimeout = 20 * time.Second
 
-// blockingLog blocks appends until gate is closed.
+// blockingLog blocks appends until unblock is closed.
 type blockingLog struct {
 	wardturn.Log
 	blocked chan struct{} // receives a value when an append blocks
-	gate    chan struct{} // closed to unblock appends
+	unblock chan struct{} // closed to unblock appends
 }
 
 func (l *blockingLog) Append(ctx context.Context, data []byte) (wardturn.Offset, error) {
 	l.blocked <- struct{}{}
-	<-l.gate
+	<-l.unblock
 	return l.Log.Append(ctx, data)
 }
 
@@ -58,7 +58,7 @@
 		log: &blockingLog{
 			Log:     standin.NewLog(clock, standin.LogConfig{}),
 			blocked: make(chan struct{}, 1),
-			gate:    make(chan struct{}),
+			unblock: make(chan struct{}),
 		},
 		service: &countingService{},
 		id: wardturn.AttemptID{
@@ -85,7 +85,7 @@
 // outcome unblocks the append and returns the attempt's outcome.
 func (c *pendingClaim) outcome(t *testing.T) wardturn.Outcome {
 	t.Helper()
-	close(c.log.gate)
+	close(c.log.unblock)
 	var outcome wardturn.Outcome
 	gomega.NewWithT(t).Eventually(func() bool {
 		c.mu.Lock()
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -51,10 +51,10 @@
 	}
 }
 
-func (m *Metrics) attemptEnded(class wardturn.Class, outcome wardturn.Outcome, stalled time.Duration) {
+func (m *Metrics) attemptEnded(class wardturn.Class, outcome wardturn.Outcome, adapterWait time.Duration) {
 	m.outcomes.Count(class, outcome)
 	if outcome.Kind == wardturn.Done {
-		m.loadStall.RecordDuration(stalled)
+		m.loadStall.RecordDuration(adapterWait)
 	}
 }
 
--- a/agent/orphan_internal_test.go
+++ b/agent/orphan_internal_test.go
@@ -30,9 +30,9 @@
 	log := &blockingLog{
 		Log:     standin.NewLog(clock, standin.LogConfig{}),
 		blocked: make(chan struct{}, 1),
-		gate:    make(chan struct{}),
+		unblock: make(chan struct{}),
 	}
-	t.Cleanup(func() { close(log.gate) })
+	t.Cleanup(func() { close(log.unblock) })
 	a := newPlainAgent(t, clock, log, &countingService{})
 	entry := &lostEntry{
 		connected: make(chan *peer.Conn, 1),
