--- a/agent/agent.go
+++ b/agent/agent.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	tickEvery = 50 * time.Millisecond
-	sweepEach = 5 * time.Second
+	tickInterval  = 50 * time.Millisecond
+	sweepInterval = 5 * time.Second
 )
 
-// Deps are what an agent is built from.
+// Deps holds the dependencies of an Agent.
 type Deps struct {
 	dig.In
 
@@ -52,31 +52,32 @@
 	server  *peer.Server
 	tls     *tls.Config
 
-	// applying is held from the reading of a document until it is in force, so that
-	// an older one does not land after a newer. It is taken before mu.
-	applying sync.Mutex
+	// applyMu is held from the read of a configuration document until the document is
+	// in force, so that an older version is not applied after a newer one. It is
+	// acquired before mu.
+	applyMu sync.Mutex
 
-	mu       sync.Mutex
-	core     *decide.Agent
-	ledger   *decide.Ledger
-	attempts map[wardturn.AttemptID]*attempt
-	past     []*attempt // whose answers are kept, oldest first
-	kept     int        // bytes of them
-	orders   decide.Orders
-	fence    wardturn.Fence
-	unfenced int             // orders not given for want of a fence
-	builtin  wardturn.Policy // in force while none is published
-	alloc    *allocatorRole
-	started  time.Time
-	listed   listedAs // what the platform's list has shown of this process
-	leaving  bool
-	idle     chan struct{} // closed when leaving and nothing is left
-	closed   bool
-	tasks    *process.Tasks
+	mu               sync.Mutex
+	core             *decide.Agent
+	ledger           *decide.Ledger
+	attempts         map[wardturn.AttemptID]*attempt
+	retained         []*attempt // ended attempts whose responses are retained, oldest first
+	retainedBytes    int        // total bytes of the retained responses
+	orders           decide.Orders
+	fence            wardturn.Fence
+	suppressedOrders int             // orders not sent because there is no fence yet
+	builtin          wardturn.Policy // in force while no policy is published
+	allocator        *allocatorRole
+	started          time.Time
+	listing          listingState // states of this agent seen in the host list
+	leaving          bool
+	idle             chan struct{} // closed when the agent is leaving and has no work left
+	closed           bool
+	tasks            *process.Tasks
 }
 
-// New starts an agent. It serves at once with what its engine holds; orders to
-// the engine wait for the fence from the log.
+// New starts an agent. It immediately serves requests for the adapters that its
+// engine holds; orders to the engine wait until the log has assigned a fence.
 func New(d Deps) *Agent {
 	cfg := d.Config.WithDefaults()
 	now := d.Clock.Now()
@@ -104,9 +105,9 @@
 	}, d.Policy, a.newPermits())
 	a.replica = control.NewReplica(d.Log, d.Clock, a.logger, cfg.Service != "")
 	a.claimer = control.NewClaimer(a.replica, d.Clock, cfg.Upstream, cfg.Process)
-	a.alloc = newAllocatorRole(a)
-	a.server = peer.NewServer(d.Listener, d.TLS, d.Clock, a.identity(), (*inbound)(a))
-	a.begin()
+	a.allocator = newAllocatorRole(a)
+	a.server = peer.NewServer(d.Listener, d.TLS, d.Clock, a.identity(), (*peerHandler)(a))
+	a.start()
 	return a
 }
 
@@ -123,13 +124,13 @@
 	}
 }
 
-// begin starts what happens by itself.
-func (a *Agent) begin() {
-	a.tasks.Every(tickEvery, a.tick)
-	a.tasks.Every(sweepEach, a.sweep)
+// start starts the background tasks and applies the current configuration.
+func (a *Agent) start() {
+	a.tasks.Every(tickInterval, a.tick)
+	a.tasks.Every(sweepInterval, a.sweep)
 	a.tasks.Go(a.watchHosts)
 	if a.engine != nil {
-		a.tasks.Go(a.takeFence)
+		a.tasks.Go(a.acquireFence)
 		a.tasks.Go(a.watchEngine)
 	}
 	a.replica.Watch(a.onConfig)
@@ -144,36 +145,36 @@
 	return a.server.Addr().String()
 }
 
-// Close ends the agent at once, as a crash would: nothing is waited for. Use
-// Leave before for a planned stop.
+// Close stops the agent immediately, as a crash would, without waiting for running
+// requests. For a planned shutdown call Leave first.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	a.closed = true
 	a.mu.Unlock()
 	a.tasks.Stop()
-	a.alloc.close()
+	a.allocator.close()
 	a.server.Close()
 	a.replica.Close()
 	a.tasks.Wait()
 }
 
-// Leave refuses new work, hands queued work back as not run, and returns a
-// channel that is closed when the last running request has ended.
+// Leave makes the agent refuse new requests and return the queued ones as not run. It
+// returns a channel that is closed when the last running request has ended.
 func (a *Agent) Leave() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.leave("signal")
+	a.startLeaving("signal")
 	return a.idle
 }
 
-// leave starts to leave; the lock is held.
-func (a *Agent) leave(why string) {
+// startLeaving starts the shutdown. a.mu is held.
+func (a *Agent) startLeaving(why string) {
 	if a.leaving {
 		return
 	}
 	a.leaving = true
 	a.logger.Info("leaving", "why", why, "attempts", len(a.attempts))
-	a.do(a.core.Leave)
+	a.applyLocked(a.core.Leave)
 	a.server.Broadcast(a.hint())
 	a.checkIdle()
 }
@@ -185,7 +186,7 @@
 	}
 }
 
-// checkIdle closes idle when a leaving agent has nothing left to do.
+// checkIdle closes a.idle if the agent is leaving and has no work left. a.mu is held.
 func (a *Agent) checkIdle() {
 	if !a.leaving || !a.core.Idle() {
 		return
@@ -202,24 +203,25 @@
 	}
 }
 
-// do passes an event to the core and carries out its orders; the lock is held.
-func (a *Agent) do(event func(now time.Time, out *decide.Orders)) {
+// applyLocked passes an event to the core and executes the resulting orders. a.mu is
+// held.
+func (a *Agent) applyLocked(event func(now time.Time, out *decide.Orders)) {
 	orders := a.orders
 	a.orders = decide.Orders{}
 	orders.Reset()
 	event(a.clock.Now(), &orders)
-	a.carryOut(&orders)
+	a.execute(&orders)
 	a.orders = orders
 }
 
-// event is do for callers without the lock.
-func (a *Agent) event(f func(now time.Time, out *decide.Orders)) {
+// apply is like applyLocked, for callers that do not hold a.mu.
+func (a *Agent) apply(f func(now time.Time, out *decide.Orders)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.do(f)
+	a.applyLocked(f)
 }
 
-func (a *Agent) carryOut(o *decide.Orders) {
+func (a *Agent) execute(o *decide.Orders) {
 	for _, r := range o.Refuse {
 		if t := a.attempts[r.Attempt]; t != nil {
 			a.finish(t, r.Outcome)
@@ -235,18 +237,18 @@
 		a.startRun(st)
 	}
 	for _, w := range o.Wish {
-		a.alloc.wish(w)
+		a.allocator.requestPermit(w)
 	}
 }
 
 func (a *Agent) tick() {
-	a.event(a.core.Tick)
+	a.apply(a.core.Tick)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.checkIdle()
 }
 
-// sweep forgets ended attempts with their answers.
+// sweep removes ended attempts and their responses after the configured time.
 func (a *Agent) sweep() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -256,7 +258,7 @@
 			delete(a.attempts, id)
 		}
 	}
-	for len(a.past) > 0 && now.Sub(a.past[0].endedAt) > a.cfg.Remember {
+	for len(a.retained) > 0 && now.Sub(a.retained[0].endedAt) > a.cfg.Remember {
 		a.dropOldest()
 	}
 	a.ledger.Sweep(now)
@@ -264,20 +266,20 @@
 	a.metrics.observe(a.core, len(a.attempts))
 }
 
-// Status is a copy of an agent's state for status pages and tests.
+// Status is a snapshot of an agent's state for status pages and tests.
 type Status struct {
 	Hint    decide.Hint
 	Slots   []decide.SlotView
 	Fence   wardturn.Fence
 	Config  wardturn.Offset
 	Leaving bool
-	Policy  string // in force
-	// Refusals counts orders that the agent did not give for want of a fence.
+	Policy  string // name of the policy in force
+	// Refusals counts the orders that the agent did not send because it had no fence.
 	Refusals int
-	Shadow   *decide.ShadowStats // nil without a shadow policy
+	Shadow   *decide.ShadowStats // nil if there is no shadow policy
 }
 
-// Status returns the agent's present state.
+// Status returns a snapshot of the agent's state.
 func (a *Agent) Status() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -289,7 +291,7 @@
 		Leaving: a.leaving,
 		Policy:  a.core.PolicyName(),
 
-		Refusals: a.unfenced,
+		Refusals: a.suppressedOrders,
 	}
 	if sh, ok := a.core.Shadow(); ok {
 		st.Shadow = &sh
--- a/agent/inbound.go
+++ b/agent/inbound.go
@@ -9,21 +9,21 @@
 	"wardturn/peer"
 )
 
-// catchUpLimit is how long a request waits for the configuration that its entry
-// decided by.
-const catchUpLimit = time.Second
+// catchUpTimeout is how long a request waits until the agent has applied the
+// configuration with which its entry made its decisions.
+const catchUpTimeout = time.Second
 
-// inbound is the agent as the handler of its connections.
-type inbound Agent
+// peerHandler handles the connections of an Agent.
+type peerHandler Agent
 
 // Handle implements peer.Handler.
-func (in *inbound) Handle(c *peer.Conn, m peer.Message) {
+func (in *peerHandler) Handle(c *peer.Conn, m peer.Message) {
 	a := (*Agent)(in)
 	switch m := m.(type) {
 	case *peer.Submit:
 		a.onSubmit(c, m)
 	case *peer.Wish:
-		a.alloc.onWish(c, m.Wish)
+		a.allocator.onPermitRequest(c, m.Wish)
 	case *peer.ConfigPull:
 		a.onConfigPull(c, m)
 	case *peer.Ping:
@@ -34,11 +34,11 @@
 	default:
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.handle(c, m)
+		a.handleLocked(c, m)
 	}
 }
 
-func (a *Agent) handle(c *peer.Conn, m peer.Message) {
+func (a *Agent) handleLocked(c *peer.Conn, m peer.Message) {
 	switch m := m.(type) {
 	case *peer.Attach:
 		a.onAttach(c, m)
@@ -49,9 +49,9 @@
 	}
 }
 
-// Closed implements peer.Handler. The attempts of the connection go on for a
-// while, for the entry to come back.
-func (in *inbound) Closed(c *peer.Conn, _ error) {
+// Closed implements peer.Handler. The attempts of the connection continue for
+// Config.OrphanGrace, so that the entry can reconnect.
+func (in *peerHandler) Closed(c *peer.Conn, _ error) {
 	a := (*Agent)(in)
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,14 +61,15 @@
 		}
 		t.conn = nil
 		if !t.ended {
-			a.expectBack(t)
+			a.startOrphanTimer(t)
 		}
 	}
 }
 
-// expectBack cancels an attempt that no entry asks for again.
-func (a *Agent) expectBack(t *attempt) {
-	t.orphan = a.clock.AfterFunc(a.cfg.OrphanGrace, func() {
+// startOrphanTimer starts the timer that cancels an attempt unless an entry attaches to
+// it within Config.OrphanGrace. a.mu is held.
+func (a *Agent) startOrphanTimer(t *attempt) {
+	t.orphanTimer = a.clock.AfterFunc(a.cfg.OrphanGrace, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		if t.conn == nil && !t.ended {
@@ -77,42 +78,45 @@
 	})
 }
 
-// onSubmit admits an attempt, after catching up with the entry's configuration. The
-// time for that is part of the attempt's.
+// onSubmit admits an attempt after the agent has caught up with the configuration of
+// the entry. The time for that counts against the attempt's deadline.
 func (a *Agent) onSubmit(c *peer.Conn, m *peer.Submit) {
-	came := a.clock.Now()
+	arrived := a.clock.Now()
 	if a.replica.Applied() >= m.Config {
-		a.admit(c, m, came, true)
+		a.admit(c, m, arrived, true)
 		return
 	}
 	a.tasks.Go(func() {
-		ctx, cancel := a.tasks.Limit(catchUpLimit)
+		ctx, cancel := a.tasks.Limit(catchUpTimeout)
 		defer cancel()
-		a.admit(c, m, came, a.replica.WaitFor(ctx, m.Config) == nil)
+		a.admit(c, m, arrived, a.replica.WaitFor(ctx, m.Config) == nil)
 	})
 }
 
-// admit takes an attempt that came at a time.
-func (a *Agent) admit(c *peer.Conn, m *peer.Submit, came time.Time, upToDate bool) {
+// admit queues a new attempt. It refuses the attempt if the agent is not up to date with
+// the entry's configuration, or if the adapter version has been replaced. A duplicate of
+// an attempt in a.attempts is ignored; for an attempt that only the ledger remembers,
+// the entry gets the outcome.
+func (a *Agent) admit(c *peer.Conn, m *peer.Submit, arrived time.Time, upToDate bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	state, outcome := a.ledger.Submit(a.clock.Now(), m.Attempt)
 	switch {
 	case state == decide.AttemptNew:
 	case a.attempts[m.Attempt] != nil:
-		return // a copy: the attempt has its answer's connection already
+		return // a duplicate: the response already goes to the attempt's connection
 	default:
 		a.replyEnd(c, m.Attempt, outcome)
 		return
 	}
 	t := &attempt{
 		id:      m.Attempt,
-		req:     request(came, m),
-		arrived: came,
+		req:     newRequest(arrived, m),
+		arrived: arrived,
 
-		supersedes: m.Supersedes,
-		newest:     m.Newest,
-		config:     m.Config,
+		supersedes:  m.Supersedes,
+		wantsNewest: m.Newest,
+		config:      m.Config,
 	}
 	t.attach(c, 0, m.Credit)
 	a.attempts[m.Attempt] = t
@@ -120,12 +124,12 @@
 		a.finish(t, wardturn.Refused(wardturn.ReasonStaleConfig, time.Second))
 		return
 	}
-	if a.outOfForce(t) {
+	if a.versionReplaced(t) {
 		a.finish(t, wardturn.Refused(wardturn.ReasonStaleConfig, 0))
 		return
 	}
-	a.do(func(now time.Time, out *decide.Orders) {
-		a.core.Admit(now, work(t), out)
+	a.applyLocked(func(now time.Time, out *decide.Orders) {
+		a.core.Admit(now, newWork(t), out)
 	})
 }
 
@@ -137,7 +141,7 @@
 	})
 }
 
-func request(came time.Time, m *peer.Submit) wardturn.Request {
+func newRequest(arrived time.Time, m *peer.Submit) wardturn.Request {
 	r := wardturn.Request{
 		ID:         m.Request,
 		Caller:     m.Caller,
@@ -157,12 +161,12 @@
 		Body:       m.Body,
 	}
 	if m.Left > 0 {
-		r.Deadline = came.Add(m.Left)
+		r.Deadline = arrived.Add(m.Left)
 	}
 	return r
 }
 
-func work(t *attempt) decide.Work {
+func newWork(t *attempt) decide.Work {
 	return decide.Work{
 		Attempt:  t.id,
 		Adapter:  t.req.Adapter,
@@ -174,7 +178,8 @@
 	}
 }
 
-// onAttach answers an entry that lost its connection.
+// onAttach handles an entry that asks for an attempt after its connection was lost. a.mu
+// is held.
 func (a *Agent) onAttach(c *peer.Conn, m *peer.Attach) {
 	if m.Process != a.cfg.Process {
 		a.replyEnd(c, m.Attempt, wardturn.Uncertain(wardturn.ReasonAgentRestarted))
@@ -191,14 +196,15 @@
 	case outcome.Kind == wardturn.NotRun:
 		a.replyEnd(c, m.Attempt, outcome)
 	default:
-		// It ran or may have, and the answer is not here any more.
+		// It may have run, and its response is no longer available.
 		a.replyEnd(c, m.Attempt, wardturn.Uncertain(wardturn.ReasonUpstreamLost))
 	}
 }
 
-// onFollow answers a request whose idempotency key an earlier attempt claimed.
-// It gets that attempt's answer once there is one, from a copy: the request that
-// started it must not lose its own.
+// onFollow handles a request whose idempotency key was claimed by an earlier attempt.
+// Once that attempt has ended, the request gets a copy of its response. The copy has
+// its own connection and offsets, so that the request that started the attempt still
+// gets the response too.
 func (a *Agent) onFollow(c *peer.Conn, t *attempt, m *peer.Attach) {
 	switch {
 	case !t.ended:
@@ -206,7 +212,8 @@
 	case t.outcome.Kind != wardturn.Done || t.base > 0:
 		outcome := t.outcome
 		if outcome.Kind == wardturn.Done {
-			outcome = wardturn.Uncertain(wardturn.ReasonUpstreamLost) // not kept in full
+			// The response is no longer available in full.
+			outcome = wardturn.Uncertain(wardturn.ReasonUpstreamLost)
 		}
 		a.replyEnd(c, m.Attempt, outcome)
 	default:
@@ -219,21 +226,22 @@
 			outcome: t.outcome,
 		}
 		f.attach(c, m.From, m.Credit)
-		t.follow = append(t.follow, f)
+		t.copies = append(t.copies, f)
 		a.flush(f)
 	}
 }
 
-// onCancel withdraws an attempt that nobody waits for. What may not be repeated
-// and has been sent runs on to its end; while its claim is under way it has not.
+// onCancel cancels an attempt that nobody waits for any more. A non-repeatable request
+// that has been sent to the upstream runs to completion; one whose claim is still in
+// progress has not been sent. a.mu is held.
 func (a *Agent) onCancel(id wardturn.AttemptID) {
 	t := a.attempts[id]
 	if t == nil || t.ended {
 		return
 	}
-	t.withdrawn = true
+	t.canceled = true
 	queued := false
-	a.do(func(now time.Time, out *decide.Orders) {
+	a.applyLocked(func(now time.Time, out *decide.Orders) {
 		queued = a.core.Cancel(now, id, out)
 	})
 	switch {
@@ -244,7 +252,7 @@
 	}
 }
 
-// finish records an attempt's outcome and tells the entry.
+// finish records an attempt's outcome and sends it to the entry. a.mu is held.
 func (a *Agent) finish(t *attempt, outcome wardturn.Outcome) {
 	now := a.clock.Now()
 	if !a.ledger.End(now, t.id, outcome) {
@@ -253,13 +261,13 @@
 	t.ended = true
 	t.outcome = outcome
 	t.endedAt = now
-	if t.orphan != nil {
-		t.orphan.Stop()
-		t.orphan = nil
+	if t.orphanTimer != nil {
+		t.orphanTimer.Stop()
+		t.orphanTimer = nil
 	}
 	a.flush(t)
-	a.keep(t)
-	a.metrics.ended(t.req.Class, outcome, t.stalled)
+	a.retain(t)
+	a.metrics.attemptEnded(t.req.Class, outcome, t.adapterWait)
 	a.logger.Debug("attempt ended",
 		"request", t.req.ID,
 		"attempt", t.id,
@@ -275,7 +283,7 @@
 	page, pages, applied := a.replica.Page(m.Page)
 	data, err := control.EncodePage(page)
 	if err != nil {
-		a.logger.Error("configuration page", "error", err)
+		a.logger.Error("encoding configuration page failed", "error", err)
 		return
 	}
 	_ = c.Send(&peer.ConfigPage{
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	fenceRetry    = 500 * time.Millisecond
+	minFenceRetry = 500 * time.Millisecond
 	maxFenceRetry = 5 * time.Second
 )
 
-// startOrder gives the engine an order; the lock is held.
+// startOrder sends an order to the engine in the background. a.mu is held.
 func (a *Agent) startOrder(so decide.SlotOrder, do func(wardturn.SlotOrder)) {
 	order := wardturn.SlotOrder{
 		ID:      so.ID,
@@ -31,43 +31,44 @@
 
 func (a *Agent) load(order wardturn.SlotOrder) {
 	start := a.clock.Now()
-	err := a.give(order, a.engine.Load)
-	result := resultOf(err)
-	a.metrics.loaded(result, a.clock.Now().Sub(start))
+	err := a.sendOrder(order, a.engine.Load)
+	result := orderResult(err)
+	a.metrics.loadEnded(result, a.clock.Now().Sub(start))
 	if result != decide.OrderDone {
 		a.logger.Warn("load failed", "adapter", order.Adapter, "order", order.ID, "error", err)
 	}
-	a.event(func(now time.Time, out *decide.Orders) {
+	a.apply(func(now time.Time, out *decide.Orders) {
 		a.core.Loaded(now, order.ID, result, out)
 	})
 }
 
 func (a *Agent) unload(order wardturn.SlotOrder) {
-	err := a.give(order, a.engine.Unload)
-	result := resultOf(err)
+	err := a.sendOrder(order, a.engine.Unload)
+	result := orderResult(err)
 	if result != decide.OrderDone {
 		a.logger.Warn("unload failed", "adapter", order.Adapter, "order", order.ID, "error", err)
 	}
-	a.event(func(now time.Time, out *decide.Orders) {
+	a.apply(func(now time.Time, out *decide.Orders) {
 		a.core.Unloaded(now, order.ID, result, out)
 	})
 }
 
-// give carries out an order, unless this agent may give none: without a fence,
-// a later agent could not be told from it.
-func (a *Agent) give(order wardturn.SlotOrder, do func(context.Context, wardturn.SlotOrder) error) error {
+// sendOrder sends an order to the engine. If a fence is required and there is none yet, it
+// returns ErrFenced instead: the engine could not tell such an order from the orders
+// of a later agent.
+func (a *Agent) sendOrder(order wardturn.SlotOrder, do func(context.Context, wardturn.SlotOrder) error) error {
 	if order.Fence == 0 && a.cfg.RequireFence {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.unfenced++
+		a.suppressedOrders++
 		return wardturn.ErrFenced
 	}
 	return do(a.tasks.Context(), order)
 }
 
-// resultOf tells orders that were refused from those that may have been carried
-// out.
-func resultOf(err error) decide.OrderResult {
+// orderResult converts the error of an order to its result. It distinguishes orders that
+// were refused from those that may have been executed.
+func orderResult(err error) decide.OrderResult {
 	switch {
 	case err == nil:
 		return decide.OrderDone
@@ -83,10 +84,10 @@
 	return decide.OrderUncertain
 }
 
-// takeFence appends the start record until that succeeds. Its offset is the
-// agent's fence.
-func (a *Agent) takeFence() {
-	wait := fenceRetry
+// acquireFence appends the agent's start record to the log, with retries until it
+// succeeds. The offset of the record is the agent's fence.
+func (a *Agent) acquireFence() {
+	wait := minFenceRetry
 	for a.tasks.Context().Err() == nil {
 		fence, err := a.replica.AppendStart(a.tasks.Context(), control.Start{
 			Upstream: a.cfg.Upstream,
@@ -99,8 +100,8 @@
 			a.logger.Info("fence taken", "fence", fence)
 			return
 		}
-		// After a lost reply another start record is appended: a fence of one's
-		// own that is too high is harmless.
+		// If the reply was lost, the retry appends a second start record. That is
+		// harmless: it only gives this agent a higher fence.
 		if !a.tasks.Pause(wait) {
 			return
 		}
@@ -108,20 +109,20 @@
 	}
 }
 
-// watchEngine reads the engine's report again and again.
+// watchEngine polls the engine's report.
 func (a *Agent) watchEngine() {
 	for a.tasks.Pause(a.cfg.ReportEvery) {
 		rep, err := a.engine.Report(a.tasks.Context())
 		if err != nil {
 			continue
 		}
-		a.event(func(now time.Time, out *decide.Orders) {
+		a.apply(func(now time.Time, out *decide.Orders) {
 			a.core.Report(now, rep, out)
 		})
 	}
 }
 
-// watchHosts reads the host list again and again.
+// watchHosts polls the host list.
 func (a *Agent) watchHosts() {
 	for {
 		hosts, err := a.hosts.Hosts(a.tasks.Context())
@@ -134,48 +135,50 @@
 	}
 }
 
-// listedAs is what the list has shown under an agent's name since its start. The entries of
-// a process before it may come first, live or leaving: an agent that left by them would
-// serve no more for good. Only a live entry after a leaving one is surely its own.
-type listedAs uint8
+// listingState records which states of the agent's upstream the host list has shown since
+// the agent started. The list lags, so at first it may still contain the entry of the
+// previous process for the same upstream, either live or leaving. An agent that shut
+// down because of that entry would stop serving for good. Only a live entry that
+// follows a leaving one certainly belongs to this process.
+type listingState uint8
 
 const (
-	listedBefore  listedAs = iota // perhaps as the process before
-	listedLeaving                 // as leaving, perhaps that one
-	listedAgain                   // as live after that
+	listingInitial   listingState = iota // not yet leaving; live may be the previous process
+	listingLeaving                       // leaving; may be the previous process
+	listingLiveAgain                     // live after leaving: this process
 )
 
-// next returns what the list has shown after one more entry.
-func (l listedAs) next(s wardturn.HostState) listedAs {
+// next returns the state after another entry for the upstream.
+func (l listingState) next(s wardturn.HostState) listingState {
 	switch {
-	case l == listedBefore && s == wardturn.HostLeaving:
-		return listedLeaving
-	case l == listedLeaving && s == wardturn.HostLive:
-		return listedAgain
+	case l == listingInitial && s == wardturn.HostLeaving:
+		return listingLeaving
+	case l == listingLeaving && s == wardturn.HostLive:
+		return listingLiveAgain
 	}
 	return l
 }
 
-// listBehind is how long the list may still have the entry of the process before this one:
-// five times the 2 s that the embedded system's list is behind.
-const listBehind = 10 * time.Second
+// maxHostListLag is how long the list may still contain the entry of the previous process:
+// five times the 2 s by which the list of the embedded system lags.
+const maxHostListLag = 10 * time.Second
 
 func (a *Agent) onHosts(hosts []wardturn.Host) {
-	a.alloc.setHosts(hosts)
+	a.allocator.setHosts(hosts)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, h := range hosts {
 		if h.Upstream != a.cfg.Upstream {
 			continue
 		}
-		a.listed = a.listed.next(h.State)
-		if h.State == wardturn.HostLeaving && (a.listed == listedAgain || a.clock.Now().Sub(a.started) > listBehind) {
-			a.leave("host list")
+		a.listing = a.listing.next(h.State)
+		if h.State == wardturn.HostLeaving && (a.listing == listingLiveAgain || a.clock.Now().Sub(a.started) > maxHostListLag) {
+			a.startLeaving("host list")
 		}
 	}
 }
 
-// onConfig reacts to a changed document.
+// onConfig handles a changed configuration document.
 func (a *Agent) onConfig(key control.Key) {
 	switch {
 	case key == control.DrainKey(a.cfg.Upstream):
@@ -185,59 +188,59 @@
 	case control.KindOf(key) == control.KindTeam:
 		a.applyShares()
 	case control.KindOf(key) == control.KindAdapter:
-		a.replaceVersion(wardturn.AdapterID(control.NameOf(key)))
+		a.refuseReplaced(wardturn.AdapterID(control.NameOf(key)))
 	}
 }
 
-// checkDrain leaves if an operator ordered it.
+// checkDrain starts the shutdown if an operator has requested a drain of the upstream.
 func (a *Agent) checkDrain() {
 	if _, ok := a.replica.Get(control.DrainKey(a.cfg.Upstream)); !ok {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.leave("operator")
+	a.startLeaving("operator")
 }
 
-// applyPolicy puts the active policy of the configuration in force, and the
-// shadow policy beside it. A program that does not compile here, though it was
-// checked before publication, leaves the present one in force; without an active
-// policy the one of the start is.
+// applyPolicy applies the active policy and the shadow policy of the configuration.
+// Programs are checked before publication; if the active one still does not compile
+// here, the present policies stay in force. Without a published active policy the
+// built-in one is used.
 func (a *Agent) applyPolicy() {
-	a.applying.Lock()
-	defer a.applying.Unlock()
+	a.applyMu.Lock()
+	defer a.applyMu.Unlock()
 	active := a.builtin
 	if doc, ok := control.ActivePolicy(a.replica); ok {
-		p := a.compile(doc)
+		p := a.compilePolicy(doc)
 		if p == nil {
 			return
 		}
 		active = p
 	}
-	var beside wardturn.Policy
+	var shadow wardturn.Policy
 	if doc, ok := control.ShadowPolicy(a.replica); ok {
-		if p := a.compile(doc); p != nil {
-			beside = p
+		if p := a.compilePolicy(doc); p != nil {
+			shadow = p
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.core.SetPolicy(active)
-	a.core.SetShadow(beside)
-	a.logger.Info("policy in force", "policy", active.Name(), "config", a.replica.Applied())
+	a.core.SetShadow(shadow)
+	a.logger.Info("policy applied", "policy", active.Name(), "config", a.replica.Applied())
 }
 
-// applyShares puts the teams' shares of the configuration in force.
+// applyShares applies the teams' shares of the configuration.
 func (a *Agent) applyShares() {
-	a.applying.Lock()
-	defer a.applying.Unlock()
+	a.applyMu.Lock()
+	defer a.applyMu.Unlock()
 	weights := control.Shares(a.replica)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.core.SetShares(weights)
 }
 
-func (a *Agent) compile(doc control.NamedPolicy) wardturn.Policy {
+func (a *Agent) compilePolicy(doc control.NamedPolicy) wardturn.Policy {
 	p, err := policy.Compile(doc.Name, doc.Source)
 	if err != nil {
 		a.logger.Error("policy rejected", "policy", doc.Name, "version", doc.Version, "error", err)
--- a/agent/run.go
+++ b/agent/run.go
@@ -13,13 +13,13 @@
 	"wardturn/peer"
 )
 
-// startRun runs an attempt that the core let go; the lock is held.
+// startRun runs an attempt that the core has started. a.mu is held.
 func (a *Agent) startRun(st decide.Start) {
 	t := a.attempts[st.Attempt]
 	if t == nil || t.ended {
-		panic("agent: core started an attempt that has ended")
+		panic("agent: core started an unknown or ended attempt")
 	}
-	t.stalled = st.Stalled
+	t.adapterWait = st.Stalled
 	ctx, cancel := context.WithCancel(a.tasks.Context())
 	t.cancel = cancel
 	a.tasks.Go(func() {
@@ -28,17 +28,17 @@
 	})
 }
 
-// run claims an attempt if it may not be repeated, gives it to the upstream and
-// records the outcome.
+// run claims the key of an attempt that must not be repeated, sends the attempt to the
+// upstream and records the outcome.
 func (a *Agent) run(ctx context.Context, t *attempt) {
 	if !a.repeatable(t) {
 		if outcome, ok := a.claim(ctx, t); !ok {
-			a.ended(t, outcome)
+			a.recordEnd(t, outcome)
 			return
 		}
 	}
 	if reason := a.beginSend(t); reason != wardturn.ReasonNone {
-		a.ended(t, wardturn.Refused(reason, 0))
+		a.recordEnd(t, wardturn.Refused(reason, 0))
 		return
 	}
 	if a.engine != nil {
@@ -48,8 +48,8 @@
 	a.runService(ctx, t)
 }
 
-// repeatable reports whether an attempt may run without a claim. The agent's
-// own configuration counts beside the entry's, in case the entry is behind.
+// repeatable reports whether an attempt may run without a claim. For a service, both the
+// entry's and the agent's configuration must allow it, as the entry's may be outdated.
 func (a *Agent) repeatable(t *attempt) bool {
 	if !t.req.Repeatable {
 		return false
@@ -60,19 +60,21 @@
 	return control.ServiceOf(a.replica, t.req.Service).Repeatable(t.req.Method)
 }
 
-// beginSend marks the attempt as possibly run, and tells the entry that it
-// runs. From here on "not run" needs the upstream's word. It returns the reason for
-// which the attempt must not be sent any more, if there is one: a claim takes time.
+// beginSend marks the attempt as possibly run and, for an engine, notifies the entry
+// that it runs. From then on the attempt counts as not run only if the upstream says so.
+// If the attempt must no longer be sent, beginSend returns the reason instead: during
+// the claim the deadline may have passed, the adapter version may have been replaced, or
+// the attempt may have been canceled.
 func (a *Agent) beginSend(t *attempt) wardturn.Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	late := !t.req.Deadline.IsZero() && !a.clock.Now().Before(t.req.Deadline)
+	pastDeadline := !t.req.Deadline.IsZero() && !a.clock.Now().Before(t.req.Deadline)
 	switch {
-	case late:
+	case pastDeadline:
 		return wardturn.ReasonDeadline
-	case a.outOfForce(t):
+	case a.versionReplaced(t):
 		return wardturn.ReasonStaleConfig
-	case t.withdrawn, !a.ledger.Send(t.id):
+	case t.canceled, !a.ledger.Send(t.id):
 		return wardturn.ReasonCanceled
 	}
 	if a.engine != nil {
@@ -81,19 +83,20 @@
 	return wardturn.ReasonNone
 }
 
-// sendHead starts the answer; the lock is held.
+// sendHead sends the status and headers of the response. a.mu is held.
 func (a *Agent) sendHead(t *attempt, status int, header []wardturn.HeaderField) {
 	t.head = &peer.Head{
 		Attempt: t.id,
 		Status:  status,
 		Header:  header,
-		Stalled: t.stalled,
+		Stalled: t.adapterWait,
 		Queued:  a.clock.Now().Sub(t.arrived),
 	}
 	a.flush(t)
 }
 
-// claim claims the attempt's key on the log and reports whether it may run.
+// claim claims the attempt's idempotency key on the log and reports whether the attempt
+// may run.
 func (a *Agent) claim(ctx context.Context, t *attempt) (wardturn.Outcome, bool) {
 	res, err := a.claimer.Claim(ctx, control.Claim{
 		Caller:  t.req.Caller,
@@ -116,7 +119,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	t.first = res
+	t.earlierClaim = res
 	return wardturn.Refused(wardturn.ReasonDuplicate, 0), false
 }
 
@@ -132,18 +135,19 @@
 	}, func(data []byte) error {
 		return a.emit(ctx, t, data)
 	})
-	if errors.Is(err, wardturn.ErrNotLoaded) && a.again(t) {
+	if errors.Is(err, wardturn.ErrNotLoaded) && a.requeue(t) {
 		return
 	}
 	if err == nil && res.Adapter != t.req.Adapter {
 		err = driver.ErrWrongVersion
 	}
-	a.ended(t, a.outcomeOf(t, err))
+	a.recordEnd(t, a.outcomeOf(t, err))
 }
 
-// again lets an attempt wait again whose adapter the engine turned out not to
-// hold. It did not run.
-func (a *Agent) again(t *attempt) bool {
+// requeue returns an attempt to the queue that the engine did not run because it does not
+// hold the adapter. It reports false, and does nothing, if part of the response has been
+// received or the agent is leaving.
+func (a *Agent) requeue(t *attempt) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if len(t.buf) > 0 || a.leaving {
@@ -152,7 +156,7 @@
 	a.ledger.Unsend(t.id)
 	t.head = nil
 	t.headSent = false
-	a.do(func(now time.Time, out *decide.Orders) {
+	a.applyLocked(func(now time.Time, out *decide.Orders) {
 		a.core.NotLoaded(now, t.id, out)
 	})
 	return true
@@ -166,10 +170,10 @@
 		a.mu.Unlock()
 		err = a.emit(ctx, t, res.Body)
 	}
-	a.ended(t, a.outcomeOf(t, err))
+	a.recordEnd(t, a.outcomeOf(t, err))
 }
 
-// outcomeOf turns a driver's error into an outcome.
+// outcomeOf converts the error of an upstream client to an outcome.
 func (a *Agent) outcomeOf(t *attempt, err error) wardturn.Outcome {
 	switch {
 	case err == nil:
@@ -181,18 +185,18 @@
 	case errors.Is(err, context.Canceled):
 		return wardturn.Uncertain(wardturn.ReasonCanceled)
 	}
-	a.logger.Warn("upstream failed", "request", t.req.ID, "attempt", t.id, "adapter", t.req.Adapter, "error", err)
+	a.logger.Warn("upstream request failed", "request", t.req.ID, "attempt", t.id, "adapter", t.req.Adapter, "error", err)
 	return wardturn.Uncertain(wardturn.ReasonUpstreamLost)
 }
 
-// ended records the end of an attempt that the core had started.
-func (a *Agent) ended(t *attempt, outcome wardturn.Outcome) {
+// recordEnd records the end of an attempt that the core has started.
+func (a *Agent) recordEnd(t *attempt, outcome wardturn.Outcome) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.closed {
-		return // whoever asks again learns that this process is gone
+		return // entries find out on reconnect that this process has stopped
 	}
-	a.do(func(now time.Time, out *decide.Orders) {
+	a.applyLocked(func(now time.Time, out *decide.Orders) {
 		a.core.Finished(now, t.id, out)
 	})
 	a.finish(t, outcome)
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -17,51 +17,51 @@
 )
 
 const (
-	orderLimit   = 60 * time.Second
-	reportLimit  = 2 * time.Second
-	maxAnswer    = 16 << 20
-	engineConns  = 4096
-	readPiece    = 16 << 10
-	silentLimit  = 2 * time.Minute // without a byte of an answer
-	maxFirstPart = 64 << 10
+	orderTimeout    = 60 * time.Second
+	reportTimeout   = 2 * time.Second
+	maxResponseSize = 16 << 20
+	maxConns        = 4096
+	readBufferSize  = 16 << 10
+	readTimeout     = 2 * time.Minute // maximum time without a byte of the response
+	maxFirstPart    = 64 << 10
 )
 
 var (
-	// ErrWrongVersion is returned when an engine answers on another adapter
-	// version than the one asked for. No byte of the answer is passed on.
-	ErrWrongVersion = errors.New("driver: engine answered on another adapter version")
-	errBadAnswer    = errors.New("driver: unreadable answer of the engine")
+	// ErrWrongVersion is returned when the response of an engine names another
+	// adapter or version than the request. No byte of the response is forwarded.
+	ErrWrongVersion      = errors.New("driver: engine used another adapter version")
+	errMalformedResponse = errors.New("driver: malformed engine response")
 )
 
-// Engine is a client of a model engine with an OpenAI-compatible API and
-// dynamic LoRA loading. Adapters are named "adapter@version" towards it, and
-// the name in its answer is checked.
+// Engine is a client for a model engine with an OpenAI-compatible API and dynamic
+// LoRA loading. In requests an adapter is named "adapter@version"; the client
+// checks that the response names the same adapter and version.
 type Engine struct {
 	base   string
 	client *fasthttp.Client
 	stream *fasthttp.Client
 }
 
-// NewEngine returns a client of the engine at an address, IP:port.
+// NewEngine returns a client for the engine at addr, which has the form IP:port.
 func NewEngine(addr string) *Engine {
 	return &Engine{
 		base: "http://" + addr,
 		client: &fasthttp.Client{
-			MaxConnsPerHost:           engineConns,
+			MaxConnsPerHost:           maxConns,
 			MaxIdemponentCallAttempts: 1,
 		},
 		stream: &fasthttp.Client{
-			MaxConnsPerHost:           engineConns,
+			MaxConnsPerHost:           maxConns,
 			MaxIdemponentCallAttempts: 1,
 			StreamResponseBody:        true,
-			ReadTimeout:               silentLimit,
-			MaxResponseBodySize:       maxAnswer,
+			ReadTimeout:               readTimeout,
+			MaxResponseBodySize:       maxResponseSize,
 		},
 	}
 }
 
-// Run implements wardturn.Engine. Cancelling ctx closes the connection at the
-// next piece of the answer, which the engine takes as a cancel.
+// Run implements wardturn.Engine. After ctx is canceled, the connection is closed
+// at the next read from the response, and the engine treats that as a cancellation.
 func (e *Engine) Run(ctx context.Context, r wardturn.EngineRequest, emit func([]byte) error) (wardturn.EngineResult, error) {
 	res, _, err := await(ctx, func() (wardturn.EngineResult, error) {
 		return e.run(ctx, r, emit)
@@ -86,14 +86,15 @@
 		return wardturn.EngineResult{}, errors.Wrap(err, "engine")
 	}
 	if res.StatusCode() != fasthttp.StatusOK {
-		return wardturn.EngineResult{}, e.refusal(res)
+		return wardturn.EngineResult{}, e.responseError(res)
 	}
-	return e.pass(ctx, r, res, emit)
+	return e.forward(ctx, r, res, emit)
 }
 
-// refusal reads an error answer. Codes that say so mean that nothing ran, and
-// so do the statuses for a request that the engine did not accept.
-func (e *Engine) refusal(res *fasthttp.Response) error {
+// responseError converts an error response to an error. Besides the codes that codeError
+// recognizes, the statuses 400, 404, 429 and 503 mean that the engine did not accept
+// the request and that nothing ran.
+func (e *Engine) responseError(res *fasthttp.Response) error {
 	err := codeError(res)
 	switch res.StatusCode() {
 	case fasthttp.StatusBadRequest, fasthttp.StatusNotFound, fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
@@ -104,23 +105,23 @@
 	return err
 }
 
-func (e *Engine) pass(ctx context.Context, r wardturn.EngineRequest, res *fasthttp.Response, emit func([]byte) error) (wardturn.EngineResult, error) {
+func (e *Engine) forward(ctx context.Context, r wardturn.EngineRequest, res *fasthttp.Response, emit func([]byte) error) (wardturn.EngineResult, error) {
 	body := res.BodyStream()
 	if body == nil {
 		body = bytes.NewReader(res.Body())
 	}
 	defer res.CloseBodyStream()
-	p := passer{
+	f := forwarder{
 		ctx:  ctx,
 		want: r.Adapter,
 		emit: emit,
 	}
-	err := p.copy(body)
-	return p.result, err
+	err := f.copy(body)
+	return f.result, err
 }
 
-// passer copies an answer and checks the model named in its first part.
-type passer struct {
+// forwarder forwards a response and checks the model named in its first part.
+type forwarder struct {
 	ctx     context.Context
 	want    wardturn.AdapterRef
 	emit    func([]byte) error
@@ -130,50 +131,50 @@
 	result  wardturn.EngineResult
 }
 
-// readBuffers holds buffers for reading answers, by pointer so that the pool does
-// not allocate.
+// readBuffers pools buffers for reading responses. It holds pointers, because
+// putting a slice into the pool would allocate.
 var readBuffers = sync.Pool{
 	New: func() any {
-		buf := make([]byte, readPiece)
+		buf := make([]byte, readBufferSize)
 		return &buf
 	},
 }
 
-var parsers fastjson.ParserPool
+var jsonParsers fastjson.ParserPool
 
-func (p *passer) copy(body io.Reader) error {
+func (f *forwarder) copy(body io.Reader) error {
 	pooled := readBuffers.Get().(*[]byte)
 	defer readBuffers.Put(pooled)
 	buf := *pooled
 	for {
 		n, err := body.Read(buf)
-		if p.ctx.Err() != nil {
-			return p.ctx.Err()
+		if f.ctx.Err() != nil {
+			return f.ctx.Err()
 		}
 		if n > 0 {
-			if err := p.piece(buf[:n]); err != nil {
+			if err := f.add(buf[:n]); err != nil {
 				return err
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return p.finish()
+			return f.finish()
 		}
 		if err != nil {
-			return errors.Wrap(err, "engine: answer cut short")
+			return errors.Wrap(err, "engine: reading response")
 		}
 	}
 }
 
-func (p *passer) piece(data []byte) error {
-	if p.checked {
-		return p.pass(data)
+func (f *forwarder) add(data []byte) error {
+	if f.checked {
+		return f.forward(data)
 	}
-	p.first = append(p.first, data...)
-	if len(p.first) > maxFirstPart {
-		return p.check()
+	f.first = append(f.first, data...)
+	if len(f.first) > maxFirstPart {
+		return f.check()
 	}
-	if bytes.HasPrefix(p.first, sseData) && bytes.Contains(p.first, sseEnd) {
-		return p.check()
+	if bytes.HasPrefix(f.first, sseData) && bytes.Contains(f.first, sseEnd) {
+		return f.check()
 	}
 	return nil
 }
@@ -184,43 +185,44 @@
 	sseDone = []byte("data: [DONE]\n\n")
 )
 
-// check compares the model of the first part, then passes it on.
-func (p *passer) check() error {
-	doc := p.first
+// check compares the model named in the first part with the requested one and
+// forwards the part if they match.
+func (f *forwarder) check() error {
+	doc := f.first
 	if bytes.HasPrefix(doc, sseData) {
 		doc, _, _ = bytes.Cut(doc[len(sseData):], sseEnd)
 	}
-	parser := parsers.Get()
-	defer parsers.Put(parser)
+	parser := jsonParsers.Get()
+	defer jsonParsers.Put(parser)
 	v, err := parser.ParseBytes(doc)
 	if err != nil {
-		return errors.Wrapf(errBadAnswer, "%v", err)
+		return errors.Wrapf(errMalformedResponse, "%v", err)
 	}
 	ref, err := wardturn.ParseAdapterRef(string(v.GetStringBytes("model")))
-	if err != nil || ref != p.want {
-		return errors.Wrapf(ErrWrongVersion, "asked for %s, got %q", p.want, v.GetStringBytes("model"))
+	if err != nil || ref != f.want {
+		return errors.Wrapf(ErrWrongVersion, "asked for %s, got %q", f.want, v.GetStringBytes("model"))
 	}
-	p.checked = true
-	p.result.Adapter = ref
-	return p.pass(p.first)
+	f.checked = true
+	f.result.Adapter = ref
+	return f.forward(f.first)
 }
 
-func (p *passer) pass(data []byte) error {
-	p.tail = append(p.tail, data...)
-	if extra := len(p.tail) - len(sseDone); extra > 0 {
-		p.tail = append(p.tail[:0], p.tail[extra:]...)
+func (f *forwarder) forward(data []byte) error {
+	f.tail = append(f.tail, data...)
+	if extra := len(f.tail) - len(sseDone); extra > 0 {
+		f.tail = append(f.tail[:0], f.tail[extra:]...)
 	}
-	return p.emit(data)
+	return f.emit(data)
 }
 
-// finish checks that the answer is whole: a stream ends with its end marker, a
-// document is one JSON value.
-func (p *passer) finish() error {
-	if !p.checked {
-		return p.check()
+// finish checks that the response is complete: a stream ends with the [DONE]
+// marker, and a document is a single JSON value.
+func (f *forwarder) finish() error {
+	if !f.checked {
+		return f.check()
 	}
-	if bytes.HasPrefix(p.first, sseData) && !bytes.Equal(p.tail, sseDone) {
-		return errors.Wrap(errBadAnswer, "stream without its end")
+	if bytes.HasPrefix(f.first, sseData) && !bytes.Equal(f.tail, sseDone) {
+		return errors.Wrap(errMalformedResponse, "stream ended without [DONE]")
 	}
 	return nil
 }
@@ -244,7 +246,7 @@
 
 func (e *Engine) order(ctx context.Context, path string, order wardturn.SlotOrder, body AdapterOrder) error {
 	_, ended, err := await(ctx, func() (struct{}, error) {
-		return struct{}{}, e.send(ctx, path, order, body)
+		return struct{}{}, e.sendOrder(ctx, path, order, body)
 	})
 	if !ended {
 		return errors.Wrap(wardturn.ErrReplyLost, "engine: order canceled")
@@ -252,7 +254,7 @@
 	return err
 }
 
-func (e *Engine) send(ctx context.Context, path string, order wardturn.SlotOrder, body AdapterOrder) error {
+func (e *Engine) sendOrder(ctx context.Context, path string, order wardturn.SlotOrder, body AdapterOrder) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return errors.Wrap(err, "engine: order")
@@ -267,7 +269,7 @@
 	req.Header.Set(HeaderFence, strconv.FormatInt(int64(order.Fence), 10))
 	req.Header.Set(HeaderOrder, strconv.FormatUint(uint64(order.ID), 10))
 	req.SetBodyRaw(data)
-	if err := e.client.DoTimeout(req, res, limitOf(ctx, orderLimit)); err != nil {
+	if err := e.client.DoTimeout(req, res, timeoutFor(ctx, orderTimeout)); err != nil {
 		if notSent(err) {
 			return errors.Wrapf(wardturn.ErrNotStarted, "engine: %v", err)
 		}
@@ -279,7 +281,8 @@
 	return codeError(res)
 }
 
-// codeError turns an error answer into the error that its code stands for.
+// codeError converts an error response to the error for its code, or to an error
+// with the status and message if the code is unknown.
 func codeError(res *fasthttp.Response) error {
 	var body ErrorBody
 	_ = json.Unmarshal(res.Body(), &body)
@@ -304,7 +307,7 @@
 // Report implements wardturn.Engine.
 func (e *Engine) Report(ctx context.Context) (wardturn.EngineReport, error) {
 	var rep wardturn.EngineReport
-	status, body, err := e.client.GetTimeout(nil, e.base+PathReport, limitOf(ctx, reportLimit))
+	status, body, err := e.client.GetTimeout(nil, e.base+PathReport, timeoutFor(ctx, reportTimeout))
 	if err != nil {
 		return rep, errors.Wrapf(wardturn.ErrUnavailable, "engine: %v", err)
 	}
