--- a/entry/admin.go
+++ b/entry/admin.go
@@ -13,7 +13,7 @@
 	"wardturn/decide"
 )
 
-// The paths of the operators' API.
+// Paths of the operator API.
 const (
 	PathDocs    = "/admin/v1/docs"
 	PathChanges = "/admin/v1/changes"
@@ -35,7 +35,7 @@
 	maxPage      = 1000
 )
 
-// routeAdmin adds the operators' API.
+// routeAdmin registers the handlers of the operator API.
 func (e *Entry) routeAdmin(r *router.Router) {
 	r.GET(PathDocs, e.asOperator(e.listDocs))
 	r.GET(PathDocs+"/{kind}/{name:*}", e.asOperator(e.getDoc))
@@ -51,8 +51,8 @@
 	})
 }
 
-// operator is who uses the operators' API. Without a team it may change
-// everything.
+// operator is an authenticated user of the operator API. An operator without a team may
+// change all documents.
 type operator struct {
 	name string
 	team wardturn.TeamID
@@ -92,7 +92,7 @@
 	return operator{}, false
 }
 
-// HistoryPage is one page of the audit record.
+// HistoryPage is a page of the audit log.
 type HistoryPage struct {
 	Entries []control.Entry `json:"entries"`
 }
@@ -109,22 +109,23 @@
 	})
 }
 
-// StatusView is an entry's view of the system.
+// StatusView is the state of the system as an entry sees it.
 type StatusView struct {
 	Process   wardturn.Incarnation `json:"process"`
 	Ready     bool                 `json:"ready"`
 	Config    wardturn.Offset      `json:"config"`
-	LogRead   time.Time            `json:"log_read"` // latest success
+	LogRead   time.Time            `json:"log_read"` // last successful read of the log
 	Open      int64                `json:"open_requests"`
 	Links     int                  `json:"connections"`
 	Upstreams []UpstreamView       `json:"upstreams"`
 }
 
-// UpstreamView is an upstream as an entry sees it; the hint may be out of date.
+// UpstreamView is the state of an upstream as an entry sees it. The hint, which the
+// upstream's agent sends about its load, may be out of date.
 type UpstreamView struct {
 	wardturn.Host
 	Hint    decide.Hint `json:"hint"`
-	HintAge float64     `json:"hint_age_seconds"` // negative without a hint
+	HintAge float64     `json:"hint_age_seconds"` // negative if there is no hint
 	Open    bool        `json:"breaker_open"`
 }
 
--- a/entry/admin_test.go
+++ b/entry/admin_test.go
@@ -47,7 +47,8 @@
 	return res
 }
 
-// raw sends bytes as they are and returns the answer until the connection ends.
+// raw sends text unchanged and returns all data received until the server closes the
+// connection.
 func (a api) raw(text string) string {
 	c, err := net.Dial("tcp", a.addr)
 	Expect(err).NotTo(HaveOccurred())
@@ -59,8 +60,9 @@
 	return string(answer)
 }
 
-// status sends text in one write and returns the first line of the answer. What
-// follows may be cut off: the server closes with bytes of the request unread.
+// status sends text in one write and returns the status line of the response. The rest of
+// the response may be truncated, because the server closes the connection while bytes of
+// the request are unread.
 func (a api) status(text string) string {
 	c, err := net.Dial("tcp", a.addr)
 	Expect(err).NotTo(HaveOccurred())
@@ -107,12 +109,12 @@
 		}).Should(Equal(200))
 	})
 
-	It("refuses unknown keys", func() {
+	It("rejects unknown keys", func() {
 		Expect(stranger.do("GET", "/admin/v1/docs", "").StatusCode()).To(Equal(401))
 		Expect(api{sys.Addrs()[0], ""}.do("GET", "/admin/v1/status", "").StatusCode()).To(Equal(401))
 	})
 
-	It("publishes by compare-and-set", func() {
+	It("changes documents by compare-and-set", func() {
 		const path = "/admin/v1/docs/adapter/a0001"
 		res := admin.do("GET", path, "")
 		tag := string(res.Header.Peek("ETag"))
@@ -131,7 +133,7 @@
 		Expect(admin.do("GET", path, "").StatusCode()).To(Equal(404))
 	})
 
-	It("names the line and the reason of a bad document", func() {
+	It("reports the line and the reason for an invalid document", func() {
 		res := admin.do("PUT", "/admin/v1/docs/adapter/bad", "base_model: base\nversoin: 2\n", "If-None-Match", "*")
 		Expect(res.StatusCode()).To(Equal(422))
 		Expect(string(res.Body())).To(ContainSubstring("adapter/bad:2: "))
@@ -140,7 +142,7 @@
 		Expect(string(res.Body())).To(ContainSubstring("policy/bad:4: "))
 	})
 
-	It("publishes several documents together, or none", func() {
+	It("publishes several documents atomically", func() {
 		change := `{"id":"together","docs":[
 			{"key":"adapter/n1","body":"base_model: base\nversion: 1\n"},
 			{"key":"adapter/a0002","base":999,"body":"base_model: base\nversion: 9\n"}]}`
@@ -148,7 +150,7 @@
 		Expect(admin.do("GET", "/admin/v1/docs/adapter/n1", "").StatusCode()).To(Equal(404))
 	})
 
-	It("keeps the audit record", func() {
+	It("serves the audit log", func() {
 		var page entry.HistoryPage
 		Expect(json.Unmarshal(admin.do("GET", "/admin/v1/history?key=adapter/a0001", "").Body(), &page)).To(Succeed())
 		Expect(page.Entries).NotTo(BeEmpty())
@@ -174,7 +176,7 @@
 		Expect(seen).To(Equal(4))
 	})
 
-	It("lets a team change what is its own, and nothing else", func() {
+	It("lets a team change only its own documents", func() {
 		put := func(key, body string) *fasthttp.Response {
 			return team.do("PUT", "/admin/v1/docs/"+key, body, "If-None-Match", "*")
 		}
@@ -188,7 +190,7 @@
 		}).Should(Equal("forbidden"))
 	})
 
-	It("limits callers to what their document allows", func() {
+	It("enforces the adapters and the quota of a caller's document", func() {
 		doc := "team: demo\nkey_digests: [" + control.KeyDigest("caller-key") + "]\nadapters: [a0003]\nservices: []\nrate: 0.001\nburst: 1\n"
 		Expect(admin.do("PUT", "/admin/v1/docs/caller/clerks", doc, "If-None-Match", "*").StatusCode()).To(Equal(200))
 		caller := api{sys.Addrs()[0], "caller-key"}
@@ -201,26 +203,27 @@
 		Expect(string(res.Header.Peek(entry.HeaderOutcome))).To(Equal("not_run"))
 	})
 
-	It("answers what is not understood with a clear error", func() {
+	It("responds to invalid requests with specific errors", func() {
 		open := api{sys.Addrs()[0], ""}
 		Expect(code(open.do("POST", "/v1/completions", `{`))).To(Equal("bad_request"))
 		Expect(open.do("GET", "/v1/completions", "").StatusCode()).To(Equal(405))
 		Expect(open.do("GET", "/nothing", "").StatusCode()).To(Equal(404))
 		Expect(open.raw("POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2097152\r\n\r\n")).To(HavePrefix("HTTP/1.1 413 "))
 		Expect(open.raw("nonsense\r\n\r\n")).To(HavePrefix("HTTP/1.1 400 "))
-		// In one write: a client that is still writing when the answer comes may see
-		// the connection reset before it reads.
+		// The request is sent in one write, because a client that still writes when the
+		// response arrives may see a connection reset before it reads the response.
 		Expect(open.status("POST /v1/completions HTTP/1.1\r\nHost: x\r\nX-Flood: " + strings.Repeat("x", 32<<10) + "\r\n\r\n")).To(HavePrefix("HTTP/1.1 431 "))
 		Expect(code(open.do("POST", "/v1/completions", `{"model":"a0002","prompt":"x"}`, entry.HeaderDeadline, "soon"))).To(Equal("bad_request"))
 		Expect(code(open.do("POST", "/v1/completions", `{"model":"a0002","prompt":"x"}`, entry.HeaderClass, "vip"))).To(Equal("bad_request"))
 	})
 
-	// A caller that was still writing when its request was refused saw the connection reset
-	// in place of the answer: the entry closed it with bytes unread, and a reset drops what
-	// was sent. The test of a 32 KiB header above, in two writes, failed once beside load:
+	// Guards against a lost error response: the entry closed the connection of a refused
+	// request while the caller was still writing. Closing with unread bytes resets the
+	// connection, and the reset discards the response. The 32 KiB header above, sent in two
+	// writes, failed once on a loaded machine:
 	//
 	//	read tcp 127.0.0.1:...: read: connection reset by peer
-	DescribeTable("answers a caller that goes on writing after its request is refused",
+	DescribeTable("delivers the error response to a caller that still writes after the refusal",
 		func(head, want string) {
 			c, err := net.Dial("tcp", sys.Addrs()[0])
 			Expect(err).NotTo(HaveOccurred())
@@ -240,7 +243,7 @@
 		Entry("body too large", "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2097152\r\n\r\n", "HTTP/1.1 413 "),
 	)
 
-	It("serves an OpenAPI document whose paths exist", func() {
+	It("serves a valid OpenAPI document whose paths exist", func() {
 		res := stranger.do("GET", "/admin/v1/openapi.json", "")
 		doc, err := openapi3.NewLoader().LoadFromData(res.Body())
 		Expect(err).NotTo(HaveOccurred())
@@ -254,7 +257,7 @@
 		}
 	})
 
-	It("turns readiness off and refuses new requests when it leaves", func() {
+	It("is not ready and refuses new requests after a graceful shutdown", func() {
 		open := api{sys.Addrs()[1], ""}
 		Expect(open.do("GET", "/readyz", "").StatusCode()).To(Equal(200))
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
--- a/entry/api.go
+++ b/entry/api.go
@@ -12,7 +12,7 @@
 	"wardturn/control"
 )
 
-// The headers of the callers' API.
+// Headers of the caller API.
 const (
 	HeaderRequestID     = "X-Request-Id"
 	HeaderClass         = "X-Wardturn-Class"
@@ -69,10 +69,11 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// callerHandler is a handler that knows who calls.
+// callerHandler handles a request of an authenticated caller.
 type callerHandler func(ctx *fasthttp.RequestCtx, caller wardturn.CallerID)
 
-// asCaller authenticates a caller and applies its quota.
+// asCaller returns a handler that authenticates the caller before it calls h. The
+// caller's quota is applied later, on admission.
 func (e *Entry) asCaller(h callerHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.Response.Header.Set(HeaderRequestID, string(e.requestID(ctx)))
@@ -85,7 +86,8 @@
 	}
 }
 
-// requestID returns the caller's own request id if it is a name, or a new one.
+// requestID returns the request ID that the caller sent if it is valid, and a new ID
+// otherwise.
 func (e *Entry) requestID(ctx *fasthttp.RequestCtx) wardturn.RequestID {
 	given := string(ctx.Request.Header.Peek(HeaderRequestID))
 	if wardturn.ValidName(given) {
@@ -99,7 +101,7 @@
 	return wardturn.RequestID(ctx.Response.Header.Peek(HeaderRequestID))
 }
 
-// complete serves both completion paths.
+// complete handles completion and chat completion requests.
 func (e *Entry) complete(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
 	x, p := e.readCompletion(ctx, caller)
 	if p.code != "" {
@@ -109,7 +111,7 @@
 	e.admit(ctx, x, x.stream)
 }
 
-// readCompletion turns a completion request into an exchange.
+// readCompletion parses and authorizes a completion request.
 func (e *Entry) readCompletion(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (*exchange, problem) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
@@ -145,7 +147,7 @@
 	}, problem{}
 }
 
-// callService passes a request through to a plain service.
+// callService forwards a request to a plain HTTP service.
 func (e *Entry) callService(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
 	name := wardturn.ServiceName(ctx.UserValue("name").(string))
 	config := e.replica.Applied()
@@ -188,7 +190,7 @@
 	e.admit(ctx, x, false)
 }
 
-// newRequest reads what all requests have in common.
+// newRequest sets the fields that completion and service requests have in common.
 func (e *Entry) newRequest(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (wardturn.Request, problem) {
 	class, ok := wardturn.ParseClass(string(ctx.Request.Header.Peek(HeaderClass)))
 	if !ok {
@@ -213,8 +215,8 @@
 	}, problem{}
 }
 
-// setKey reads the idempotency key of a request that may not be repeated. One
-// without a key gets its own: it still reaches an upstream at most once.
+// setKey sets the idempotency key of a request that is not repeatable. If the caller sent
+// no key, it generates one, so that the request still runs at most once.
 func (e *Entry) setKey(ctx *fasthttp.RequestCtx, req *wardturn.Request) problem {
 	key := string(ctx.Request.Header.Peek(HeaderKey))
 	if req.Repeatable {
@@ -256,8 +258,8 @@
 	return string(ctx.Request.Header.Peek(name)) == "true"
 }
 
-// passHeader returns the headers that a plain service gets: all but those of
-// the connection and of wardturn itself.
+// passHeader returns the headers to forward to a plain service: all except
+// connection-level headers, the Authorization header and the request ID.
 func passHeader(ctx *fasthttp.RequestCtx) []wardturn.HeaderField {
 	var list []wardturn.HeaderField
 	for k, v := range ctx.Request.Header.All() {
@@ -273,8 +275,7 @@
 	return list
 }
 
-// admit applies the limits of the entry and of the caller, then runs the
-// request.
+// admit checks the entry's request limit and the caller's quota, then runs the request.
 func (e *Entry) admit(ctx *fasthttp.RequestCtx, x *exchange, stream bool) {
 	if e.leaving.Load() {
 		e.reply(ctx, x, wardturn.Refused(wardturn.ReasonLeaving, time.Second))
@@ -302,7 +303,8 @@
 	e.close(x)
 }
 
-// close records the end of an admitted request.
+// close releases the resources of an admitted request that has ended, and records it in
+// the metrics and the log.
 func (e *Entry) close(x *exchange) {
 	e.leave(x.req.Caller)
 	e.open.Add(-1)
@@ -321,10 +323,10 @@
 	)
 }
 
-// maxWhole bounds an answer that is not streamed, in bytes.
+// maxWhole is the maximum size of a buffered response in bytes.
 const maxWhole = 16 << 20
 
-// whole collects the answer, and passes nothing of it on unless it is whole.
+// whole buffers the response and forwards it only when it is complete.
 func (e *Entry) whole(ctx *fasthttp.RequestCtx, x *exchange, data []byte, ended bool) {
 	var body []byte
 	for !ended {
@@ -353,8 +355,9 @@
 	ctx.Response.SetBodyRaw(body)
 }
 
-// stream passes the answer on as it comes. An answer that is cut short ends
-// with an error event and without the end marker, so it never looks whole.
+// stream forwards the response as it arrives. A truncated response ends with an error
+// event and without the end marker, so that the caller can't mistake it for a complete
+// one.
 func (e *Entry) stream(ctx *fasthttp.RequestCtx, x *exchange, first []byte) {
 	e.setHeaders(ctx, x, wardturn.Outcome{})
 	ctx.SetContentType("text/event-stream")
--- a/entry/auth.go
+++ b/entry/auth.go
@@ -10,10 +10,11 @@
 	"wardturn/decide"
 )
 
-// anonymous is the caller of requests without a key, where that is allowed.
+// anonymous is the caller of requests without a key, if the settings allow them.
 const anonymous wardturn.CallerID = "anonymous"
 
-// keyDigest returns the digest of the request's key, or the empty string.
+// keyDigest returns the digest of the request's bearer key, or the empty string if there
+// is none.
 func keyDigest(ctx *fasthttp.RequestCtx) string {
 	key, ok := wardturn.BearerKey(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)))
 	if !ok {
@@ -22,7 +23,7 @@
 	return control.KeyDigest(key)
 }
 
-// authenticate returns the caller that a key belongs to.
+// authenticate returns the caller that the request's key belongs to.
 func (e *Entry) authenticate(ctx *fasthttp.RequestCtx) (wardturn.CallerID, bool) {
 	digest := keyDigest(ctx)
 	if digest == "" {
@@ -39,27 +40,29 @@
 	return "", false
 }
 
-// patternsOf returns what a caller may use.
+// patternsOf returns the patterns of the names that a caller may use.
 type patternsOf func(control.CallerDoc) []string
 
 func adaptersOf(d control.CallerDoc) []string { return d.Adapters }
 
 func servicesOf(d control.CallerDoc) []string { return d.Services }
 
-// mayUse reports whether a caller may use a name. Callers that exist only in
-// the settings may use everything.
+// mayUse reports whether a caller may use the adapter or service of that name. Callers
+// that exist only in the settings may use all of them.
 func (e *Entry) mayUse(caller wardturn.CallerID, name string, patterns patternsOf) bool {
 	d, ok := e.catalog.Caller(caller)
 	return !ok || control.Allowed(patterns(d), name)
 }
 
-// teamOfCaller returns a caller's team; callers of the settings have none.
+// teamOfCaller returns the caller's team. Callers that exist only in the settings have
+// none.
 func (e *Entry) teamOfCaller(caller wardturn.CallerID) wardturn.TeamID {
 	d, _ := e.catalog.Caller(caller)
 	return d.Team
 }
 
-// enter applies a caller's quota.
+// enter reports whether the caller's quota admits a request, and otherwise the delay
+// after which the caller may retry.
 func (e *Entry) enter(caller wardturn.CallerID) (time.Duration, bool) {
 	d, ok := e.catalog.Caller(caller)
 	if !ok {
@@ -78,7 +81,7 @@
 	return q.Enter(e.clock.Now())
 }
 
-// leave records the end of a request that enter admitted.
+// leave returns the quota of a request that was admitted and has ended.
 func (e *Entry) leave(caller wardturn.CallerID) {
 	e.quotaMu.Lock()
 	defer e.quotaMu.Unlock()
--- a/entry/behind_test.go
+++ b/entry/behind_test.go
@@ -19,7 +19,7 @@
 	"wardturn/standin"
 )
 
-// cutLog is a log that one process cannot reach for a while.
+// cutLog is a log whose reads can be made to fail, as if one process could not reach it.
 type cutLog struct {
 	wardturn.Log
 	cut atomic.Bool
@@ -34,7 +34,7 @@
 }
 
 var _ = Describe("An entry that cannot read the log", func() {
-	It("takes the configuration of an agent that can", func() {
+	It("gets the configuration from an agent", func() {
 		const speed = 10
 		clock := standin.NewFastClock(speed)
 		cfg := demo.Zurich()
@@ -92,7 +92,7 @@
 		}
 		Eventually(inForce).WithTimeout(10 * time.Second).Should(Equal(res.Version))
 
-		By("learning what became of its own publication")
+		By("learning the result of its own publication")
 		res, err = e.Replica().Publish(ctx, control.Change{
 			ID: "own",
 			Docs: []control.DocChange{{
--- a/entry/call.go
+++ b/entry/call.go
@@ -8,7 +8,8 @@
 	"wardturn/peer"
 )
 
-// call is one attempt at one agent, as the entry follows it.
+// call is an attempt to run a request on an upstream, with the part of the response that
+// its agent has sent so far.
 type call struct {
 	id    wardturn.AttemptID
 	link  *link
@@ -16,15 +17,15 @@
 
 	mu       sync.Mutex
 	conn     *peer.Conn
-	process  wardturn.Incarnation // of the agent that the attempt was sent to
-	follows  bool                 // the attempt belongs to another request
+	process  wardturn.Incarnation // agent process that the attempt was sent to
+	follows  bool                 // the attempt was started by another request
 	head     *peer.Head
 	end      *peer.End
-	buf      []byte // received and not yet taken
-	received int64
-	taken    int64
-	granted  int64 // credit given
-	lost     bool  // the connection is lost
+	buf      []byte // received but not yet read
+	received int64  // bytes received
+	taken    int64  // bytes read
+	granted  int64  // offset up to which the agent may send
+	lost     bool   // the connection is lost
 	lostAt   time.Time
 	wake     chan struct{}
 }
@@ -41,8 +42,9 @@
 	}
 }
 
-// newFollower returns a call that asks for the answer of an attempt of another
-// request. Add it to its link before ask.
+// newFollower returns a call that receives the response of an attempt that another
+// request with the same idempotency key started. It must be added to its link before it
+// attaches, so that no message is missed.
 func newFollower(end *peer.End, l *link, conn *peer.Conn) *call {
 	k := newCall(end.First, l, conn)
 	k.process = end.FirstProcess
@@ -50,7 +52,7 @@
 	return k
 }
 
-// ask asks for the answer of a followed attempt.
+// ask attaches to a followed attempt.
 func (k *call) ask() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -59,7 +61,7 @@
 	}
 }
 
-// signal wakes the request's goroutine; the lock is held.
+// signal wakes the request's goroutine. The caller must hold k.mu.
 func (k *call) signal() {
 	select {
 	case k.wake <- struct{}{}:
@@ -76,8 +78,9 @@
 	}
 }
 
-// onChunk takes the next bytes of the answer. Pieces that were received before,
-// as after a new connection, are dropped; a gap can only mean a broken peer.
+// onChunk appends the next bytes of the response. Bytes that were received before, as
+// may happen after a reconnect, are dropped. So is a chunk that leaves a gap, which only
+// a faulty peer sends.
 func (k *call) onChunk(m *peer.Chunk) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -101,7 +104,7 @@
 	k.signal()
 }
 
-// lose records that the connection is lost. That is no outcome.
+// lose records that the connection is lost. The outcome of the attempt is still open.
 func (k *call) lose() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -113,8 +116,9 @@
 	}
 }
 
-// reattach asks for the attempt on a new connection. Another process has not
-// seen it; what the earlier one did is unknown.
+// reattach resumes the attempt on a new connection. If the agent is another process than
+// the one that received the attempt, it doesn't know the attempt, and the outcome is
+// unknown.
 func (k *call) reattach(c *peer.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -135,7 +139,7 @@
 	k.askAgain()
 }
 
-// askAgain sends Attach; the lock is held.
+// askAgain sends an Attach message. The caller must hold k.mu.
 func (k *call) askAgain() {
 	_ = k.conn.Send(&peer.Attach{
 		Attempt: k.id,
@@ -146,17 +150,18 @@
 	})
 }
 
-// state is a copy of what a request's goroutine needs to decide.
+// state is a copy of a call's state for the request's goroutine.
 type state struct {
 	head  *peer.Head
 	end   *peer.End
-	data  []byte // owned by the caller of take
-	whole bool   // the answer is complete and all of it was taken
+	data  []byte // owned by the receiver of the copy
+	whole bool   // the response is complete and has been read to the end
 	lost  bool
-	since time.Time // of the loss
+	since time.Time // when the connection was lost
 }
 
-// take returns what arrived since the last call, and gives new credit for it.
+// take returns the current state with the data that arrived since the previous call. It
+// reuses spare as the buffer for further data.
 func (k *call) take(spare []byte) state {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -173,7 +178,8 @@
 	return st
 }
 
-// credit lets the agent send on once half a window was passed on.
+// credit grants the agent a full credit window once at least half of the window has been
+// used.
 func (k *call) credit() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -187,7 +193,8 @@
 	})
 }
 
-// cancel tells the agent that nobody waits any more.
+// cancel tells the agent that the response is no longer needed. It does nothing for a
+// followed attempt, which belongs to another request.
 func (k *call) cancel() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/entry/config.go
+++ b/entry/config.go
@@ -12,37 +12,37 @@
 	"wardturn/decide"
 )
 
-// Config holds an entry's settings.
+// Config holds the settings of an Entry.
 type Config struct {
 	Process       wardturn.Incarnation
 	Region        wardturn.Region
 	Domain        wardturn.FailureDomain
 	Router        decide.RouterConfig
-	HostsEvery    time.Duration // between reads of the host list
-	MaxBody       int           // bytes of a request
-	MaxRequests   int           // at once
-	Deadline      time.Duration // of requests that name none
+	HostsEvery    time.Duration // interval between reads of the host list
+	MaxBody       int           // maximum size of a request body in bytes
+	MaxRequests   int           // maximum number of concurrent requests
+	Deadline      time.Duration // default for requests without a deadline
 	MaxDeadline   time.Duration
-	DeadlineGrace time.Duration // past its deadline that a request waits for its agent's word
-	AttachLimit   time.Duration // to find a lost attempt again
-	ConnectLimit  time.Duration // for a first connection to an agent
+	DeadlineGrace time.Duration // how long a request waits after its deadline for the agent's result
+	AttachLimit   time.Duration // timeout for reattaching to an attempt whose connection was lost
+	ConnectLimit  time.Duration // timeout for the first connection to an agent
 	IdleLink      time.Duration // after which an unused connection is closed
-	Tries         int           // upstreams tried for one request
-	SnapshotEvery time.Duration // between snapshots of the configuration
-	RetryShare    float64       // retries as a part of the requests
-	Open          bool          // callers need no key; only for loopback
-	CallerKeys    []KeyGrant    // beside those of the configuration
+	Tries         int           // maximum number of upstreams tried for a request
+	SnapshotEvery time.Duration // interval between snapshots of the configuration
+	RetryShare    float64       // maximum ratio of retries to requests
+	Open          bool          // requests need no key; only for loopback
+	CallerKeys    []KeyGrant    // in addition to the keys in the configuration
 	OperatorKeys  []KeyGrant
-	DefaultOutput wardturn.Tokens // expected for requests that set no maximum
+	DefaultOutput wardturn.Tokens // expected output of requests that set no maximum
 }
 
-// KeyGrant gives a role to whoever holds a key.
+// KeyGrant grants the holder of a key access under a name.
 type KeyGrant struct {
 	Name   string
 	Digest string // SHA-256 in hexadecimal
 }
 
-// The defaults of Config.
+// Default values of Config.
 const (
 	DefaultHostsEvery   = time.Second
 	DefaultMaxBody      = 1 << 20
@@ -59,7 +59,8 @@
 	DefaultOutput       = 64
 )
 
-// WithDefaults returns the configuration with zero values replaced.
+// WithDefaults returns a copy of the configuration in which zero values are replaced by
+// the defaults.
 func (c Config) WithDefaults() Config {
 	c.HostsEvery = cmp.Or(c.HostsEvery, DefaultHostsEvery)
 	c.MaxBody = cmp.Or(c.MaxBody, DefaultMaxBody)
@@ -79,10 +80,10 @@
 	return c
 }
 
-// ErrBadKey is returned by ParseKeyGrant.
+// ErrBadKey is the error that ParseKeyGrant returns for malformed input.
 var ErrBadKey = errors.New("must be name:sha256 in hexadecimal")
 
-// Check returns every problem of the configuration.
+// Check returns all invalid settings of the configuration.
 func (c Config) Check() wardturn.SettingProblems {
 	var list wardturn.SettingProblems
 	list.Require(wardturn.ValidName(string(c.Region)), "region", "must be a name")
@@ -94,7 +95,7 @@
 	return list
 }
 
-// ParseKeyGrant reads "name:digest".
+// ParseKeyGrant parses "name:digest".
 func ParseKeyGrant(s string) (KeyGrant, error) {
 	name, digest, ok := strings.Cut(s, ":")
 	if !ok || !wardturn.ValidName(name) || len(digest) != len(control.KeyDigest("")) {
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -8,36 +8,37 @@
 	"wardturn/peer"
 )
 
-// newerLimit is how long a request waits for the configuration by which an agent found
-// that another version is in force than it was sent for.
+// newerLimit is how long a request that was sent for an outdated adapter version waits
+// until the entry has the newer configuration that the agent reported.
 const newerLimit = time.Second
 
-// exchange is one request of a caller on its way through the upstreams.
+// exchange is a caller's request with its attempts at upstreams and the progress of its
+// response.
 type exchange struct {
 	entry    *Entry
 	req      wardturn.Request
 	model    wardturn.BaseModel
-	newest   bool            // the caller asked for the version in force
-	config   wardturn.Offset // by which the request was read
-	stream   bool            // the caller wants the answer as it comes
+	newest   bool            // the caller asked for the current version of the adapter
+	config   wardturn.Offset // configuration with which the request was resolved
+	stream   bool            // the caller asked for a streamed response
 	arrived  time.Time
 	tried    []wardturn.UpstreamID
-	upstream wardturn.UpstreamID // of the present attempt
+	upstream wardturn.UpstreamID // of the current attempt
 	call     *call
 	head     *peer.Head
 	outcome  wardturn.Outcome
 	ended    bool
-	passed   int64 // bytes given to the caller
+	passed   int64 // bytes forwarded to the caller
 	firstAt  time.Time
 	spare    []byte
 	attempts int
 
-	renewals   int // of the version
-	takeOvers  int
-	supersedes wardturn.AttemptID // the latest attempt known not to have run
+	renewals   int                // restarts with a newer version of the adapter
+	takeOvers  int                // restarts after a followed attempt that did not run
+	supersedes wardturn.AttemptID // latest attempt that is known not to have run
 }
 
-// advance goes on until there is data to pass on or the request has ended. The
+// advance runs the request until there is data to forward or the request has ended. The
 // data is valid until the next call.
 func (x *exchange) advance() (data []byte, ended bool) {
 	for !x.ended {
@@ -60,13 +61,14 @@
 	return nil, true
 }
 
-// settle decides what a state without data means, and waits if nothing.
+// settle handles a state without new data: it ends the attempt or the request, or waits
+// for the next change.
 func (x *exchange) settle(st state) {
 	switch {
 	case st.whole:
 		x.finish(wardturn.Finished(), true)
 	case st.end != nil && st.end.Outcome.Kind == wardturn.Done:
-		// Ended, and bytes are missing that the agent said it sent.
+		// The attempt is done, but bytes that the agent reports as sent are missing.
 		x.finish(wardturn.Uncertain(wardturn.ReasonUpstreamLost), false)
 	case st.end != nil:
 		x.onEnd(st.end)
@@ -88,7 +90,7 @@
 	return !x.req.Deadline.IsZero() && x.now().After(x.req.Deadline.Add(x.entry.cfg.DeadlineGrace))
 }
 
-// wait sleeps until something arrives, or until a limit may have passed.
+// wait blocks until the state of the attempt changes or the next timeout is due.
 func (x *exchange) wait(st state) {
 	limit := time.Minute
 	if st.lost {
@@ -108,7 +110,8 @@
 	}
 }
 
-// begin starts an attempt at an upstream and reports false when there is none.
+// begin starts an attempt at an upstream. It reports false if the request ended because
+// no upstream could be selected or reached.
 func (x *exchange) begin() bool {
 	for {
 		id, ok := x.entry.pick(x)
@@ -128,8 +131,8 @@
 	}
 }
 
-// refuse ends a request for which no upstream is left. What an earlier attempt
-// said counts more than that there is no other.
+// refuse ends a request for which no upstream is available. The outcome of an earlier
+// attempt takes precedence, because it says more than that there is no other upstream.
 func (x *exchange) refuse() {
 	if x.outcome.Kind == 0 {
 		x.outcome = wardturn.Refused(wardturn.ReasonNoUpstream, time.Second)
@@ -142,7 +145,7 @@
 	x.ended = true
 }
 
-// submit sends the attempt. It reports false if nothing was sent.
+// submit sends an attempt to the upstream's agent. It reports false if nothing was sent.
 func (x *exchange) submit(id wardturn.UpstreamID) bool {
 	l := x.entry.link(id)
 	if l == nil {
@@ -194,7 +197,7 @@
 	return m
 }
 
-// onEnd takes an agent's word that is not Done.
+// onEnd handles the end of an attempt whose outcome is not Done.
 func (x *exchange) onEnd(end *peer.End) {
 	if end.Outcome.Reason == wardturn.ReasonDuplicate && end.First != (wardturn.AttemptID{}) {
 		x.follow(end)
@@ -215,8 +218,8 @@
 	x.onOutcome(end.Outcome, notRun)
 }
 
-// renewVersion starts anew on the version in force, after an agent has seen a newer
-// one accepted than the request was sent for.
+// renewVersion restarts the request with the current version of the adapter, after an
+// agent reported that a newer version than the request's was accepted.
 func (x *exchange) renewVersion(end *peer.End) {
 	x.endAttempt(true)
 	x.outcome = end.Outcome
@@ -239,14 +242,15 @@
 	x.tried = nil
 }
 
-// catchUp waits until the entry has a configuration and reports whether it has.
+// catchUp waits until the replica has applied the configuration at the given offset and
+// reports whether it has.
 func (x *exchange) catchUp(config wardturn.Offset) bool {
 	ctx, cancel := x.entry.tasks.Limit(newerLimit)
 	defer cancel()
 	return x.entry.replica.WaitFor(ctx, config) == nil
 }
 
-// onOutcome tries elsewhere if that is allowed, and ends the request if not.
+// onOutcome ends the attempt, and ends the request too unless it may be retried.
 func (x *exchange) onOutcome(outcome wardturn.Outcome, healthy bool) {
 	x.endAttempt(healthy)
 	x.outcome = outcome
@@ -255,7 +259,7 @@
 	}
 }
 
-// repeats reports whether an outcome allows another attempt.
+// repeats reports whether the outcome and the response so far permit another attempt.
 func (x *exchange) repeats(outcome wardturn.Outcome) bool {
 	if x.passed > 0 {
 		return false
@@ -269,7 +273,8 @@
 	return false
 }
 
-// movable reports whether another upstream may have a better answer.
+// movable reports whether a request that was not run for this reason may succeed on
+// another upstream.
 func movable(r wardturn.Reason) bool {
 	switch r {
 	case wardturn.ReasonLeaving, wardturn.ReasonQueueFull, wardturn.ReasonRefused, wardturn.ReasonUnreachable, wardturn.ReasonStaleConfig:
@@ -278,8 +283,8 @@
 	return false
 }
 
-// mayTryAgain reports whether number of tries, deadline and retry budget allow
-// another attempt.
+// mayTryAgain reports whether the number of attempts, the deadline and the retry budget
+// permit another attempt.
 func (x *exchange) mayTryAgain() bool {
 	if len(x.tried) >= x.entry.cfg.Tries || x.late() {
 		return false
@@ -301,7 +306,8 @@
 	x.call = nil
 }
 
-// abandon ends a request whose caller went away.
+// abandon cancels the attempt and ends the request. It is used if the caller closed its
+// connection or the response is too large.
 func (x *exchange) abandon() {
 	if x.ended {
 		return
@@ -310,7 +316,8 @@
 	x.finish(wardturn.Uncertain(wardturn.ReasonCanceled), true)
 }
 
-// follow asks for the answer of the attempt that claimed the key first.
+// follow attaches to the attempt that claimed the request's idempotency key first, to
+// receive its response.
 func (x *exchange) follow(end *peer.End) {
 	x.endAttempt(true)
 	x.outcome = wardturn.Uncertain(wardturn.ReasonDuplicate)
@@ -333,8 +340,9 @@
 	x.call.ask()
 }
 
-// takeOver starts anew after the attempt that had claimed the key turned out not
-// to have run. Its claim is superseded; any upstream may run the request.
+// takeOver restarts the request after the attempt that had claimed the idempotency key
+// turned out not to have run. The new attempt supersedes that claim and may run on any
+// upstream.
 func (x *exchange) takeOver(outcome wardturn.Outcome) {
 	x.endAttempt(true)
 	x.outcome = outcome
@@ -346,7 +354,7 @@
 	x.tried = nil
 }
 
-// pick chooses an upstream and counts the request there.
+// pick selects an upstream and counts the request there.
 func (e *Entry) pick(x *exchange) (wardturn.UpstreamID, bool) {
 	e.routerMu.Lock()
 	defer e.routerMu.Unlock()
@@ -363,7 +371,7 @@
 	return id, ok
 }
 
-// routed records the end of an attempt for the router.
+// routed reports the end of an attempt to the router.
 func (e *Entry) routed(id wardturn.UpstreamID, healthy bool) {
 	e.routerMu.Lock()
 	defer e.routerMu.Unlock()
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,9 +1,10 @@
-// Package entry is the process on an entry host, as a library: the API for
-// callers and operators, admission, routing and retries.
+// Package entry implements the server that runs on an entry host: the HTTP API for
+// callers and operators, admission control, routing and retries.
 //
-// An Entry takes a request over HTTP, resolves its adapter version, chooses an
-// upstream and follows one attempt there at a time. A lost connection to an
-// agent decides nothing: the entry asks again for the attempt. "Not run" may be
-// tried elsewhere under a retry budget; an unknown outcome only if the request
-// may be repeated and no byte of an answer has reached the caller.
+// For each request, an Entry resolves the adapter version, selects an upstream and sends
+// an attempt to the upstream's agent; at most one attempt is active at a time. If the
+// connection to the agent is lost, the outcome is still open: after reconnecting, the
+// entry resumes the attempt. A request that did not run may be retried on another
+// upstream within a retry budget. A request with an unknown outcome is retried only if
+// it is repeatable and no byte of the response has been forwarded to the caller.
 package entry
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -15,7 +15,7 @@
 	"wardturn/control"
 )
 
-// DocView is a document as the API shows it.
+// DocView is the API's representation of a document.
 type DocView struct {
 	Key     control.Key     `json:"key"`
 	Version wardturn.Offset `json:"version"`
@@ -24,7 +24,8 @@
 	Body    string          `json:"body"`
 }
 
-// DocPage is one page of documents. Next continues it; empty at the end.
+// DocPage is a page of documents. Next is the key after which the next page starts; it is
+// empty on the last page.
 type DocPage struct {
 	Docs   []DocView       `json:"docs"`
 	Next   control.Key     `json:"next,omitempty"`
@@ -105,8 +106,8 @@
 	}
 }
 
-// precondition reads the version that a change replaces. A change without one
-// is refused: it could undo another operator's.
+// precondition returns the version that a change replaces. A change without a
+// precondition is refused, because it could overwrite another operator's change.
 func precondition(ctx *fasthttp.RequestCtx) (wardturn.Offset, problem) {
 	if string(ctx.Request.Header.Peek(fasthttp.HeaderIfNoneMatch)) == "*" {
 		return 0, problem{}
@@ -135,7 +136,7 @@
 	})
 }
 
-// changeDoc publishes a change of the document that the path names.
+// changeDoc publishes a change to the document in the request's path.
 func (e *Entry) changeDoc(ctx *fasthttp.RequestCtx, op operator, d control.DocChange) {
 	base, p := precondition(ctx)
 	if p.code != "" {
@@ -149,15 +150,15 @@
 	})
 }
 
-// ChangeRequest is the body of POST /admin/v1/changes: all of its documents are
-// accepted, or none. Sending it again with the same id is harmless.
+// ChangeRequest is the body of POST /admin/v1/changes. Either all of its documents are
+// accepted or none. Requests with the same ID are idempotent.
 type ChangeRequest struct {
 	ID   control.PublicationID `json:"id"`
 	Docs []DocRequest          `json:"docs"`
 }
 
-// DocRequest is one document of a change. Base is the version that it replaces;
-// zero for a new document.
+// DocRequest is a document of a ChangeRequest. Base is the version that it replaces; it
+// is zero for a new document.
 type DocRequest struct {
 	Key    control.Key     `json:"key"`
 	Base   wardturn.Offset `json:"base"`
@@ -189,8 +190,7 @@
 	e.publish(ctx, op, c)
 }
 
-// publish checks a change, puts it on the log and answers with what became of
-// it.
+// publish validates a change, appends it to the log and responds with the result.
 func (e *Entry) publish(ctx *fasthttp.RequestCtx, op operator, c control.Change) {
 	for _, d := range c.Docs {
 		if p := e.checkDoc(op, d); p.code != "" {
@@ -228,7 +228,7 @@
 	writeBody(ctx, fasthttp.StatusOK, res)
 }
 
-// checkDoc checks a document and the operator's right to change it.
+// checkDoc validates a document and checks whether the operator may change it.
 func (e *Entry) checkDoc(op operator, d control.DocChange) problem {
 	if op.team != "" && !e.ownedBy(op.team, d) {
 		return forbidden("team " + string(op.team) + " to change " + string(d.Key))
@@ -247,8 +247,8 @@
 	return problem{}
 }
 
-// ownedBy reports whether a document belongs to a team before the change, if it
-// exists, and after it. Kinds that concern everybody belong to no team.
+// ownedBy reports whether a document belongs to the team both before the change, if it
+// exists, and after it. Documents of kinds that affect all teams belong to none.
 func (e *Entry) ownedBy(team wardturn.TeamID, d control.DocChange) bool {
 	switch control.KindOf(d.Key) {
 	case control.KindAdapter, control.KindService, control.KindCaller, control.KindObjective:
@@ -265,6 +265,6 @@
 	var doc struct {
 		Team wardturn.TeamID `yaml:"team"`
 	}
-	_ = yaml.Unmarshal(body, &doc) // checked by CheckDoc
+	_ = yaml.Unmarshal(body, &doc) // CheckDoc reports malformed YAML
 	return doc.Team
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -21,15 +21,15 @@
 
 const (
 	sweepEvery   = 5 * time.Second
-	retryFloor   = 5  // retries a second that are always allowed
-	retryBurst   = 50 // retries at once
+	retryFloor   = 5  // retries per second that are allowed regardless of the request rate
+	retryBurst   = 50 // maximum number of retries in a burst
 	maxReadAhead = 16 << 10
 	headerLimit  = 16 << 10
 	readLimit    = 30 * time.Second
 	idleLimit    = 2 * time.Minute
 )
 
-// Deps are what an entry is built from.
+// Deps holds the dependencies of an Entry.
 type Deps struct {
 	Config   Config
 	Clock    wardturn.Clock
@@ -38,11 +38,11 @@
 	Log      wardturn.Log
 	Hosts    wardturn.HostList
 	Listener net.Listener
-	TLS      *tls.Config // towards agents; nil: plain
-	HTTPS    *tls.Config // towards callers; nil: plain
+	TLS      *tls.Config // for connections to agents; nil disables TLS
+	HTTPS    *tls.Config // for callers and operators; nil serves plain HTTP
 }
 
-// Entry serves callers and operators on one entry host.
+// Entry serves the APIs for callers and operators on one entry host.
 type Entry struct {
 	cfg     Config
 	clock   wardturn.Clock
@@ -55,7 +55,7 @@
 	server  *fasthttp.Server
 	ln      net.Listener
 	seeds   seeds
-	policy  atomic.Pointer[string] // name of the one in force
+	policy  atomic.Pointer[string] // name of the active policy
 
 	recorder *report.Recorder
 
@@ -79,7 +79,8 @@
 	tasks    *process.Tasks
 }
 
-// New starts an entry. It serves at once; Ready tells when it knows enough.
+// New creates an Entry and starts to serve. Ready reports when it has the hosts and the
+// configuration that it needs to handle requests.
 func New(d Deps) *Entry {
 	cfg := d.Config.WithDefaults()
 	e := &Entry{
@@ -130,7 +131,8 @@
 	}
 }
 
-// discardLogger drops the library's own lines; the entry logs its events.
+// discardLogger drops the log lines of fasthttp; the entry logs the relevant events
+// itself.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
@@ -145,7 +147,7 @@
 	})
 	e.tasks.Go(func() {
 		if err := e.server.Serve(e.ln); err != nil {
-			e.logger.Error("server ended", "error", err)
+			e.logger.Error("HTTP server failed", "error", err)
 		}
 	})
 	e.logger.Info("entry started", "addr", e.ln.Addr(), "process", e.cfg.Process)
@@ -166,13 +168,13 @@
 	}
 }
 
-// Addr returns the address of the API.
+// Addr returns the listen address of the API.
 func (e *Entry) Addr() string {
 	return e.ln.Addr().String()
 }
 
-// Ready reports whether the entry can serve: it knows hosts and has read the
-// configuration, and it is not leaving.
+// Ready reports whether the entry can handle requests: it has the host list and the
+// configuration, and it is not shutting down.
 func (e *Entry) Ready() bool {
 	if e.leaving.Load() || e.replica.Applied() == 0 {
 		return false
@@ -182,13 +184,14 @@
 	return len(e.hosts) > 0
 }
 
-// Replica returns the entry's copy of the configuration.
+// Replica returns the entry's replica of the configuration.
 func (e *Entry) Replica() *control.Replica {
 	return e.replica
 }
 
-// Leave turns readiness off and refuses new requests as not run. It returns
-// when the requests under way have ended, or when ctx ends.
+// Leave starts a graceful shutdown: the entry reports that it is not ready and refuses
+// new requests with the outcome "not run". It returns when all open requests have ended
+// or ctx is done.
 func (e *Entry) Leave(ctx context.Context) {
 	e.leaving.Store(true)
 	e.logger.Info("leaving", "requests", e.open.Load())
@@ -201,7 +204,7 @@
 
 const leavePoll = 20 * time.Millisecond
 
-// Close ends the entry at once.
+// Close stops the entry without waiting for open requests.
 func (e *Entry) Close() {
 	e.mu.Lock()
 	e.closed = true
@@ -220,8 +223,7 @@
 	e.tasks.Wait()
 }
 
-// closedContext returns a context that has ended, for a shutdown that does not
-// wait.
+// closedContext returns a canceled context, for a shutdown that does not wait.
 func closedContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -240,7 +242,8 @@
 	}
 }
 
-// setHosts takes a new list. An empty one is taken to be a fault of the list.
+// setHosts replaces the host list. The caller ignores empty lists, because an empty list
+// is assumed to be a fault of its source.
 func (e *Entry) setHosts(hosts []wardturn.Host) {
 	byID := make(map[wardturn.UpstreamID]wardturn.Host, len(hosts))
 	for _, h := range hosts {
@@ -251,6 +254,6 @@
 	e.routerMu.Unlock()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.hosts = byID // the entry is ready from here on
+	e.hosts = byID // from now on Ready may return true
 	e.listedAt = e.clock.Now()
 }
--- a/entry/lingering.go
+++ b/entry/lingering.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// lingerFor and lingerBytes bound what is read and thrown away of a refused request
-	// before its connection is closed. They are estimates: a caller that is done writing
-	// within them reads the answer, one that never ends holds a connection no longer.
+	// lingerFor and lingerBytes limit how long and how much of a refused request is read
+	// and discarded before its connection is closed. Both are estimates: a caller that
+	// finishes writing within them can read the response, and a caller that never stops
+	// writing can't occupy the connection for longer.
 	lingerFor   = 500 * time.Millisecond
 	lingerBytes = 4 << 20
 )
 
-// lingeringListener accepts connections that can be closed without a reset.
+// lingeringListener accepts connections that support a lingering close.
 type lingeringListener struct {
 	net.Listener
 }
@@ -31,15 +32,17 @@
 	}, nil
 }
 
-// lingeringConn is a connection that, once marked, reads on for a while when it is closed.
-// A host that closes a connection with bytes unread resets it, and a reset drops the answer
-// that the caller has not read: both callers of the test that go on writing got none.
+// lingeringConn is a connection that, if marked, reads and discards further data for a
+// limited time when it is closed. Closing a TCP connection while received bytes are unread
+// resets it, and after a reset the caller can no longer read the response. Without this,
+// callers that continued to write after their request was refused received no response.
 type lingeringConn struct {
 	net.Conn
 	marked atomic.Bool
 }
 
-// linger marks the connection below a request, which may be that of a TLS connection.
+// linger marks a connection for a lingering close. For a TLS connection, it marks the
+// underlying connection.
 func linger(c net.Conn) {
 	if t, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = t.NetConn()
@@ -57,12 +60,12 @@
 	return c.Conn.Close()
 }
 
-// drain ends what is sent and reads what still comes. Its errors mean that nobody reads the
-// answer any more.
+// drain closes the write side and discards incoming data. Errors are ignored: they mean
+// that the caller no longer reads the response.
 func (c *lingeringConn) drain() {
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = w.CloseWrite()
 	}
-	_ = c.SetReadDeadline(time.Now().Add(lingerFor)) // the system's clock counts deadlines
+	_ = c.SetReadDeadline(time.Now().Add(lingerFor)) // deadlines use the system clock, not wardturn.Clock
 	_, _ = io.CopyN(io.Discard, c.Conn, lingerBytes)
 }
--- a/entry/link.go
+++ b/entry/link.go
@@ -9,7 +9,8 @@
 	"wardturn/peer"
 )
 
-// link is the entry's connection to one agent, made when it is first needed.
+// link is the entry's connection to the agent of one upstream. It is opened when it is
+// first needed and reconnects after a loss.
 type link struct {
 	entry  *Entry
 	host   wardturn.Host
@@ -35,8 +36,8 @@
 	return l
 }
 
-// Connected implements peer.ClientHandler. Attempts of an earlier connection
-// are asked for again.
+// Connected implements peer.ClientHandler. It resumes the attempts of the previous
+// connection.
 func (l *link) Connected(c *peer.Conn) {
 	l.mu.Lock()
 	l.conn = c
@@ -102,7 +103,8 @@
 	return l.calls[id]
 }
 
-// wait returns the connection, waiting for a first one for up to a time.
+// wait returns the current connection. If there is none, it waits for one until the
+// timeout and then returns nil.
 func (l *link) wait(limit time.Duration) *peer.Conn {
 	l.mu.Lock()
 	conn, up := l.conn, l.up
@@ -139,14 +141,15 @@
 	l.usedAt = l.entry.clock.Now()
 }
 
-// idleSince returns when the link was last used, and false while it is in use.
+// idleSince returns when the link was last used. It reports false while attempts use it.
 func (l *link) idleSince() (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.usedAt, len(l.calls) == 0
 }
 
-// link returns the connection to an upstream, dialing if there is none.
+// link returns the link to an upstream, and opens it if there is none. It returns nil if
+// the upstream is not in the host list or the entry is closed.
 func (e *Entry) link(id wardturn.UpstreamID) *link {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -166,7 +169,7 @@
 	return l
 }
 
-// retire closes a link; the entry's lock is held.
+// retire closes a link. The caller must hold e.mu.
 func (e *Entry) retire(l *link) {
 	if l.retired {
 		return
@@ -175,7 +178,8 @@
 	e.tasks.Go(l.client.Close)
 }
 
-// sweepLinks closes connections that were not used for a while.
+// sweepLinks closes links without attempts that have been idle for too long or whose
+// upstream left the host list.
 func (e *Entry) sweepLinks() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -10,16 +10,16 @@
 	"wardturn/process"
 )
 
-// Metrics are an entry's counters and histograms. Labels are bounded: none
-// carries an adapter, a caller or a request.
+// Metrics holds an entry's counters and histograms. To bound their cardinality, no label
+// contains an adapter, a caller or a request ID.
 type Metrics struct {
 	handler  fasthttp.RequestHandler
 	requests *process.OutcomeCounters
-	stall    [2]tally.Histogram // by class
-	whole    [2]tally.Histogram
+	stall    [2]tally.Histogram // by class: wait for the adapter to be loaded
+	whole    [2]tally.Histogram // by class: total time of a request
 }
 
-// NewMetrics registers an entry's metrics. The handler serves them all.
+// NewMetrics registers an entry's metrics in a scope. The handler serves /metrics.
 func NewMetrics(scope tally.Scope, handler fasthttp.RequestHandler) *Metrics {
 	s := scope.SubScope("entry")
 	buckets := tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 18)
--- a/entry/openai.go
+++ b/entry/openai.go
@@ -18,19 +18,20 @@
 	maxJSONDepth    = 64
 )
 
-// completion is what the entry needs of a completion request.
+// completion holds the parts of a completion request that the entry uses.
 type completion struct {
 	ref    wardturn.AdapterRef
 	stream bool
 	prompt wardturn.Tokens
 	output wardturn.Tokens
-	doc    *fastjson.Value // good until the parser is used again
+	doc    *fastjson.Value // valid until the parser's next use
 }
 
-// parsers holds parsers with the memory of their last document.
+// parsers lets requests reuse parsers and their memory.
 var parsers fastjson.ParserPool
 
-// parseCompletion reads a request in the shape of the OpenAI API.
+// parseCompletion parses and validates a completion or chat completion request of the
+// OpenAI API.
 func parseCompletion(parser *fastjson.Parser, body []byte, defaultOutput wardturn.Tokens) (completion, problem) {
 	if tooDeep(body) {
 		return completion{}, badRequest("", "the body nests too deeply")
@@ -66,8 +67,8 @@
 	return c, problem{}
 }
 
-// tooDeep reports whether a body nests beyond what any request needs, without
-// parsing it.
+// tooDeep reports whether a JSON body exceeds the maximum nesting depth. It doesn't parse
+// the body, so that the parser never processes a deeply nested one.
 func tooDeep(body []byte) bool {
 	depth, inString, escaped := 0, false, false
 	for _, b := range body {
@@ -91,8 +92,8 @@
 	return false
 }
 
-// rewrite names the resolved adapter version and the engine's priority in the
-// body.
+// rewrite returns the body with the resolved adapter version as the model, and with the
+// engine's priority for the class.
 func (c completion) rewrite(ref wardturn.AdapterRef, class wardturn.Class) []byte {
 	var arena fastjson.Arena
 	c.doc.Set("model", arena.NewString(ref.String()))
@@ -100,13 +101,14 @@
 	return c.doc.MarshalTo(nil)
 }
 
-// renameModel names another version of the adapter in a body that rewrite made.
+// renameModel sets another version of the adapter in a body that completion.rewrite
+// returned.
 func renameModel(body []byte, ref wardturn.AdapterRef, class wardturn.Class) []byte {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
 	doc, err := parser.ParseBytes(body)
 	if err != nil {
-		panic("entry: a body that was rewritten is not JSON")
+		panic("entry: rewritten request body is not valid JSON")
 	}
 	c := completion{
 		doc: doc,
@@ -114,7 +116,7 @@
 	return c.rewrite(ref, class)
 }
 
-// models answers /v1/models.
+// models handles GET /v1/models.
 func (e *Entry) models(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
 	var buf bytes.Buffer
 	buf.WriteString(`{"object":"list","data":[`)
@@ -136,7 +138,8 @@
 	ctx.SetBody(buf.Bytes())
 }
 
-// digestOf tells two requests with the same key apart.
+// digestOf returns a digest of a service request, which tells different requests with the
+// same idempotency key apart.
 func digestOf(req *wardturn.Request) wardturn.Digest {
 	h := sha256.New()
 	for _, part := range []string{string(req.Service), req.Method, req.Path} {
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -14,7 +14,7 @@
 	"wardturn/driver"
 )
 
-// problem is an error answer. Its zero value is none.
+// problem is an error response. The zero value means no error.
 type problem struct {
 	status  int
 	code    string
@@ -23,7 +23,8 @@
 	outcome wardturn.Outcome
 }
 
-// errorAnswer is the error shape of the OpenAI API, and whether the request ran.
+// errorAnswer is the body of an error response: an error object as in the OpenAI API,
+// extended by whether the request ran.
 type errorAnswer struct {
 	Error driver.ErrorDetail `json:"error"`
 	Ran   string             `json:"ran"` // no, yes or unknown
@@ -65,7 +66,7 @@
 	ctx.SetBody(append(body, '\n'))
 }
 
-// writeErrorEvent ends a stream that was cut short.
+// writeErrorEvent writes the error event that ends a truncated stream.
 func writeErrorEvent(w *bufio.Writer, outcome wardturn.Outcome) {
 	body, _ := json.Marshal(problemOf(outcome).answer())
 	_, _ = w.WriteString("event: error\ndata: ")
@@ -73,8 +74,8 @@
 	_, _ = w.WriteString("\n\n")
 }
 
-// problemOf turns an outcome into an answer. A request that was given up gets
-// it at once, with the time to come back.
+// problemOf returns the error response for an outcome. It includes the outcome's retry
+// delay, if any.
 func problemOf(o wardturn.Outcome) problem {
 	p := problem{
 		status:  statusOf(o),
@@ -107,7 +108,7 @@
 	return fasthttp.StatusServiceUnavailable
 }
 
-// describe says a reason in words.
+// describe returns a description of a reason for error messages.
 func describe(r wardturn.Reason) string {
 	switch r {
 	case wardturn.ReasonQueueFull:
@@ -182,7 +183,8 @@
 	}
 }
 
-// onProtocolError answers what is no proper HTTP request.
+// onProtocolError responds to input that is not a valid HTTP request or exceeds the size
+// limits.
 func (e *Entry) onProtocolError(ctx *fasthttp.RequestCtx, err error) {
 	p := badRequest("", "the request cannot be read")
 	var small *fasthttp.ErrSmallBuffer
--- a/entry/reply.go
+++ b/entry/reply.go
@@ -8,14 +8,15 @@
 	"wardturn"
 )
 
-// reply answers with an outcome that is not Done.
+// reply sends the error response for an outcome that is not Done.
 func (e *Entry) reply(ctx *fasthttp.RequestCtx, x *exchange, outcome wardturn.Outcome) {
 	e.setHeaders(ctx, x, outcome)
 	writeProblem(ctx, problemOf(outcome))
 }
 
-// setHeaders tells the caller what ran. Before the end of a stream the outcome
-// is not known.
+// setHeaders sets the response headers that report the adapter version, the load stall
+// and the outcome. The outcome is zero for a stream, because it isn't known before the
+// stream has ended.
 func (e *Entry) setHeaders(ctx *fasthttp.RequestCtx, x *exchange, outcome wardturn.Outcome) {
 	h := &ctx.Response.Header
 	if !x.req.Adapter.IsZero() {
--- a/entry/seed.go
+++ b/entry/seed.go
@@ -11,28 +11,29 @@
 
 const (
 	seedEvery = 2 * time.Second
-	seedPeers = 3 // asked at once, in different failure domains
-	// logSilence is the time without a read of the log after which peers are asked
-	// for the configuration. A read without news returns after 2 s.
+	seedPeers = 3 // agents asked per round, if possible in different failure domains
+	// logSilence is the time without a successful read of the log after which agents are
+	// asked for the configuration. A read that finds no new records returns after 2 s, so
+	// this must be longer.
 	logSilence = 5 * time.Second
 )
 
-// seeds collects the configuration that peers send while the log is out.
+// seeds collects the configurations that agents send while the log is unavailable.
 type seeds struct {
 	mu    sync.Mutex
 	pages map[wardturn.UpstreamID]*seed
 }
 
-// seed is one peer's configuration, as far as it has come.
+// seed is the part of an agent's configuration that has been received so far.
 type seed struct {
 	config wardturn.Offset
 	page   control.Page
 	next   int
 }
 
-// seedFromPeers asks peers for the configuration for as long as the log cannot
-// be read. Each whole answer is offered to the replica, which takes nothing older
-// than what it holds.
+// seedFromPeers asks agents for the configuration as long as the log can't be read. Each
+// complete configuration is passed to the replica, which ignores it if it is older than
+// its own.
 func (e *Entry) seedFromPeers() {
 	for e.tasks.Pause(seedEvery) {
 		if e.clock.Now().Sub(e.replica.LastRead()) < logSilence {
@@ -44,8 +45,9 @@
 	}
 }
 
-// seedFrom asks a peer for the configuration if it has a newer one, and otherwise
-// how new its own is: the next round knows.
+// seedFrom requests an agent's configuration if it is known to be newer than the
+// entry's. Otherwise it sends a ping to learn the agent's current offset for the next
+// round.
 func (e *Entry) seedFrom(id wardturn.UpstreamID) {
 	l := e.link(id)
 	if l == nil {
@@ -61,7 +63,7 @@
 	}
 }
 
-// spread returns up to n hosts, of different failure domains first.
+// spread returns up to n hosts, preferring different failure domains.
 func (e *Entry) spread(n int) []wardturn.Host {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -91,7 +93,8 @@
 	}
 }
 
-// onConfigPage takes a page of a peer's configuration and asks for the next.
+// onConfigPage adds a page to an agent's configuration. It then requests the next page,
+// or passes the complete configuration to the replica.
 func (e *Entry) onConfigPage(from wardturn.UpstreamID, m *peer.ConfigPage) {
 	page, err := control.DecodePage(m.Data)
 	if err != nil {
@@ -124,6 +127,6 @@
 		})
 		return
 	}
-	e.logger.Info("configuration from a peer", "upstream", from, "config", s.config, "documents", len(s.page.Docs))
+	e.logger.Info("configuration received from an agent", "upstream", from, "config", s.config, "documents", len(s.page.Docs))
 	e.replica.Seed(s.page, s.config)
 }
--- a/entry/windows.go
+++ b/entry/windows.go
@@ -10,14 +10,14 @@
 	"wardturn/report"
 )
 
-// getWindows answers with what this entry counted for the report on
-// service-level burn.
+// getWindows responds with this entry's counts of service-level indicators, from which
+// the burn report is made.
 func (e *Entry) getWindows(ctx *fasthttp.RequestCtx, _ operator) {
 	since, _ := time.Parse(time.RFC3339, string(ctx.QueryArgs().Peek("since")))
 	writeBody(ctx, fasthttp.StatusOK, e.recorder.Batch(since))
 }
 
-// record counts a request that has ended.
+// record updates the service-level indicators with a request that has ended.
 func (e *Entry) record(x *exchange) {
 	key := report.Key{
 		Team:   e.teamOfRequest(x),
@@ -60,7 +60,7 @@
 	return d.Team
 }
 
-// policyName returns the name of the policy in force.
+// policyName returns the name of the active policy.
 func (e *Entry) policyName() string {
 	if name := e.policy.Load(); name != nil {
 		return *name
@@ -68,7 +68,7 @@
 	return ""
 }
 
-// onConfig follows the policy in force.
+// onConfig updates the name of the active policy when a policy document changes.
 func (e *Entry) onConfig(key control.Key) {
 	if control.KindOf(key) == control.KindPolicy {
 		e.findPolicy()
