--- a/process/clock.go
+++ b/process/clock.go
@@ -11,13 +11,13 @@
 	"wardturn"
 )
 
-// Clock is the host's clock. The zero value is ready for use; all values are one clock.
+// Clock is the system clock. The zero value is ready for use; all values share one clock.
 //
-// Its times have no reading of the steady clock: they are the time of day at the start of
-// the process and what has passed since, also while the host was suspended, so that the
-// time of day may be set. Deadlines of
-// contexts and connections, which go by the system's own times, are not set from them;
-// see wardturn.WithLimit.
+// Its times are the wall clock time at the start of the process plus the elapsed time,
+// including time during which the host was suspended. Changes of the wall clock therefore
+// don't affect them. They have no monotonic clock reading. Don't use them for deadlines of
+// contexts and connections, which are based on the runtime's clock; see
+// wardturn.WithLimit.
 type Clock struct{}
 
 // Now implements wardturn.Clock.
@@ -30,17 +30,18 @@
 	return host.AfterFunc(d, f)
 }
 
-// host is the clock of this process.
+// host is the clock shared by all values of Clock.
 var host = newHostClock(systemReadings{
 	start: time.Now(),
 })
 
-// readings are what the host's clocks say.
+// readings reads the host's clocks.
 type readings interface {
-	// now returns the time of day, and what has passed since the start of the process by
-	// the steady clock, which stands still while the host is suspended.
+	// now returns the wall clock time, and the time since the start of the process by the
+	// monotonic clock, which stops while the host is suspended.
 	now() (day time.Time, steady time.Duration)
-	// sinceBoot returns what has passed since the host booted, suspended or not.
+	// sinceBoot returns the time since the host booted, including time during which it was
+	// suspended.
 	sinceBoot() (time.Duration, error)
 }
 
@@ -56,37 +57,39 @@
 func (systemReadings) sinceBoot() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return 0, errors.Wrap(err, "clock since boot")
+		return 0, errors.Wrap(err, "read CLOCK_BOOTTIME")
 	}
 	return time.Duration(ts.Nano()), nil
 }
 
 const (
-	// leastGap is what the clocks must have come apart by before it counts: a suspension
-	// lasts far longer, and two readings in a row differ by microseconds.
+	// leastGap is the minimum difference between the clocks that is treated as a suspension
+	// or a change of the wall clock. Suspensions last far longer, and two consecutive
+	// readings differ only by microseconds.
 	leastGap = time.Millisecond
-	// lookEvery is how long the clock since boot is not read while the time of day and
-	// the steady clock go alike. A reading is a system call, the other two are none.
+	// lookEvery is the interval between reads of the boot-time clock while the wall clock
+	// and the monotonic clock advance together. Reading it takes a system call, which
+	// reading the other two doesn't.
 	lookEvery = 100 * time.Millisecond
-	// gapTries is how often the clocks are read again when this process was held up
-	// between two readings.
+	// gapTries is how many times the clocks are read if the process is delayed between
+	// consecutive readings.
 	gapTries = 5
 )
 
-// hostClock is a clock made of a host's readings: the steady clock, and what it did not
-// count since the host was suspended. Where that is left out, a gateway that wakes takes
-// all that it knows for as much younger than it is, and a key that was taken away stays good
-// beyond the platform's bound.
+// hostClock combines the monotonic clock with the time during which the host was
+// suspended, which the monotonic clock doesn't count. Without the suspended time, a gateway
+// that resumes would underestimate the age of all its data by that time, and a revoked key
+// would remain valid beyond the platform's limit.
 type hostClock struct {
 	read  readings
-	start time.Time     // time of day at which the steady clock read zero
-	boot  time.Duration // by how much the clock since boot is ahead of the steady clock, unless suspended
-	// counts is whether there is a clock since boot.
+	start time.Time     // wall clock time at which the monotonic clock was zero
+	boot  time.Duration // boot-time clock minus monotonic clock, without suspensions
+	// counts is whether the boot-time clock can be read.
 	counts bool
 
-	suspended atomic.Int64 // ns, since the start of the process
-	apart     atomic.Int64 // ns by which the time of day has passed the steady clock, when last looked
-	lookedAt  atomic.Int64 // steady, ns
+	suspended atomic.Int64 // total time suspended since the start of the process, in ns
+	apart     atomic.Int64 // wall clock time since start minus monotonic time at the last check, in ns
+	lookedAt  atomic.Int64 // monotonic time of the last check, in ns
 
 	mu     sync.Mutex
 	timers map[*hostTimer]bool
@@ -99,7 +102,7 @@
 		start:  day.Add(-steady),
 		timers: make(map[*hostTimer]bool),
 	}
-	// Without a clock since boot nothing counts as suspended.
+	// Without a boot-time clock, suspensions are not detected.
 	c.boot, c.counts = c.bootGap()
 	return c
 }
@@ -115,7 +118,8 @@
 	return c.start.Add(steady + time.Duration(c.suspended.Load()))
 }
 
-// look finds out whether the host was suspended; if so, timers that came due fire.
+// look checks whether the host was suspended since the last check. If so, it adjusts the
+// pending timers.
 func (c *hostClock) look(steady, apart time.Duration) {
 	c.apart.Store(int64(apart))
 	c.lookedAt.Store(int64(steady))
@@ -131,8 +135,8 @@
 	go c.wake()
 }
 
-// bootGap returns by how much the clock since boot is ahead of the steady clock. It
-// reports false if that clock cannot be read.
+// bootGap returns by how much the boot-time clock is ahead of the monotonic clock. It
+// reports false if the boot-time clock can't be read.
 func (c *hostClock) bootGap() (time.Duration, bool) {
 	gap := time.Duration(0)
 	for range gapTries {
@@ -142,7 +146,7 @@
 		if err != nil {
 			return 0, false
 		}
-		gap = boot - after // never more than it is
+		gap = boot - after // at most the true difference
 		if after-before < leastGap {
 			break
 		}
@@ -150,7 +154,7 @@
 	return gap, true
 }
 
-// hostTimer is a pending call.
+// hostTimer is a timer of a hostClock.
 type hostTimer struct {
 	clock *hostClock
 	due   time.Time
@@ -185,8 +189,8 @@
 	delete(c.timers, t)
 }
 
-// wake sets the timers anew after the host was suspended: the system's own count only
-// the steady clock.
+// wake resets the pending timers after the host was suspended, because the runtime's
+// timers use the monotonic clock and don't count the suspended time.
 func (c *hostClock) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/process/clock_internal_test.go
+++ b/process/clock_internal_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// sleepy are the readings of a host that can be suspended, and whose time of day can be
-// set. Its steady clock is the real one.
+// sleepy simulates the clocks of a host that is suspended or whose wall clock is set. Its
+// monotonic clock is the real one.
 type sleepy struct {
-	suspended atomic.Int64 // ns in all
-	set       atomic.Int64 // ns by which the time of day was set
+	suspended atomic.Int64 // total time suspended, in ns
+	set       atomic.Int64 // total change of the wall clock, in ns
 }
 
 func (s *sleepy) now() (day time.Time, steady time.Duration) {
@@ -25,40 +25,40 @@
 
 var testStart = time.Now()
 
-// within is how exactly a time is measured here, far over what the host takes.
+// within is the tolerance of measured times, far more than the delays of the host.
 const within = 200 * time.Millisecond
 
-// A connection between two processes ended when the time of day was set while it waited
-// for a heartbeat's answer: the time since it had asked was taken from times without a
-// reading of the steady clock.
+// Guards against elapsed times that include changes of the wall clock. A connection was
+// closed when the wall clock was set while it waited for a heartbeat response, because the
+// elapsed time was computed from times without a monotonic clock reading.
 func TestClockPassesOverTheTimeOfDay(t *testing.T) {
 	host := &sleepy{}
 	c := newHostClock(host)
 	before := c.Now()
 	if off := time.Since(before); off < -within || off > within {
-		t.Errorf("the time of day is off by %v", off)
+		t.Errorf("difference to the wall clock: %v", off)
 	}
 	for _, set := range []time.Duration{2 * time.Second, -4 * time.Second, time.Hour} {
 		host.set.Add(int64(set))
 		now := c.Now()
 		if got := now.Sub(before); got < 0 || got > within {
-			t.Errorf("time of day set by %v: %v have passed", set, got)
+			t.Errorf("wall clock set by %v: elapsed %v, want within %v of 0", set, got, within)
 		}
 		if got := now.Sub(time.Unix(0, before.UnixNano())); got < 0 || got > within {
-			t.Errorf("time of day set by %v: %v have passed by Unix times", set, got)
+			t.Errorf("wall clock set by %v: elapsed %v computed from Unix times, want within %v of 0", set, got, within)
 		}
 	}
 }
 
 func TestClockTellsTheTimeOfDay(t *testing.T) {
 	if off := time.Since(Clock{}.Now()); off < -within || off > within {
-		t.Errorf("off by %v", off)
+		t.Errorf("difference to the wall clock: %v", off)
 	}
 }
 
-// A gateway that had been suspended for 8 s took keys, versions of adapters and its own
-// reading of the store for 8 s younger than they were: the steady clock, by which Go
-// measures times, stands still while a host is suspended.
+// Guards against elapsed times that don't include suspensions. A gateway that had been
+// suspended for 8 s underestimated the age of keys, adapter versions and its last read of
+// the store by 8 s, because Go's monotonic clock stops while the host is suspended.
 func TestClockCountsSuspension(t *testing.T) {
 	host := &sleepy{}
 	c := newHostClock(host)
@@ -66,13 +66,14 @@
 	for _, all := range []time.Duration{8 * time.Second, 8*time.Second + 50*time.Millisecond, time.Hour} {
 		host.suspended.Store(int64(all))
 		if got := c.Now().Sub(before); got < all || got > all+within {
-			t.Errorf("suspended for %v in all: %v have passed", all, got)
+			t.Errorf("suspended for %v in total: elapsed %v", all, got)
 		}
 	}
 }
 
-// What came due while the host was suspended happens as soon as it wakes: a request
-// whose time had ended was held on for as long as the host had been suspended.
+// A timer that became due during a suspension must fire as soon as the host resumes.
+// Before, a request whose deadline had passed was held for as long as the host had been
+// suspended.
 func TestClockTimersAfterSuspension(t *testing.T) {
 	host := &sleepy{}
 	c := newHostClock(host)
@@ -84,31 +85,31 @@
 	stopped := c.AfterFunc(6*time.Second, fire)
 	c.AfterFunc(time.Hour, fire)
 	if !stopped.Stop() {
-		t.Error("a pending timer could not be stopped")
+		t.Error("Stop of a pending timer returned false")
 	}
 	host.suspended.Add(int64(8 * time.Second))
-	c.Now() // whatever looks at the time first
+	c.Now() // the first read of the time detects the suspension
 	select {
 	case <-fired:
 	case <-time.After(within):
-		t.Error("a timer that came due during the suspension has not fired")
+		t.Error("a timer that became due during the suspension did not fire")
 	}
 	select {
 	case <-fired:
-		t.Error("a timer fired that was stopped or is not due")
+		t.Error("a timer fired that was stopped or not due")
 	case <-time.After(within):
 	}
 }
 
-// 86 ns a reading; before, by time.Now alone, 67 ns.
+// A call takes 86 ns, compared to 67 ns for time.Now alone.
 func BenchmarkClockNow(b *testing.B) {
 	for b.Loop() {
 		Clock{}.Now()
 	}
 }
 
-// With 1,000 timers pending, 528 ns to set and stop one; before, by time.AfterFunc alone,
-// 262 ns.
+// With 1,000 pending timers, starting and stopping a timer takes 528 ns, compared to
+// 262 ns for time.AfterFunc alone.
 func BenchmarkClockAfterFunc(b *testing.B) {
 	c := newHostClock(&sleepy{})
 	for range 1000 {
--- a/process/counters.go
+++ b/process/counters.go
@@ -8,8 +8,8 @@
 	"wardturn"
 )
 
-// OutcomeCounters counts outcomes by class, kind and reason. It keeps the
-// counters it made, so that counting needs no look-up of labels.
+// OutcomeCounters counts outcomes by class, kind and reason. It caches the counters by
+// their labels, so that counting doesn't have to look up a tagged scope.
 type OutcomeCounters struct {
 	scope tally.Scope
 	name  string
@@ -24,7 +24,7 @@
 	reason wardturn.Reason
 }
 
-// NewOutcomeCounters returns counters of a name in a scope.
+// NewOutcomeCounters returns counters with the given metric name in a scope.
 func NewOutcomeCounters(scope tally.Scope, name string) *OutcomeCounters {
 	return &OutcomeCounters{
 		scope:    scope,
--- a/process/doc.go
+++ b/process/doc.go
@@ -1,4 +1,3 @@
-// Package process has what every daemon needs of its own process: the system's
-// clock, its goroutines and timers, its log and metrics, and how it is put
-// together from its parts.
+// Package process contains what all daemons share: the system clock, management of
+// goroutines and timers, logging, metrics, socket options and dependency injection.
 package process
--- a/process/logbudget.go
+++ b/process/logbudget.go
@@ -9,17 +9,18 @@
 	"wardturn"
 )
 
-// leftOutKey is the field that counts lines of the same message left out before.
+// leftOutKey is the key of the number of lines with the same message that were suppressed
+// since the last one that was written.
 const leftOutKey = "left_out"
 
-// LogRates are the lines a second that a logger may write, by message.
+// LogRates holds the maximum number of log lines per second for each message.
 type LogRates struct {
 	Of     map[string]float64
-	Others float64 // of each other message
+	Others float64 // for each message that is not in the map
 }
 
-// budgetedLogger writes lines of a message no faster than its rate. The next line
-// that is written counts those left out.
+// budgetedLogger limits the rate of lines for each message. A line that is written states
+// how many lines with its message were suppressed before it.
 type budgetedLogger struct {
 	hclog.Logger
 	clock wardturn.Clock
@@ -35,9 +36,9 @@
 	leftOut int
 }
 
-// NewBudgetedLogger returns a logger that bounds the lines of each message, so
-// that one kind of event cannot crowd out the others. A second's worth may come
-// at once.
+// NewBudgetedLogger returns a logger that limits the rate of lines for each message
+// separately, so that one kind of event can't crowd out the others. Bursts of up to one
+// second's worth of lines are allowed.
 func NewBudgetedLogger(l hclog.Logger, clock wardturn.Clock, rates LogRates) hclog.Logger {
 	return &budgetedLogger{
 		Logger:  l,
@@ -54,8 +55,8 @@
 	return l.rates.Others
 }
 
-// take reports whether a line may be written, and how many were left out before
-// it.
+// take reports whether a line may be written and, if so, how many lines with the same
+// message were suppressed before it.
 func (l *budgetedLogger) take(msg string) (leftOut int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/process/logbudget_test.go
+++ b/process/logbudget_test.go
@@ -12,7 +12,7 @@
 	"wardturn/process"
 )
 
-// fixedClock is a clock that a test sets.
+// fixedClock is a clock whose time the test sets.
 type fixedClock struct {
 	wardturn.Clock
 	now time.Time
@@ -42,20 +42,20 @@
 		return strings.Split(strings.TrimSpace(buf.String()), "\n")
 	}
 	if got := written("refused", 10); len(got) != 3 {
-		t.Errorf("%d lines of a message with a budget of 3: %q", len(got), got)
+		t.Errorf("%d lines of a message with rate 3, want 3: %q", len(got), got)
 	}
 	if got := written("late", 10); len(got) != 1 {
-		t.Errorf("%d lines of a message with a budget of 1: %q", len(got), got)
+		t.Errorf("%d lines of a message with rate 1, want 1: %q", len(got), got)
 	}
 	clock.now = clock.now.Add(time.Second)
 	if got := written("refused", 1); !strings.Contains(got[0], "id=7 left_out=7") {
-		t.Errorf("lines left out are not counted: %q", got)
+		t.Errorf("suppressed lines are not counted: %q", got)
 	}
 	if got := written("refused", 1); strings.Contains(got[0], "left_out") {
-		t.Errorf("lines left out are counted twice: %q", got)
+		t.Errorf("suppressed lines are counted twice: %q", got)
 	}
 	l.Debug("refused")
 	if got := written("refused", 1); len(got) != 1 || got[0] == "" {
-		t.Errorf("a line below the level took from the budget: %q", got)
+		t.Errorf("a line below the log level was counted against the rate: %q", got)
 	}
 }
--- a/process/logs.go
+++ b/process/logs.go
@@ -6,15 +6,15 @@
 	"sync/atomic"
 )
 
-// LogQueue is a writer that never blocks: lines are queued and written by one
-// goroutine, and those that find the queue full are dropped and counted.
+// LogQueue is an io.Writer that never blocks. Lines are queued and written by a single
+// goroutine. If the queue is full, lines are dropped and counted.
 type LogQueue struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 }
 
-// NewLogQueue returns a queue of a number of lines before a writer.
+// NewLogQueue returns a queue of up to size lines that are written to w.
 func NewLogQueue(w io.Writer, size int) *LogQueue {
 	q := &LogQueue{
 		lines: make(chan []byte, size),
@@ -26,7 +26,7 @@
 			if n := q.dropped.Swap(0); n > 0 {
 				fmt.Fprintf(w, "log lines dropped: count=%d\n", n)
 			}
-			_, _ = w.Write(line) // there is nowhere to tell of it
+			_, _ = w.Write(line) // there is nowhere to report an error
 		}
 	}()
 	return q
@@ -43,7 +43,7 @@
 	return len(p), nil
 }
 
-// Close writes what is queued. Nothing may be written after it.
+// Close writes all queued lines and returns. Write must not be called after Close.
 func (q *LogQueue) Close() {
 	close(q.lines)
 	<-q.done
--- a/process/logs_test.go
+++ b/process/logs_test.go
@@ -11,8 +11,7 @@
 	"wardturn/process"
 )
 
-// stuckWriter blocks until it is released, as a reader of the log that stopped
-// reading does.
+// stuckWriter blocks until it is released, like a pipe whose reader has stopped.
 type stuckWriter struct {
 	release chan struct{}
 
@@ -27,7 +26,7 @@
 	return w.buf.Write(p)
 }
 
-// dropped returns the sum of the lines that a log says were dropped.
+// dropped returns the total number of dropped lines that the log reports.
 func dropped(t *testing.T, text string) int {
 	sum := 0
 	for line := range strings.Lines(text) {
@@ -37,7 +36,7 @@
 		}
 		n, err := strconv.Atoi(count)
 		if err != nil {
-			t.Errorf("count of dropped lines: %v", err)
+			t.Errorf("parse the number of dropped lines: %v", err)
 		}
 		sum += n
 	}
@@ -59,13 +58,13 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("writing blocked while nobody reads")
+		t.Fatal("Write blocked while the underlying writer was blocked")
 	}
 	close(w.release)
 	q.Close()
 	text := w.buf.String()
 	if n := strings.Count(text, "line\n"); n < 10 || n > 11 {
-		t.Errorf("%d lines written, want the queue's 10 and at most one more", n)
+		t.Errorf("%d lines written, want the 10 queued ones and at most one more", n)
 	}
 	if n := strings.Count(text, "line\n") + dropped(t, text); n != 1000 {
 		t.Errorf("%d lines written or counted as dropped, want 1000:\n%s", n, text)
--- a/process/metrics.go
+++ b/process/metrics.go
@@ -14,15 +14,15 @@
 
 const flushEvery = time.Second
 
-// Metrics is a process's root scope with the handler that serves it.
+// Metrics is the root metrics scope of a process and the handler that serves it.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler fasthttp.RequestHandler
 	closer  io.Closer
 }
 
-// NewMetrics returns a scope whose metrics are served in the Prometheus text
-// format. Every metric starts with "wardturn_".
+// NewMetrics returns a root scope whose metrics are served in the Prometheus text format.
+// The names of all metrics start with "wardturn_".
 func NewMetrics() *Metrics {
 	registry := prometheus.NewRegistry()
 	reporter := promreporter.NewReporter(promreporter.Options{
@@ -46,7 +46,7 @@
 	}
 }
 
-// Close stops the scope's reporting.
+// Close stops reporting.
 func (m *Metrics) Close() {
 	_ = m.closer.Close()
 }
--- a/process/serve.go
+++ b/process/serve.go
@@ -7,7 +7,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ServeMetrics serves /metrics and /healthz of a process without an API.
+// ServeMetrics starts an HTTP server with /metrics and /healthz, for processes that serve
+// no other API. The returned function closes its listener.
 func ServeMetrics(addr string, m *Metrics) (stop func(), err error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/process/socket.go
+++ b/process/socket.go
@@ -8,21 +8,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// tcpUserTimeout is the socket option of that name, which package syscall lacks.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT, which package syscall doesn't
+// define.
 const tcpUserTimeout = 18
 
-// UserTimeout returns the control function of a dialer whose connections end when
-// bytes that were sent have no acknowledgement for d. A connection may go silent
-// for good without a reset, when a host loses power or something between forgets
-// it, and a host that is merely frozen still acknowledges.
+// UserTimeout returns a function for net.Dialer.Control that sets TCP_USER_TIMEOUT:
+// connections fail if sent data is not acknowledged within d. Without it, a connection may
+// stay silent forever without a reset, if a host loses power or a device on the path drops
+// the connection's state. A host on which only the processes are frozen still acknowledges.
 func UserTimeout(d time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		return setUserTimeout(c, d)
 	}
 }
 
-// SetUserTimeout does that for a connection that was accepted. One that is not of
-// TCP stays as it is.
+// SetUserTimeout sets TCP_USER_TIMEOUT on an existing connection, such as one that was
+// accepted. It does nothing if nc is not a TCP connection.
 func SetUserTimeout(nc net.Conn, d time.Duration) error {
 	tc, ok := nc.(*net.TCPConn)
 	if !ok {
@@ -30,7 +31,7 @@
 	}
 	raw, err := tc.SyscallConn()
 	if err != nil {
-		return errors.Wrap(err, "user timeout")
+		return errors.Wrap(err, "set TCP_USER_TIMEOUT")
 	}
 	return setUserTimeout(raw, d)
 }
@@ -40,5 +41,5 @@
 	ctlErr := c.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 	})
-	return errors.Wrap(errors.CombineErrors(ctlErr, err), "user timeout")
+	return errors.Wrap(errors.CombineErrors(ctlErr, err), "set TCP_USER_TIMEOUT")
 }
--- a/process/tasks.go
+++ b/process/tasks.go
@@ -8,20 +8,20 @@
 	"wardturn"
 )
 
-// Tasks are the goroutines and timers of one process. After Stop nothing more is
-// started, and Wait returns when all have ended.
+// Tasks manages the goroutines and timers of a process. After Stop, no new ones are
+// started, and Wait returns when all goroutines have ended.
 type Tasks struct {
 	clock wardturn.Clock
 	ctx   context.Context
 	stop  context.CancelFunc
 
-	mu      sync.Mutex // orders Go and Every against Stop
+	mu      sync.Mutex // serializes Go and Every with Stop
 	timers  map[int]wardturn.Timer
 	next    int
 	running sync.WaitGroup
 }
 
-// NewTasks returns an empty set.
+// NewTasks returns a Tasks without goroutines or timers.
 func NewTasks(clock wardturn.Clock) *Tasks {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Tasks{
@@ -32,12 +32,12 @@
 	}
 }
 
-// Context ends with Stop.
+// Context returns a context that Stop cancels.
 func (t *Tasks) Context() context.Context {
 	return t.ctx
 }
 
-// Go runs f in a goroutine, unless Stop was called.
+// Go runs f in a new goroutine. It does nothing after Stop.
 func (t *Tasks) Go(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,7 +51,8 @@
 	}()
 }
 
-// Every calls f again and again, each time d after its last return.
+// Every calls f repeatedly until Stop. Each call starts d after the previous one returned,
+// the first one d from now.
 func (t *Tasks) Every(d time.Duration, f func()) {
 	t.mu.Lock()
 	id := t.next
@@ -72,17 +73,17 @@
 	})
 }
 
-// Pause waits and reports false after Stop.
+// Pause sleeps for d. It reports false if Stop was called.
 func (t *Tasks) Pause(d time.Duration) bool {
 	return wardturn.Sleep(t.ctx, t.clock, d)
 }
 
-// Limit returns a context that ends after a time, or with Stop.
+// Limit returns a context that ends after d or on Stop.
 func (t *Tasks) Limit(d time.Duration) (context.Context, context.CancelFunc) {
 	return wardturn.WithLimit(t.ctx, t.clock, d)
 }
 
-// Stop ends the context and the timers.
+// Stop cancels the context and stops all timers.
 func (t *Tasks) Stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,7 +93,7 @@
 	}
 }
 
-// Wait returns when every goroutine has ended. Call it after Stop.
+// Wait blocks until all goroutines have ended. It must be called after Stop.
 func (t *Tasks) Wait() {
 	t.running.Wait()
 }
--- a/process/wiring.go
+++ b/process/wiring.go
@@ -10,14 +10,14 @@
 	"wardturn"
 )
 
-// NewIncarnation returns a name for one run of a process.
+// NewIncarnation returns a random identifier for one run of a process.
 func NewIncarnation() wardturn.Incarnation {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return wardturn.Incarnation(hex.EncodeToString(b[:]))
 }
 
-// Provide adds constructors to the container that a daemon is built from.
+// Provide registers constructors in a daemon's dependency injection container.
 func Provide(c *dig.Container, constructors ...any) error {
 	for _, f := range constructors {
 		if err := c.Provide(f); err != nil {
