--- a/entry/admin.go
+++ b/entry/admin.go
@@ -30,21 +30,21 @@
 var openAPI []byte
 
 const (
-	publishLimit = 10 * time.Second
-	defaultPage  = 100
-	maxPage      = 1000
+	publishTimeout  = 10 * time.Second
+	defaultPageSize = 100
+	maxPageSize     = 1000
 )
 
-// routeAdmin registers the handlers of the operator API.
-func (e *Entry) routeAdmin(r *router.Router) {
-	r.GET(PathDocs, e.asOperator(e.listDocs))
-	r.GET(PathDocs+"/{kind}/{name:*}", e.asOperator(e.getDoc))
-	r.PUT(PathDocs+"/{kind}/{name:*}", e.asOperator(e.putDoc))
-	r.DELETE(PathDocs+"/{kind}/{name:*}", e.asOperator(e.deleteDoc))
-	r.POST(PathChanges, e.asOperator(e.postChange))
-	r.GET(PathHistory, e.asOperator(e.getHistory))
-	r.GET(PathStatus, e.asOperator(e.getStatus))
-	r.GET(PathWindows, e.asOperator(e.getWindows))
+// registerAdmin registers the handlers of the operator API.
+func (e *Entry) registerAdmin(r *router.Router) {
+	r.GET(PathDocs, e.withOperator(e.listDocs))
+	r.GET(PathDocs+"/{kind}/{name:*}", e.withOperator(e.getDoc))
+	r.PUT(PathDocs+"/{kind}/{name:*}", e.withOperator(e.putDoc))
+	r.DELETE(PathDocs+"/{kind}/{name:*}", e.withOperator(e.deleteDoc))
+	r.POST(PathChanges, e.withOperator(e.postChange))
+	r.GET(PathHistory, e.withOperator(e.getHistory))
+	r.GET(PathStatus, e.withOperator(e.getStatus))
+	r.GET(PathWindows, e.withOperator(e.getWindows))
 	r.GET(PathOpenAPI, func(ctx *fasthttp.RequestCtx) {
 		ctx.SetContentType("application/json")
 		ctx.SetBody(openAPI)
@@ -60,19 +60,19 @@
 
 type operatorHandler func(ctx *fasthttp.RequestCtx, op operator)
 
-func (e *Entry) asOperator(h operatorHandler) fasthttp.RequestHandler {
+func (e *Entry) withOperator(h operatorHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.Response.Header.Set(HeaderRequestID, string(e.requestID(ctx)))
-		op, ok := e.operatorOf(keyDigest(ctx))
+		op, ok := e.operatorForKey(keyDigest(ctx))
 		if !ok {
-			writeProblem(ctx, unauthorized())
+			writeError(ctx, unauthorized())
 			return
 		}
 		h(ctx, op)
 	}
 }
 
-func (e *Entry) operatorOf(digest string) (operator, bool) {
+func (e *Entry) operatorForKey(digest string) (operator, bool) {
 	if digest == "" {
 		return operator{}, false
 	}
@@ -104,7 +104,7 @@
 	if list == nil {
 		list = []control.Entry{}
 	}
-	writeBody(ctx, fasthttp.StatusOK, HistoryPage{
+	writeJSON(ctx, fasthttp.StatusOK, HistoryPage{
 		Entries: list,
 	})
 }
@@ -135,7 +135,7 @@
 		Ready:   e.Ready(),
 		Config:  e.replica.Applied(),
 		LogRead: e.replica.LastRead(),
-		Open:    e.open.Load(),
+		Open:    e.openRequests.Load(),
 	}
 	e.mu.Lock()
 	st.Links = len(e.links)
@@ -152,5 +152,5 @@
 			Open:    v.Ejected,
 		})
 	}
-	writeBody(ctx, fasthttp.StatusOK, st)
+	writeJSON(ctx, fasthttp.StatusOK, st)
 }
--- a/entry/api.go
+++ b/entry/api.go
@@ -32,27 +32,27 @@
 	r.RedirectTrailingSlash = false
 	r.RedirectFixedPath = false
 	r.NotFound = func(ctx *fasthttp.RequestCtx) {
-		writeProblem(ctx, problem{
+		writeError(ctx, errorResponse{
 			status:  fasthttp.StatusNotFound,
 			code:    "not_found",
 			message: "no such path",
 		})
 	}
 	r.MethodNotAllowed = func(ctx *fasthttp.RequestCtx) {
-		writeProblem(ctx, problem{
+		writeError(ctx, errorResponse{
 			status:  fasthttp.StatusMethodNotAllowed,
 			code:    "method_not_allowed",
 			message: "the path does not take this method",
 		})
 	}
-	r.POST("/v1/completions", e.asCaller(e.complete))
-	r.POST("/v1/chat/completions", e.asCaller(e.complete))
-	r.GET("/v1/models", e.asCaller(e.models))
-	r.ANY("/v1/services/{name}/{path:*}", e.asCaller(e.callService))
+	r.POST("/v1/completions", e.withCaller(e.handleCompletion))
+	r.POST("/v1/chat/completions", e.withCaller(e.handleCompletion))
+	r.GET("/v1/models", e.withCaller(e.listModels))
+	r.ANY("/v1/services/{name}/{path:*}", e.withCaller(e.callService))
 	r.GET("/healthz", healthz)
 	r.GET("/readyz", e.readyz)
 	r.GET("/metrics", e.metrics.handler)
-	e.routeAdmin(r)
+	e.registerAdmin(r)
 	return r.Handler
 }
 
@@ -72,14 +72,14 @@
 // callerHandler handles a request of an authenticated caller.
 type callerHandler func(ctx *fasthttp.RequestCtx, caller wardturn.CallerID)
 
-// asCaller returns a handler that authenticates the caller before it calls h. The
+// withCaller returns a handler that authenticates the caller before it calls h. The
 // caller's quota is applied later, on admission.
-func (e *Entry) asCaller(h callerHandler) fasthttp.RequestHandler {
+func (e *Entry) withCaller(h callerHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.Response.Header.Set(HeaderRequestID, string(e.requestID(ctx)))
 		caller, ok := e.authenticate(ctx)
 		if !ok {
-			writeProblem(ctx, unauthorized())
+			writeError(ctx, unauthorized())
 			return
 		}
 		h(ctx, caller)
@@ -93,26 +93,26 @@
 	if wardturn.ValidName(given) {
 		return wardturn.RequestID(given)
 	}
-	n := e.reqSeq.Add(1)
+	n := e.requestSeq.Add(1)
 	return wardturn.RequestID(string(e.cfg.Process) + "-r" + strconv.FormatUint(n, 10))
 }
 
-func idOf(ctx *fasthttp.RequestCtx) wardturn.RequestID {
+func assignedRequestID(ctx *fasthttp.RequestCtx) wardturn.RequestID {
 	return wardturn.RequestID(ctx.Response.Header.Peek(HeaderRequestID))
 }
 
-// complete handles completion and chat completion requests.
-func (e *Entry) complete(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
+// handleCompletion handles completion and chat completion requests.
+func (e *Entry) handleCompletion(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
 	x, p := e.readCompletion(ctx, caller)
 	if p.code != "" {
-		writeProblem(ctx, p)
+		writeError(ctx, p)
 		return
 	}
 	e.admit(ctx, x, x.stream)
 }
 
 // readCompletion parses and authorizes a completion request.
-func (e *Entry) readCompletion(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (*exchange, problem) {
+func (e *Entry) readCompletion(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (*exchange, errorResponse) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
 	c, p := parseCompletion(parser, ctx.PostBody(), e.cfg.DefaultOutput)
@@ -124,7 +124,7 @@
 	if !ok {
 		return nil, unknownAdapter(c.ref)
 	}
-	if !e.mayUse(caller, string(ref.Adapter), adaptersOf) {
+	if !e.mayUse(caller, string(ref.Adapter), adapterPatterns) {
 		return nil, forbidden("adapter " + string(ref.Adapter))
 	}
 	req, p := e.newRequest(ctx, caller)
@@ -134,7 +134,7 @@
 	req.Adapter = ref
 	req.Prompt = c.prompt
 	req.Output = c.output
-	req.Body = c.rewrite(ref, req.Class)
+	req.Body = c.rewriteBody(ref, req.Class)
 	req.Repeatable = true
 	return &exchange{
 		entry:   e,
@@ -144,7 +144,7 @@
 		config:  config,
 		stream:  c.stream,
 		arrived: e.clock.Now(),
-	}, problem{}
+	}, errorResponse{}
 }
 
 // callService forwards a request to a plain HTTP service.
@@ -153,16 +153,16 @@
 	config := e.replica.Applied()
 	doc, ok := e.catalog.Service(name)
 	if !ok {
-		writeProblem(ctx, unknownService(name))
+		writeError(ctx, unknownService(name))
 		return
 	}
-	if !e.mayUse(caller, string(name), servicesOf) {
-		writeProblem(ctx, forbidden("service "+string(name)))
+	if !e.mayUse(caller, string(name), servicePatterns) {
+		writeError(ctx, forbidden("service "+string(name)))
 		return
 	}
 	req, p := e.newRequest(ctx, caller)
 	if p.code != "" {
-		writeProblem(ctx, p)
+		writeError(ctx, p)
 		return
 	}
 	path, _ := ctx.UserValue("path").(string)
@@ -174,11 +174,11 @@
 	if q := ctx.URI().QueryString(); len(q) > 0 {
 		req.Path += "?" + string(q)
 	}
-	req.Header = passHeader(ctx)
+	req.Header = forwardedHeader(ctx)
 	req.Body = append([]byte(nil), ctx.PostBody()...)
-	req.Repeatable = doc.Repeatable(req.Method) && !flag(ctx, HeaderNotRepeatable)
-	if p := e.setKey(ctx, &req); p.code != "" {
-		writeProblem(ctx, p)
+	req.Repeatable = doc.Repeatable(req.Method) && !boolHeader(ctx, HeaderNotRepeatable)
+	if p := e.setIdempotencyKey(ctx, &req); p.code != "" {
+		writeError(ctx, p)
 		return
 	}
 	x := &exchange{
@@ -191,7 +191,7 @@
 }
 
 // newRequest sets the fields that completion and service requests have in common.
-func (e *Entry) newRequest(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (wardturn.Request, problem) {
+func (e *Entry) newRequest(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (wardturn.Request, errorResponse) {
 	class, ok := wardturn.ParseClass(string(ctx.Request.Header.Peek(HeaderClass)))
 	if !ok {
 		return wardturn.Request{}, badRequest(HeaderClass, "must be interactive or batch")
@@ -205,31 +205,31 @@
 		limit = time.Duration(ms) * time.Millisecond
 	}
 	return wardturn.Request{
-		ID:       idOf(ctx),
+		ID:       assignedRequestID(ctx),
 		Caller:   caller,
-		Team:     e.teamOfCaller(caller),
+		Team:     e.callerTeam(caller),
 		Class:    class,
 		Method:   string(ctx.Method()),
 		Path:     string(ctx.Path()),
 		Deadline: e.clock.Now().Add(limit),
-	}, problem{}
+	}, errorResponse{}
 }
 
-// setKey sets the idempotency key of a request that is not repeatable. If the caller sent
-// no key, it generates one, so that the request still runs at most once.
-func (e *Entry) setKey(ctx *fasthttp.RequestCtx, req *wardturn.Request) problem {
+// setIdempotencyKey sets the idempotency key of a request that is not repeatable. If the
+// caller sent no key, it generates one, so that the request still runs at most once.
+func (e *Entry) setIdempotencyKey(ctx *fasthttp.RequestCtx, req *wardturn.Request) errorResponse {
 	key := string(ctx.Request.Header.Peek(HeaderKey))
 	if req.Repeatable {
-		return problem{}
+		return errorResponse{}
 	}
 	now := e.clock.Now()
-	req.Digest = digestOf(req)
+	req.Digest = requestDigest(req)
 	if key == "" {
 		req.Key = wardturn.IdempotencyKey(string(e.cfg.Process) + "/" + string(req.ID))
 		req.KeyCreated = now
-		return problem{}
+		return errorResponse{}
 	}
-	if len(key) > maxKeyLength {
+	if len(key) > maxIdempotencyKeyLen {
 		return badRequest(HeaderKey, "must not be longer than 256 bytes")
 	}
 	created, err := time.Parse(time.RFC3339, string(ctx.Request.Header.Peek(HeaderKeyCreated)))
@@ -240,7 +240,7 @@
 		return badRequest(HeaderKeyCreated, "is in the future")
 	}
 	if now.Sub(created) > control.ClaimWindow {
-		return problem{
+		return errorResponse{
 			status:  fasthttp.StatusConflict,
 			code:    string(wardturn.ReasonKeyTooOld),
 			message: "the idempotency key is older than the remembered window; the request did not run",
@@ -249,18 +249,18 @@
 	}
 	req.Key = wardturn.IdempotencyKey(key)
 	req.KeyCreated = created
-	return problem{}
+	return errorResponse{}
 }
 
-const maxKeyLength = 256
+const maxIdempotencyKeyLen = 256
 
-func flag(ctx *fasthttp.RequestCtx, name string) bool {
+func boolHeader(ctx *fasthttp.RequestCtx, name string) bool {
 	return string(ctx.Request.Header.Peek(name)) == "true"
 }
 
-// passHeader returns the headers to forward to a plain service: all except
+// forwardedHeader returns the headers to forward to a plain service: all except
 // connection-level headers, the Authorization header and the request ID.
-func passHeader(ctx *fasthttp.RequestCtx) []wardturn.HeaderField {
+func forwardedHeader(ctx *fasthttp.RequestCtx) []wardturn.HeaderField {
 	var list []wardturn.HeaderField
 	for k, v := range ctx.Request.Header.All() {
 		switch string(k) {
@@ -277,71 +277,71 @@
 
 // admit checks the entry's request limit and the caller's quota, then runs the request.
 func (e *Entry) admit(ctx *fasthttp.RequestCtx, x *exchange, stream bool) {
-	if e.leaving.Load() {
-		e.reply(ctx, x, wardturn.Refused(wardturn.ReasonLeaving, time.Second))
+	if e.shuttingDown.Load() {
+		e.replyError(ctx, x, wardturn.Refused(wardturn.ReasonLeaving, time.Second))
 		return
 	}
-	if e.open.Add(1) > int64(e.cfg.MaxRequests) {
-		e.open.Add(-1)
-		e.reply(ctx, x, wardturn.Refused(wardturn.ReasonQueueFull, time.Second))
+	if e.openRequests.Add(1) > int64(e.cfg.MaxRequests) {
+		e.openRequests.Add(-1)
+		e.replyError(ctx, x, wardturn.Refused(wardturn.ReasonQueueFull, time.Second))
 		return
 	}
-	if retryAfter, ok := e.enter(x.req.Caller); !ok {
-		e.open.Add(-1)
-		e.reply(ctx, x, wardturn.Refused(wardturn.ReasonQuota, retryAfter))
+	if retryAfter, ok := e.acquireQuota(x.req.Caller); !ok {
+		e.openRequests.Add(-1)
+		e.replyError(ctx, x, wardturn.Refused(wardturn.ReasonQuota, retryAfter))
 		return
 	}
 	e.routerMu.Lock()
-	e.retries.Request(e.clock.Now())
+	e.retryBudget.Request(e.clock.Now())
 	e.routerMu.Unlock()
 	data, ended := x.advance()
 	if stream && !ended {
-		e.stream(ctx, x, data)
+		e.respondStreaming(ctx, x, data)
 		return
 	}
-	e.whole(ctx, x, data, ended)
-	e.close(x)
+	e.respondBuffered(ctx, x, data, ended)
+	e.endRequest(x)
 }
 
-// close releases the resources of an admitted request that has ended, and records it in
-// the metrics and the log.
-func (e *Entry) close(x *exchange) {
-	e.leave(x.req.Caller)
-	e.open.Add(-1)
-	e.metrics.ended(x)
-	e.record(x)
+// endRequest releases the resources of an admitted request that has ended, and records it
+// in the metrics and the log.
+func (e *Entry) endRequest(x *exchange) {
+	e.releaseQuota(x.req.Caller)
+	e.openRequests.Add(-1)
+	e.metrics.observe(x)
+	e.recordIndicators(x)
 	e.logger.Debug("request ended",
 		"request", x.req.ID,
 		"caller", x.req.Caller,
 		"adapter", x.req.Adapter,
 		"service", x.req.Service,
 		"upstream", x.upstream,
-		"attempts", x.attempts,
+		"attempts", x.attemptCount,
 		"outcome", x.outcome.Kind,
 		"reason", x.outcome.Reason,
-		"bytes", x.passed,
+		"bytes", x.forwarded,
 	)
 }
 
-// maxWhole is the maximum size of a buffered response in bytes.
-const maxWhole = 16 << 20
+// maxBufferedResponse is the maximum size of a buffered response in bytes.
+const maxBufferedResponse = 16 << 20
 
-// whole buffers the response and forwards it only when it is complete.
-func (e *Entry) whole(ctx *fasthttp.RequestCtx, x *exchange, data []byte, ended bool) {
+// respondBuffered buffers the response and forwards it only when it is complete.
+func (e *Entry) respondBuffered(ctx *fasthttp.RequestCtx, x *exchange, data []byte, ended bool) {
 	var body []byte
 	for !ended {
 		body = append(body, data...)
-		if len(body) > maxWhole {
-			x.abandon()
+		if len(body) > maxBufferedResponse {
+			x.abort()
 			break
 		}
 		data, ended = x.advance()
 	}
 	if x.outcome.Kind != wardturn.Done {
-		e.reply(ctx, x, x.outcome)
+		e.replyError(ctx, x, x.outcome)
 		return
 	}
-	e.setHeaders(ctx, x, x.outcome)
+	e.setOutcomeHeaders(ctx, x, x.outcome)
 	status := fasthttp.StatusOK
 	if x.head != nil && x.head.Status != 0 {
 		status = x.head.Status
@@ -355,20 +355,20 @@
 	ctx.Response.SetBodyRaw(body)
 }
 
-// stream forwards the response as it arrives. A truncated response ends with an error
-// event and without the end marker, so that the caller can't mistake it for a complete
-// one.
-func (e *Entry) stream(ctx *fasthttp.RequestCtx, x *exchange, first []byte) {
-	e.setHeaders(ctx, x, wardturn.Outcome{})
+// respondStreaming forwards the response as it arrives. A truncated response ends with an
+// error event and without the end marker, so that the caller can't mistake it for a
+// complete one.
+func (e *Entry) respondStreaming(ctx *fasthttp.RequestCtx, x *exchange, first []byte) {
+	e.setOutcomeHeaders(ctx, x, wardturn.Outcome{})
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set("Cache-Control", "no-cache")
 	data := append([]byte(nil), first...)
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer e.close(x)
+		defer e.endRequest(x)
 		ended := false
 		for !ended {
 			if _, err := w.Write(data); err != nil || w.Flush() != nil {
-				x.abandon()
+				x.abort()
 				return
 			}
 			data, ended = x.advance()
--- a/entry/auth.go
+++ b/entry/auth.go
@@ -40,30 +40,30 @@
 	return "", false
 }
 
-// patternsOf returns the patterns of the names that a caller may use.
-type patternsOf func(control.CallerDoc) []string
+// patternsFunc returns the patterns of the names that a caller may use.
+type patternsFunc func(control.CallerDoc) []string
 
-func adaptersOf(d control.CallerDoc) []string { return d.Adapters }
+func adapterPatterns(d control.CallerDoc) []string { return d.Adapters }
 
-func servicesOf(d control.CallerDoc) []string { return d.Services }
+func servicePatterns(d control.CallerDoc) []string { return d.Services }
 
 // mayUse reports whether a caller may use the adapter or service of that name. Callers
 // that exist only in the settings may use all of them.
-func (e *Entry) mayUse(caller wardturn.CallerID, name string, patterns patternsOf) bool {
+func (e *Entry) mayUse(caller wardturn.CallerID, name string, patterns patternsFunc) bool {
 	d, ok := e.catalog.Caller(caller)
 	return !ok || control.Allowed(patterns(d), name)
 }
 
-// teamOfCaller returns the caller's team. Callers that exist only in the settings have
+// callerTeam returns the caller's team. Callers that exist only in the settings have
 // none.
-func (e *Entry) teamOfCaller(caller wardturn.CallerID) wardturn.TeamID {
+func (e *Entry) callerTeam(caller wardturn.CallerID) wardturn.TeamID {
 	d, _ := e.catalog.Caller(caller)
 	return d.Team
 }
 
-// enter reports whether the caller's quota admits a request, and otherwise the delay
+// acquireQuota reports whether the caller's quota admits a request, and otherwise the delay
 // after which the caller may retry.
-func (e *Entry) enter(caller wardturn.CallerID) (time.Duration, bool) {
+func (e *Entry) acquireQuota(caller wardturn.CallerID) (time.Duration, bool) {
 	d, ok := e.catalog.Caller(caller)
 	if !ok {
 		return 0, true
@@ -81,8 +81,8 @@
 	return q.Enter(e.clock.Now())
 }
 
-// leave returns the quota of a request that was admitted and has ended.
-func (e *Entry) leave(caller wardturn.CallerID) {
+// releaseQuota returns the quota of a request that was admitted and has ended.
+func (e *Entry) releaseQuota(caller wardturn.CallerID) {
 	e.quotaMu.Lock()
 	defer e.quotaMu.Unlock()
 	if q := e.quotas[caller]; q != nil && q.Open() > 0 {
--- a/entry/call.go
+++ b/entry/call.go
@@ -8,68 +8,68 @@
 	"wardturn/peer"
 )
 
-// call is an attempt to run a request on an upstream, with the part of the response that
-// its agent has sent so far.
-type call struct {
+// attempt is a request sent to an upstream's agent, with the part of the response that has
+// been received so far.
+type attempt struct {
 	id    wardturn.AttemptID
 	link  *link
 	clock wardturn.Clock
 
-	mu       sync.Mutex
-	conn     *peer.Conn
-	process  wardturn.Incarnation // agent process that the attempt was sent to
-	follows  bool                 // the attempt was started by another request
-	head     *peer.Head
-	end      *peer.End
-	buf      []byte // received but not yet read
-	received int64  // bytes received
-	taken    int64  // bytes read
-	granted  int64  // offset up to which the agent may send
-	lost     bool   // the connection is lost
-	lostAt   time.Time
-	wake     chan struct{}
+	mu          sync.Mutex
+	conn        *peer.Conn
+	process     wardturn.Incarnation // agent process that the attempt was sent to
+	following   bool                 // the attempt was started by another request
+	head        *peer.Head
+	end         *peer.End
+	buf         []byte // received but not yet read
+	received    int64  // bytes received
+	consumed    int64  // bytes read
+	creditLimit int64  // offset up to which the agent may send
+	lost        bool   // the connection is lost
+	lostAt      time.Time
+	wake        chan struct{}
 }
 
-func newCall(id wardturn.AttemptID, l *link, conn *peer.Conn) *call {
-	return &call{
-		id:      id,
-		link:    l,
-		clock:   l.entry.clock,
-		conn:    conn,
-		process: conn.Peer().Process,
-		granted: peer.Window,
-		wake:    make(chan struct{}, 1),
+func newAttempt(id wardturn.AttemptID, l *link, conn *peer.Conn) *attempt {
+	return &attempt{
+		id:          id,
+		link:        l,
+		clock:       l.entry.clock,
+		conn:        conn,
+		process:     conn.Peer().Process,
+		creditLimit: peer.Window,
+		wake:        make(chan struct{}, 1),
 	}
 }
 
-// newFollower returns a call that receives the response of an attempt that another
-// request with the same idempotency key started. It must be added to its link before it
-// attaches, so that no message is missed.
-func newFollower(end *peer.End, l *link, conn *peer.Conn) *call {
-	k := newCall(end.First, l, conn)
+// newFollowingAttempt returns an attempt that receives the response to an attempt that
+// another request with the same idempotency key started. It must be added to its link
+// before it attaches, so that no message is missed.
+func newFollowingAttempt(end *peer.End, l *link, conn *peer.Conn) *attempt {
+	k := newAttempt(end.First, l, conn)
 	k.process = end.FirstProcess
-	k.follows = true
+	k.following = true
 	return k
 }
 
-// ask attaches to a followed attempt.
-func (k *call) ask() {
+// attach requests the response of the followed attempt.
+func (k *attempt) attach() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.conn != nil {
-		k.askAgain()
+		k.sendAttach()
 	}
 }
 
-// signal wakes the request's goroutine. The caller must hold k.mu.
-func (k *call) signal() {
+// signal wakes the request's goroutine. The caller must hold a.mu.
+func (k *attempt) signal() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (k *call) onHead(m *peer.Head) {
+func (k *attempt) onHead(m *peer.Head) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.head == nil {
@@ -81,7 +81,7 @@
 // onChunk appends the next bytes of the response. Bytes that were received before, as
 // may happen after a reconnect, are dropped. So is a chunk that leaves a gap, which only
 // a faulty peer sends.
-func (k *call) onChunk(m *peer.Chunk) {
+func (k *attempt) onChunk(m *peer.Chunk) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	skip := k.received - m.Offset
@@ -94,7 +94,7 @@
 	k.signal()
 }
 
-func (k *call) onEnd(m *peer.End) {
+func (k *attempt) onEnd(m *peer.End) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.end != nil {
@@ -104,8 +104,9 @@
 	k.signal()
 }
 
-// lose records that the connection is lost. The outcome of the attempt is still open.
-func (k *call) lose() {
+// connectionLost records that the connection is lost. The outcome of the attempt is still
+// open.
+func (k *attempt) connectionLost() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.end == nil && !k.lost {
@@ -119,7 +120,7 @@
 // reattach resumes the attempt on a new connection. If the agent is another process than
 // the one that received the attempt, it doesn't know the attempt, and the outcome is
 // unknown.
-func (k *call) reattach(c *peer.Conn) {
+func (k *attempt) reattach(c *peer.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.end != nil {
@@ -135,70 +136,70 @@
 	}
 	k.lost = false
 	k.conn = c
-	k.granted = k.taken + peer.Window
-	k.askAgain()
+	k.creditLimit = k.consumed + peer.Window
+	k.sendAttach()
 }
 
-// askAgain sends an Attach message. The caller must hold k.mu.
-func (k *call) askAgain() {
+// sendAttach sends an Attach message. The caller must hold a.mu.
+func (k *attempt) sendAttach() {
 	_ = k.conn.Send(&peer.Attach{
 		Attempt: k.id,
 		Process: k.process,
-		Follow:  k.follows,
+		Follow:  k.following,
 		From:    k.received,
-		Credit:  k.granted,
+		Credit:  k.creditLimit,
 	})
 }
 
-// state is a copy of a call's state for the request's goroutine.
-type state struct {
-	head  *peer.Head
-	end   *peer.End
-	data  []byte // owned by the receiver of the copy
-	whole bool   // the response is complete and has been read to the end
-	lost  bool
-	since time.Time // when the connection was lost
+// attemptState is a copy of an attempt's state for the request's goroutine.
+type attemptState struct {
+	head      *peer.Head
+	end       *peer.End
+	data      []byte // owned by the receiver of the copy
+	complete  bool   // the response is complete and has been read to the end
+	lost      bool
+	lostSince time.Time // when the connection was lost
 }
 
-// take returns the current state with the data that arrived since the previous call. It
-// reuses spare as the buffer for further data.
-func (k *call) take(spare []byte) state {
+// takeState returns the current state with the data that arrived since the previous call.
+// It reuses spare as the buffer for further data.
+func (k *attempt) takeState(spare []byte) attemptState {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	st := state{
-		head:  k.head,
-		end:   k.end,
-		data:  k.buf,
-		lost:  k.lost,
-		since: k.lostAt,
+	st := attemptState{
+		head:      k.head,
+		end:       k.end,
+		data:      k.buf,
+		lost:      k.lost,
+		lostSince: k.lostAt,
 	}
 	k.buf = spare[:0]
-	k.taken += int64(len(st.data))
-	st.whole = k.end != nil && k.end.Outcome.Kind == wardturn.Done && k.received == k.end.Length
+	k.consumed += int64(len(st.data))
+	st.complete = k.end != nil && k.end.Outcome.Kind == wardturn.Done && k.received == k.end.Length
 	return st
 }
 
-// credit grants the agent a full credit window once at least half of the window has been
-// used.
-func (k *call) credit() {
+// grantCredit grants the agent a full credit window once at least half of the window has
+// been used.
+func (k *attempt) grantCredit() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.granted-k.taken > peer.Window/2 || k.conn == nil {
+	if k.creditLimit-k.consumed > peer.Window/2 || k.conn == nil {
 		return
 	}
-	k.granted = k.taken + peer.Window
+	k.creditLimit = k.consumed + peer.Window
 	_ = k.conn.Send(&peer.Credit{
 		Attempt: k.id,
-		Upto:    k.granted,
+		Upto:    k.creditLimit,
 	})
 }
 
 // cancel tells the agent that the response is no longer needed. It does nothing for a
 // followed attempt, which belongs to another request.
-func (k *call) cancel() {
+func (k *attempt) cancel() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.end == nil && k.conn != nil && !k.follows {
+	if k.end == nil && k.conn != nil && !k.following {
 		_ = k.conn.Send(&peer.Cancel{
 			Attempt: k.id,
 		})
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -8,77 +8,77 @@
 	"wardturn/peer"
 )
 
-// newerLimit is how long a request that was sent for an outdated adapter version waits
-// until the entry has the newer configuration that the agent reported.
-const newerLimit = time.Second
+// configWaitTimeout is how long a request that was sent for an outdated adapter version
+// waits until the entry has the newer configuration that the agent reported.
+const configWaitTimeout = time.Second
 
 // exchange is a caller's request with its attempts at upstreams and the progress of its
 // response.
 type exchange struct {
-	entry    *Entry
-	req      wardturn.Request
-	model    wardturn.BaseModel
-	newest   bool            // the caller asked for the current version of the adapter
-	config   wardturn.Offset // configuration with which the request was resolved
-	stream   bool            // the caller asked for a streamed response
-	arrived  time.Time
-	tried    []wardturn.UpstreamID
-	upstream wardturn.UpstreamID // of the current attempt
-	call     *call
-	head     *peer.Head
-	outcome  wardturn.Outcome
-	ended    bool
-	passed   int64 // bytes forwarded to the caller
-	firstAt  time.Time
-	spare    []byte
-	attempts int
+	entry        *Entry
+	req          wardturn.Request
+	model        wardturn.BaseModel
+	newest       bool            // the caller asked for the current version of the adapter
+	config       wardturn.Offset // configuration with which the request was resolved
+	stream       bool            // the caller asked for a streamed response
+	arrived      time.Time
+	tried        []wardturn.UpstreamID
+	upstream     wardturn.UpstreamID // of the current attempt
+	attempt      *attempt
+	head         *peer.Head
+	outcome      wardturn.Outcome
+	ended        bool
+	forwarded    int64 // bytes forwarded to the caller
+	firstByteAt  time.Time
+	spareBuf     []byte
+	attemptCount int
 
-	renewals   int                // restarts with a newer version of the adapter
-	takeOvers  int                // restarts after a followed attempt that did not run
-	supersedes wardturn.AttemptID // latest attempt that is known not to have run
+	versionRestarts int                // restarts with a newer version of the adapter
+	takeovers       int                // restarts after a followed attempt that did not run
+	supersedes      wardturn.AttemptID // latest attempt that is known not to have run
 }
 
 // advance runs the request until there is data to forward or the request has ended. The
 // data is valid until the next call.
 func (x *exchange) advance() (data []byte, ended bool) {
 	for !x.ended {
-		if x.call == nil && !x.begin() {
+		if x.attempt == nil && !x.startAttempt() {
 			break
 		}
-		st := x.call.take(x.spare)
-		x.spare = st.data
+		st := x.attempt.takeState(x.spareBuf)
+		x.spareBuf = st.data
 		x.head = st.head
 		if len(st.data) > 0 {
-			if x.passed == 0 {
-				x.firstAt = x.now()
+			if x.forwarded == 0 {
+				x.firstByteAt = x.now()
 			}
-			x.passed += int64(len(st.data))
-			x.call.credit()
+			x.forwarded += int64(len(st.data))
+			x.attempt.grantCredit()
 			return st.data, false
 		}
-		x.settle(st)
+		x.handleState(st)
 	}
 	return nil, true
 }
 
-// settle handles a state without new data: it ends the attempt or the request, or waits
-// for the next change.
-func (x *exchange) settle(st state) {
+// handleState handles a state without new data: it ends the attempt or the request, or
+// waits for the next change.
+func (x *exchange) handleState(st attemptState) {
 	switch {
-	case st.whole:
-		x.finish(wardturn.Finished(), true)
+	case st.complete:
+		x.finishAttempt(wardturn.Finished(), true)
 	case st.end != nil && st.end.Outcome.Kind == wardturn.Done:
 		// The attempt is done, but bytes that the agent reports as sent are missing.
-		x.finish(wardturn.Uncertain(wardturn.ReasonUpstreamLost), false)
+		x.finishAttempt(wardturn.Uncertain(wardturn.ReasonUpstreamLost), false)
 	case st.end != nil:
-		x.onEnd(st.end)
-	case st.lost && x.now().Sub(st.since) >= x.entry.cfg.AttachLimit:
-		x.onOutcome(wardturn.Uncertain(wardturn.ReasonUpstreamLost), false)
-	case x.late():
-		x.call.cancel()
-		x.finish(wardturn.Uncertain(wardturn.ReasonDeadline), true)
+		x.onAttemptEnd(st.end)
+	case st.lost && x.now().Sub(st.lostSince) >= x.entry.cfg.AttachLimit:
+		x.retryOrEnd(wardturn.Uncertain(wardturn.ReasonUpstreamLost), false)
+	case x.pastDeadline():
+		x.attempt.cancel()
+		x.finishAttempt(wardturn.Uncertain(wardturn.ReasonDeadline), true)
 	default:
-		x.wait(st)
+		x.waitForChange(st)
 	}
 }
 
@@ -86,15 +86,15 @@
 	return x.entry.clock.Now()
 }
 
-func (x *exchange) late() bool {
+func (x *exchange) pastDeadline() bool {
 	return !x.req.Deadline.IsZero() && x.now().After(x.req.Deadline.Add(x.entry.cfg.DeadlineGrace))
 }
 
-// wait blocks until the state of the attempt changes or the next timeout is due.
-func (x *exchange) wait(st state) {
+// waitForChange blocks until the state of the attempt changes or the next timeout is due.
+func (x *exchange) waitForChange(st attemptState) {
 	limit := time.Minute
 	if st.lost {
-		limit = x.entry.cfg.AttachLimit - x.now().Sub(st.since)
+		limit = x.entry.cfg.AttachLimit - x.now().Sub(st.lostSince)
 	}
 	if !x.req.Deadline.IsZero() {
 		limit = min(limit, x.req.Deadline.Add(x.entry.cfg.DeadlineGrace).Sub(x.now()))
@@ -105,35 +105,36 @@
 	})
 	defer timer.Stop()
 	select {
-	case <-x.call.wake:
+	case <-x.attempt.wake:
 	case <-woken:
 	}
 }
 
-// begin starts an attempt at an upstream. It reports false if the request ended because
-// no upstream could be selected or reached.
-func (x *exchange) begin() bool {
+// startAttempt starts an attempt at an upstream. It reports false if the request ended
+// because no upstream could be selected or reached.
+func (x *exchange) startAttempt() bool {
 	for {
-		id, ok := x.entry.pick(x)
+		id, ok := x.entry.pickUpstream(x)
 		if !ok {
-			x.refuse()
+			x.endWithoutUpstream()
 			return false
 		}
 		x.tried = append(x.tried, id)
 		if x.submit(id) {
 			return true
 		}
-		x.entry.routed(id, false)
-		if !x.mayTryAgain() {
+		x.entry.attemptEnded(id, false)
+		if !x.retryAllowed() {
 			x.finishUnsent(wardturn.Refused(wardturn.ReasonUnreachable, time.Second))
 			return false
 		}
 	}
 }
 
-// refuse ends a request for which no upstream is available. The outcome of an earlier
-// attempt takes precedence, because it says more than that there is no other upstream.
-func (x *exchange) refuse() {
+// endWithoutUpstream ends a request for which no upstream is available. The outcome of an
+// earlier attempt takes precedence, because it says more than that there is no other
+// upstream.
+func (x *exchange) endWithoutUpstream() {
 	if x.outcome.Kind == 0 {
 		x.outcome = wardturn.Refused(wardturn.ReasonNoUpstream, time.Second)
 	}
@@ -151,23 +152,23 @@
 	if l == nil {
 		return false
 	}
-	conn := l.wait(x.entry.cfg.ConnectLimit)
+	conn := l.waitConn(x.entry.cfg.ConnectLimit)
 	if conn == nil {
 		return false
 	}
-	k := newCall(x.entry.nextAttempt(), l, conn)
+	k := newAttempt(x.entry.nextAttemptID(), l, conn)
 	l.add(k)
-	if err := conn.Send(x.message(k)); err != nil {
+	if err := conn.Send(x.submitMessage(k)); err != nil {
 		l.remove(k)
 		return false
 	}
 	x.upstream = id
-	x.call = k
-	x.attempts++
+	x.attempt = k
+	x.attemptCount++
 	return true
 }
 
-func (x *exchange) message(k *call) *peer.Submit {
+func (x *exchange) submitMessage(k *attempt) *peer.Submit {
 	m := &peer.Submit{
 		Attempt:    k.id,
 		Request:    x.req.ID,
@@ -197,34 +198,34 @@
 	return m
 }
 
-// onEnd handles the end of an attempt whose outcome is not Done.
-func (x *exchange) onEnd(end *peer.End) {
+// onAttemptEnd handles the end of an attempt whose outcome is not Done.
+func (x *exchange) onAttemptEnd(end *peer.End) {
 	if end.Outcome.Reason == wardturn.ReasonDuplicate && end.First != (wardturn.AttemptID{}) {
 		x.follow(end)
 		return
 	}
 	notRun := end.Outcome.Kind == wardturn.NotRun
 	if notRun && end.Config > 0 {
-		x.renewVersion(end)
+		x.restartWithNewVersion(end)
 		return
 	}
 	if notRun && end.Outcome.Reason != wardturn.ReasonKeyInProgress {
-		x.supersedes = x.call.id
-		if x.call.follows {
-			x.takeOver(end.Outcome)
+		x.supersedes = x.attempt.id
+		if x.attempt.following {
+			x.takeOverKey(end.Outcome)
 			return
 		}
 	}
-	x.onOutcome(end.Outcome, notRun)
+	x.retryOrEnd(end.Outcome, notRun)
 }
 
-// renewVersion restarts the request with the current version of the adapter, after an
-// agent reported that a newer version than the request's was accepted.
-func (x *exchange) renewVersion(end *peer.End) {
+// restartWithNewVersion restarts the request with the current version of the adapter,
+// after an agent reported that a newer version than the request's was accepted.
+func (x *exchange) restartWithNewVersion(end *peer.End) {
 	x.endAttempt(true)
 	x.outcome = end.Outcome
-	x.renewals++
-	if x.renewals > x.entry.cfg.Tries || x.late() || !x.catchUp(end.Config) {
+	x.versionRestarts++
+	if x.versionRestarts > x.entry.cfg.Tries || x.pastDeadline() || !x.waitForConfig(end.Config) {
 		x.ended = true
 		return
 	}
@@ -238,44 +239,44 @@
 	}
 	x.req.Adapter = ref
 	x.model = model
-	x.req.Body = renameModel(x.req.Body, ref, x.req.Class)
+	x.req.Body = replaceModel(x.req.Body, ref, x.req.Class)
 	x.tried = nil
 }
 
-// catchUp waits until the replica has applied the configuration at the given offset and
-// reports whether it has.
-func (x *exchange) catchUp(config wardturn.Offset) bool {
-	ctx, cancel := x.entry.tasks.Limit(newerLimit)
+// waitForConfig waits until the replica has applied the configuration at the given offset
+// and reports whether it has.
+func (x *exchange) waitForConfig(config wardturn.Offset) bool {
+	ctx, cancel := x.entry.tasks.Limit(configWaitTimeout)
 	defer cancel()
 	return x.entry.replica.WaitFor(ctx, config) == nil
 }
 
-// onOutcome ends the attempt, and ends the request too unless it may be retried.
-func (x *exchange) onOutcome(outcome wardturn.Outcome, healthy bool) {
+// retryOrEnd ends the attempt, and ends the request too unless it may be retried.
+func (x *exchange) retryOrEnd(outcome wardturn.Outcome, healthy bool) {
 	x.endAttempt(healthy)
 	x.outcome = outcome
-	if !x.repeats(outcome) || !x.mayTryAgain() {
+	if !x.retryable(outcome) || !x.retryAllowed() {
 		x.ended = true
 	}
 }
 
-// repeats reports whether the outcome and the response so far permit another attempt.
-func (x *exchange) repeats(outcome wardturn.Outcome) bool {
-	if x.passed > 0 {
+// retryable reports whether the outcome and the response so far permit another attempt.
+func (x *exchange) retryable(outcome wardturn.Outcome) bool {
+	if x.forwarded > 0 {
 		return false
 	}
 	switch outcome.Kind {
 	case wardturn.Unknown:
 		return x.req.Repeatable && outcome.Reason != wardturn.ReasonCanceled
 	case wardturn.NotRun:
-		return movable(outcome.Reason)
+		return mayRunElsewhere(outcome.Reason)
 	}
 	return false
 }
 
-// movable reports whether a request that was not run for this reason may succeed on
+// mayRunElsewhere reports whether a request that was not run for this reason may succeed on
 // another upstream.
-func movable(r wardturn.Reason) bool {
+func mayRunElsewhere(r wardturn.Reason) bool {
 	switch r {
 	case wardturn.ReasonLeaving, wardturn.ReasonQueueFull, wardturn.ReasonRefused, wardturn.ReasonUnreachable, wardturn.ReasonStaleConfig:
 		return true
@@ -283,37 +284,37 @@
 	return false
 }
 
-// mayTryAgain reports whether the number of attempts, the deadline and the retry budget
+// retryAllowed reports whether the number of attempts, the deadline and the retry budget
 // permit another attempt.
-func (x *exchange) mayTryAgain() bool {
-	if len(x.tried) >= x.entry.cfg.Tries || x.late() {
+func (x *exchange) retryAllowed() bool {
+	if len(x.tried) >= x.entry.cfg.Tries || x.pastDeadline() {
 		return false
 	}
 	x.entry.routerMu.Lock()
 	defer x.entry.routerMu.Unlock()
-	return x.entry.retries.Retry(x.now())
+	return x.entry.retryBudget.Retry(x.now())
 }
 
-func (x *exchange) finish(outcome wardturn.Outcome, healthy bool) {
+func (x *exchange) finishAttempt(outcome wardturn.Outcome, healthy bool) {
 	x.endAttempt(healthy)
 	x.outcome = outcome
 	x.ended = true
 }
 
 func (x *exchange) endAttempt(healthy bool) {
-	x.call.link.remove(x.call)
-	x.entry.routed(x.upstream, healthy)
-	x.call = nil
+	x.attempt.link.remove(x.attempt)
+	x.entry.attemptEnded(x.upstream, healthy)
+	x.attempt = nil
 }
 
-// abandon cancels the attempt and ends the request. It is used if the caller closed its
+// abort cancels the attempt and ends the request. It is used if the caller closed its
 // connection or the response is too large.
-func (x *exchange) abandon() {
+func (x *exchange) abort() {
 	if x.ended {
 		return
 	}
-	x.call.cancel()
-	x.finish(wardturn.Uncertain(wardturn.ReasonCanceled), true)
+	x.attempt.cancel()
+	x.finishAttempt(wardturn.Uncertain(wardturn.ReasonCanceled), true)
 }
 
 // follow attaches to the attempt that claimed the request's idempotency key first, to
@@ -326,7 +327,7 @@
 		x.ended = true
 		return
 	}
-	conn := l.wait(x.entry.cfg.ConnectLimit)
+	conn := l.waitConn(x.entry.cfg.ConnectLimit)
 	if conn == nil {
 		x.ended = true
 		return
@@ -335,27 +336,27 @@
 	x.entry.router.Sent(end.FirstUpstream)
 	x.entry.routerMu.Unlock()
 	x.upstream = end.FirstUpstream
-	x.call = newFollower(end, l, conn)
-	l.add(x.call)
-	x.call.ask()
+	x.attempt = newFollowingAttempt(end, l, conn)
+	l.add(x.attempt)
+	x.attempt.attach()
 }
 
-// takeOver restarts the request after the attempt that had claimed the idempotency key
-// turned out not to have run. The new attempt supersedes that claim and may run on any
+// takeOverKey restarts the request after the attempt that had claimed the idempotency key
+// turned out not to have run. The next attempt supersedes that claim and may run on any
 // upstream.
-func (x *exchange) takeOver(outcome wardturn.Outcome) {
+func (x *exchange) takeOverKey(outcome wardturn.Outcome) {
 	x.endAttempt(true)
 	x.outcome = outcome
-	x.takeOvers++
-	if x.takeOvers > x.entry.cfg.Tries {
+	x.takeovers++
+	if x.takeovers > x.entry.cfg.Tries {
 		x.ended = true
 		return
 	}
 	x.tried = nil
 }
 
-// pick selects an upstream and counts the request there.
-func (e *Entry) pick(x *exchange) (wardturn.UpstreamID, bool) {
+// pickUpstream selects an upstream and counts the request there.
+func (e *Entry) pickUpstream(x *exchange) (wardturn.UpstreamID, bool) {
 	e.routerMu.Lock()
 	defer e.routerMu.Unlock()
 	now := e.clock.Now()
@@ -371,8 +372,8 @@
 	return id, ok
 }
 
-// routed reports the end of an attempt to the router.
-func (e *Entry) routed(id wardturn.UpstreamID, healthy bool) {
+// attemptEnded reports the end of an attempt to the router.
+func (e *Entry) attemptEnded(id wardturn.UpstreamID, healthy bool) {
 	e.routerMu.Lock()
 	defer e.routerMu.Unlock()
 	e.router.Ended(e.clock.Now(), id, healthy)
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -32,7 +32,7 @@
 	Config wardturn.Offset `json:"config"`
 }
 
-func view(d control.Doc) DocView {
+func newDocView(d control.Doc) DocView {
 	return DocView{
 		Key:     d.Key,
 		Version: d.Version,
@@ -42,7 +42,7 @@
 	}
 }
 
-func writeBody(ctx *fasthttp.RequestCtx, status int, v any) {
+func writeJSON(ctx *fasthttp.RequestCtx, status int, v any) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
 	_ = json.NewEncoder(ctx).Encode(v)
@@ -51,9 +51,9 @@
 func pageSize(ctx *fasthttp.RequestCtx) int {
 	n := ctx.QueryArgs().GetUintOrZero("limit")
 	if n == 0 {
-		n = defaultPage
+		n = defaultPageSize
 	}
-	return min(n, maxPage)
+	return min(n, maxPageSize)
 }
 
 func (e *Entry) listDocs(ctx *fasthttp.RequestCtx, _ operator) {
@@ -71,9 +71,9 @@
 			page.Next = page.Docs[limit-1].Key
 			break
 		}
-		page.Docs = append(page.Docs, view(d))
+		page.Docs = append(page.Docs, newDocView(d))
 	}
-	writeBody(ctx, fasthttp.StatusOK, page)
+	writeJSON(ctx, fasthttp.StatusOK, page)
 }
 
 func docKey(ctx *fasthttp.RequestCtx) control.Key {
@@ -87,7 +87,7 @@
 func (e *Entry) getDoc(ctx *fasthttp.RequestCtx, _ operator) {
 	d, ok := e.replica.Get(docKey(ctx))
 	if !ok {
-		writeProblem(ctx, noDoc(docKey(ctx)))
+		writeError(ctx, docNotFound(docKey(ctx)))
 		return
 	}
 	ctx.Response.Header.Set(fasthttp.HeaderETag, etag(d.Version))
@@ -95,11 +95,11 @@
 		ctx.SetStatusCode(fasthttp.StatusNotModified)
 		return
 	}
-	writeBody(ctx, fasthttp.StatusOK, view(d))
+	writeJSON(ctx, fasthttp.StatusOK, newDocView(d))
 }
 
-func noDoc(key control.Key) problem {
-	return problem{
+func docNotFound(key control.Key) errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusNotFound,
 		code:    CodeUnknownDoc,
 		message: "no document " + string(key),
@@ -108,20 +108,20 @@
 
 // precondition returns the version that a change replaces. A change without a
 // precondition is refused, because it could overwrite another operator's change.
-func precondition(ctx *fasthttp.RequestCtx) (wardturn.Offset, problem) {
+func precondition(ctx *fasthttp.RequestCtx) (wardturn.Offset, errorResponse) {
 	if string(ctx.Request.Header.Peek(fasthttp.HeaderIfNoneMatch)) == "*" {
-		return 0, problem{}
+		return 0, errorResponse{}
 	}
 	text := strings.Trim(string(ctx.Request.Header.Peek(fasthttp.HeaderIfMatch)), `"`)
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		return 0, problem{
+		return 0, errorResponse{
 			status:  fasthttp.StatusPreconditionRequired,
 			code:    "precondition_required",
 			message: "If-Match with the version that is replaced, or If-None-Match: * for a new document",
 		}
 	}
-	return wardturn.Offset(n), problem{}
+	return wardturn.Offset(n), errorResponse{}
 }
 
 func (e *Entry) putDoc(ctx *fasthttp.RequestCtx, op operator) {
@@ -140,7 +140,7 @@
 func (e *Entry) changeDoc(ctx *fasthttp.RequestCtx, op operator, d control.DocChange) {
 	base, p := precondition(ctx)
 	if p.code != "" {
-		writeProblem(ctx, p)
+		writeError(ctx, p)
 		return
 	}
 	d.Key = docKey(ctx)
@@ -169,11 +169,11 @@
 func (e *Entry) postChange(ctx *fasthttp.RequestCtx, op operator) {
 	var req ChangeRequest
 	if err := json.Unmarshal(ctx.PostBody(), &req); err != nil {
-		writeProblem(ctx, badRequest("", "the body is not a change: "+err.Error()))
+		writeError(ctx, badRequest("", "the body is not a change: "+err.Error()))
 		return
 	}
 	if len(req.Docs) == 0 {
-		writeProblem(ctx, badRequest("docs", "must not be empty"))
+		writeError(ctx, badRequest("docs", "must not be empty"))
 		return
 	}
 	c := control.Change{
@@ -194,28 +194,28 @@
 func (e *Entry) publish(ctx *fasthttp.RequestCtx, op operator, c control.Change) {
 	for _, d := range c.Docs {
 		if p := e.checkDoc(op, d); p.code != "" {
-			writeProblem(ctx, p)
+			writeError(ctx, p)
 			return
 		}
 	}
 	if c.ID == "" {
-		c.ID = control.PublicationID(idOf(ctx))
+		c.ID = control.PublicationID(assignedRequestID(ctx))
 	}
 	c.Who = op.name
 	c.At = e.clock.Now()
-	limit, cancel := e.tasks.Limit(publishLimit)
+	limit, cancel := e.tasks.Limit(publishTimeout)
 	defer cancel()
 	res, err := e.replica.Publish(limit, c)
 	switch {
 	case errors.Is(err, control.ErrConflict):
-		writeProblem(ctx, problem{
+		writeError(ctx, errorResponse{
 			status:  fasthttp.StatusPreconditionFailed,
 			code:    "conflict",
 			message: string(res.Conflict) + " is at version " + strconv.FormatInt(int64(res.InForce), 10) + " by now",
 		})
 		return
 	case err != nil:
-		writeProblem(ctx, problem{
+		writeError(ctx, errorResponse{
 			status:  fasthttp.StatusServiceUnavailable,
 			code:    string(wardturn.ReasonLogUnavailable),
 			message: "it is not known whether the change was accepted; send it again with id " + string(c.ID),
@@ -225,26 +225,26 @@
 	}
 	e.logger.Info("published", "who", c.Who, "id", c.ID, "version", res.Version, "documents", len(c.Docs))
 	ctx.Response.Header.Set(fasthttp.HeaderETag, etag(res.Version))
-	writeBody(ctx, fasthttp.StatusOK, res)
+	writeJSON(ctx, fasthttp.StatusOK, res)
 }
 
 // checkDoc validates a document and checks whether the operator may change it.
-func (e *Entry) checkDoc(op operator, d control.DocChange) problem {
+func (e *Entry) checkDoc(op operator, d control.DocChange) errorResponse {
 	if op.team != "" && !e.ownedBy(op.team, d) {
 		return forbidden("team " + string(op.team) + " to change " + string(d.Key))
 	}
 	if d.Delete {
-		return problem{}
+		return errorResponse{}
 	}
 	if err := control.CheckDoc(string(d.Key), d.Key, d.Body); err != nil {
-		return problem{
+		return errorResponse{
 			status:  fasthttp.StatusUnprocessableEntity,
 			code:    "invalid_document",
 			message: err.Error(),
 			param:   string(d.Key),
 		}
 	}
-	return problem{}
+	return errorResponse{}
 }
 
 // ownedBy reports whether a document belongs to the team both before the change, if it
@@ -255,13 +255,13 @@
 	default:
 		return false
 	}
-	if old, ok := e.replica.Get(d.Key); ok && teamOf(old.Body) != team {
+	if old, ok := e.replica.Get(d.Key); ok && docTeam(old.Body) != team {
 		return false
 	}
-	return d.Delete || teamOf(d.Body) == team
+	return d.Delete || docTeam(d.Body) == team
 }
 
-func teamOf(body []byte) wardturn.TeamID {
+func docTeam(body []byte) wardturn.TeamID {
 	var doc struct {
 		Team wardturn.TeamID `yaml:"team"`
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	sweepEvery   = 5 * time.Second
-	retryFloor   = 5  // retries per second that are allowed regardless of the request rate
-	retryBurst   = 50 // maximum number of retries in a burst
-	maxReadAhead = 16 << 10
-	headerLimit  = 16 << 10
-	readLimit    = 30 * time.Second
-	idleLimit    = 2 * time.Minute
+	linkSweepInterval = 5 * time.Second
+	minRetryRate      = 5  // retries per second that are allowed regardless of the request rate
+	retryBurst        = 50 // maximum number of retries in a burst
+	maxReadAhead      = 16 << 10
+	maxHeaderBytes    = 16 << 10
+	readTimeout       = 30 * time.Second
+	idleTimeout       = 2 * time.Minute
 )
 
 // Deps holds the dependencies of an Entry.
@@ -44,29 +44,29 @@
 
 // Entry serves the APIs for callers and operators on one entry host.
 type Entry struct {
-	cfg     Config
-	clock   wardturn.Clock
-	logger  hclog.Logger
-	metrics *Metrics
-	list    wardturn.HostList
-	replica *control.Replica
-	catalog *control.Catalog
-	tls     *tls.Config
-	server  *fasthttp.Server
-	ln      net.Listener
-	seeds   seeds
-	policy  atomic.Pointer[string] // name of the active policy
+	cfg          Config
+	clock        wardturn.Clock
+	logger       hclog.Logger
+	metrics      *Metrics
+	hostList     wardturn.HostList
+	replica      *control.Replica
+	catalog      *control.Catalog
+	tls          *tls.Config
+	server       *fasthttp.Server
+	listener     net.Listener
+	peerConfigs  peerConfigs
+	activePolicy atomic.Pointer[string] // name of the active policy
 
 	recorder *report.Recorder
 
-	seq     atomic.Uint64
-	reqSeq  atomic.Uint64
-	open    atomic.Int64
-	leaving atomic.Bool
+	attemptSeq   atomic.Uint64
+	requestSeq   atomic.Uint64
+	openRequests atomic.Int64
+	shuttingDown atomic.Bool
 
-	routerMu sync.Mutex
-	router   *decide.Router
-	retries  *decide.RetryBudget
+	routerMu    sync.Mutex
+	router      *decide.Router
+	retryBudget *decide.RetryBudget
 
 	quotaMu sync.Mutex
 	quotas  map[wardturn.CallerID]*decide.Quota
@@ -84,35 +84,35 @@
 func New(d Deps) *Entry {
 	cfg := d.Config.WithDefaults()
 	e := &Entry{
-		cfg:     cfg,
-		clock:   d.Clock,
-		logger:  d.Logger,
-		metrics: d.Metrics,
-		list:    d.Hosts,
-		tls:     d.TLS,
-		ln: lingeringListener{
+		cfg:      cfg,
+		clock:    d.Clock,
+		logger:   d.Logger,
+		metrics:  d.Metrics,
+		hostList: d.Hosts,
+		tls:      d.TLS,
+		listener: lingeringListener{
 			Listener: d.Listener,
 		},
-		router:  decide.NewRouter(cfg.Router),
-		retries: decide.NewRetryBudget(cfg.RetryShare, retryFloor, retryBurst),
-		quotas:  make(map[wardturn.CallerID]*decide.Quota),
-		hosts:   make(map[wardturn.UpstreamID]wardturn.Host),
-		links:   make(map[wardturn.UpstreamID]*link),
-		tasks:   process.NewTasks(d.Clock),
-		seeds: seeds{
-			pages: make(map[wardturn.UpstreamID]*seed),
+		router:      decide.NewRouter(cfg.Router),
+		retryBudget: decide.NewRetryBudget(cfg.RetryShare, minRetryRate, retryBurst),
+		quotas:      make(map[wardturn.CallerID]*decide.Quota),
+		hosts:       make(map[wardturn.UpstreamID]wardturn.Host),
+		links:       make(map[wardturn.UpstreamID]*link),
+		tasks:       process.NewTasks(d.Clock),
+		peerConfigs: peerConfigs{
+			partial: make(map[wardturn.UpstreamID]*partialConfig),
 		},
 	}
 	e.replica = control.NewReplica(d.Log, d.Clock, d.Logger, false)
 	e.catalog = control.NewCatalog(e.replica)
 	e.recorder = report.NewRecorder(d.Clock, cfg.Process)
 	e.replica.Watch(e.onConfig)
-	e.findPolicy()
+	e.updateActivePolicy()
 	e.server = e.newServer()
 	if d.HTTPS != nil {
-		e.ln = tls.NewListener(e.ln, d.HTTPS)
+		e.listener = tls.NewListener(e.listener, d.HTTPS)
 	}
-	e.begin()
+	e.start()
 	return e
 }
 
@@ -122,9 +122,9 @@
 		Name:                  "wardturn",
 		NoDefaultServerHeader: true,
 		MaxRequestBodySize:    e.cfg.MaxBody,
-		ReadBufferSize:        headerLimit,
-		ReadTimeout:           readLimit,
-		IdleTimeout:           idleLimit,
+		ReadBufferSize:        maxHeaderBytes,
+		ReadTimeout:           readTimeout,
+		IdleTimeout:           idleTimeout,
 		CloseOnShutdown:       true,
 		ErrorHandler:          e.onProtocolError,
 		Logger:                discardLogger{},
@@ -138,19 +138,19 @@
 // Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-func (e *Entry) begin() {
-	e.tasks.Every(sweepEvery, e.sweepLinks)
+func (e *Entry) start() {
+	e.tasks.Every(linkSweepInterval, e.sweepLinks)
 	e.tasks.Go(e.watchHosts)
-	e.tasks.Go(e.seedFromPeers)
+	e.tasks.Go(e.pollPeersForConfig)
 	e.tasks.Go(func() {
 		e.replica.KeepSnapshots(e.tasks.Context(), e.cfg.SnapshotEvery)
 	})
 	e.tasks.Go(func() {
-		if err := e.server.Serve(e.ln); err != nil {
+		if err := e.server.Serve(e.listener); err != nil {
 			e.logger.Error("HTTP server failed", "error", err)
 		}
 	})
-	e.logger.Info("entry started", "addr", e.ln.Addr(), "process", e.cfg.Process)
+	e.logger.Info("entry started", "addr", e.listener.Addr(), "process", e.cfg.Process)
 }
 
 func (e *Entry) identity() peer.Identity {
@@ -161,22 +161,22 @@
 	}
 }
 
-func (e *Entry) nextAttempt() wardturn.AttemptID {
+func (e *Entry) nextAttemptID() wardturn.AttemptID {
 	return wardturn.AttemptID{
 		Entry: e.cfg.Process,
-		Seq:   e.seq.Add(1),
+		Seq:   e.attemptSeq.Add(1),
 	}
 }
 
 // Addr returns the listen address of the API.
 func (e *Entry) Addr() string {
-	return e.ln.Addr().String()
+	return e.listener.Addr().String()
 }
 
 // Ready reports whether the entry can handle requests: it has the host list and the
 // configuration, and it is not shutting down.
 func (e *Entry) Ready() bool {
-	if e.leaving.Load() || e.replica.Applied() == 0 {
+	if e.shuttingDown.Load() || e.replica.Applied() == 0 {
 		return false
 	}
 	e.mu.Lock()
@@ -193,16 +193,16 @@
 // new requests with the outcome "not run". It returns when all open requests have ended
 // or ctx is done.
 func (e *Entry) Leave(ctx context.Context) {
-	e.leaving.Store(true)
-	e.logger.Info("leaving", "requests", e.open.Load())
-	for e.open.Load() > 0 && ctx.Err() == nil {
-		if !wardturn.Sleep(ctx, e.clock, leavePoll) {
+	e.shuttingDown.Store(true)
+	e.logger.Info("leaving", "requests", e.openRequests.Load())
+	for e.openRequests.Load() > 0 && ctx.Err() == nil {
+		if !wardturn.Sleep(ctx, e.clock, shutdownPollInterval) {
 			return
 		}
 	}
 }
 
-const leavePoll = 20 * time.Millisecond
+const shutdownPollInterval = 20 * time.Millisecond
 
 // Close stops the entry without waiting for open requests.
 func (e *Entry) Close() {
@@ -214,7 +214,7 @@
 	}
 	e.mu.Unlock()
 	e.tasks.Stop()
-	e.ln.Close()
+	e.listener.Close()
 	for _, l := range links {
 		l.client.Close()
 	}
@@ -232,7 +232,7 @@
 
 func (e *Entry) watchHosts() {
 	for {
-		hosts, err := e.list.Hosts(e.tasks.Context())
+		hosts, err := e.hostList.Hosts(e.tasks.Context())
 		if err == nil && len(hosts) > 0 {
 			e.setHosts(hosts)
 		}
--- a/entry/lingering.go
+++ b/entry/lingering.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// lingerFor and lingerBytes limit how long and how much of a refused request is read
+	// lingerTimeout and maxLingerBytes limit how long and how much of a refused request is read
 	// and discarded before its connection is closed. Both are estimates: a caller that
 	// finishes writing within them can read the response, and a caller that never stops
 	// writing can't occupy the connection for longer.
-	lingerFor   = 500 * time.Millisecond
-	lingerBytes = 4 << 20
+	lingerTimeout  = 500 * time.Millisecond
+	maxLingerBytes = 4 << 20
 )
 
 // lingeringListener accepts connections that support a lingering close.
@@ -38,23 +38,23 @@
 // callers that continued to write after their request was refused received no response.
 type lingeringConn struct {
 	net.Conn
-	marked atomic.Bool
+	lingerOnClose atomic.Bool
 }
 
-// linger marks a connection for a lingering close. For a TLS connection, it marks the
+// enableLinger marks a connection for a lingering close. For a TLS connection, it marks the
 // underlying connection.
-func linger(c net.Conn) {
+func enableLinger(c net.Conn) {
 	if t, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = t.NetConn()
 	}
 	if l, ok := c.(*lingeringConn); ok {
-		l.marked.Store(true)
+		l.lingerOnClose.Store(true)
 	}
 }
 
 // Close implements net.Conn.
 func (c *lingeringConn) Close() error {
-	if c.marked.CompareAndSwap(true, false) {
+	if c.lingerOnClose.CompareAndSwap(true, false) {
 		c.drain()
 	}
 	return c.Conn.Close()
@@ -66,6 +66,6 @@
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = w.CloseWrite()
 	}
-	_ = c.SetReadDeadline(time.Now().Add(lingerFor)) // deadlines use the system clock, not wardturn.Clock
-	_, _ = io.CopyN(io.Discard, c.Conn, lingerBytes)
+	_ = c.SetReadDeadline(time.Now().Add(lingerTimeout)) // deadlines use the system clock, not wardturn.Clock
+	_, _ = io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 }
--- a/entry/link.go
+++ b/entry/link.go
@@ -16,21 +16,21 @@
 	host   wardturn.Host
 	client *peer.Client
 
-	mu      sync.Mutex
-	calls   map[wardturn.AttemptID]*call
-	up      chan struct{} // closed while connected
-	conn    *peer.Conn
-	usedAt  time.Time
-	retired bool
+	mu        sync.Mutex
+	attempts  map[wardturn.AttemptID]*attempt
+	connected chan struct{} // closed while connected
+	conn      *peer.Conn
+	lastUsed  time.Time
+	retired   bool
 }
 
 func newLink(e *Entry, h wardturn.Host) *link {
 	l := &link{
-		entry:  e,
-		host:   h,
-		calls:  make(map[wardturn.AttemptID]*call),
-		up:     make(chan struct{}),
-		usedAt: e.clock.Now(),
+		entry:     e,
+		host:      h,
+		attempts:  make(map[wardturn.AttemptID]*attempt),
+		connected: make(chan struct{}),
+		lastUsed:  e.clock.Now(),
 	}
 	l.client = peer.NewClient(h.Addr, e.tls, e.clock, e.identity(), l)
 	return l
@@ -41,9 +41,9 @@
 func (l *link) Connected(c *peer.Conn) {
 	l.mu.Lock()
 	l.conn = c
-	close(l.up)
-	calls := make([]*call, 0, len(l.calls))
-	for _, k := range l.calls {
+	close(l.connected)
+	calls := make([]*attempt, 0, len(l.attempts))
+	for _, k := range l.attempts {
 		calls = append(calls, k)
 	}
 	l.mu.Unlock()
@@ -56,14 +56,14 @@
 func (l *link) Closed(*peer.Conn, error) {
 	l.mu.Lock()
 	l.conn = nil
-	l.up = make(chan struct{})
-	calls := make([]*call, 0, len(l.calls))
-	for _, k := range l.calls {
+	l.connected = make(chan struct{})
+	calls := make([]*attempt, 0, len(l.attempts))
+	for _, k := range l.attempts {
 		calls = append(calls, k)
 	}
 	l.mu.Unlock()
 	for _, k := range calls {
-		k.lose()
+		k.connectionLost()
 	}
 }
 
@@ -71,22 +71,22 @@
 func (l *link) Handle(_ *peer.Conn, m peer.Message) {
 	switch m := m.(type) {
 	case *peer.Head:
-		if k := l.call(m.Attempt); k != nil {
+		if k := l.attempt(m.Attempt); k != nil {
 			k.onHead(m)
 		}
 	case *peer.Chunk:
-		if k := l.call(m.Attempt); k != nil {
+		if k := l.attempt(m.Attempt); k != nil {
 			k.onChunk(m)
 		}
 	case *peer.End:
-		l.entry.hint(l.host.Upstream, m.Hint)
-		if k := l.call(m.Attempt); k != nil {
+		l.entry.updateHint(l.host.Upstream, m.Hint)
+		if k := l.attempt(m.Attempt); k != nil {
 			k.onEnd(m)
 		}
 	case *peer.ConfigPage:
 		l.entry.onConfigPage(l.host.Upstream, m)
 	case *peer.Hint:
-		l.entry.hint(l.host.Upstream, m.Hint)
+		l.entry.updateHint(l.host.Upstream, m.Hint)
 	}
 }
 
@@ -94,21 +94,21 @@
 func (l *link) Busy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.calls) > 0
+	return len(l.attempts) > 0
 }
 
-func (l *link) call(id wardturn.AttemptID) *call {
+func (l *link) attempt(id wardturn.AttemptID) *attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.calls[id]
+	return l.attempts[id]
 }
 
-// wait returns the current connection. If there is none, it waits for one until the
+// waitConn returns the current connection. If there is none, it waits for one until the
 // timeout and then returns nil.
-func (l *link) wait(limit time.Duration) *peer.Conn {
+func (l *link) waitConn(limit time.Duration) *peer.Conn {
 	l.mu.Lock()
-	conn, up := l.conn, l.up
-	l.usedAt = l.entry.clock.Now()
+	conn, up := l.conn, l.connected
+	l.lastUsed = l.entry.clock.Now()
 	l.mu.Unlock()
 	if conn != nil {
 		return conn
@@ -128,24 +128,24 @@
 	}
 }
 
-func (l *link) add(k *call) {
+func (l *link) add(k *attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.calls[k.id] = k
+	l.attempts[k.id] = k
 }
 
-func (l *link) remove(k *call) {
+func (l *link) remove(k *attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.calls, k.id)
-	l.usedAt = l.entry.clock.Now()
+	delete(l.attempts, k.id)
+	l.lastUsed = l.entry.clock.Now()
 }
 
 // idleSince returns when the link was last used. It reports false while attempts use it.
 func (l *link) idleSince() (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usedAt, len(l.calls) == 0
+	return l.lastUsed, len(l.attempts) == 0
 }
 
 // link returns the link to an upstream, and opens it if there is none. It returns nil if
@@ -162,15 +162,15 @@
 		return l
 	}
 	if l != nil {
-		e.retire(l)
+		e.closeLink(l)
 	}
 	l = newLink(e, h)
 	e.links[id] = l
 	return l
 }
 
-// retire closes a link. The caller must hold e.mu.
-func (e *Entry) retire(l *link) {
+// closeLink closes a link. The caller must hold e.mu.
+func (e *Entry) closeLink(l *link) {
 	if l.retired {
 		return
 	}
@@ -189,12 +189,12 @@
 		_, listed := e.hosts[id]
 		if idle && (!listed || now.Sub(since) > e.cfg.IdleLink) {
 			delete(e.links, id)
-			e.retire(l)
+			e.closeLink(l)
 		}
 	}
 }
 
-func (e *Entry) hint(id wardturn.UpstreamID, h decide.Hint) {
+func (e *Entry) updateHint(id wardturn.UpstreamID, h decide.Hint) {
 	e.routerMu.Lock()
 	defer e.routerMu.Unlock()
 	e.router.Hint(e.clock.Now(), id, h)
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -13,10 +13,10 @@
 // Metrics holds an entry's counters and histograms. To bound their cardinality, no label
 // contains an adapter, a caller or a request ID.
 type Metrics struct {
-	handler  fasthttp.RequestHandler
-	requests *process.OutcomeCounters
-	stall    [2]tally.Histogram // by class: wait for the adapter to be loaded
-	whole    [2]tally.Histogram // by class: total time of a request
+	handler   fasthttp.RequestHandler
+	requests  *process.OutcomeCounters
+	loadStall [2]tally.Histogram // by class: wait for the adapter to be loaded
+	duration  [2]tally.Histogram // by class: total time of a request
 }
 
 // NewMetrics registers an entry's metrics in a scope. The handler serves /metrics.
@@ -31,19 +31,19 @@
 		tagged := s.Tagged(map[string]string{
 			"class": class.String(),
 		})
-		m.stall[class] = tagged.Histogram("load_stall_seconds", buckets)
-		m.whole[class] = tagged.Histogram("request_seconds", buckets)
+		m.loadStall[class] = tagged.Histogram("load_stall_seconds", buckets)
+		m.duration[class] = tagged.Histogram("request_seconds", buckets)
 	}
 	return m
 }
 
-func (m *Metrics) ended(x *exchange) {
+func (m *Metrics) observe(x *exchange) {
 	m.requests.Count(x.req.Class, x.outcome)
 	if x.outcome.Kind != wardturn.Done {
 		return
 	}
-	m.whole[x.req.Class].RecordDuration(x.now().Sub(x.arrived))
+	m.duration[x.req.Class].RecordDuration(x.now().Sub(x.arrived))
 	if x.head != nil {
-		m.stall[x.req.Class].RecordDuration(x.head.Stalled)
+		m.loadStall[x.req.Class].RecordDuration(x.head.Stalled)
 	}
 }
--- a/entry/openai.go
+++ b/entry/openai.go
@@ -32,7 +32,7 @@
 
 // parseCompletion parses and validates a completion or chat completion request of the
 // OpenAI API.
-func parseCompletion(parser *fastjson.Parser, body []byte, defaultOutput wardturn.Tokens) (completion, problem) {
+func parseCompletion(parser *fastjson.Parser, body []byte, defaultOutput wardturn.Tokens) (completion, errorResponse) {
 	if tooDeep(body) {
 		return completion{}, badRequest("", "the body nests too deeply")
 	}
@@ -64,7 +64,7 @@
 	if !doc.Exists("prompt") && !doc.Exists("messages") {
 		return completion{}, badRequest("prompt", "prompt or messages must be set")
 	}
-	return c, problem{}
+	return c, errorResponse{}
 }
 
 // tooDeep reports whether a JSON body exceeds the maximum nesting depth. It doesn't parse
@@ -92,18 +92,18 @@
 	return false
 }
 
-// rewrite returns the body with the resolved adapter version as the model, and with the
-// engine's priority for the class.
-func (c completion) rewrite(ref wardturn.AdapterRef, class wardturn.Class) []byte {
+// rewriteBody returns the body with the resolved adapter version as the model, and with
+// the engine's priority for the class.
+func (c completion) rewriteBody(ref wardturn.AdapterRef, class wardturn.Class) []byte {
 	var arena fastjson.Arena
 	c.doc.Set("model", arena.NewString(ref.String()))
 	c.doc.Set("priority", arena.NewNumberInt(int(class)))
 	return c.doc.MarshalTo(nil)
 }
 
-// renameModel sets another version of the adapter in a body that completion.rewrite
+// replaceModel sets another version of the adapter in a body that completion.rewriteBody
 // returned.
-func renameModel(body []byte, ref wardturn.AdapterRef, class wardturn.Class) []byte {
+func replaceModel(body []byte, ref wardturn.AdapterRef, class wardturn.Class) []byte {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
 	doc, err := parser.ParseBytes(body)
@@ -113,16 +113,16 @@
 	c := completion{
 		doc: doc,
 	}
-	return c.rewrite(ref, class)
+	return c.rewriteBody(ref, class)
 }
 
-// models handles GET /v1/models.
-func (e *Entry) models(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
+// listModels handles GET /v1/models.
+func (e *Entry) listModels(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
 	var buf bytes.Buffer
 	buf.WriteString(`{"object":"list","data":[`)
 	first := true
 	for _, id := range e.catalog.Adapters() {
-		if !e.mayUse(caller, string(id), adaptersOf) {
+		if !e.mayUse(caller, string(id), adapterPatterns) {
 			continue
 		}
 		if !first {
@@ -138,9 +138,9 @@
 	ctx.SetBody(buf.Bytes())
 }
 
-// digestOf returns a digest of a service request, which tells different requests with the
-// same idempotency key apart.
-func digestOf(req *wardturn.Request) wardturn.Digest {
+// requestDigest returns a digest of a service request, which tells different requests with
+// the same idempotency key apart.
+func requestDigest(req *wardturn.Request) wardturn.Digest {
 	h := sha256.New()
 	for _, part := range []string{string(req.Service), req.Method, req.Path} {
 		h.Write([]byte(part))
--- a/entry/openai_test.go
+++ b/entry/openai_test.go
@@ -9,7 +9,7 @@
 	"wardturn"
 )
 
-func parse(body string) (completion, problem) {
+func parse(body string) (completion, errorResponse) {
 	return parseCompletion(&fastjson.Parser{}, []byte(body), 64)
 }
 
@@ -21,7 +21,7 @@
 	if c.ref.String() != "a1@3" || c.output != 5 || !c.stream {
 		t.Fatalf("%+v", c)
 	}
-	got := string(c.rewrite(c.ref, wardturn.Batch))
+	got := string(c.rewriteBody(c.ref, wardturn.Batch))
 	for _, want := range []string{`"model":"a1@3"`, `"priority":1`, `"temperature":0.5`} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%s lacks %s", got, want)
@@ -58,7 +58,7 @@
 		if p.code != "" {
 			return
 		}
-		out := c.rewrite(c.ref, wardturn.Interactive)
+		out := c.rewriteBody(c.ref, wardturn.Interactive)
 		again, p := parse(string(out))
 		if p.code != "" || again.ref != c.ref {
 			t.Fatalf("%s was rewritten to %s: %s", body, out, p.message)
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -14,8 +14,8 @@
 	"wardturn/driver"
 )
 
-// problem is an error response. The zero value means no error.
-type problem struct {
+// errorResponse describes an error response. The zero value means no error.
+type errorResponse struct {
 	status  int
 	code    string
 	message string
@@ -23,14 +23,14 @@
 	outcome wardturn.Outcome
 }
 
-// errorAnswer is the body of an error response: an error object as in the OpenAI API,
+// errorBody is the body of an error response: an error object as in the OpenAI API,
 // extended by whether the request ran.
-type errorAnswer struct {
+type errorBody struct {
 	Error driver.ErrorDetail `json:"error"`
 	Ran   string             `json:"ran"` // no, yes or unknown
 }
 
-func (p problem) answer() errorAnswer {
+func (p errorResponse) body() errorBody {
 	kind := "server_error"
 	if p.status < fasthttp.StatusInternalServerError {
 		kind = "invalid_request_error"
@@ -39,7 +39,7 @@
 	if p.outcome.Kind == wardturn.Unknown {
 		ran = "unknown"
 	}
-	return errorAnswer{
+	return errorBody{
 		Error: driver.ErrorDetail{
 			Message: p.message,
 			Type:    kind,
@@ -50,7 +50,7 @@
 	}
 }
 
-func writeProblem(ctx *fasthttp.RequestCtx, p problem) {
+func writeError(ctx *fasthttp.RequestCtx, p errorResponse) {
 	ctx.SetStatusCode(p.status)
 	ctx.SetContentType("application/json")
 	if p.outcome.Kind == 0 {
@@ -62,35 +62,35 @@
 		seconds := int(math.Ceil(after.Seconds()))
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
 	}
-	body, _ := json.Marshal(p.answer())
+	body, _ := json.Marshal(p.body())
 	ctx.SetBody(append(body, '\n'))
 }
 
 // writeErrorEvent writes the error event that ends a truncated stream.
 func writeErrorEvent(w *bufio.Writer, outcome wardturn.Outcome) {
-	body, _ := json.Marshal(problemOf(outcome).answer())
+	body, _ := json.Marshal(outcomeError(outcome).body())
 	_, _ = w.WriteString("event: error\ndata: ")
 	_, _ = w.Write(body)
 	_, _ = w.WriteString("\n\n")
 }
 
-// problemOf returns the error response for an outcome. It includes the outcome's retry
+// outcomeError returns the error response for an outcome. It includes the outcome's retry
 // delay, if any.
-func problemOf(o wardturn.Outcome) problem {
-	p := problem{
-		status:  statusOf(o),
+func outcomeError(o wardturn.Outcome) errorResponse {
+	p := errorResponse{
+		status:  statusCode(o),
 		code:    string(o.Reason),
 		outcome: o,
 	}
 	if o.Kind == wardturn.Unknown {
-		p.message = "the request may have run: " + describe(o.Reason)
+		p.message = "the request may have run: " + reasonText(o.Reason)
 		return p
 	}
-	p.message = "the request did not run: " + describe(o.Reason)
+	p.message = "the request did not run: " + reasonText(o.Reason)
 	return p
 }
 
-func statusOf(o wardturn.Outcome) int {
+func statusCode(o wardturn.Outcome) int {
 	if o.Kind == wardturn.Unknown {
 		if o.Reason == wardturn.ReasonDeadline {
 			return fasthttp.StatusGatewayTimeout
@@ -108,8 +108,8 @@
 	return fasthttp.StatusServiceUnavailable
 }
 
-// describe returns a description of a reason for error messages.
-func describe(r wardturn.Reason) string {
+// reasonText returns a description of a reason for error messages.
+func reasonText(r wardturn.Reason) string {
 	switch r {
 	case wardturn.ReasonQueueFull:
 		return "too many requests are waiting"
@@ -141,8 +141,8 @@
 	return strings.ReplaceAll(string(r), "_", " ")
 }
 
-func badRequest(param, message string) problem {
-	return problem{
+func badRequest(param, message string) errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusBadRequest,
 		code:    string(wardturn.ReasonBadRequest),
 		message: strings.TrimSpace(param + " " + message),
@@ -150,24 +150,24 @@
 	}
 }
 
-func unauthorized() problem {
-	return problem{
+func unauthorized() errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusUnauthorized,
 		code:    "unauthorized",
 		message: "a known key is needed, as Authorization: Bearer KEY",
 	}
 }
 
-func forbidden(what string) problem {
-	return problem{
+func forbidden(what string) errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusForbidden,
 		code:    string(wardturn.ReasonForbidden),
 		message: "the key does not allow " + what,
 	}
 }
 
-func unknownAdapter(ref wardturn.AdapterRef) problem {
-	return problem{
+func unknownAdapter(ref wardturn.AdapterRef) errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusNotFound,
 		code:    string(wardturn.ReasonUnknownAdapter),
 		message: "no adapter " + ref.String(),
@@ -175,8 +175,8 @@
 	}
 }
 
-func unknownService(name wardturn.ServiceName) problem {
-	return problem{
+func unknownService(name wardturn.ServiceName) errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusNotFound,
 		code:    string(wardturn.ReasonUnknownService),
 		message: "no service " + string(name),
@@ -198,6 +198,6 @@
 		p.code = string(wardturn.ReasonTooLarge)
 		p.message = "the headers are larger than 16 KiB"
 	}
-	linger(ctx.Conn())
-	writeProblem(ctx, p)
+	enableLinger(ctx.Conn())
+	writeError(ctx, p)
 }
--- a/entry/reply.go
+++ b/entry/reply.go
@@ -8,16 +8,16 @@
 	"wardturn"
 )
 
-// reply sends the error response for an outcome that is not Done.
-func (e *Entry) reply(ctx *fasthttp.RequestCtx, x *exchange, outcome wardturn.Outcome) {
-	e.setHeaders(ctx, x, outcome)
-	writeProblem(ctx, problemOf(outcome))
+// replyError sends the error response for an outcome that is not Done.
+func (e *Entry) replyError(ctx *fasthttp.RequestCtx, x *exchange, outcome wardturn.Outcome) {
+	e.setOutcomeHeaders(ctx, x, outcome)
+	writeError(ctx, outcomeError(outcome))
 }
 
-// setHeaders sets the response headers that report the adapter version, the load stall
-// and the outcome. The outcome is zero for a stream, because it isn't known before the
-// stream has ended.
-func (e *Entry) setHeaders(ctx *fasthttp.RequestCtx, x *exchange, outcome wardturn.Outcome) {
+// setOutcomeHeaders sets the response headers that report the adapter version, the load
+// stall and the outcome. The outcome is zero for a stream, because it isn't known before
+// the stream has ended.
+func (e *Entry) setOutcomeHeaders(ctx *fasthttp.RequestCtx, x *exchange, outcome wardturn.Outcome) {
 	h := &ctx.Response.Header
 	if !x.req.Adapter.IsZero() {
 		h.Set(HeaderAdapter, string(x.req.Adapter.Adapter))
--- a/entry/seed.go
+++ b/entry/seed.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	seedEvery = 2 * time.Second
-	seedPeers = 3 // agents asked per round, if possible in different failure domains
-	// logSilence is the time without a successful read of the log after which agents are
+	peerPollInterval = 2 * time.Second
+	peersPerPoll     = 3 // agents asked per round, if possible in different failure domains
+	// maxLogReadAge is the time without a successful read of the log after which agents are
 	// asked for the configuration. A read that finds no new records returns after 2 s, so
 	// this must be longer.
-	logSilence = 5 * time.Second
+	maxLogReadAge = 5 * time.Second
 )
 
-// seeds collects the configurations that agents send while the log is unavailable.
-type seeds struct {
-	mu    sync.Mutex
-	pages map[wardturn.UpstreamID]*seed
+// peerConfigs collects the configurations that agents send while the log is unavailable.
+type peerConfigs struct {
+	mu      sync.Mutex
+	partial map[wardturn.UpstreamID]*partialConfig
 }
 
-// seed is the part of an agent's configuration that has been received so far.
-type seed struct {
-	config wardturn.Offset
-	page   control.Page
-	next   int
+// partialConfig is the part of an agent's configuration that has been received so far.
+type partialConfig struct {
+	config   wardturn.Offset
+	received control.Page
+	nextPage int
 }
 
-// seedFromPeers asks agents for the configuration as long as the log can't be read. Each
-// complete configuration is passed to the replica, which ignores it if it is older than
-// its own.
-func (e *Entry) seedFromPeers() {
-	for e.tasks.Pause(seedEvery) {
-		if e.clock.Now().Sub(e.replica.LastRead()) < logSilence {
+// pollPeersForConfig asks agents for the configuration as long as the log can't be read.
+// Each complete configuration is passed to the replica, which ignores it if it is older
+// than its own.
+func (e *Entry) pollPeersForConfig() {
+	for e.tasks.Pause(peerPollInterval) {
+		if e.clock.Now().Sub(e.replica.LastRead()) < maxLogReadAge {
 			continue
 		}
-		for _, h := range e.spread(seedPeers) {
-			e.seedFrom(h.Upstream)
+		for _, h := range e.pickDiverseHosts(peersPerPoll) {
+			e.pollPeerForConfig(h.Upstream)
 		}
 	}
 }
 
-// seedFrom requests an agent's configuration if it is known to be newer than the
+// pollPeerForConfig requests an agent's configuration if it is known to be newer than the
 // entry's. Otherwise it sends a ping to learn the agent's current offset for the next
 // round.
-func (e *Entry) seedFrom(id wardturn.UpstreamID) {
+func (e *Entry) pollPeerForConfig(id wardturn.UpstreamID) {
 	l := e.link(id)
 	if l == nil {
 		return
 	}
-	conn := l.wait(e.cfg.ConnectLimit)
+	conn := l.waitConn(e.cfg.ConnectLimit)
 	switch {
 	case conn == nil:
 	case conn.Config() > e.replica.Applied():
@@ -63,8 +63,8 @@
 	}
 }
 
-// spread returns up to n hosts, preferring different failure domains.
-func (e *Entry) spread(n int) []wardturn.Host {
+// pickDiverseHosts returns up to n hosts, preferring different failure domains.
+func (e *Entry) pickDiverseHosts(n int) []wardturn.Host {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	used := make(map[wardturn.FailureDomain]bool)
@@ -81,12 +81,12 @@
 	return list[:min(n, len(list))]
 }
 
-func (e *Entry) askConfig(id wardturn.UpstreamID, page int) {
+func (e *Entry) requestConfigPage(id wardturn.UpstreamID, page int) {
 	l := e.link(id)
 	if l == nil {
 		return
 	}
-	if conn := l.wait(e.cfg.ConnectLimit); conn != nil {
+	if conn := l.waitConn(e.cfg.ConnectLimit); conn != nil {
 		_ = conn.Send(&peer.ConfigPull{
 			Page: page,
 		})
@@ -100,33 +100,33 @@
 	if err != nil {
 		return
 	}
-	e.seeds.mu.Lock()
-	s := e.seeds.pages[from]
+	e.peerConfigs.mu.Lock()
+	s := e.peerConfigs.partial[from]
 	if m.Page == 0 || s == nil || s.config != m.Config {
-		s = &seed{
+		s = &partialConfig{
 			config: m.Config,
 		}
-		e.seeds.pages[from] = s
+		e.peerConfigs.partial[from] = s
 	}
-	if m.Page != s.next {
-		delete(e.seeds.pages, from)
-		e.seeds.mu.Unlock()
+	if m.Page != s.nextPage {
+		delete(e.peerConfigs.partial, from)
+		e.peerConfigs.mu.Unlock()
 		return
 	}
-	s.page.Docs = append(s.page.Docs, page.Docs...)
-	s.page.Results = append(s.page.Results, page.Results...)
-	s.next++
-	whole := s.next >= m.Pages
+	s.received.Docs = append(s.received.Docs, page.Docs...)
+	s.received.Results = append(s.received.Results, page.Results...)
+	s.nextPage++
+	whole := s.nextPage >= m.Pages
 	if whole {
-		delete(e.seeds.pages, from)
+		delete(e.peerConfigs.partial, from)
 	}
-	e.seeds.mu.Unlock()
+	e.peerConfigs.mu.Unlock()
 	if !whole {
 		e.tasks.Go(func() {
-			e.askConfig(from, m.Page+1)
+			e.requestConfigPage(from, m.Page+1)
 		})
 		return
 	}
-	e.logger.Info("configuration received from an agent", "upstream", from, "config", s.config, "documents", len(s.page.Docs))
-	e.replica.Seed(s.page, s.config)
+	e.logger.Info("configuration received from an agent", "upstream", from, "config", s.config, "documents", len(s.received.Docs))
+	e.replica.Seed(s.received, s.config)
 }
--- a/entry/windows.go
+++ b/entry/windows.go
@@ -14,14 +14,14 @@
 // the burn report is made.
 func (e *Entry) getWindows(ctx *fasthttp.RequestCtx, _ operator) {
 	since, _ := time.Parse(time.RFC3339, string(ctx.QueryArgs().Peek("since")))
-	writeBody(ctx, fasthttp.StatusOK, e.recorder.Batch(since))
+	writeJSON(ctx, fasthttp.StatusOK, e.recorder.Batch(since))
 }
 
-// record updates the service-level indicators with a request that has ended.
-func (e *Entry) record(x *exchange) {
+// recordIndicators updates the service-level indicators with a request that has ended.
+func (e *Entry) recordIndicators(x *exchange) {
 	key := report.Key{
-		Team:   e.teamOfRequest(x),
-		Policy: e.policyName(),
+		Team:   e.requestTeam(x),
+		Policy: e.activePolicyName(),
 	}
 	count := func(i report.Indicator, d time.Duration) {
 		key.Indicator = i
@@ -44,14 +44,14 @@
 	if x.head != nil {
 		count(report.LoadStall, x.head.Stalled)
 	}
-	first := x.firstAt.Sub(x.arrived)
+	first := x.firstByteAt.Sub(x.arrived)
 	count(report.FirstToken, first)
 	if x.stream && x.req.Output > 1 {
 		count(report.TokenGap, (whole-first)/time.Duration(x.req.Output-1))
 	}
 }
 
-func (e *Entry) teamOfRequest(x *exchange) wardturn.TeamID {
+func (e *Entry) requestTeam(x *exchange) wardturn.TeamID {
 	if x.req.Service != "" {
 		d, _ := e.catalog.Service(x.req.Service)
 		return d.Team
@@ -60,9 +60,9 @@
 	return d.Team
 }
 
-// policyName returns the name of the active policy.
-func (e *Entry) policyName() string {
-	if name := e.policy.Load(); name != nil {
+// activePolicyName returns the name of the active policy.
+func (e *Entry) activePolicyName() string {
+	if name := e.activePolicy.Load(); name != nil {
 		return *name
 	}
 	return ""
@@ -71,14 +71,14 @@
 // onConfig updates the name of the active policy when a policy document changes.
 func (e *Entry) onConfig(key control.Key) {
 	if control.KindOf(key) == control.KindPolicy {
-		e.findPolicy()
+		e.updateActivePolicy()
 	}
 }
 
-func (e *Entry) findPolicy() {
+func (e *Entry) updateActivePolicy() {
 	name := ""
 	if p, ok := control.ActivePolicy(e.replica); ok {
 		name = p.Name
 	}
-	e.policy.Store(&name)
+	e.activePolicy.Store(&name)
 }
--- a/process/clock.go
+++ b/process/clock.go
@@ -22,21 +22,21 @@
 
 // Now implements wardturn.Clock.
 func (Clock) Now() time.Time {
-	return host.Now()
+	return systemClock.Now()
 }
 
 // AfterFunc implements wardturn.Clock.
 func (Clock) AfterFunc(d time.Duration, f func()) wardturn.Timer {
-	return host.AfterFunc(d, f)
+	return systemClock.AfterFunc(d, f)
 }
 
-// host is the clock shared by all values of Clock.
-var host = newHostClock(systemReadings{
+// systemClock is the clock shared by all values of Clock.
+var systemClock = newHostClock(systemClocks{
 	start: time.Now(),
 })
 
-// readings reads the host's clocks.
-type readings interface {
+// hostClocks reads the host's clocks.
+type hostClocks interface {
 	// now returns the wall clock time, and the time since the start of the process by the
 	// monotonic clock, which stops while the host is suspended.
 	now() (day time.Time, steady time.Duration)
@@ -45,16 +45,16 @@
 	sinceBoot() (time.Duration, error)
 }
 
-type systemReadings struct {
+type systemClocks struct {
 	start time.Time
 }
 
-func (r systemReadings) now() (day time.Time, steady time.Duration) {
+func (r systemClocks) now() (day time.Time, steady time.Duration) {
 	now := time.Now()
 	return now.Round(0), now.Sub(r.start)
 }
 
-func (systemReadings) sinceBoot() (time.Duration, error) {
+func (systemClocks) sinceBoot() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0, errors.Wrap(err, "read CLOCK_BOOTTIME")
@@ -63,17 +63,17 @@
 }
 
 const (
-	// leastGap is the minimum difference between the clocks that is treated as a suspension
+	// minGap is the minimum difference between the clocks that is treated as a suspension
 	// or a change of the wall clock. Suspensions last far longer, and two consecutive
 	// readings differ only by microseconds.
-	leastGap = time.Millisecond
-	// lookEvery is the interval between reads of the boot-time clock while the wall clock
+	minGap = time.Millisecond
+	// checkInterval is the interval between reads of the boot-time clock while the wall clock
 	// and the monotonic clock advance together. Reading it takes a system call, which
 	// reading the other two doesn't.
-	lookEvery = 100 * time.Millisecond
-	// gapTries is how many times the clocks are read if the process is delayed between
+	checkInterval = 100 * time.Millisecond
+	// maxGapReads is how many times the clocks are read if the process is delayed between
 	// consecutive readings.
-	gapTries = 5
+	maxGapReads = 5
 )
 
 // hostClock combines the monotonic clock with the time during which the host was
@@ -81,73 +81,73 @@
 // that resumes would underestimate the age of all its data by that time, and a revoked key
 // would remain valid beyond the platform's limit.
 type hostClock struct {
-	read  readings
-	start time.Time     // wall clock time at which the monotonic clock was zero
-	boot  time.Duration // boot-time clock minus monotonic clock, without suspensions
-	// counts is whether the boot-time clock can be read.
-	counts bool
+	clocks         hostClocks
+	start          time.Time     // wall clock time at which the monotonic clock was zero
+	initialBootGap time.Duration // boot-time clock minus monotonic clock, without suspensions
+	// hasBootClock is whether the boot-time clock can be read.
+	hasBootClock bool
 
-	suspended atomic.Int64 // total time suspended since the start of the process, in ns
-	apart     atomic.Int64 // wall clock time since start minus monotonic time at the last check, in ns
-	lookedAt  atomic.Int64 // monotonic time of the last check, in ns
+	suspended  atomic.Int64 // total time suspended since the start of the process, in ns
+	wallOffset atomic.Int64 // wall clock time since start minus monotonic time at the last check, in ns
+	checkedAt  atomic.Int64 // monotonic time of the last check, in ns
 
 	mu     sync.Mutex
 	timers map[*hostTimer]bool
 }
 
-func newHostClock(r readings) *hostClock {
+func newHostClock(r hostClocks) *hostClock {
 	day, steady := r.now()
 	c := &hostClock{
-		read:   r,
+		clocks: r,
 		start:  day.Add(-steady),
 		timers: make(map[*hostTimer]bool),
 	}
 	// Without a boot-time clock, suspensions are not detected.
-	c.boot, c.counts = c.bootGap()
+	c.initialBootGap, c.hasBootClock = c.bootGap()
 	return c
 }
 
 // Now implements wardturn.Clock.
 func (c *hostClock) Now() time.Time {
-	day, steady := c.read.now()
+	day, steady := c.clocks.now()
 	apart := day.Sub(c.start) - steady
-	change := apart - time.Duration(c.apart.Load())
-	if change > leastGap || change < -leastGap || int64(steady)-c.lookedAt.Load() > int64(lookEvery) {
-		c.look(steady, apart)
+	change := apart - time.Duration(c.wallOffset.Load())
+	if change > minGap || change < -minGap || int64(steady)-c.checkedAt.Load() > int64(checkInterval) {
+		c.checkSuspended(steady, apart)
 	}
 	return c.start.Add(steady + time.Duration(c.suspended.Load()))
 }
 
-// look checks whether the host was suspended since the last check. If so, it adjusts the
-// pending timers.
-func (c *hostClock) look(steady, apart time.Duration) {
-	c.apart.Store(int64(apart))
-	c.lookedAt.Store(int64(steady))
+// checkSuspended checks whether the host was suspended since the last check. If so, it
+// adjusts the pending timers.
+func (c *hostClock) checkSuspended(steady, apart time.Duration) {
+	c.wallOffset.Store(int64(apart))
+	c.checkedAt.Store(int64(steady))
 	gap, ok := c.bootGap()
-	if !ok || !c.counts {
+	if !ok || !c.hasBootClock {
 		return
 	}
-	suspended := gap - c.boot
+	suspended := gap - c.initialBootGap
 	known := c.suspended.Load()
-	if suspended < time.Duration(known)+leastGap || !c.suspended.CompareAndSwap(known, int64(suspended)) {
+	if suspended < time.Duration(known)+minGap || !c.suspended.CompareAndSwap(known, int64(suspended)) {
 		return
 	}
-	go c.wake()
+	go c.resetTimers()
 }
 
 // bootGap returns by how much the boot-time clock is ahead of the monotonic clock. It
 // reports false if the boot-time clock can't be read.
 func (c *hostClock) bootGap() (time.Duration, bool) {
 	gap := time.Duration(0)
-	for range gapTries {
-		_, before := c.read.now()
-		boot, err := c.read.sinceBoot()
-		_, after := c.read.now()
+	for range maxGapReads {
+		_, before := c.clocks.now()
+		boot, err := c.clocks.sinceBoot()
+		_, after := c.clocks.now()
 		if err != nil {
 			return 0, false
 		}
 		gap = boot - after // at most the true difference
-		if after-before < leastGap {
+		if after-before < minGap {
 			break
 		}
 	}
@@ -189,9 +189,9 @@
 	delete(c.timers, t)
 }
 
-// wake resets the pending timers after the host was suspended, because the runtime's
+// resetTimers resets the pending timers after the host was suspended, because the runtime's
 // timers use the monotonic clock and don't count the suspended time.
-func (c *hostClock) wake() {
+func (c *hostClock) resetTimers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
--- a/process/clock_internal_test.go
+++ b/process/clock_internal_test.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// sleepy simulates the clocks of a host that is suspended or whose wall clock is set. Its
+// fakeClocks simulates the clocks of a host that is suspended or whose wall clock is set. Its
 // monotonic clock is the real one.
-type sleepy struct {
-	suspended atomic.Int64 // total time suspended, in ns
-	set       atomic.Int64 // total change of the wall clock, in ns
+type fakeClocks struct {
+	suspended  atomic.Int64 // total time suspended, in ns
+	wallChange atomic.Int64 // total change of the wall clock, in ns
 }
 
-func (s *sleepy) now() (day time.Time, steady time.Duration) {
+func (s *fakeClocks) now() (day time.Time, steady time.Duration) {
 	now := time.Now()
-	shift := time.Duration(s.suspended.Load() + s.set.Load())
+	shift := time.Duration(s.suspended.Load() + s.wallChange.Load())
 	return now.Round(0).Add(shift), now.Sub(testStart)
 }
 
-func (s *sleepy) sinceBoot() (time.Duration, error) {
+func (s *fakeClocks) sinceBoot() (time.Duration, error) {
 	return time.Since(testStart) + time.Duration(s.suspended.Load()), nil
 }
 
 var testStart = time.Now()
 
-// within is the tolerance of measured times, far more than the delays of the host.
-const within = 200 * time.Millisecond
+// tolerance bounds the error of measured times. It is far more than the delays of the host.
+const tolerance = 200 * time.Millisecond
 
 // Guards against elapsed times that include changes of the wall clock. A connection was
 // closed when the wall clock was set while it waited for a heartbeat response, because the
 // elapsed time was computed from times without a monotonic clock reading.
 func TestClockPassesOverTheTimeOfDay(t *testing.T) {
-	host := &sleepy{}
+	host := &fakeClocks{}
 	c := newHostClock(host)
 	before := c.Now()
-	if off := time.Since(before); off < -within || off > within {
+	if off := time.Since(before); off < -tolerance || off > tolerance {
 		t.Errorf("difference to the wall clock: %v", off)
 	}
 	for _, set := range []time.Duration{2 * time.Second, -4 * time.Second, time.Hour} {
-		host.set.Add(int64(set))
+		host.wallChange.Add(int64(set))
 		now := c.Now()
-		if got := now.Sub(before); got < 0 || got > within {
-			t.Errorf("wall clock set by %v: elapsed %v, want within %v of 0", set, got, within)
+		if got := now.Sub(before); got < 0 || got > tolerance {
+			t.Errorf("wall clock set by %v: elapsed %v, want within %v of 0", set, got, tolerance)
 		}
-		if got := now.Sub(time.Unix(0, before.UnixNano())); got < 0 || got > within {
-			t.Errorf("wall clock set by %v: elapsed %v computed from Unix times, want within %v of 0", set, got, within)
+		if got := now.Sub(time.Unix(0, before.UnixNano())); got < 0 || got > tolerance {
+			t.Errorf("wall clock set by %v: elapsed %v computed from Unix times, want within %v of 0", set, got, tolerance)
 		}
 	}
 }
 
 func TestClockTellsTheTimeOfDay(t *testing.T) {
-	if off := time.Since(Clock{}.Now()); off < -within || off > within {
+	if off := time.Since(Clock{}.Now()); off < -tolerance || off > tolerance {
 		t.Errorf("difference to the wall clock: %v", off)
 	}
 }
@@ -60,12 +60,12 @@
 // suspended for 8 s underestimated the age of keys, adapter versions and its last read of
 // the store by 8 s, because Go's monotonic clock stops while the host is suspended.
 func TestClockCountsSuspension(t *testing.T) {
-	host := &sleepy{}
+	host := &fakeClocks{}
 	c := newHostClock(host)
 	before := c.Now()
 	for _, all := range []time.Duration{8 * time.Second, 8*time.Second + 50*time.Millisecond, time.Hour} {
 		host.suspended.Store(int64(all))
-		if got := c.Now().Sub(before); got < all || got > all+within {
+		if got := c.Now().Sub(before); got < all || got > all+tolerance {
 			t.Errorf("suspended for %v in total: elapsed %v", all, got)
 		}
 	}
@@ -75,7 +75,7 @@
 // Before, a request whose deadline had passed was held for as long as the host had been
 // suspended.
 func TestClockTimersAfterSuspension(t *testing.T) {
-	host := &sleepy{}
+	host := &fakeClocks{}
 	c := newHostClock(host)
 	fired := make(chan struct{}, 3)
 	fire := func() {
@@ -91,13 +91,13 @@
 	c.Now() // the first read of the time detects the suspension
 	select {
 	case <-fired:
-	case <-time.After(within):
+	case <-time.After(tolerance):
 		t.Error("a timer that became due during the suspension did not fire")
 	}
 	select {
 	case <-fired:
 		t.Error("a timer fired that was stopped or not due")
-	case <-time.After(within):
+	case <-time.After(tolerance):
 	}
 }
 
@@ -111,7 +111,7 @@
 // With 1,000 pending timers, starting and stopping a timer takes 528 ns, compared to
 // 262 ns for time.AfterFunc alone.
 func BenchmarkClockAfterFunc(b *testing.B) {
-	c := newHostClock(&sleepy{})
+	c := newHostClock(&fakeClocks{})
 	for range 1000 {
 		c.AfterFunc(time.Hour, func() {})
 	}
--- a/process/logbudget.go
+++ b/process/logbudget.go
@@ -9,9 +9,9 @@
 	"wardturn"
 )
 
-// leftOutKey is the key of the number of lines with the same message that were suppressed
+// suppressedKey is the key of the number of lines with the same message that were suppressed
 // since the last one that was written.
-const leftOutKey = "left_out"
+const suppressedKey = "left_out"
 
 // LogRates holds the maximum number of log lines per second for each message.
 type LogRates struct {
@@ -19,95 +19,95 @@
 	Others float64 // for each message that is not in the map
 }
 
-// budgetedLogger limits the rate of lines for each message. A line that is written states
+// rateLimitedLogger limits the rate of lines for each message. A line that is written states
 // how many lines with its message were suppressed before it.
-type budgetedLogger struct {
+type rateLimitedLogger struct {
 	hclog.Logger
 	clock wardturn.Clock
 	rates LogRates
 
-	mu      sync.Mutex
-	budgets map[string]*lineBudget
+	mu       sync.Mutex
+	limiters map[string]*lineLimiter
 }
 
-type lineBudget struct {
-	tokens  float64
-	at      time.Time
-	leftOut int
+type lineLimiter struct {
+	tokens     float64
+	updatedAt  time.Time
+	suppressed int
 }
 
 // NewBudgetedLogger returns a logger that limits the rate of lines for each message
 // separately, so that one kind of event can't crowd out the others. Bursts of up to one
 // second's worth of lines are allowed.
 func NewBudgetedLogger(l hclog.Logger, clock wardturn.Clock, rates LogRates) hclog.Logger {
-	return &budgetedLogger{
-		Logger:  l,
-		clock:   clock,
-		rates:   rates,
-		budgets: make(map[string]*lineBudget),
+	return &rateLimitedLogger{
+		Logger:   l,
+		clock:    clock,
+		rates:    rates,
+		limiters: make(map[string]*lineLimiter),
 	}
 }
 
-func (l *budgetedLogger) rate(msg string) float64 {
+func (l *rateLimitedLogger) rate(msg string) float64 {
 	if r, ok := l.rates.Of[msg]; ok {
 		return r
 	}
 	return l.rates.Others
 }
 
-// take reports whether a line may be written and, if so, how many lines with the same
+// allow reports whether a line may be written and, if so, how many lines with the same
 // message were suppressed before it.
-func (l *budgetedLogger) take(msg string) (leftOut int, ok bool) {
+func (l *rateLimitedLogger) allow(msg string) (leftOut int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	rate := l.rate(msg)
-	b := l.budgets[msg]
+	b := l.limiters[msg]
 	if b == nil {
-		b = &lineBudget{
-			tokens: rate,
-			at:     now,
+		b = &lineLimiter{
+			tokens:    rate,
+			updatedAt: now,
 		}
-		l.budgets[msg] = b
+		l.limiters[msg] = b
 	}
-	b.tokens = min(rate, b.tokens+rate*now.Sub(b.at).Seconds())
-	b.at = now
+	b.tokens = min(rate, b.tokens+rate*now.Sub(b.updatedAt).Seconds())
+	b.updatedAt = now
 	if b.tokens < 1 {
-		b.leftOut++
+		b.suppressed++
 		return 0, false
 	}
 	b.tokens--
-	leftOut = b.leftOut
-	b.leftOut = 0
+	leftOut = b.suppressed
+	b.suppressed = 0
 	return leftOut, true
 }
 
 // Log implements hclog.Logger.
-func (l *budgetedLogger) Log(level hclog.Level, msg string, args ...any) {
+func (l *rateLimitedLogger) Log(level hclog.Level, msg string, args ...any) {
 	if level < l.GetLevel() {
 		return
 	}
-	leftOut, ok := l.take(msg)
+	leftOut, ok := l.allow(msg)
 	if !ok {
 		return
 	}
 	if leftOut > 0 {
-		args = append(args[:len(args):len(args)], leftOutKey, leftOut)
+		args = append(args[:len(args):len(args)], suppressedKey, leftOut)
 	}
 	l.Logger.Log(level, msg, args...)
 }
 
 // Trace implements hclog.Logger.
-func (l *budgetedLogger) Trace(msg string, args ...any) { l.Log(hclog.Trace, msg, args...) }
+func (l *rateLimitedLogger) Trace(msg string, args ...any) { l.Log(hclog.Trace, msg, args...) }
 
 // Debug implements hclog.Logger.
-func (l *budgetedLogger) Debug(msg string, args ...any) { l.Log(hclog.Debug, msg, args...) }
+func (l *rateLimitedLogger) Debug(msg string, args ...any) { l.Log(hclog.Debug, msg, args...) }
 
 // Info implements hclog.Logger.
-func (l *budgetedLogger) Info(msg string, args ...any) { l.Log(hclog.Info, msg, args...) }
+func (l *rateLimitedLogger) Info(msg string, args ...any) { l.Log(hclog.Info, msg, args...) }
 
 // Warn implements hclog.Logger.
-func (l *budgetedLogger) Warn(msg string, args ...any) { l.Log(hclog.Warn, msg, args...) }
+func (l *rateLimitedLogger) Warn(msg string, args ...any) { l.Log(hclog.Warn, msg, args...) }
 
 // Error implements hclog.Logger.
-func (l *budgetedLogger) Error(msg string, args ...any) { l.Log(hclog.Error, msg, args...) }
+func (l *rateLimitedLogger) Error(msg string, args ...any) { l.Log(hclog.Error, msg, args...) }
--- a/process/metrics.go
+++ b/process/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 )
 
-const flushEvery = time.Second
+const reportInterval = time.Second
 
 // Metrics is the root metrics scope of a process and the handler that serves it.
 type Metrics struct {
@@ -37,7 +37,7 @@
 		Separator:              promreporter.DefaultSeparator,
 		SanitizeOptions:        &promreporter.DefaultSanitizerOpts,
 		OmitCardinalityMetrics: true,
-	}, flushEvery)
+	}, reportInterval)
 	h := promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
 	return &Metrics{
 		Scope:   scope,
