--- a/entry/admin.go
+++ b/entry/admin.go
@@ -100,12 +100,12 @@
 func (e *Entry) getHistory(ctx *fasthttp.RequestCtx, _ operator) {
 	args := ctx.QueryArgs()
 	after, _ := strconv.ParseInt(string(args.Peek("after")), 10, 64)
-	list := e.replica.History(control.Key(args.Peek("key")), wardturn.Offset(after), pageSize(ctx))
-	if list == nil {
-		list = []control.Entry{}
+	entries := e.replica.History(control.Key(args.Peek("key")), wardturn.Offset(after), pageSize(ctx))
+	if entries == nil {
+		entries = []control.Entry{}
 	}
 	writeJSON(ctx, fasthttp.StatusOK, HistoryPage{
-		Entries: list,
+		Entries: entries,
 	})
 }
 
--- a/entry/admin_test.go
+++ b/entry/admin_test.go
@@ -74,7 +74,7 @@
 	return line
 }
 
-func code(res *fasthttp.Response) string {
+func errorCode(res *fasthttp.Response) string {
 	var body struct {
 		Error struct {
 			Code string `json:"code"`
@@ -86,7 +86,7 @@
 
 var _ = Describe("Administration", Ordered, func() {
 	var sys *demo.System
-	var admin, team, stranger api
+	var admin, team, unknownKey api
 
 	BeforeAll(func() {
 		cfg := demo.Zurich()
@@ -101,7 +101,7 @@
 		DeferCleanup(sys.Close)
 		admin = api{sys.Addrs()[0], demo.OperatorKey}
 		team = api{sys.Addrs()[1], "team-key"}
-		stranger = api{sys.Addrs()[0], "nobody"}
+		unknownKey = api{sys.Addrs()[0], "nobody"}
 		res := admin.do("PUT", "/admin/v1/docs/team/demo", "operators: ["+control.KeyDigest("team-key")+"]\n", "If-None-Match", "*")
 		Expect(res.StatusCode()).To(Equal(200), string(res.Body()))
 		Eventually(func() int {
@@ -110,26 +110,26 @@
 	})
 
 	It("rejects unknown keys", func() {
-		Expect(stranger.do("GET", "/admin/v1/docs", "").StatusCode()).To(Equal(401))
+		Expect(unknownKey.do("GET", "/admin/v1/docs", "").StatusCode()).To(Equal(401))
 		Expect(api{sys.Addrs()[0], ""}.do("GET", "/admin/v1/status", "").StatusCode()).To(Equal(401))
 	})
 
 	It("changes documents by compare-and-set", func() {
 		const path = "/admin/v1/docs/adapter/a0001"
 		res := admin.do("GET", path, "")
-		tag := string(res.Header.Peek("ETag"))
-		Expect(tag).NotTo(BeEmpty())
-		Expect(admin.do("GET", path, "", "If-None-Match", tag).StatusCode()).To(Equal(304))
+		etag := string(res.Header.Peek("ETag"))
+		Expect(etag).NotTo(BeEmpty())
+		Expect(admin.do("GET", path, "", "If-None-Match", etag).StatusCode()).To(Equal(304))
 
 		body := "base_model: base\nteam: demo\nversion: 2\n"
-		Expect(code(admin.do("PUT", path, body))).To(Equal("precondition_required"))
-		res = admin.do("PUT", path, body, "If-Match", tag)
+		Expect(errorCode(admin.do("PUT", path, body))).To(Equal("precondition_required"))
+		res = admin.do("PUT", path, body, "If-Match", etag)
 		Expect(res.StatusCode()).To(Equal(200))
-		next := string(res.Header.Peek("ETag"))
-		Expect(next).NotTo(Equal(tag))
-		Expect(code(admin.do("PUT", path, body, "If-Match", tag))).To(Equal("conflict"))
-		Expect(code(admin.do("PUT", path, body, "If-None-Match", "*"))).To(Equal("conflict"))
-		Expect(admin.do("DELETE", path, "", "If-Match", next).StatusCode()).To(Equal(200))
+		newETag := string(res.Header.Peek("ETag"))
+		Expect(newETag).NotTo(Equal(etag))
+		Expect(errorCode(admin.do("PUT", path, body, "If-Match", etag))).To(Equal("conflict"))
+		Expect(errorCode(admin.do("PUT", path, body, "If-None-Match", "*"))).To(Equal("conflict"))
+		Expect(admin.do("DELETE", path, "", "If-Match", newETag).StatusCode()).To(Equal(200))
 		Expect(admin.do("GET", path, "").StatusCode()).To(Equal(404))
 	})
 
@@ -146,7 +146,7 @@
 		change := `{"id":"together","docs":[
 			{"key":"adapter/n1","body":"base_model: base\nversion: 1\n"},
 			{"key":"adapter/a0002","base":999,"body":"base_model: base\nversion: 9\n"}]}`
-		Expect(code(admin.do("POST", "/admin/v1/changes", change))).To(Equal("conflict"))
+		Expect(errorCode(admin.do("POST", "/admin/v1/changes", change))).To(Equal("conflict"))
 		Expect(admin.do("GET", "/admin/v1/docs/adapter/n1", "").StatusCode()).To(Equal(404))
 	})
 
@@ -181,12 +181,12 @@
 			return team.do("PUT", "/admin/v1/docs/"+key, body, "If-None-Match", "*")
 		}
 		Expect(put("adapter/mine", "base_model: base\nteam: demo\nversion: 1\n").StatusCode()).To(Equal(200))
-		Expect(code(put("adapter/theirs", "base_model: base\nteam: other\nversion: 1\n"))).To(Equal("forbidden"))
-		Expect(code(put("policy/p", "active: true\nsource: 'x = 1'\n"))).To(Equal("forbidden"))
-		Expect(code(put("drain/u00", "reason: x\n"))).To(Equal("forbidden"))
+		Expect(errorCode(put("adapter/theirs", "base_model: base\nteam: other\nversion: 1\n"))).To(Equal("forbidden"))
+		Expect(errorCode(put("policy/p", "active: true\nsource: 'x = 1'\n"))).To(Equal("forbidden"))
+		Expect(errorCode(put("drain/u00", "reason: x\n"))).To(Equal("forbidden"))
 		Expect(admin.do("PUT", "/admin/v1/docs/adapter/others", "base_model: base\nteam: other\nversion: 1\n", "If-None-Match", "*").StatusCode()).To(Equal(200))
 		Eventually(func() string {
-			return code(team.do("PUT", "/admin/v1/docs/adapter/others", "base_model: base\nteam: demo\nversion: 1\n", "If-Match", "1"))
+			return errorCode(team.do("PUT", "/admin/v1/docs/adapter/others", "base_model: base\nteam: demo\nversion: 1\n", "If-Match", "1"))
 		}).Should(Equal("forbidden"))
 	})
 
@@ -194,7 +194,7 @@
 		doc := "team: demo\nkey_digests: [" + control.KeyDigest("caller-key") + "]\nadapters: [a0003]\nservices: []\nrate: 0.001\nburst: 1\n"
 		Expect(admin.do("PUT", "/admin/v1/docs/caller/clerks", doc, "If-None-Match", "*").StatusCode()).To(Equal(200))
 		caller := api{sys.Addrs()[0], "caller-key"}
-		Expect(code(caller.do("POST", "/v1/completions", `{"model":"a0004","prompt":"x"}`))).To(Equal("forbidden"))
+		Expect(errorCode(caller.do("POST", "/v1/completions", `{"model":"a0004","prompt":"x"}`))).To(Equal("forbidden"))
 		Expect(string(caller.do("GET", "/v1/models", "").Body())).To(ContainSubstring(`"data":[{"id":"a0003"`))
 		Expect(caller.do("POST", "/v1/completions", `{"model":"a0003","prompt":"x","max_tokens":1}`).StatusCode()).To(Equal(200))
 		res := caller.do("POST", "/v1/completions", `{"model":"a0003","prompt":"x","max_tokens":1}`)
@@ -205,7 +205,7 @@
 
 	It("responds to invalid requests with specific errors", func() {
 		open := api{sys.Addrs()[0], ""}
-		Expect(code(open.do("POST", "/v1/completions", `{`))).To(Equal("bad_request"))
+		Expect(errorCode(open.do("POST", "/v1/completions", `{`))).To(Equal("bad_request"))
 		Expect(open.do("GET", "/v1/completions", "").StatusCode()).To(Equal(405))
 		Expect(open.do("GET", "/nothing", "").StatusCode()).To(Equal(404))
 		Expect(open.raw("POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2097152\r\n\r\n")).To(HavePrefix("HTTP/1.1 413 "))
@@ -213,8 +213,8 @@
 		// The request is sent in one write, because a client that still writes when the
 		// response arrives may see a connection reset before it reads the response.
 		Expect(open.status("POST /v1/completions HTTP/1.1\r\nHost: x\r\nX-Flood: " + strings.Repeat("x", 32<<10) + "\r\n\r\n")).To(HavePrefix("HTTP/1.1 431 "))
-		Expect(code(open.do("POST", "/v1/completions", `{"model":"a0002","prompt":"x"}`, entry.HeaderDeadline, "soon"))).To(Equal("bad_request"))
-		Expect(code(open.do("POST", "/v1/completions", `{"model":"a0002","prompt":"x"}`, entry.HeaderClass, "vip"))).To(Equal("bad_request"))
+		Expect(errorCode(open.do("POST", "/v1/completions", `{"model":"a0002","prompt":"x"}`, entry.HeaderDeadline, "soon"))).To(Equal("bad_request"))
+		Expect(errorCode(open.do("POST", "/v1/completions", `{"model":"a0002","prompt":"x"}`, entry.HeaderClass, "vip"))).To(Equal("bad_request"))
 	})
 
 	// Guards against a lost error response: the entry closed the connection of a refused
@@ -244,14 +244,14 @@
 	)
 
 	It("serves a valid OpenAPI document whose paths exist", func() {
-		res := stranger.do("GET", "/admin/v1/openapi.json", "")
+		res := unknownKey.do("GET", "/admin/v1/openapi.json", "")
 		doc, err := openapi3.NewLoader().LoadFromData(res.Body())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(doc.Validate(context.Background())).To(Succeed())
-		fill := strings.NewReplacer("{kind}", "adapter", "{name}", "nobody")
+		fillPath := strings.NewReplacer("{kind}", "adapter", "{name}", "nobody")
 		for path, item := range doc.Paths.Map() {
 			for method := range item.Operations() {
-				res := stranger.do(method, fill.Replace(path), "")
+				res := unknownKey.do(method, fillPath.Replace(path), "")
 				Expect(res.StatusCode()).To(BeElementOf(200, 401), method+" "+path)
 			}
 		}
@@ -265,6 +265,6 @@
 		sys.Entries[1].Leave(ctx)
 		Expect(open.do("GET", "/readyz", "").StatusCode()).To(Equal(503))
 		Expect(open.do("GET", "/healthz", "").StatusCode()).To(Equal(200))
-		Expect(code(open.do("POST", "/v1/completions", `{"model":"a0003","prompt":"x"}`))).To(Equal("leaving"))
+		Expect(errorCode(open.do("POST", "/v1/completions", `{"model":"a0003","prompt":"x"}`))).To(Equal("leaving"))
 	})
 })
--- a/entry/api.go
+++ b/entry/api.go
@@ -103,9 +103,9 @@
 
 // handleCompletion handles completion and chat completion requests.
 func (e *Entry) handleCompletion(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
-	x, p := e.readCompletion(ctx, caller)
-	if p.code != "" {
-		writeError(ctx, p)
+	x, errResp := e.readCompletion(ctx, caller)
+	if errResp.code != "" {
+		writeError(ctx, errResp)
 		return
 	}
 	e.admit(ctx, x, x.stream)
@@ -115,9 +115,9 @@
 func (e *Entry) readCompletion(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (*exchange, errorResponse) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
-	c, p := parseCompletion(parser, ctx.PostBody(), e.cfg.DefaultOutput)
-	if p.code != "" {
-		return nil, p
+	c, errResp := parseCompletion(parser, ctx.PostBody(), e.cfg.DefaultOutput)
+	if errResp.code != "" {
+		return nil, errResp
 	}
 	config := e.replica.Applied()
 	ref, model, ok := e.catalog.Resolve(c.ref)
@@ -127,9 +127,9 @@
 	if !e.mayUse(caller, string(ref.Adapter), adapterPatterns) {
 		return nil, forbidden("adapter " + string(ref.Adapter))
 	}
-	req, p := e.newRequest(ctx, caller)
-	if p.code != "" {
-		return nil, p
+	req, errResp := e.newRequest(ctx, caller)
+	if errResp.code != "" {
+		return nil, errResp
 	}
 	req.Adapter = ref
 	req.Prompt = c.prompt
@@ -160,15 +160,15 @@
 		writeError(ctx, forbidden("service "+string(name)))
 		return
 	}
-	req, p := e.newRequest(ctx, caller)
-	if p.code != "" {
-		writeError(ctx, p)
+	req, errResp := e.newRequest(ctx, caller)
+	if errResp.code != "" {
+		writeError(ctx, errResp)
 		return
 	}
 	path, _ := ctx.UserValue("path").(string)
 	req.Service = name
-	if limit := time.Duration(doc.Deadline); limit > 0 && len(ctx.Request.Header.Peek(HeaderDeadline)) == 0 {
-		req.Deadline = e.clock.Now().Add(limit)
+	if timeout := time.Duration(doc.Deadline); timeout > 0 && len(ctx.Request.Header.Peek(HeaderDeadline)) == 0 {
+		req.Deadline = e.clock.Now().Add(timeout)
 	}
 	req.Path = "/" + path
 	if q := ctx.URI().QueryString(); len(q) > 0 {
@@ -177,8 +177,8 @@
 	req.Header = forwardedHeader(ctx)
 	req.Body = append([]byte(nil), ctx.PostBody()...)
 	req.Repeatable = doc.Repeatable(req.Method) && !boolHeader(ctx, HeaderNotRepeatable)
-	if p := e.setIdempotencyKey(ctx, &req); p.code != "" {
-		writeError(ctx, p)
+	if errResp := e.setIdempotencyKey(ctx, &req); errResp.code != "" {
+		writeError(ctx, errResp)
 		return
 	}
 	x := &exchange{
@@ -196,13 +196,13 @@
 	if !ok {
 		return wardturn.Request{}, badRequest(HeaderClass, "must be interactive or batch")
 	}
-	limit := e.cfg.Deadline
+	timeout := e.cfg.Deadline
 	if v := ctx.Request.Header.Peek(HeaderDeadline); len(v) > 0 {
 		ms, err := strconv.ParseInt(string(v), 10, 64)
 		if err != nil || ms < 1 || ms > e.cfg.MaxDeadline.Milliseconds() {
 			return wardturn.Request{}, badRequest(HeaderDeadline, "must be milliseconds from 1 to "+strconv.FormatInt(e.cfg.MaxDeadline.Milliseconds(), 10))
 		}
-		limit = time.Duration(ms) * time.Millisecond
+		timeout = time.Duration(ms) * time.Millisecond
 	}
 	return wardturn.Request{
 		ID:       assignedRequestID(ctx),
@@ -211,7 +211,7 @@
 		Class:    class,
 		Method:   string(ctx.Method()),
 		Path:     string(ctx.Path()),
-		Deadline: e.clock.Now().Add(limit),
+		Deadline: e.clock.Now().Add(timeout),
 	}, errorResponse{}
 }
 
--- a/entry/behind_test.go
+++ b/entry/behind_test.go
@@ -19,15 +19,15 @@
 	"wardturn/standin"
 )
 
-// cutLog is a log whose reads can be made to fail, as if one process could not reach it.
-type cutLog struct {
+// unavailableLog is a log whose reads can be made to fail, as if one process could not reach it.
+type unavailableLog struct {
 	wardturn.Log
-	cut atomic.Bool
+	unavailable atomic.Bool
 }
 
-func (l *cutLog) Read(ctx context.Context, from wardturn.Offset, limit int, wait time.Duration) (wardturn.LogPage, error) {
+func (l *unavailableLog) Read(ctx context.Context, from wardturn.Offset, limit int, wait time.Duration) (wardturn.LogPage, error) {
 	page, err := l.Log.Read(ctx, from, limit, wait)
-	if l.cut.Load() {
+	if l.unavailable.Load() {
 		return wardturn.LogPage{}, wardturn.ErrUnavailable
 	}
 	return page, err
@@ -51,7 +51,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		metrics := process.NewMetrics()
 		DeferCleanup(metrics.Close)
-		log := &cutLog{
+		log := &unavailableLog{
 			Log: sys.Log,
 		}
 		e := entry.New(entry.Deps{
@@ -71,7 +71,7 @@
 		DeferCleanup(e.Close)
 		Eventually(e.Ready).WithTimeout(20 * time.Second).Should(BeTrue())
 
-		log.cut.Store(true)
+		log.unavailable.Store(true)
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
 		key := control.KeyOf(control.KindAdapter, "a0001")
@@ -86,11 +86,11 @@
 			}},
 		})
 		Expect(err).NotTo(HaveOccurred())
-		inForce := func() wardturn.Offset {
+		currentVersion := func() wardturn.Offset {
 			doc, _ := e.Replica().Get(key)
 			return doc.Version
 		}
-		Eventually(inForce).WithTimeout(10 * time.Second).Should(Equal(res.Version))
+		Eventually(currentVersion).WithTimeout(10 * time.Second).Should(Equal(res.Version))
 
 		By("learning the result of its own publication")
 		res, err = e.Replica().Publish(ctx, control.Change{
@@ -104,7 +104,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(res.Accepted).To(BeTrue())
 
-		log.cut.Store(false)
+		log.unavailable.Store(false)
 		res, err = sys.Entries[0].Replica().Publish(ctx, control.Change{
 			ID: "newest",
 			Docs: []control.DocChange{{
--- a/entry/call.go
+++ b/entry/call.go
@@ -46,108 +46,108 @@
 // another request with the same idempotency key started. It must be added to its link
 // before it attaches, so that no message is missed.
 func newFollowingAttempt(end *peer.End, l *link, conn *peer.Conn) *attempt {
-	k := newAttempt(end.First, l, conn)
-	k.process = end.FirstProcess
-	k.following = true
-	return k
+	a := newAttempt(end.First, l, conn)
+	a.process = end.FirstProcess
+	a.following = true
+	return a
 }
 
 // attach requests the response of the followed attempt.
-func (k *attempt) attach() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.conn != nil {
-		k.sendAttach()
+func (a *attempt) attach() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.conn != nil {
+		a.sendAttach()
 	}
 }
 
 // signal wakes the request's goroutine. The caller must hold a.mu.
-func (k *attempt) signal() {
+func (a *attempt) signal() {
 	select {
-	case k.wake <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (k *attempt) onHead(m *peer.Head) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.head == nil {
-		k.head = m
-		k.signal()
+func (a *attempt) onHead(m *peer.Head) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.head == nil {
+		a.head = m
+		a.signal()
 	}
 }
 
 // onChunk appends the next bytes of the response. Bytes that were received before, as
 // may happen after a reconnect, are dropped. So is a chunk that leaves a gap, which only
 // a faulty peer sends.
-func (k *attempt) onChunk(m *peer.Chunk) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	skip := k.received - m.Offset
-	if skip < 0 || skip >= int64(len(m.Data)) || k.end != nil {
+func (a *attempt) onChunk(m *peer.Chunk) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	skip := a.received - m.Offset
+	if skip < 0 || skip >= int64(len(m.Data)) || a.end != nil {
 		return
 	}
 	data := m.Data[skip:]
-	k.buf = append(k.buf, data...)
-	k.received += int64(len(data))
-	k.signal()
+	a.buf = append(a.buf, data...)
+	a.received += int64(len(data))
+	a.signal()
 }
 
-func (k *attempt) onEnd(m *peer.End) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.end != nil {
+func (a *attempt) onEnd(m *peer.End) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.end != nil {
 		return
 	}
-	k.end = m
-	k.signal()
+	a.end = m
+	a.signal()
 }
 
 // connectionLost records that the connection is lost. The outcome of the attempt is still
 // open.
-func (k *attempt) connectionLost() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.end == nil && !k.lost {
-		k.lost = true
-		k.lostAt = k.clock.Now()
-		k.conn = nil
-		k.signal()
+func (a *attempt) connectionLost() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.end == nil && !a.lost {
+		a.lost = true
+		a.lostAt = a.clock.Now()
+		a.conn = nil
+		a.signal()
 	}
 }
 
 // reattach resumes the attempt on a new connection. If the agent is another process than
 // the one that received the attempt, it doesn't know the attempt, and the outcome is
 // unknown.
-func (k *attempt) reattach(c *peer.Conn) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.end != nil {
+func (a *attempt) reattach(c *peer.Conn) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.end != nil {
 		return
 	}
-	if c.Peer().Process != k.process {
-		k.end = &peer.End{
-			Attempt: k.id,
+	if c.Peer().Process != a.process {
+		a.end = &peer.End{
+			Attempt: a.id,
 			Outcome: wardturn.Uncertain(wardturn.ReasonAgentRestarted),
 		}
-		k.signal()
+		a.signal()
 		return
 	}
-	k.lost = false
-	k.conn = c
-	k.creditLimit = k.consumed + peer.Window
-	k.sendAttach()
+	a.lost = false
+	a.conn = c
+	a.creditLimit = a.consumed + peer.Window
+	a.sendAttach()
 }
 
 // sendAttach sends an Attach message. The caller must hold a.mu.
-func (k *attempt) sendAttach() {
-	_ = k.conn.Send(&peer.Attach{
-		Attempt: k.id,
-		Process: k.process,
-		Follow:  k.following,
-		From:    k.received,
-		Credit:  k.creditLimit,
+func (a *attempt) sendAttach() {
+	_ = a.conn.Send(&peer.Attach{
+		Attempt: a.id,
+		Process: a.process,
+		Follow:  a.following,
+		From:    a.received,
+		Credit:  a.creditLimit,
 	})
 }
 
@@ -163,45 +163,45 @@
 
 // takeState returns the current state with the data that arrived since the previous call.
 // It reuses spare as the buffer for further data.
-func (k *attempt) takeState(spare []byte) attemptState {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (a *attempt) takeState(spare []byte) attemptState {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	st := attemptState{
-		head:      k.head,
-		end:       k.end,
-		data:      k.buf,
-		lost:      k.lost,
-		lostSince: k.lostAt,
+		head:      a.head,
+		end:       a.end,
+		data:      a.buf,
+		lost:      a.lost,
+		lostSince: a.lostAt,
 	}
-	k.buf = spare[:0]
-	k.consumed += int64(len(st.data))
-	st.complete = k.end != nil && k.end.Outcome.Kind == wardturn.Done && k.received == k.end.Length
+	a.buf = spare[:0]
+	a.consumed += int64(len(st.data))
+	st.complete = a.end != nil && a.end.Outcome.Kind == wardturn.Done && a.received == a.end.Length
 	return st
 }
 
 // grantCredit grants the agent a full credit window once at least half of the window has
 // been used.
-func (k *attempt) grantCredit() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.creditLimit-k.consumed > peer.Window/2 || k.conn == nil {
+func (a *attempt) grantCredit() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.creditLimit-a.consumed > peer.Window/2 || a.conn == nil {
 		return
 	}
-	k.creditLimit = k.consumed + peer.Window
-	_ = k.conn.Send(&peer.Credit{
-		Attempt: k.id,
-		Upto:    k.creditLimit,
+	a.creditLimit = a.consumed + peer.Window
+	_ = a.conn.Send(&peer.Credit{
+		Attempt: a.id,
+		Upto:    a.creditLimit,
 	})
 }
 
 // cancel tells the agent that the response is no longer needed. It does nothing for a
 // followed attempt, which belongs to another request.
-func (k *attempt) cancel() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.end == nil && k.conn != nil && !k.following {
-		_ = k.conn.Send(&peer.Cancel{
-			Attempt: k.id,
+func (a *attempt) cancel() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.end == nil && a.conn != nil && !a.following {
+		_ = a.conn.Send(&peer.Cancel{
+			Attempt: a.id,
 		})
 	}
 }
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -92,21 +92,21 @@
 
 // waitForChange blocks until the state of the attempt changes or the next timeout is due.
 func (x *exchange) waitForChange(st attemptState) {
-	limit := time.Minute
+	timeout := time.Minute
 	if st.lost {
-		limit = x.entry.cfg.AttachLimit - x.now().Sub(st.lostSince)
+		timeout = x.entry.cfg.AttachLimit - x.now().Sub(st.lostSince)
 	}
 	if !x.req.Deadline.IsZero() {
-		limit = min(limit, x.req.Deadline.Add(x.entry.cfg.DeadlineGrace).Sub(x.now()))
+		timeout = min(timeout, x.req.Deadline.Add(x.entry.cfg.DeadlineGrace).Sub(x.now()))
 	}
-	woken := make(chan struct{})
-	timer := x.entry.clock.AfterFunc(limit+time.Millisecond, func() {
-		close(woken)
+	timedOut := make(chan struct{})
+	timer := x.entry.clock.AfterFunc(timeout+time.Millisecond, func() {
+		close(timedOut)
 	})
 	defer timer.Stop()
 	select {
 	case <-x.attempt.wake:
-	case <-woken:
+	case <-timedOut:
 	}
 }
 
@@ -156,21 +156,21 @@
 	if conn == nil {
 		return false
 	}
-	k := newAttempt(x.entry.nextAttemptID(), l, conn)
-	l.add(k)
-	if err := conn.Send(x.submitMessage(k)); err != nil {
-		l.remove(k)
+	a := newAttempt(x.entry.nextAttemptID(), l, conn)
+	l.add(a)
+	if err := conn.Send(x.submitMessage(a)); err != nil {
+		l.remove(a)
 		return false
 	}
 	x.upstream = id
-	x.attempt = k
+	x.attempt = a
 	x.attemptCount++
 	return true
 }
 
-func (x *exchange) submitMessage(k *attempt) *peer.Submit {
+func (x *exchange) submitMessage(a *attempt) *peer.Submit {
 	m := &peer.Submit{
-		Attempt:    k.id,
+		Attempt:    a.id,
 		Request:    x.req.ID,
 		Caller:     x.req.Caller,
 		Team:       x.req.Team,
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -138,9 +138,9 @@
 
 // changeDoc publishes a change to the document in the request's path.
 func (e *Entry) changeDoc(ctx *fasthttp.RequestCtx, op operator, d control.DocChange) {
-	base, p := precondition(ctx)
-	if p.code != "" {
-		writeError(ctx, p)
+	base, errResp := precondition(ctx)
+	if errResp.code != "" {
+		writeError(ctx, errResp)
 		return
 	}
 	d.Key = docKey(ctx)
@@ -193,8 +193,8 @@
 // publish validates a change, appends it to the log and responds with the result.
 func (e *Entry) publish(ctx *fasthttp.RequestCtx, op operator, c control.Change) {
 	for _, d := range c.Docs {
-		if p := e.checkDoc(op, d); p.code != "" {
-			writeError(ctx, p)
+		if errResp := e.checkDoc(op, d); errResp.code != "" {
+			writeError(ctx, errResp)
 			return
 		}
 	}
@@ -203,9 +203,9 @@
 	}
 	c.Who = op.name
 	c.At = e.clock.Now()
-	limit, cancel := e.tasks.Limit(publishTimeout)
+	publishCtx, cancel := e.tasks.Limit(publishTimeout)
 	defer cancel()
-	res, err := e.replica.Publish(limit, c)
+	res, err := e.replica.Publish(publishCtx, c)
 	switch {
 	case errors.Is(err, control.ErrConflict):
 		writeError(ctx, errorResponse{
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -147,7 +147,7 @@
 	})
 	e.tasks.Go(func() {
 		if err := e.server.Serve(e.listener); err != nil {
-			e.logger.Error("HTTP server failed", "error", err)
+			e.logger.Error("HTTP server stopped", "error", err)
 		}
 	})
 	e.logger.Info("entry started", "addr", e.listener.Addr(), "process", e.cfg.Process)
--- a/entry/link.go
+++ b/entry/link.go
@@ -42,13 +42,13 @@
 	l.mu.Lock()
 	l.conn = c
 	close(l.connected)
-	calls := make([]*attempt, 0, len(l.attempts))
-	for _, k := range l.attempts {
-		calls = append(calls, k)
+	attempts := make([]*attempt, 0, len(l.attempts))
+	for _, a := range l.attempts {
+		attempts = append(attempts, a)
 	}
 	l.mu.Unlock()
-	for _, k := range calls {
-		k.reattach(c)
+	for _, a := range attempts {
+		a.reattach(c)
 	}
 }
 
@@ -57,13 +57,13 @@
 	l.mu.Lock()
 	l.conn = nil
 	l.connected = make(chan struct{})
-	calls := make([]*attempt, 0, len(l.attempts))
-	for _, k := range l.attempts {
-		calls = append(calls, k)
+	attempts := make([]*attempt, 0, len(l.attempts))
+	for _, a := range l.attempts {
+		attempts = append(attempts, a)
 	}
 	l.mu.Unlock()
-	for _, k := range calls {
-		k.connectionLost()
+	for _, a := range attempts {
+		a.connectionLost()
 	}
 }
 
@@ -71,17 +71,17 @@
 func (l *link) Handle(_ *peer.Conn, m peer.Message) {
 	switch m := m.(type) {
 	case *peer.Head:
-		if k := l.attempt(m.Attempt); k != nil {
-			k.onHead(m)
+		if a := l.attempt(m.Attempt); a != nil {
+			a.onHead(m)
 		}
 	case *peer.Chunk:
-		if k := l.attempt(m.Attempt); k != nil {
-			k.onChunk(m)
+		if a := l.attempt(m.Attempt); a != nil {
+			a.onChunk(m)
 		}
 	case *peer.End:
 		l.entry.updateHint(l.host.Upstream, m.Hint)
-		if k := l.attempt(m.Attempt); k != nil {
-			k.onEnd(m)
+		if a := l.attempt(m.Attempt); a != nil {
+			a.onEnd(m)
 		}
 	case *peer.ConfigPage:
 		l.entry.onConfigPage(l.host.Upstream, m)
@@ -105,39 +105,39 @@
 
 // waitConn returns the current connection. If there is none, it waits for one until the
 // timeout and then returns nil.
-func (l *link) waitConn(limit time.Duration) *peer.Conn {
+func (l *link) waitConn(timeout time.Duration) *peer.Conn {
 	l.mu.Lock()
-	conn, up := l.conn, l.connected
+	conn, connected := l.conn, l.connected
 	l.lastUsed = l.entry.clock.Now()
 	l.mu.Unlock()
 	if conn != nil {
 		return conn
 	}
-	late := make(chan struct{})
-	timer := l.entry.clock.AfterFunc(limit, func() {
-		close(late)
+	expired := make(chan struct{})
+	timer := l.entry.clock.AfterFunc(timeout, func() {
+		close(expired)
 	})
 	defer timer.Stop()
 	select {
-	case <-up:
+	case <-connected:
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.conn
-	case <-late:
+	case <-expired:
 		return nil
 	}
 }
 
-func (l *link) add(k *attempt) {
+func (l *link) add(a *attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.attempts[k.id] = k
+	l.attempts[a.id] = a
 }
 
-func (l *link) remove(k *attempt) {
+func (l *link) remove(a *attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.attempts, k.id)
+	delete(l.attempts, a.id)
 	l.lastUsed = l.entry.clock.Now()
 }
 
--- a/entry/openai_test.go
+++ b/entry/openai_test.go
@@ -14,9 +14,9 @@
 }
 
 func TestParseCompletion(t *testing.T) {
-	c, p := parse(`{"model":"a1@3","prompt":"x","max_tokens":5,"stream":true,"temperature":0.5}`)
-	if p.code != "" {
-		t.Fatal(p.message)
+	c, errResp := parse(`{"model":"a1@3","prompt":"x","max_tokens":5,"stream":true,"temperature":0.5}`)
+	if errResp.code != "" {
+		t.Fatal(errResp.message)
 	}
 	if c.ref.String() != "a1@3" || c.output != 5 || !c.stream {
 		t.Fatalf("%+v", c)
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestParseCompletionRefuses(t *testing.T) {
+func TestParseCompletionRejects(t *testing.T) {
 	for name, body := range map[string]string{
 		"empty":           ``,
 		"not JSON":        `{"model":`,
@@ -42,8 +42,8 @@
 		"huge max_tokens": `{"model":"a","prompt":"x","max_tokens":99999999}`,
 		"deep":            strings.Repeat(`[`, 1000),
 	} {
-		if _, p := parse(body); p.code != string(wardturn.ReasonBadRequest) || p.status != 400 {
-			t.Errorf("%s: %+v", name, p)
+		if _, errResp := parse(body); errResp.code != string(wardturn.ReasonBadRequest) || errResp.status != 400 {
+			t.Errorf("%s: %+v", name, errResp)
 		}
 	}
 }
@@ -54,14 +54,14 @@
 	f.Add(strings.Repeat(`{"a":`, 70))
 	f.Add(`{"model":"a\u0040","prompt":""}`)
 	f.Fuzz(func(t *testing.T, body string) {
-		c, p := parse(body)
-		if p.code != "" {
+		c, errResp := parse(body)
+		if errResp.code != "" {
 			return
 		}
 		out := c.rewriteBody(c.ref, wardturn.Interactive)
-		again, p := parse(string(out))
-		if p.code != "" || again.ref != c.ref {
-			t.Fatalf("%s was rewritten to %s: %s", body, out, p.message)
+		again, errResp := parse(string(out))
+		if errResp.code != "" || again.ref != c.ref {
+			t.Fatalf("%s was rewritten to %s: %s", body, out, errResp.message)
 		}
 	})
 }
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -30,39 +30,39 @@
 	Ran   string             `json:"ran"` // no, yes or unknown
 }
 
-func (p errorResponse) body() errorBody {
-	kind := "server_error"
-	if p.status < fasthttp.StatusInternalServerError {
-		kind = "invalid_request_error"
+func (errResp errorResponse) body() errorBody {
+	errType := "server_error"
+	if errResp.status < fasthttp.StatusInternalServerError {
+		errType = "invalid_request_error"
 	}
 	ran := "no"
-	if p.outcome.Kind == wardturn.Unknown {
+	if errResp.outcome.Kind == wardturn.Unknown {
 		ran = "unknown"
 	}
 	return errorBody{
 		Error: driver.ErrorDetail{
-			Message: p.message,
-			Type:    kind,
-			Code:    p.code,
-			Param:   p.param,
+			Message: errResp.message,
+			Type:    errType,
+			Code:    errResp.code,
+			Param:   errResp.param,
 		},
 		Ran: ran,
 	}
 }
 
-func writeError(ctx *fasthttp.RequestCtx, p errorResponse) {
-	ctx.SetStatusCode(p.status)
+func writeError(ctx *fasthttp.RequestCtx, errResp errorResponse) {
+	ctx.SetStatusCode(errResp.status)
 	ctx.SetContentType("application/json")
-	if p.outcome.Kind == 0 {
-		p.outcome = wardturn.Refused(wardturn.Reason(p.code), 0)
+	if errResp.outcome.Kind == 0 {
+		errResp.outcome = wardturn.Refused(wardturn.Reason(errResp.code), 0)
 	}
-	ctx.Response.Header.Set(HeaderOutcome, p.outcome.Kind.String())
-	ctx.Response.Header.Set(HeaderReason, string(p.outcome.Reason))
-	if after := p.outcome.RetryAfter; after > 0 {
-		seconds := int(math.Ceil(after.Seconds()))
+	ctx.Response.Header.Set(HeaderOutcome, errResp.outcome.Kind.String())
+	ctx.Response.Header.Set(HeaderReason, string(errResp.outcome.Reason))
+	if retryAfter := errResp.outcome.RetryAfter; retryAfter > 0 {
+		seconds := int(math.Ceil(retryAfter.Seconds()))
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
 	}
-	body, _ := json.Marshal(p.body())
+	body, _ := json.Marshal(errResp.body())
 	ctx.SetBody(append(body, '\n'))
 }
 
@@ -77,17 +77,17 @@
 // outcomeError returns the error response for an outcome. It includes the outcome's retry
 // delay, if any.
 func outcomeError(o wardturn.Outcome) errorResponse {
-	p := errorResponse{
+	errResp := errorResponse{
 		status:  statusCode(o),
 		code:    string(o.Reason),
 		outcome: o,
 	}
 	if o.Kind == wardturn.Unknown {
-		p.message = "the request may have run: " + reasonText(o.Reason)
-		return p
+		errResp.message = "the request may have run: " + reasonText(o.Reason)
+		return errResp
 	}
-	p.message = "the request did not run: " + reasonText(o.Reason)
-	return p
+	errResp.message = "the request did not run: " + reasonText(o.Reason)
+	return errResp
 }
 
 func statusCode(o wardturn.Outcome) int {
@@ -186,18 +186,18 @@
 // onProtocolError responds to input that is not a valid HTTP request or exceeds the size
 // limits.
 func (e *Entry) onProtocolError(ctx *fasthttp.RequestCtx, err error) {
-	p := badRequest("", "the request cannot be read")
+	errResp := badRequest("", "the request cannot be read")
 	var small *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		p.status = fasthttp.StatusRequestEntityTooLarge
-		p.code = string(wardturn.ReasonTooLarge)
-		p.message = "the body is larger than " + strconv.Itoa(e.cfg.MaxBody) + " bytes"
+		errResp.status = fasthttp.StatusRequestEntityTooLarge
+		errResp.code = string(wardturn.ReasonTooLarge)
+		errResp.message = "the body is larger than " + strconv.Itoa(e.cfg.MaxBody) + " bytes"
 	case errors.As(err, &small):
-		p.status = fasthttp.StatusRequestHeaderFieldsTooLarge
-		p.code = string(wardturn.ReasonTooLarge)
-		p.message = "the headers are larger than 16 KiB"
+		errResp.status = fasthttp.StatusRequestHeaderFieldsTooLarge
+		errResp.code = string(wardturn.ReasonTooLarge)
+		errResp.message = "the headers are larger than 16 KiB"
 	}
 	enableLinger(ctx.Conn())
-	writeError(ctx, p)
+	writeError(ctx, errResp)
 }
--- a/entry/seed.go
+++ b/entry/seed.go
@@ -68,17 +68,17 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	used := make(map[wardturn.FailureDomain]bool)
-	var list, rest []wardturn.Host
+	var distinct, others []wardturn.Host
 	for _, h := range e.hosts {
 		if used[h.Domain] {
-			rest = append(rest, h)
+			others = append(others, h)
 			continue
 		}
 		used[h.Domain] = true
-		list = append(list, h)
+		distinct = append(distinct, h)
 	}
-	list = append(list, rest...)
-	return list[:min(n, len(list))]
+	distinct = append(distinct, others...)
+	return distinct[:min(n, len(distinct))]
 }
 
 func (e *Entry) requestConfigPage(id wardturn.UpstreamID, page int) {
@@ -101,32 +101,32 @@
 		return
 	}
 	e.peerConfigs.mu.Lock()
-	s := e.peerConfigs.partial[from]
-	if m.Page == 0 || s == nil || s.config != m.Config {
-		s = &partialConfig{
+	cfg := e.peerConfigs.partial[from]
+	if m.Page == 0 || cfg == nil || cfg.config != m.Config {
+		cfg = &partialConfig{
 			config: m.Config,
 		}
-		e.peerConfigs.partial[from] = s
+		e.peerConfigs.partial[from] = cfg
 	}
-	if m.Page != s.nextPage {
+	if m.Page != cfg.nextPage {
 		delete(e.peerConfigs.partial, from)
 		e.peerConfigs.mu.Unlock()
 		return
 	}
-	s.received.Docs = append(s.received.Docs, page.Docs...)
-	s.received.Results = append(s.received.Results, page.Results...)
-	s.nextPage++
-	whole := s.nextPage >= m.Pages
-	if whole {
+	cfg.received.Docs = append(cfg.received.Docs, page.Docs...)
+	cfg.received.Results = append(cfg.received.Results, page.Results...)
+	cfg.nextPage++
+	complete := cfg.nextPage >= m.Pages
+	if complete {
 		delete(e.peerConfigs.partial, from)
 	}
 	e.peerConfigs.mu.Unlock()
-	if !whole {
+	if !complete {
 		e.tasks.Go(func() {
 			e.requestConfigPage(from, m.Page+1)
 		})
 		return
 	}
-	e.logger.Info("configuration received from an agent", "upstream", from, "config", s.config, "documents", len(s.received.Docs))
-	e.replica.Seed(s.received, s.config)
+	e.logger.Info("configuration received from an agent", "upstream", from, "config", cfg.config, "documents", len(cfg.received.Docs))
+	e.replica.Seed(cfg.received, cfg.config)
 }
--- a/entry/windows.go
+++ b/entry/windows.go
@@ -35,19 +35,19 @@
 		e.recorder.AddBad(key)
 		return
 	}
-	whole := x.now().Sub(x.arrived)
-	count(report.Answered, whole)
+	total := x.now().Sub(x.arrived)
+	count(report.Answered, total)
 	if x.req.Service != "" {
-		count(report.Lookup, whole)
+		count(report.Lookup, total)
 		return
 	}
 	if x.head != nil {
 		count(report.LoadStall, x.head.Stalled)
 	}
-	first := x.firstByteAt.Sub(x.arrived)
-	count(report.FirstToken, first)
+	timeToFirst := x.firstByteAt.Sub(x.arrived)
+	count(report.FirstToken, timeToFirst)
 	if x.stream && x.req.Output > 1 {
-		count(report.TokenGap, (whole-first)/time.Duration(x.req.Output-1))
+		count(report.TokenGap, (total-timeToFirst)/time.Duration(x.req.Output-1))
 	}
 }
 
--- a/process/clock.go
+++ b/process/clock.go
@@ -31,30 +31,30 @@
 }
 
 // systemClock is the clock shared by all values of Clock.
-var systemClock = newHostClock(systemClocks{
+var systemClock = newHostClock(systemClockReader{
 	start: time.Now(),
 })
 
-// hostClocks reads the host's clocks.
-type hostClocks interface {
+// clockReader reads the host's clocks.
+type clockReader interface {
 	// now returns the wall clock time, and the time since the start of the process by the
 	// monotonic clock, which stops while the host is suspended.
-	now() (day time.Time, steady time.Duration)
+	now() (wall time.Time, monotonic time.Duration)
 	// sinceBoot returns the time since the host booted, including time during which it was
 	// suspended.
 	sinceBoot() (time.Duration, error)
 }
 
-type systemClocks struct {
+type systemClockReader struct {
 	start time.Time
 }
 
-func (r systemClocks) now() (day time.Time, steady time.Duration) {
+func (r systemClockReader) now() (wall time.Time, monotonic time.Duration) {
 	now := time.Now()
 	return now.Round(0), now.Sub(r.start)
 }
 
-func (systemClocks) sinceBoot() (time.Duration, error) {
+func (systemClockReader) sinceBoot() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0, errors.Wrap(err, "read CLOCK_BOOTTIME")
@@ -81,7 +81,7 @@
 // that resumes would underestimate the age of all its data by that time, and a revoked key
 // would remain valid beyond the platform's limit.
 type hostClock struct {
-	clocks         hostClocks
+	clocks         clockReader
 	start          time.Time     // wall clock time at which the monotonic clock was zero
 	initialBootGap time.Duration // boot-time clock minus monotonic clock, without suspensions
 	// hasBootClock is whether the boot-time clock can be read.
@@ -95,11 +95,11 @@
 	timers map[*hostTimer]bool
 }
 
-func newHostClock(r hostClocks) *hostClock {
-	day, steady := r.now()
+func newHostClock(r clockReader) *hostClock {
+	wall, monotonic := r.now()
 	c := &hostClock{
 		clocks: r,
-		start:  day.Add(-steady),
+		start:  wall.Add(-monotonic),
 		timers: make(map[*hostTimer]bool),
 	}
 	// Without a boot-time clock, suspensions are not detected.
@@ -109,27 +109,27 @@
 
 // Now implements wardturn.Clock.
 func (c *hostClock) Now() time.Time {
-	day, steady := c.clocks.now()
-	apart := day.Sub(c.start) - steady
-	change := apart - time.Duration(c.wallOffset.Load())
-	if change > minGap || change < -minGap || int64(steady)-c.checkedAt.Load() > int64(checkInterval) {
-		c.checkSuspended(steady, apart)
+	wall, monotonic := c.clocks.now()
+	wallOffset := wall.Sub(c.start) - monotonic
+	change := wallOffset - time.Duration(c.wallOffset.Load())
+	if change > minGap || change < -minGap || int64(monotonic)-c.checkedAt.Load() > int64(checkInterval) {
+		c.checkSuspended(monotonic, wallOffset)
 	}
-	return c.start.Add(steady + time.Duration(c.suspended.Load()))
+	return c.start.Add(monotonic + time.Duration(c.suspended.Load()))
 }
 
 // checkSuspended checks whether the host was suspended since the last check. If so, it
 // adjusts the pending timers.
-func (c *hostClock) checkSuspended(steady, apart time.Duration) {
-	c.wallOffset.Store(int64(apart))
+func (c *hostClock) checkSuspended(steady, wallOffset time.Duration) {
+	c.wallOffset.Store(int64(wallOffset))
 	c.checkedAt.Store(int64(steady))
 	gap, ok := c.bootGap()
 	if !ok || !c.hasBootClock {
 		return
 	}
 	suspended := gap - c.initialBootGap
-	known := c.suspended.Load()
-	if suspended < time.Duration(known)+minGap || !c.suspended.CompareAndSwap(known, int64(suspended)) {
+	previous := c.suspended.Load()
+	if suspended < time.Duration(previous)+minGap || !c.suspended.CompareAndSwap(previous, int64(suspended)) {
 		return
 	}
 	go c.resetTimers()
--- a/process/clock_internal_test.go
+++ b/process/clock_internal_test.go
@@ -13,7 +13,7 @@
 	wallChange atomic.Int64 // total change of the wall clock, in ns
 }
 
-func (s *fakeClocks) now() (day time.Time, steady time.Duration) {
+func (s *fakeClocks) now() (wall time.Time, monotonic time.Duration) {
 	now := time.Now()
 	shift := time.Duration(s.suspended.Load() + s.wallChange.Load())
 	return now.Round(0).Add(shift), now.Sub(testStart)
@@ -38,19 +38,19 @@
 	if off := time.Since(before); off < -tolerance || off > tolerance {
 		t.Errorf("difference to the wall clock: %v", off)
 	}
-	for _, set := range []time.Duration{2 * time.Second, -4 * time.Second, time.Hour} {
-		host.wallChange.Add(int64(set))
+	for _, change := range []time.Duration{2 * time.Second, -4 * time.Second, time.Hour} {
+		host.wallChange.Add(int64(change))
 		now := c.Now()
 		if got := now.Sub(before); got < 0 || got > tolerance {
-			t.Errorf("wall clock set by %v: elapsed %v, want within %v of 0", set, got, tolerance)
+			t.Errorf("wall clock set by %v: elapsed %v, want within %v of 0", change, got, tolerance)
 		}
 		if got := now.Sub(time.Unix(0, before.UnixNano())); got < 0 || got > tolerance {
-			t.Errorf("wall clock set by %v: elapsed %v computed from Unix times, want within %v of 0", set, got, tolerance)
+			t.Errorf("wall clock set by %v: elapsed %v computed from Unix times, want within %v of 0", change, got, tolerance)
 		}
 	}
 }
 
-func TestClockTellsTheTimeOfDay(t *testing.T) {
+func TestClockReportsWallClockTime(t *testing.T) {
 	if off := time.Since(Clock{}.Now()); off < -tolerance || off > tolerance {
 		t.Errorf("difference to the wall clock: %v", off)
 	}
@@ -63,10 +63,10 @@
 	host := &fakeClocks{}
 	c := newHostClock(host)
 	before := c.Now()
-	for _, all := range []time.Duration{8 * time.Second, 8*time.Second + 50*time.Millisecond, time.Hour} {
-		host.suspended.Store(int64(all))
-		if got := c.Now().Sub(before); got < all || got > all+tolerance {
-			t.Errorf("suspended for %v in total: elapsed %v", all, got)
+	for _, total := range []time.Duration{8 * time.Second, 8*time.Second + 50*time.Millisecond, time.Hour} {
+		host.suspended.Store(int64(total))
+		if got := c.Now().Sub(before); got < total || got > total+tolerance {
+			t.Errorf("suspended for %v in total: elapsed %v", total, got)
 		}
 	}
 }
--- a/process/logbudget.go
+++ b/process/logbudget.go
@@ -57,29 +57,29 @@
 
 // allow reports whether a line may be written and, if so, how many lines with the same
 // message were suppressed before it.
-func (l *rateLimitedLogger) allow(msg string) (leftOut int, ok bool) {
+func (l *rateLimitedLogger) allow(msg string) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	rate := l.rate(msg)
-	b := l.limiters[msg]
-	if b == nil {
-		b = &lineLimiter{
+	limiter := l.limiters[msg]
+	if limiter == nil {
+		limiter = &lineLimiter{
 			tokens:    rate,
 			updatedAt: now,
 		}
-		l.limiters[msg] = b
+		l.limiters[msg] = limiter
 	}
-	b.tokens = min(rate, b.tokens+rate*now.Sub(b.updatedAt).Seconds())
-	b.updatedAt = now
-	if b.tokens < 1 {
-		b.suppressed++
+	limiter.tokens = min(rate, limiter.tokens+rate*now.Sub(limiter.updatedAt).Seconds())
+	limiter.updatedAt = now
+	if limiter.tokens < 1 {
+		limiter.suppressed++
 		return 0, false
 	}
-	b.tokens--
-	leftOut = b.suppressed
-	b.suppressed = 0
-	return leftOut, true
+	limiter.tokens--
+	suppressed = limiter.suppressed
+	limiter.suppressed = 0
+	return suppressed, true
 }
 
 // Log implements hclog.Logger.
@@ -87,12 +87,12 @@
 	if level < l.GetLevel() {
 		return
 	}
-	leftOut, ok := l.allow(msg)
+	suppressed, ok := l.allow(msg)
 	if !ok {
 		return
 	}
-	if leftOut > 0 {
-		args = append(args[:len(args):len(args)], suppressedKey, leftOut)
+	if suppressed > 0 {
+		args = append(args[:len(args):len(args)], suppressedKey, suppressed)
 	}
 	l.Logger.Log(level, msg, args...)
 }
--- a/process/logs_test.go
+++ b/process/logs_test.go
@@ -11,15 +11,15 @@
 	"wardturn/process"
 )
 
-// stuckWriter blocks until it is released, like a pipe whose reader has stopped.
-type stuckWriter struct {
+// blockedWriter blocks until it is released, like a pipe whose reader has stopped.
+type blockedWriter struct {
 	release chan struct{}
 
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -44,7 +44,7 @@
 }
 
 func TestLogQueueNeverBlocks(t *testing.T) {
-	w := &stuckWriter{
+	w := &blockedWriter{
 		release: make(chan struct{}),
 	}
 	q := process.NewLogQueue(w, 10)
