--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -66,17 +66,17 @@
 func (x *exchange) handleState(st attemptState) {
 	switch {
 	case st.complete:
-		x.finishAttempt(wardturn.Finished(), true)
+		x.finishRequest(wardturn.Finished(), true)
 	case st.end != nil && st.end.Outcome.Kind == wardturn.Done:
 		// The attempt is done, but bytes that the agent reports as sent are missing.
-		x.finishAttempt(wardturn.Uncertain(wardturn.ReasonUpstreamLost), false)
+		x.finishRequest(wardturn.Uncertain(wardturn.ReasonUpstreamLost), false)
 	case st.end != nil:
 		x.onAttemptEnd(st.end)
 	case st.lost && x.now().Sub(st.lostSince) >= x.entry.cfg.AttachLimit:
 		x.retryOrEnd(wardturn.Uncertain(wardturn.ReasonUpstreamLost), false)
 	case x.pastDeadline():
 		x.attempt.cancel()
-		x.finishAttempt(wardturn.Uncertain(wardturn.ReasonDeadline), true)
+		x.finishRequest(wardturn.Uncertain(wardturn.ReasonDeadline), true)
 	default:
 		x.waitForChange(st)
 	}
@@ -295,7 +295,7 @@
 	return x.entry.retryBudget.Retry(x.now())
 }
 
-func (x *exchange) finishAttempt(outcome wardturn.Outcome, healthy bool) {
+func (x *exchange) finishRequest(outcome wardturn.Outcome, healthy bool) {
 	x.endAttempt(healthy)
 	x.outcome = outcome
 	x.ended = true
@@ -314,7 +314,7 @@
 		return
 	}
 	x.attempt.cancel()
-	x.finishAttempt(wardturn.Uncertain(wardturn.ReasonCanceled), true)
+	x.finishRequest(wardturn.Uncertain(wardturn.ReasonCanceled), true)
 }
 
 // follow attaches to the attempt that claimed the request's idempotency key first, to
--- a/entry/lingering.go
+++ b/entry/lingering.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// lingerTimeout and maxLingerBytes limit how long and how much of a refused request is read
-	// and discarded before its connection is closed. Both are estimates: a caller that
+	// lingerTimeout and maxLingerBytes limit how long and how much of a refused request is
+	// read and discarded before its connection is closed. Both are estimates: a caller that
 	// finishes writing within them can read the response, and a caller that never stops
 	// writing can't occupy the connection for longer.
 	lingerTimeout  = 500 * time.Millisecond
--- a/entry/link.go
+++ b/entry/link.go
@@ -21,7 +21,7 @@
 	connected chan struct{} // closed while connected
 	conn      *peer.Conn
 	lastUsed  time.Time
-	retired   bool
+	closed    bool
 }
 
 func newLink(e *Entry, h wardturn.Host) *link {
@@ -171,10 +171,10 @@
 
 // closeLink closes a link. The caller must hold e.mu.
 func (e *Entry) closeLink(l *link) {
-	if l.retired {
+	if l.closed {
 		return
 	}
-	l.retired = true
+	l.closed = true
 	e.tasks.Go(l.client.Close)
 }
 
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -30,21 +30,21 @@
 	Ran   string             `json:"ran"` // no, yes or unknown
 }
 
-func (errResp errorResponse) body() errorBody {
+func (r errorResponse) body() errorBody {
 	errType := "server_error"
-	if errResp.status < fasthttp.StatusInternalServerError {
+	if r.status < fasthttp.StatusInternalServerError {
 		errType = "invalid_request_error"
 	}
 	ran := "no"
-	if errResp.outcome.Kind == wardturn.Unknown {
+	if r.outcome.Kind == wardturn.Unknown {
 		ran = "unknown"
 	}
 	return errorBody{
 		Error: driver.ErrorDetail{
-			Message: errResp.message,
+			Message: r.message,
 			Type:    errType,
-			Code:    errResp.code,
-			Param:   errResp.param,
+			Code:    r.code,
+			Param:   r.param,
 		},
 		Ran: ran,
 	}
--- a/process/clock.go
+++ b/process/clock.go
@@ -120,9 +120,9 @@
 
 // checkSuspended checks whether the host was suspended since the last check. If so, it
 // adjusts the pending timers.
-func (c *hostClock) checkSuspended(steady, wallOffset time.Duration) {
+func (c *hostClock) checkSuspended(monotonic, wallOffset time.Duration) {
 	c.wallOffset.Store(int64(wallOffset))
-	c.checkedAt.Store(int64(steady))
+	c.checkedAt.Store(int64(monotonic))
 	gap, ok := c.bootGap()
 	if !ok || !c.hasBootClock {
 		return
--- a/process/logbudget.go
+++ b/process/logbudget.go
@@ -9,8 +9,8 @@
 	"wardturn"
 )
 
-// suppressedKey is the key of the number of lines with the same message that were suppressed
-// since the last one that was written.
+// suppressedKey is the key of the number of lines with the same message that were
+// suppressed since the last one that was written.
 const suppressedKey = "left_out"
 
 // LogRates holds the maximum number of log lines per second for each message.
@@ -19,8 +19,8 @@
 	Others float64 // for each message that is not in the map
 }
 
-// rateLimitedLogger limits the rate of lines for each message. A line that is written states
-// how many lines with its message were suppressed before it.
+// rateLimitedLogger limits the rate of lines for each message. A line that is written
+// states how many lines with its message were suppressed before it.
 type rateLimitedLogger struct {
 	hclog.Logger
 	clock wardturn.Clock
--- a/process/tasks.go
+++ b/process/tasks.go
@@ -17,7 +17,7 @@
 
 	mu      sync.Mutex // serializes Go and Every with Stop
 	timers  map[int]wardturn.Timer
-	next    int
+	nextID  int
 	running sync.WaitGroup
 }
 
@@ -55,8 +55,8 @@
 // the first one d from now.
 func (t *Tasks) Every(d time.Duration, f func()) {
 	t.mu.Lock()
-	id := t.next
-	t.next++
+	id := t.nextID
+	t.nextID++
 	t.mu.Unlock()
 	t.every(id, d, f)
 }
