--- a/entry/admin.go
+++ b/entry/admin.go
@@ -13,7 +13,7 @@
 	"wardturn/decide"
 )
 
-// The paths of the operators' API.
+// Paths of the operator API.
 const (
 	PathDocs    = "/admin/v1/docs"
 	PathChanges = "/admin/v1/changes"
@@ -30,29 +30,29 @@
 var openAPI []byte
 
 const (
-	publishLimit = 10 * time.Second
-	defaultPage  = 100
-	maxPage      = 1000
+	publishTimeout  = 10 * time.Second
+	defaultPageSize = 100
+	maxPageSize     = 1000
 )
 
-// routeAdmin adds the operators' API.
-func (e *Entry) routeAdmin(r *router.Router) {
-	r.GET(PathDocs, e.asOperator(e.listDocs))
-	r.GET(PathDocs+"/{kind}/{name:*}", e.asOperator(e.getDoc))
-	r.PUT(PathDocs+"/{kind}/{name:*}", e.asOperator(e.putDoc))
-	r.DELETE(PathDocs+"/{kind}/{name:*}", e.asOperator(e.deleteDoc))
-	r.POST(PathChanges, e.asOperator(e.postChange))
-	r.GET(PathHistory, e.asOperator(e.getHistory))
-	r.GET(PathStatus, e.asOperator(e.getStatus))
-	r.GET(PathWindows, e.asOperator(e.getWindows))
+// registerAdmin registers the handlers of the operator API.
+func (e *Entry) registerAdmin(r *router.Router) {
+	r.GET(PathDocs, e.withOperator(e.listDocs))
+	r.GET(PathDocs+"/{kind}/{name:*}", e.withOperator(e.getDoc))
+	r.PUT(PathDocs+"/{kind}/{name:*}", e.withOperator(e.putDoc))
+	r.DELETE(PathDocs+"/{kind}/{name:*}", e.withOperator(e.deleteDoc))
+	r.POST(PathChanges, e.withOperator(e.postChange))
+	r.GET(PathHistory, e.withOperator(e.getHistory))
+	r.GET(PathStatus, e.withOperator(e.getStatus))
+	r.GET(PathWindows, e.withOperator(e.getWindows))
 	r.GET(PathOpenAPI, func(ctx *fasthttp.RequestCtx) {
 		ctx.SetContentType("application/json")
 		ctx.SetBody(openAPI)
 	})
 }
 
-// operator is who uses the operators' API. Without a team it may change
-// everything.
+// operator is an authenticated user of the operator API. An operator without a team may
+// change all documents.
 type operator struct {
 	name string
 	team wardturn.TeamID
@@ -60,19 +60,19 @@
 
 type operatorHandler func(ctx *fasthttp.RequestCtx, op operator)
 
-func (e *Entry) asOperator(h operatorHandler) fasthttp.RequestHandler {
+func (e *Entry) withOperator(h operatorHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.Response.Header.Set(HeaderRequestID, string(e.requestID(ctx)))
-		op, ok := e.operatorOf(keyDigest(ctx))
+		op, ok := e.operatorForKey(keyDigest(ctx))
 		if !ok {
-			writeProblem(ctx, unauthorized())
+			writeError(ctx, unauthorized())
 			return
 		}
 		h(ctx, op)
 	}
 }
 
-func (e *Entry) operatorOf(digest string) (operator, bool) {
+func (e *Entry) operatorForKey(digest string) (operator, bool) {
 	if digest == "" {
 		return operator{}, false
 	}
@@ -92,7 +92,7 @@
 	return operator{}, false
 }
 
-// HistoryPage is one page of the audit record.
+// HistoryPage is a page of the audit log.
 type HistoryPage struct {
 	Entries []control.Entry `json:"entries"`
 }
@@ -100,31 +100,32 @@
 func (e *Entry) getHistory(ctx *fasthttp.RequestCtx, _ operator) {
 	args := ctx.QueryArgs()
 	after, _ := strconv.ParseInt(string(args.Peek("after")), 10, 64)
-	list := e.replica.History(control.Key(args.Peek("key")), wardturn.Offset(after), pageSize(ctx))
-	if list == nil {
-		list = []control.Entry{}
+	entries := e.replica.History(control.Key(args.Peek("key")), wardturn.Offset(after), pageSize(ctx))
+	if entries == nil {
+		entries = []control.Entry{}
 	}
-	writeBody(ctx, fasthttp.StatusOK, HistoryPage{
-		Entries: list,
+	writeJSON(ctx, fasthttp.StatusOK, HistoryPage{
+		Entries: entries,
 	})
 }
 
-// StatusView is an entry's view of the system.
+// StatusView is the state of the system as an entry sees it.
 type StatusView struct {
 	Process   wardturn.Incarnation `json:"process"`
 	Ready     bool                 `json:"ready"`
 	Config    wardturn.Offset      `json:"config"`
-	LogRead   time.Time            `json:"log_read"` // latest success
+	LogRead   time.Time            `json:"log_read"` // last successful read of the log
 	Open      int64                `json:"open_requests"`
 	Links     int                  `json:"connections"`
 	Upstreams []UpstreamView       `json:"upstreams"`
 }
 
-// UpstreamView is an upstream as an entry sees it; the hint may be out of date.
+// UpstreamView is the state of an upstream as an entry sees it. The hint, which the
+// upstream's agent sends about its load, may be out of date.
 type UpstreamView struct {
 	wardturn.Host
 	Hint    decide.Hint `json:"hint"`
-	HintAge float64     `json:"hint_age_seconds"` // negative without a hint
+	HintAge float64     `json:"hint_age_seconds"` // negative if there is no hint
 	Open    bool        `json:"breaker_open"`
 }
 
@@ -134,7 +135,7 @@
 		Ready:   e.Ready(),
 		Config:  e.replica.Applied(),
 		LogRead: e.replica.LastRead(),
-		Open:    e.open.Load(),
+		Open:    e.openRequests.Load(),
 	}
 	e.mu.Lock()
 	st.Links = len(e.links)
@@ -151,5 +152,5 @@
 			Open:    v.Ejected,
 		})
 	}
-	writeBody(ctx, fasthttp.StatusOK, st)
+	writeJSON(ctx, fasthttp.StatusOK, st)
 }
--- a/entry/admin_test.go
+++ b/entry/admin_test.go
@@ -47,7 +47,8 @@
 	return res
 }
 
-// raw sends bytes as they are and returns the answer until the connection ends.
+// raw sends text unchanged and returns all data received until the server closes the
+// connection.
 func (a api) raw(text string) string {
 	c, err := net.Dial("tcp", a.addr)
 	Expect(err).NotTo(HaveOccurred())
@@ -59,8 +60,9 @@
 	return string(answer)
 }
 
-// status sends text in one write and returns the first line of the answer. What
-// follows may be cut off: the server closes with bytes of the request unread.
+// status sends text in one write and returns the status line of the response. The rest of
+// the response may be truncated, because the server closes the connection while bytes of
+// the request are unread.
 func (a api) status(text string) string {
 	c, err := net.Dial("tcp", a.addr)
 	Expect(err).NotTo(HaveOccurred())
@@ -72,7 +74,7 @@
 	return line
 }
 
-func code(res *fasthttp.Response) string {
+func errorCode(res *fasthttp.Response) string {
 	var body struct {
 		Error struct {
 			Code string `json:"code"`
@@ -84,7 +86,7 @@
 
 var _ = Describe("Administration", Ordered, func() {
 	var sys *demo.System
-	var admin, team, stranger api
+	var admin, team, unknownKey api
 
 	BeforeAll(func() {
 		cfg := demo.Zurich()
@@ -99,7 +101,7 @@
 		DeferCleanup(sys.Close)
 		admin = api{sys.Addrs()[0], demo.OperatorKey}
 		team = api{sys.Addrs()[1], "team-key"}
-		stranger = api{sys.Addrs()[0], "nobody"}
+		unknownKey = api{sys.Addrs()[0], "nobody"}
 		res := admin.do("PUT", "/admin/v1/docs/team/demo", "operators: ["+control.KeyDigest("team-key")+"]\n", "If-None-Match", "*")
 		Expect(res.StatusCode()).To(Equal(200), string(res.Body()))
 		Eventually(func() int {
@@ -107,31 +109,31 @@
 		}).Should(Equal(200))
 	})
 
-	It("refuses unknown keys", func() {
-		Expect(stranger.do("GET", "/admin/v1/docs", "").StatusCode()).To(Equal(401))
+	It("rejects unknown keys", func() {
+		Expect(unknownKey.do("GET", "/admin/v1/docs", "").StatusCode()).To(Equal(401))
 		Expect(api{sys.Addrs()[0], ""}.do("GET", "/admin/v1/status", "").StatusCode()).To(Equal(401))
 	})
 
-	It("publishes by compare-and-set", func() {
+	It("changes documents by compare-and-set", func() {
 		const path = "/admin/v1/docs/adapter/a0001"
 		res := admin.do("GET", path, "")
-		tag := string(res.Header.Peek("ETag"))
-		Expect(tag).NotTo(BeEmpty())
-		Expect(admin.do("GET", path, "", "If-None-Match", tag).StatusCode()).To(Equal(304))
+		etag := string(res.Header.Peek("ETag"))
+		Expect(etag).NotTo(BeEmpty())
+		Expect(admin.do("GET", path, "", "If-None-Match", etag).StatusCode()).To(Equal(304))
 
 		body := "base_model: base\nteam: demo\nversion: 2\n"
-		Expect(code(admin.do("PUT", path, body))).To(Equal("precondition_required"))
-		res = admin.do("PUT", path, body, "If-Match", tag)
+		Expect(errorCode(admin.do("PUT", path, body))).To(Equal("precondition_required"))
+		res = admin.do("PUT", path, body, "If-Match", etag)
 		Expect(res.StatusCode()).To(Equal(200))
-		next := string(res.Header.Peek("ETag"))
-		Expect(next).NotTo(Equal(tag))
-		Expect(code(admin.do("PUT", path, body, "If-Match", tag))).To(Equal("conflict"))
-		Expect(code(admin.do("PUT", path, body, "If-None-Match", "*"))).To(Equal("conflict"))
-		Expect(admin.do("DELETE", path, "", "If-Match", next).StatusCode()).To(Equal(200))
+		newETag := string(res.Header.Peek("ETag"))
+		Expect(newETag).NotTo(Equal(etag))
+		Expect(errorCode(admin.do("PUT", path, body, "If-Match", etag))).To(Equal("conflict"))
+		Expect(errorCode(admin.do("PUT", path, body, "If-None-Match", "*"))).To(Equal("conflict"))
+		Expect(admin.do("DELETE", path, "", "If-Match", newETag).StatusCode()).To(Equal(200))
 		Expect(admin.do("GET", path, "").StatusCode()).To(Equal(404))
 	})
 
-	It("names the line and the reason of a bad document", func() {
+	It("reports the line and the reason for an invalid document", func() {
 		res := admin.do("PUT", "/admin/v1/docs/adapter/bad", "base_model: base\nversoin: 2\n", "If-None-Match", "*")
 		Expect(res.StatusCode()).To(Equal(422))
 		Expect(string(res.Body())).To(ContainSubstring("adapter/bad:2: "))
@@ -140,15 +142,15 @@
 		Expect(string(res.Body())).To(ContainSubstring("policy/bad:4: "))
 	})
 
-	It("publishes several documents together, or none", func() {
+	It("publishes several documents atomically", func() {
 		change := `{"id":"together","docs":[
 			{"key":"adapter/n1","body":"base_model: base\nversion: 1\n"},
 			{"key":"adapter/a0002","base":999,"body":"base_model: base\nversion: 9\n"}]}`
-		Expect(code(admin.do("POST", "/admin/v1/changes", change))).To(Equal("conflict"))
+		Expect(errorCode(admin.do("POST", "/admin/v1/changes", change))).To(Equal("conflict"))
 		Expect(admin.do("GET", "/admin/v1/docs/adapter/n1", "").StatusCode()).To(Equal(404))
 	})
 
-	It("keeps the audit record", func() {
+	It("serves the audit log", func() {
 		var page entry.HistoryPage
 		Expect(json.Unmarshal(admin.do("GET", "/admin/v1/history?key=adapter/a0001", "").Body(), &page)).To(Succeed())
 		Expect(page.Entries).NotTo(BeEmpty())
@@ -174,25 +176,25 @@
 		Expect(seen).To(Equal(4))
 	})
 
-	It("lets a team change what is its own, and nothing else", func() {
+	It("lets a team change only its own documents", func() {
 		put := func(key, body string) *fasthttp.Response {
 			return team.do("PUT", "/admin/v1/docs/"+key, body, "If-None-Match", "*")
 		}
 		Expect(put("adapter/mine", "base_model: base\nteam: demo\nversion: 1\n").StatusCode()).To(Equal(200))
-		Expect(code(put("adapter/theirs", "base_model: base\nteam: other\nversion: 1\n"))).To(Equal("forbidden"))
-		Expect(code(put("policy/p", "active: true\nsource: 'x = 1'\n"))).To(Equal("forbidden"))
-		Expect(code(put("drain/u00", "reason: x\n"))).To(Equal("forbidden"))
+		Expect(errorCode(put("adapter/theirs", "base_model: base\nteam: other\nversion: 1\n"))).To(Equal("forbidden"))
+		Expect(errorCode(put("policy/p", "active: true\nsource: 'x = 1'\n"))).To(Equal("forbidden"))
+		Expect(errorCode(put("drain/u00", "reason: x\n"))).To(Equal("forbidden"))
 		Expect(admin.do("PUT", "/admin/v1/docs/adapter/others", "base_model: base\nteam: other\nversion: 1\n", "If-None-Match", "*").StatusCode()).To(Equal(200))
 		Eventually(func() string {
-			return code(team.do("PUT", "/admin/v1/docs/adapter/others", "base_model: base\nteam: demo\nversion: 1\n", "If-Match", "1"))
+			return errorCode(team.do("PUT", "/admin/v1/docs/adapter/others", "base_model: base\nteam: demo\nversion: 1\n", "If-Match", "1"))
 		}).Should(Equal("forbidden"))
 	})
 
-	It("limits callers to what their document allows", func() {
+	It("enforces the adapters and the quota of a caller's document", func() {
 		doc := "team: demo\nkey_digests: [" + control.KeyDigest("caller-key") + "]\nadapters: [a0003]\nservices: []\nrate: 0.001\nburst: 1\n"
 		Expect(admin.do("PUT", "/admin/v1/docs/caller/clerks", doc, "If-None-Match", "*").StatusCode()).To(Equal(200))
 		caller := api{sys.Addrs()[0], "caller-key"}
-		Expect(code(caller.do("POST", "/v1/completions", `{"model":"a0004","prompt":"x"}`))).To(Equal("forbidden"))
+		Expect(errorCode(caller.do("POST", "/v1/completions", `{"model":"a0004","prompt":"x"}`))).To(Equal("forbidden"))
 		Expect(string(caller.do("GET", "/v1/models", "").Body())).To(ContainSubstring(`"data":[{"id":"a0003"`))
 		Expect(caller.do("POST", "/v1/completions", `{"model":"a0003","prompt":"x","max_tokens":1}`).StatusCode()).To(Equal(200))
 		res := caller.do("POST", "/v1/completions", `{"model":"a0003","prompt":"x","max_tokens":1}`)
@@ -201,26 +203,27 @@
 		Expect(string(res.Header.Peek(entry.HeaderOutcome))).To(Equal("not_run"))
 	})
 
-	It("answers what is not understood with a clear error", func() {
+	It("responds to invalid requests with specific errors", func() {
 		open := api{sys.Addrs()[0], ""}
-		Expect(code(open.do("POST", "/v1/completions", `{`))).To(Equal("bad_request"))
+		Expect(errorCode(open.do("POST", "/v1/completions", `{`))).To(Equal("bad_request"))
 		Expect(open.do("GET", "/v1/completions", "").StatusCode()).To(Equal(405))
 		Expect(open.do("GET", "/nothing", "").StatusCode()).To(Equal(404))
 		Expect(open.raw("POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2097152\r\n\r\n")).To(HavePrefix("HTTP/1.1 413 "))
 		Expect(open.raw("nonsense\r\n\r\n")).To(HavePrefix("HTTP/1.1 400 "))
-		// In one write: a client that is still writing when the answer comes may see
-		// the connection reset before it reads.
+		// The request is sent in one write, because a client that still writes when the
+		// response arrives may see a connection reset before it reads the response.
 		Expect(open.status("POST /v1/completions HTTP/1.1\r\nHost: x\r\nX-Flood: " + strings.Repeat("x", 32<<10) + "\r\n\r\n")).To(HavePrefix("HTTP/1.1 431 "))
-		Expect(code(open.do("POST", "/v1/completions", `{"model":"a0002","prompt":"x"}`, entry.HeaderDeadline, "soon"))).To(Equal("bad_request"))
-		Expect(code(open.do("POST", "/v1/completions", `{"model":"a0002","prompt":"x"}`, entry.HeaderClass, "vip"))).To(Equal("bad_request"))
+		Expect(errorCode(open.do("POST", "/v1/completions", `{"model":"a0002","prompt":"x"}`, entry.HeaderDeadline, "soon"))).To(Equal("bad_request"))
+		Expect(errorCode(open.do("POST", "/v1/completions", `{"model":"a0002","prompt":"x"}`, entry.HeaderClass, "vip"))).To(Equal("bad_request"))
 	})
 
-	// A caller that was still writing when its request was refused saw the connection reset
-	// in place of the answer: the entry closed it with bytes unread, and a reset drops what
-	// was sent. The test of a 32 KiB header above, in two writes, failed once beside load:
+	// Guards against a lost error response: the entry closed the connection of a refused
+	// request while the caller was still writing. Closing with unread bytes resets the
+	// connection, and the reset discards the response. The 32 KiB header above, sent in two
+	// writes, failed once on a loaded machine:
 	//
 	//	read tcp 127.0.0.1:...: read: connection reset by peer
-	DescribeTable("answers a caller that goes on writing after its request is refused",
+	DescribeTable("delivers the error response to a caller that still writes after the refusal",
 		func(head, want string) {
 			c, err := net.Dial("tcp", sys.Addrs()[0])
 			Expect(err).NotTo(HaveOccurred())
@@ -240,21 +243,21 @@
 		Entry("body too large", "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 2097152\r\n\r\n", "HTTP/1.1 413 "),
 	)
 
-	It("serves an OpenAPI document whose paths exist", func() {
-		res := stranger.do("GET", "/admin/v1/openapi.json", "")
+	It("serves a valid OpenAPI document whose paths exist", func() {
+		res := unknownKey.do("GET", "/admin/v1/openapi.json", "")
 		doc, err := openapi3.NewLoader().LoadFromData(res.Body())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(doc.Validate(context.Background())).To(Succeed())
-		fill := strings.NewReplacer("{kind}", "adapter", "{name}", "nobody")
+		fillPath := strings.NewReplacer("{kind}", "adapter", "{name}", "nobody")
 		for path, item := range doc.Paths.Map() {
 			for method := range item.Operations() {
-				res := stranger.do(method, fill.Replace(path), "")
+				res := unknownKey.do(method, fillPath.Replace(path), "")
 				Expect(res.StatusCode()).To(BeElementOf(200, 401), method+" "+path)
 			}
 		}
 	})
 
-	It("turns readiness off and refuses new requests when it leaves", func() {
+	It("is not ready and refuses new requests after a graceful shutdown", func() {
 		open := api{sys.Addrs()[1], ""}
 		Expect(open.do("GET", "/readyz", "").StatusCode()).To(Equal(200))
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -262,6 +265,6 @@
 		sys.Entries[1].Leave(ctx)
 		Expect(open.do("GET", "/readyz", "").StatusCode()).To(Equal(503))
 		Expect(open.do("GET", "/healthz", "").StatusCode()).To(Equal(200))
-		Expect(code(open.do("POST", "/v1/completions", `{"model":"a0003","prompt":"x"}`))).To(Equal("leaving"))
+		Expect(errorCode(open.do("POST", "/v1/completions", `{"model":"a0003","prompt":"x"}`))).To(Equal("leaving"))
 	})
 })
--- a/entry/api.go
+++ b/entry/api.go
@@ -12,7 +12,7 @@
 	"wardturn/control"
 )
 
-// The headers of the callers' API.
+// Headers of the caller API.
 const (
 	HeaderRequestID     = "X-Request-Id"
 	HeaderClass         = "X-Wardturn-Class"
@@ -32,27 +32,27 @@
 	r.RedirectTrailingSlash = false
 	r.RedirectFixedPath = false
 	r.NotFound = func(ctx *fasthttp.RequestCtx) {
-		writeProblem(ctx, problem{
+		writeError(ctx, errorResponse{
 			status:  fasthttp.StatusNotFound,
 			code:    "not_found",
 			message: "no such path",
 		})
 	}
 	r.MethodNotAllowed = func(ctx *fasthttp.RequestCtx) {
-		writeProblem(ctx, problem{
+		writeError(ctx, errorResponse{
 			status:  fasthttp.StatusMethodNotAllowed,
 			code:    "method_not_allowed",
 			message: "the path does not take this method",
 		})
 	}
-	r.POST("/v1/completions", e.asCaller(e.complete))
-	r.POST("/v1/chat/completions", e.asCaller(e.complete))
-	r.GET("/v1/models", e.asCaller(e.models))
-	r.ANY("/v1/services/{name}/{path:*}", e.asCaller(e.callService))
+	r.POST("/v1/completions", e.withCaller(e.handleCompletion))
+	r.POST("/v1/chat/completions", e.withCaller(e.handleCompletion))
+	r.GET("/v1/models", e.withCaller(e.listModels))
+	r.ANY("/v1/services/{name}/{path:*}", e.withCaller(e.callService))
 	r.GET("/healthz", healthz)
 	r.GET("/readyz", e.readyz)
 	r.GET("/metrics", e.metrics.handler)
-	e.routeAdmin(r)
+	e.registerAdmin(r)
 	return r.Handler
 }
 
@@ -69,70 +69,72 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// callerHandler is a handler that knows who calls.
+// callerHandler handles a request of an authenticated caller.
 type callerHandler func(ctx *fasthttp.RequestCtx, caller wardturn.CallerID)
 
-// asCaller authenticates a caller and applies its quota.
-func (e *Entry) asCaller(h callerHandler) fasthttp.RequestHandler {
+// withCaller returns a handler that authenticates the caller before it calls h. The
+// caller's quota is applied later, on admission.
+func (e *Entry) withCaller(h callerHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		ctx.Response.Header.Set(HeaderRequestID, string(e.requestID(ctx)))
 		caller, ok := e.authenticate(ctx)
 		if !ok {
-			writeProblem(ctx, unauthorized())
+			writeError(ctx, unauthorized())
 			return
 		}
 		h(ctx, caller)
 	}
 }
 
-// requestID returns the caller's own request id if it is a name, or a new one.
+// requestID returns the request ID that the caller sent if it is valid, and a new ID
+// otherwise.
 func (e *Entry) requestID(ctx *fasthttp.RequestCtx) wardturn.RequestID {
 	given := string(ctx.Request.Header.Peek(HeaderRequestID))
 	if wardturn.ValidName(given) {
 		return wardturn.RequestID(given)
 	}
-	n := e.reqSeq.Add(1)
+	n := e.requestSeq.Add(1)
 	return wardturn.RequestID(string(e.cfg.Process) + "-r" + strconv.FormatUint(n, 10))
 }
 
-func idOf(ctx *fasthttp.RequestCtx) wardturn.RequestID {
+func assignedRequestID(ctx *fasthttp.RequestCtx) wardturn.RequestID {
 	return wardturn.RequestID(ctx.Response.Header.Peek(HeaderRequestID))
 }
 
-// complete serves both completion paths.
-func (e *Entry) complete(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
-	x, p := e.readCompletion(ctx, caller)
-	if p.code != "" {
-		writeProblem(ctx, p)
+// handleCompletion handles completion and chat completion requests.
+func (e *Entry) handleCompletion(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
+	x, errResp := e.readCompletion(ctx, caller)
+	if errResp.code != "" {
+		writeError(ctx, errResp)
 		return
 	}
 	e.admit(ctx, x, x.stream)
 }
 
-// readCompletion turns a completion request into an exchange.
-func (e *Entry) readCompletion(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (*exchange, problem) {
+// readCompletion parses and authorizes a completion request.
+func (e *Entry) readCompletion(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (*exchange, errorResponse) {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
-	c, p := parseCompletion(parser, ctx.PostBody(), e.cfg.DefaultOutput)
-	if p.code != "" {
-		return nil, p
+	c, errResp := parseCompletion(parser, ctx.PostBody(), e.cfg.DefaultOutput)
+	if errResp.code != "" {
+		return nil, errResp
 	}
 	config := e.replica.Applied()
 	ref, model, ok := e.catalog.Resolve(c.ref)
 	if !ok {
 		return nil, unknownAdapter(c.ref)
 	}
-	if !e.mayUse(caller, string(ref.Adapter), adaptersOf) {
+	if !e.mayUse(caller, string(ref.Adapter), adapterPatterns) {
 		return nil, forbidden("adapter " + string(ref.Adapter))
 	}
-	req, p := e.newRequest(ctx, caller)
-	if p.code != "" {
-		return nil, p
+	req, errResp := e.newRequest(ctx, caller)
+	if errResp.code != "" {
+		return nil, errResp
 	}
 	req.Adapter = ref
 	req.Prompt = c.prompt
 	req.Output = c.output
-	req.Body = c.rewrite(ref, req.Class)
+	req.Body = c.rewriteBody(ref, req.Class)
 	req.Repeatable = true
 	return &exchange{
 		entry:   e,
@@ -142,41 +144,41 @@
 		config:  config,
 		stream:  c.stream,
 		arrived: e.clock.Now(),
-	}, problem{}
+	}, errorResponse{}
 }
 
-// callService passes a request through to a plain service.
+// callService forwards a request to a plain HTTP service.
 func (e *Entry) callService(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
 	name := wardturn.ServiceName(ctx.UserValue("name").(string))
 	config := e.replica.Applied()
 	doc, ok := e.catalog.Service(name)
 	if !ok {
-		writeProblem(ctx, unknownService(name))
+		writeError(ctx, unknownService(name))
 		return
 	}
-	if !e.mayUse(caller, string(name), servicesOf) {
-		writeProblem(ctx, forbidden("service "+string(name)))
+	if !e.mayUse(caller, string(name), servicePatterns) {
+		writeError(ctx, forbidden("service "+string(name)))
 		return
 	}
-	req, p := e.newRequest(ctx, caller)
-	if p.code != "" {
-		writeProblem(ctx, p)
+	req, errResp := e.newRequest(ctx, caller)
+	if errResp.code != "" {
+		writeError(ctx, errResp)
 		return
 	}
 	path, _ := ctx.UserValue("path").(string)
 	req.Service = name
-	if limit := time.Duration(doc.Deadline); limit > 0 && len(ctx.Request.Header.Peek(HeaderDeadline)) == 0 {
-		req.Deadline = e.clock.Now().Add(limit)
+	if timeout := time.Duration(doc.Deadline); timeout > 0 && len(ctx.Request.Header.Peek(HeaderDeadline)) == 0 {
+		req.Deadline = e.clock.Now().Add(timeout)
 	}
 	req.Path = "/" + path
 	if q := ctx.URI().QueryString(); len(q) > 0 {
 		req.Path += "?" + string(q)
 	}
-	req.Header = passHeader(ctx)
+	req.Header = forwardedHeader(ctx)
 	req.Body = append([]byte(nil), ctx.PostBody()...)
-	req.Repeatable = doc.Repeatable(req.Method) && !flag(ctx, HeaderNotRepeatable)
-	if p := e.setKey(ctx, &req); p.code != "" {
-		writeProblem(ctx, p)
+	req.Repeatable = doc.Repeatable(req.Method) && !boolHeader(ctx, HeaderNotRepeatable)
+	if errResp := e.setIdempotencyKey(ctx, &req); errResp.code != "" {
+		writeError(ctx, errResp)
 		return
 	}
 	x := &exchange{
@@ -188,46 +190,46 @@
 	e.admit(ctx, x, false)
 }
 
-// newRequest reads what all requests have in common.
-func (e *Entry) newRequest(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (wardturn.Request, problem) {
+// newRequest sets the fields that completion and service requests have in common.
+func (e *Entry) newRequest(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) (wardturn.Request, errorResponse) {
 	class, ok := wardturn.ParseClass(string(ctx.Request.Header.Peek(HeaderClass)))
 	if !ok {
 		return wardturn.Request{}, badRequest(HeaderClass, "must be interactive or batch")
 	}
-	limit := e.cfg.Deadline
+	timeout := e.cfg.Deadline
 	if v := ctx.Request.Header.Peek(HeaderDeadline); len(v) > 0 {
 		ms, err := strconv.ParseInt(string(v), 10, 64)
 		if err != nil || ms < 1 || ms > e.cfg.MaxDeadline.Milliseconds() {
 			return wardturn.Request{}, badRequest(HeaderDeadline, "must be milliseconds from 1 to "+strconv.FormatInt(e.cfg.MaxDeadline.Milliseconds(), 10))
 		}
-		limit = time.Duration(ms) * time.Millisecond
+		timeout = time.Duration(ms) * time.Millisecond
 	}
 	return wardturn.Request{
-		ID:       idOf(ctx),
+		ID:       assignedRequestID(ctx),
 		Caller:   caller,
-		Team:     e.teamOfCaller(caller),
+		Team:     e.callerTeam(caller),
 		Class:    class,
 		Method:   string(ctx.Method()),
 		Path:     string(ctx.Path()),
-		Deadline: e.clock.Now().Add(limit),
-	}, problem{}
+		Deadline: e.clock.Now().Add(timeout),
+	}, errorResponse{}
 }
 
-// setKey reads the idempotency key of a request that may not be repeated. One
-// without a key gets its own: it still reaches an upstream at most once.
-func (e *Entry) setKey(ctx *fasthttp.RequestCtx, req *wardturn.Request) problem {
+// setIdempotencyKey sets the idempotency key of a request that is not repeatable. If the
+// caller sent no key, it generates one, so that the request still runs at most once.
+func (e *Entry) setIdempotencyKey(ctx *fasthttp.RequestCtx, req *wardturn.Request) errorResponse {
 	key := string(ctx.Request.Header.Peek(HeaderKey))
 	if req.Repeatable {
-		return problem{}
+		return errorResponse{}
 	}
 	now := e.clock.Now()
-	req.Digest = digestOf(req)
+	req.Digest = requestDigest(req)
 	if key == "" {
 		req.Key = wardturn.IdempotencyKey(string(e.cfg.Process) + "/" + string(req.ID))
 		req.KeyCreated = now
-		return problem{}
+		return errorResponse{}
 	}
-	if len(key) > maxKeyLength {
+	if len(key) > maxIdempotencyKeyLen {
 		return badRequest(HeaderKey, "must not be longer than 256 bytes")
 	}
 	created, err := time.Parse(time.RFC3339, string(ctx.Request.Header.Peek(HeaderKeyCreated)))
@@ -238,7 +240,7 @@
 		return badRequest(HeaderKeyCreated, "is in the future")
 	}
 	if now.Sub(created) > control.ClaimWindow {
-		return problem{
+		return errorResponse{
 			status:  fasthttp.StatusConflict,
 			code:    string(wardturn.ReasonKeyTooOld),
 			message: "the idempotency key is older than the remembered window; the request did not run",
@@ -247,18 +249,18 @@
 	}
 	req.Key = wardturn.IdempotencyKey(key)
 	req.KeyCreated = created
-	return problem{}
+	return errorResponse{}
 }
 
-const maxKeyLength = 256
+const maxIdempotencyKeyLen = 256
 
-func flag(ctx *fasthttp.RequestCtx, name string) bool {
+func boolHeader(ctx *fasthttp.RequestCtx, name string) bool {
 	return string(ctx.Request.Header.Peek(name)) == "true"
 }
 
-// passHeader returns the headers that a plain service gets: all but those of
-// the connection and of wardturn itself.
-func passHeader(ctx *fasthttp.RequestCtx) []wardturn.HeaderField {
+// forwardedHeader returns the headers to forward to a plain service: all except
+// connection-level headers, the Authorization header and the request ID.
+func forwardedHeader(ctx *fasthttp.RequestCtx) []wardturn.HeaderField {
 	var list []wardturn.HeaderField
 	for k, v := range ctx.Request.Header.All() {
 		switch string(k) {
@@ -273,73 +275,73 @@
 	return list
 }
 
-// admit applies the limits of the entry and of the caller, then runs the
-// request.
+// admit checks the entry's request limit and the caller's quota, then runs the request.
 func (e *Entry) admit(ctx *fasthttp.RequestCtx, x *exchange, stream bool) {
-	if e.leaving.Load() {
-		e.reply(ctx, x, wardturn.Refused(wardturn.ReasonLeaving, time.Second))
+	if e.shuttingDown.Load() {
+		e.replyError(ctx, x, wardturn.Refused(wardturn.ReasonLeaving, time.Second))
 		return
 	}
-	if e.open.Add(1) > int64(e.cfg.MaxRequests) {
-		e.open.Add(-1)
-		e.reply(ctx, x, wardturn.Refused(wardturn.ReasonQueueFull, time.Second))
+	if e.openRequests.Add(1) > int64(e.cfg.MaxRequests) {
+		e.openRequests.Add(-1)
+		e.replyError(ctx, x, wardturn.Refused(wardturn.ReasonQueueFull, time.Second))
 		return
 	}
-	if retryAfter, ok := e.enter(x.req.Caller); !ok {
-		e.open.Add(-1)
-		e.reply(ctx, x, wardturn.Refused(wardturn.ReasonQuota, retryAfter))
+	if retryAfter, ok := e.acquireQuota(x.req.Caller); !ok {
+		e.openRequests.Add(-1)
+		e.replyError(ctx, x, wardturn.Refused(wardturn.ReasonQuota, retryAfter))
 		return
 	}
 	e.routerMu.Lock()
-	e.retries.Request(e.clock.Now())
+	e.retryBudget.Request(e.clock.Now())
 	e.routerMu.Unlock()
 	data, ended := x.advance()
 	if stream && !ended {
-		e.stream(ctx, x, data)
+		e.respondStreaming(ctx, x, data)
 		return
 	}
-	e.whole(ctx, x, data, ended)
-	e.close(x)
+	e.respondBuffered(ctx, x, data, ended)
+	e.endRequest(x)
 }
 
-// close records the end of an admitted request.
-func (e *Entry) close(x *exchange) {
-	e.leave(x.req.Caller)
-	e.open.Add(-1)
-	e.metrics.ended(x)
-	e.record(x)
+// endRequest releases the resources of an admitted request that has ended, and records it
+// in the metrics and the log.
+func (e *Entry) endRequest(x *exchange) {
+	e.releaseQuota(x.req.Caller)
+	e.openRequests.Add(-1)
+	e.metrics.observe(x)
+	e.recordIndicators(x)
 	e.logger.Debug("request ended",
 		"request", x.req.ID,
 		"caller", x.req.Caller,
 		"adapter", x.req.Adapter,
 		"service", x.req.Service,
 		"upstream", x.upstream,
-		"attempts", x.attempts,
+		"attempts", x.attemptCount,
 		"outcome", x.outcome.Kind,
 		"reason", x.outcome.Reason,
-		"bytes", x.passed,
+		"bytes", x.forwarded,
 	)
 }
 
-// maxWhole bounds an answer that is not streamed, in bytes.
-const maxWhole = 16 << 20
+// maxBufferedResponse is the maximum size of a buffered response in bytes.
+const maxBufferedResponse = 16 << 20
 
-// whole collects the answer, and passes nothing of it on unless it is whole.
-func (e *Entry) whole(ctx *fasthttp.RequestCtx, x *exchange, data []byte, ended bool) {
+// respondBuffered buffers the response and forwards it only when it is complete.
+func (e *Entry) respondBuffered(ctx *fasthttp.RequestCtx, x *exchange, data []byte, ended bool) {
 	var body []byte
 	for !ended {
 		body = append(body, data...)
-		if len(body) > maxWhole {
-			x.abandon()
+		if len(body) > maxBufferedResponse {
+			x.abort()
 			break
 		}
 		data, ended = x.advance()
 	}
 	if x.outcome.Kind != wardturn.Done {
-		e.reply(ctx, x, x.outcome)
+		e.replyError(ctx, x, x.outcome)
 		return
 	}
-	e.setHeaders(ctx, x, x.outcome)
+	e.setOutcomeHeaders(ctx, x, x.outcome)
 	status := fasthttp.StatusOK
 	if x.head != nil && x.head.Status != 0 {
 		status = x.head.Status
@@ -353,19 +355,20 @@
 	ctx.Response.SetBodyRaw(body)
 }
 
-// stream passes the answer on as it comes. An answer that is cut short ends
-// with an error event and without the end marker, so it never looks whole.
-func (e *Entry) stream(ctx *fasthttp.RequestCtx, x *exchange, first []byte) {
-	e.setHeaders(ctx, x, wardturn.Outcome{})
+// respondStreaming forwards the response as it arrives. A truncated response ends with an
+// error event and without the end marker, so that the caller can't mistake it for a
+// complete one.
+func (e *Entry) respondStreaming(ctx *fasthttp.RequestCtx, x *exchange, first []byte) {
+	e.setOutcomeHeaders(ctx, x, wardturn.Outcome{})
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set("Cache-Control", "no-cache")
 	data := append([]byte(nil), first...)
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		defer e.close(x)
+		defer e.endRequest(x)
 		ended := false
 		for !ended {
 			if _, err := w.Write(data); err != nil || w.Flush() != nil {
-				x.abandon()
+				x.abort()
 				return
 			}
 			data, ended = x.advance()
--- a/entry/call.go
+++ b/entry/call.go
@@ -8,192 +8,200 @@
 	"wardturn/peer"
 )
 
-// call is one attempt at one agent, as the entry follows it.
-type call struct {
+// attempt is a request sent to an upstream's agent, with the part of the response that has
+// been received so far.
+type attempt struct {
 	id    wardturn.AttemptID
 	link  *link
 	clock wardturn.Clock
 
-	mu       sync.Mutex
-	conn     *peer.Conn
-	process  wardturn.Incarnation // of the agent that the attempt was sent to
-	follows  bool                 // the attempt belongs to another request
-	head     *peer.Head
-	end      *peer.End
-	buf      []byte // received and not yet taken
-	received int64
-	taken    int64
-	granted  int64 // credit given
-	lost     bool  // the connection is lost
-	lostAt   time.Time
-	wake     chan struct{}
+	mu          sync.Mutex
+	conn        *peer.Conn
+	process     wardturn.Incarnation // agent process that the attempt was sent to
+	following   bool                 // the attempt was started by another request
+	head        *peer.Head
+	end         *peer.End
+	buf         []byte // received but not yet read
+	received    int64  // bytes received
+	consumed    int64  // bytes read
+	creditLimit int64  // offset up to which the agent may send
+	lost        bool   // the connection is lost
+	lostAt      time.Time
+	wake        chan struct{}
 }
 
-func newCall(id wardturn.AttemptID, l *link, conn *peer.Conn) *call {
-	return &call{
-		id:      id,
-		link:    l,
-		clock:   l.entry.clock,
-		conn:    conn,
-		process: conn.Peer().Process,
-		granted: peer.Window,
-		wake:    make(chan struct{}, 1),
+func newAttempt(id wardturn.AttemptID, l *link, conn *peer.Conn) *attempt {
+	return &attempt{
+		id:          id,
+		link:        l,
+		clock:       l.entry.clock,
+		conn:        conn,
+		process:     conn.Peer().Process,
+		creditLimit: peer.Window,
+		wake:        make(chan struct{}, 1),
 	}
 }
 
-// newFollower returns a call that asks for the answer of an attempt of another
-// request. Add it to its link before ask.
-func newFollower(end *peer.End, l *link, conn *peer.Conn) *call {
-	k := newCall(end.First, l, conn)
-	k.process = end.FirstProcess
-	k.follows = true
-	return k
+// newFollowingAttempt returns an attempt that receives the response to an attempt that
+// another request with the same idempotency key started. It must be added to its link
+// before it attaches, so that no message is missed.
+func newFollowingAttempt(end *peer.End, l *link, conn *peer.Conn) *attempt {
+	a := newAttempt(end.First, l, conn)
+	a.process = end.FirstProcess
+	a.following = true
+	return a
 }
 
-// ask asks for the answer of a followed attempt.
-func (k *call) ask() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.conn != nil {
-		k.askAgain()
+// attach requests the response of the followed attempt.
+func (a *attempt) attach() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.conn != nil {
+		a.sendAttach()
 	}
 }
 
-// signal wakes the request's goroutine; the lock is held.
-func (k *call) signal() {
+// signal wakes the request's goroutine. The caller must hold a.mu.
+func (a *attempt) signal() {
 	select {
-	case k.wake <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (k *call) onHead(m *peer.Head) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.head == nil {
-		k.head = m
-		k.signal()
+func (a *attempt) onHead(m *peer.Head) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.head == nil {
+		a.head = m
+		a.signal()
 	}
 }
 
-// onChunk takes the next bytes of the answer. Pieces that were received before,
-// as after a new connection, are dropped; a gap can only mean a broken peer.
-func (k *call) onChunk(m *peer.Chunk) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	skip := k.received - m.Offset
-	if skip < 0 || skip >= int64(len(m.Data)) || k.end != nil {
+// onChunk appends the next bytes of the response. Bytes that were received before, as
+// may happen after a reconnect, are dropped. So is a chunk that leaves a gap, which only
+// a faulty peer sends.
+func (a *attempt) onChunk(m *peer.Chunk) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	skip := a.received - m.Offset
+	if skip < 0 || skip >= int64(len(m.Data)) || a.end != nil {
 		return
 	}
 	data := m.Data[skip:]
-	k.buf = append(k.buf, data...)
-	k.received += int64(len(data))
-	k.signal()
+	a.buf = append(a.buf, data...)
+	a.received += int64(len(data))
+	a.signal()
 }
 
-func (k *call) onEnd(m *peer.End) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.end != nil {
+func (a *attempt) onEnd(m *peer.End) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.end != nil {
 		return
 	}
-	k.end = m
-	k.signal()
+	a.end = m
+	a.signal()
 }
 
-// lose records that the connection is lost. That is no outcome.
-func (k *call) lose() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.end == nil && !k.lost {
-		k.lost = true
-		k.lostAt = k.clock.Now()
-		k.conn = nil
-		k.signal()
+// connectionLost records that the connection is lost. The outcome of the attempt is still
+// open.
+func (a *attempt) connectionLost() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.end == nil && !a.lost {
+		a.lost = true
+		a.lostAt = a.clock.Now()
+		a.conn = nil
+		a.signal()
 	}
 }
 
-// reattach asks for the attempt on a new connection. Another process has not
-// seen it; what the earlier one did is unknown.
-func (k *call) reattach(c *peer.Conn) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.end != nil {
+// reattach resumes the attempt on a new connection. If the agent is another process than
+// the one that received the attempt, it doesn't know the attempt, and the outcome is
+// unknown.
+func (a *attempt) reattach(c *peer.Conn) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.end != nil {
 		return
 	}
-	if c.Peer().Process != k.process {
-		k.end = &peer.End{
-			Attempt: k.id,
+	if c.Peer().Process != a.process {
+		a.end = &peer.End{
+			Attempt: a.id,
 			Outcome: wardturn.Uncertain(wardturn.ReasonAgentRestarted),
 		}
-		k.signal()
+		a.signal()
 		return
 	}
-	k.lost = false
-	k.conn = c
-	k.granted = k.taken + peer.Window
-	k.askAgain()
+	a.lost = false
+	a.conn = c
+	a.creditLimit = a.consumed + peer.Window
+	a.sendAttach()
 }
 
-// askAgain sends Attach; the lock is held.
-func (k *call) askAgain() {
-	_ = k.conn.Send(&peer.Attach{
-		Attempt: k.id,
-		Process: k.process,
-		Follow:  k.follows,
-		From:    k.received,
-		Credit:  k.granted,
+// sendAttach sends an Attach message. The caller must hold a.mu.
+func (a *attempt) sendAttach() {
+	_ = a.conn.Send(&peer.Attach{
+		Attempt: a.id,
+		Process: a.process,
+		Follow:  a.following,
+		From:    a.received,
+		Credit:  a.creditLimit,
 	})
 }
 
-// state is a copy of what a request's goroutine needs to decide.
-type state struct {
-	head  *peer.Head
-	end   *peer.End
-	data  []byte // owned by the caller of take
-	whole bool   // the answer is complete and all of it was taken
-	lost  bool
-	since time.Time // of the loss
+// attemptState is a copy of an attempt's state for the request's goroutine.
+type attemptState struct {
+	head      *peer.Head
+	end       *peer.End
+	data      []byte // owned by the receiver of the copy
+	complete  bool   // the response is complete and has been read to the end
+	lost      bool
+	lostSince time.Time // when the connection was lost
 }
 
-// take returns what arrived since the last call, and gives new credit for it.
-func (k *call) take(spare []byte) state {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	st := state{
-		head:  k.head,
-		end:   k.end,
-		data:  k.buf,
-		lost:  k.lost,
-		since: k.lostAt,
+// takeState returns the current state with the data that arrived since the previous call.
+// It reuses spare as the buffer for further data.
+func (a *attempt) takeState(spare []byte) attemptState {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	st := attemptState{
+		head:      a.head,
+		end:       a.end,
+		data:      a.buf,
+		lost:      a.lost,
+		lostSince: a.lostAt,
 	}
-	k.buf = spare[:0]
-	k.taken += int64(len(st.data))
-	st.whole = k.end != nil && k.end.Outcome.Kind == wardturn.Done && k.received == k.end.Length
+	a.buf = spare[:0]
+	a.consumed += int64(len(st.data))
+	st.complete = a.end != nil && a.end.Outcome.Kind == wardturn.Done && a.received == a.end.Length
 	return st
 }
 
-// credit lets the agent send on once half a window was passed on.
-func (k *call) credit() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.granted-k.taken > peer.Window/2 || k.conn == nil {
+// grantCredit grants the agent a full credit window once at least half of the window has
+// been used.
+func (a *attempt) grantCredit() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.creditLimit-a.consumed > peer.Window/2 || a.conn == nil {
 		return
 	}
-	k.granted = k.taken + peer.Window
-	_ = k.conn.Send(&peer.Credit{
-		Attempt: k.id,
-		Upto:    k.granted,
+	a.creditLimit = a.consumed + peer.Window
+	_ = a.conn.Send(&peer.Credit{
+		Attempt: a.id,
+		Upto:    a.creditLimit,
 	})
 }
 
-// cancel tells the agent that nobody waits any more.
-func (k *call) cancel() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.end == nil && k.conn != nil && !k.follows {
-		_ = k.conn.Send(&peer.Cancel{
-			Attempt: k.id,
+// cancel tells the agent that the response is no longer needed. It does nothing for a
+// followed attempt, which belongs to another request.
+func (a *attempt) cancel() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.end == nil && a.conn != nil && !a.following {
+		_ = a.conn.Send(&peer.Cancel{
+			Attempt: a.id,
 		})
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	sweepEvery   = 5 * time.Second
-	retryFloor   = 5  // retries a second that are always allowed
-	retryBurst   = 50 // retries at once
-	maxReadAhead = 16 << 10
-	headerLimit  = 16 << 10
-	readLimit    = 30 * time.Second
-	idleLimit    = 2 * time.Minute
+	linkSweepInterval = 5 * time.Second
+	minRetryRate      = 5  // retries per second that are allowed regardless of the request rate
+	retryBurst        = 50 // maximum number of retries in a burst
+	maxReadAhead      = 16 << 10
+	maxHeaderBytes    = 16 << 10
+	readTimeout       = 30 * time.Second
+	idleTimeout       = 2 * time.Minute
 )
 
-// Deps are what an entry is built from.
+// Deps holds the dependencies of an Entry.
 type Deps struct {
 	Config   Config
 	Clock    wardturn.Clock
@@ -38,35 +38,35 @@
 	Log      wardturn.Log
 	Hosts    wardturn.HostList
 	Listener net.Listener
-	TLS      *tls.Config // towards agents; nil: plain
-	HTTPS    *tls.Config // towards callers; nil: plain
+	TLS      *tls.Config // for connections to agents; nil disables TLS
+	HTTPS    *tls.Config // for callers and operators; nil serves plain HTTP
 }
 
-// Entry serves callers and operators on one entry host.
+// Entry serves the APIs for callers and operators on one entry host.
 type Entry struct {
-	cfg     Config
-	clock   wardturn.Clock
-	logger  hclog.Logger
-	metrics *Metrics
-	list    wardturn.HostList
-	replica *control.Replica
-	catalog *control.Catalog
-	tls     *tls.Config
-	server  *fasthttp.Server
-	ln      net.Listener
-	seeds   seeds
-	policy  atomic.Pointer[string] // name of the one in force
+	cfg          Config
+	clock        wardturn.Clock
+	logger       hclog.Logger
+	metrics      *Metrics
+	hostList     wardturn.HostList
+	replica      *control.Replica
+	catalog      *control.Catalog
+	tls          *tls.Config
+	server       *fasthttp.Server
+	listener     net.Listener
+	peerConfigs  peerConfigs
+	activePolicy atomic.Pointer[string] // name of the active policy
 
 	recorder *report.Recorder
 
-	seq     atomic.Uint64
-	reqSeq  atomic.Uint64
-	open    atomic.Int64
-	leaving atomic.Bool
+	attemptSeq   atomic.Uint64
+	requestSeq   atomic.Uint64
+	openRequests atomic.Int64
+	shuttingDown atomic.Bool
 
-	routerMu sync.Mutex
-	router   *decide.Router
-	retries  *decide.RetryBudget
+	routerMu    sync.Mutex
+	router      *decide.Router
+	retryBudget *decide.RetryBudget
 
 	quotaMu sync.Mutex
 	quotas  map[wardturn.CallerID]*decide.Quota
@@ -79,39 +79,40 @@
 	tasks    *process.Tasks
 }
 
-// New starts an entry. It serves at once; Ready tells when it knows enough.
+// New creates an Entry and starts to serve. Ready reports when it has the hosts and the
+// configuration that it needs to handle requests.
 func New(d Deps) *Entry {
 	cfg := d.Config.WithDefaults()
 	e := &Entry{
-		cfg:     cfg,
-		clock:   d.Clock,
-		logger:  d.Logger,
-		metrics: d.Metrics,
-		list:    d.Hosts,
-		tls:     d.TLS,
-		ln: lingeringListener{
+		cfg:      cfg,
+		clock:    d.Clock,
+		logger:   d.Logger,
+		metrics:  d.Metrics,
+		hostList: d.Hosts,
+		tls:      d.TLS,
+		listener: lingeringListener{
 			Listener: d.Listener,
 		},
-		router:  decide.NewRouter(cfg.Router),
-		retries: decide.NewRetryBudget(cfg.RetryShare, retryFloor, retryBurst),
-		quotas:  make(map[wardturn.CallerID]*decide.Quota),
-		hosts:   make(map[wardturn.UpstreamID]wardturn.Host),
-		links:   make(map[wardturn.UpstreamID]*link),
-		tasks:   process.NewTasks(d.Clock),
-		seeds: seeds{
-			pages: make(map[wardturn.UpstreamID]*seed),
+		router:      decide.NewRouter(cfg.Router),
+		retryBudget: decide.NewRetryBudget(cfg.RetryShare, minRetryRate, retryBurst),
+		quotas:      make(map[wardturn.CallerID]*decide.Quota),
+		hosts:       make(map[wardturn.UpstreamID]wardturn.Host),
+		links:       make(map[wardturn.UpstreamID]*link),
+		tasks:       process.NewTasks(d.Clock),
+		peerConfigs: peerConfigs{
+			partial: make(map[wardturn.UpstreamID]*partialConfig),
 		},
 	}
 	e.replica = control.NewReplica(d.Log, d.Clock, d.Logger, false)
 	e.catalog = control.NewCatalog(e.replica)
 	e.recorder = report.NewRecorder(d.Clock, cfg.Process)
 	e.replica.Watch(e.onConfig)
-	e.findPolicy()
+	e.updateActivePolicy()
 	e.server = e.newServer()
 	if d.HTTPS != nil {
-		e.ln = tls.NewListener(e.ln, d.HTTPS)
+		e.listener = tls.NewListener(e.listener, d.HTTPS)
 	}
-	e.begin()
+	e.start()
 	return e
 }
 
@@ -121,34 +122,35 @@
 		Name:                  "wardturn",
 		NoDefaultServerHeader: true,
 		MaxRequestBodySize:    e.cfg.MaxBody,
-		ReadBufferSize:        headerLimit,
-		ReadTimeout:           readLimit,
-		IdleTimeout:           idleLimit,
+		ReadBufferSize:        maxHeaderBytes,
+		ReadTimeout:           readTimeout,
+		IdleTimeout:           idleTimeout,
 		CloseOnShutdown:       true,
 		ErrorHandler:          e.onProtocolError,
 		Logger:                discardLogger{},
 	}
 }
 
-// discardLogger drops the library's own lines; the entry logs its events.
+// discardLogger drops the log lines of fasthttp; the entry logs the relevant events
+// itself.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-func (e *Entry) begin() {
-	e.tasks.Every(sweepEvery, e.sweepLinks)
+func (e *Entry) start() {
+	e.tasks.Every(linkSweepInterval, e.sweepLinks)
 	e.tasks.Go(e.watchHosts)
-	e.tasks.Go(e.seedFromPeers)
+	e.tasks.Go(e.pollPeersForConfig)
 	e.tasks.Go(func() {
 		e.replica.KeepSnapshots(e.tasks.Context(), e.cfg.SnapshotEvery)
 	})
 	e.tasks.Go(func() {
-		if err := e.server.Serve(e.ln); err != nil {
-			e.logger.Error("server ended", "error", err)
+		if err := e.server.Serve(e.listener); err != nil {
+			e.logger.Error("HTTP server stopped", "error", err)
 		}
 	})
-	e.logger.Info("entry started", "addr", e.ln.Addr(), "process", e.cfg.Process)
+	e.logger.Info("entry started", "addr", e.listener.Addr(), "process", e.cfg.Process)
 }
 
 func (e *Entry) identity() peer.Identity {
@@ -159,22 +161,22 @@
 	}
 }
 
-func (e *Entry) nextAttempt() wardturn.AttemptID {
+func (e *Entry) nextAttemptID() wardturn.AttemptID {
 	return wardturn.AttemptID{
 		Entry: e.cfg.Process,
-		Seq:   e.seq.Add(1),
+		Seq:   e.attemptSeq.Add(1),
 	}
 }
 
-// Addr returns the address of the API.
+// Addr returns the listen address of the API.
 func (e *Entry) Addr() string {
-	return e.ln.Addr().String()
+	return e.listener.Addr().String()
 }
 
-// Ready reports whether the entry can serve: it knows hosts and has read the
-// configuration, and it is not leaving.
+// Ready reports whether the entry can handle requests: it has the host list and the
+// configuration, and it is not shutting down.
 func (e *Entry) Ready() bool {
-	if e.leaving.Load() || e.replica.Applied() == 0 {
+	if e.shuttingDown.Load() || e.replica.Applied() == 0 {
 		return false
 	}
 	e.mu.Lock()
@@ -182,26 +184,27 @@
 	return len(e.hosts) > 0
 }
 
-// Replica returns the entry's copy of the configuration.
+// Replica returns the entry's replica of the configuration.
 func (e *Entry) Replica() *control.Replica {
 	return e.replica
 }
 
-// Leave turns readiness off and refuses new requests as not run. It returns
-// when the requests under way have ended, or when ctx ends.
+// Leave starts a graceful shutdown: the entry reports that it is not ready and refuses
+// new requests with the outcome "not run". It returns when all open requests have ended
+// or ctx is done.
 func (e *Entry) Leave(ctx context.Context) {
-	e.leaving.Store(true)
-	e.logger.Info("leaving", "requests", e.open.Load())
-	for e.open.Load() > 0 && ctx.Err() == nil {
-		if !wardturn.Sleep(ctx, e.clock, leavePoll) {
+	e.shuttingDown.Store(true)
+	e.logger.Info("leaving", "requests", e.openRequests.Load())
+	for e.openRequests.Load() > 0 && ctx.Err() == nil {
+		if !wardturn.Sleep(ctx, e.clock, shutdownPollInterval) {
 			return
 		}
 	}
 }
 
-const leavePoll = 20 * time.Millisecond
+const shutdownPollInterval = 20 * time.Millisecond
 
-// Close ends the entry at once.
+// Close stops the entry without waiting for open requests.
 func (e *Entry) Close() {
 	e.mu.Lock()
 	e.closed = true
@@ -211,7 +214,7 @@
 	}
 	e.mu.Unlock()
 	e.tasks.Stop()
-	e.ln.Close()
+	e.listener.Close()
 	for _, l := range links {
 		l.client.Close()
 	}
@@ -220,8 +223,7 @@
 	e.tasks.Wait()
 }
 
-// closedContext returns a context that has ended, for a shutdown that does not
-// wait.
+// closedContext returns a canceled context, for a shutdown that does not wait.
 func closedContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -230,7 +232,7 @@
 
 func (e *Entry) watchHosts() {
 	for {
-		hosts, err := e.list.Hosts(e.tasks.Context())
+		hosts, err := e.hostList.Hosts(e.tasks.Context())
 		if err == nil && len(hosts) > 0 {
 			e.setHosts(hosts)
 		}
@@ -240,7 +242,8 @@
 	}
 }
 
-// setHosts takes a new list. An empty one is taken to be a fault of the list.
+// setHosts replaces the host list. The caller ignores empty lists, because an empty list
+// is assumed to be a fault of its source.
 func (e *Entry) setHosts(hosts []wardturn.Host) {
 	byID := make(map[wardturn.UpstreamID]wardturn.Host, len(hosts))
 	for _, h := range hosts {
@@ -251,6 +254,6 @@
 	e.routerMu.Unlock()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.hosts = byID // the entry is ready from here on
+	e.hosts = byID // from now on Ready may return true
 	e.listedAt = e.clock.Now()
 }
--- a/entry/link.go
+++ b/entry/link.go
@@ -9,45 +9,46 @@
 	"wardturn/peer"
 )
 
-// link is the entry's connection to one agent, made when it is first needed.
+// link is the entry's connection to the agent of one upstream. It is opened when it is
+// first needed and reconnects after a loss.
 type link struct {
 	entry  *Entry
 	host   wardturn.Host
 	client *peer.Client
 
-	mu      sync.Mutex
-	calls   map[wardturn.AttemptID]*call
-	up      chan struct{} // closed while connected
-	conn    *peer.Conn
-	usedAt  time.Time
-	retired bool
+	mu        sync.Mutex
+	attempts  map[wardturn.AttemptID]*attempt
+	connected chan struct{} // closed while connected
+	conn      *peer.Conn
+	lastUsed  time.Time
+	closed    bool
 }
 
 func newLink(e *Entry, h wardturn.Host) *link {
 	l := &link{
-		entry:  e,
-		host:   h,
-		calls:  make(map[wardturn.AttemptID]*call),
-		up:     make(chan struct{}),
-		usedAt: e.clock.Now(),
+		entry:     e,
+		host:      h,
+		attempts:  make(map[wardturn.AttemptID]*attempt),
+		connected: make(chan struct{}),
+		lastUsed:  e.clock.Now(),
 	}
 	l.client = peer.NewClient(h.Addr, e.tls, e.clock, e.identity(), l)
 	return l
 }
 
-// Connected implements peer.ClientHandler. Attempts of an earlier connection
-// are asked for again.
+// Connected implements peer.ClientHandler. It resumes the attempts of the previous
+// connection.
 func (l *link) Connected(c *peer.Conn) {
 	l.mu.Lock()
 	l.conn = c
-	close(l.up)
-	calls := make([]*call, 0, len(l.calls))
-	for _, k := range l.calls {
-		calls = append(calls, k)
+	close(l.connected)
+	attempts := make([]*attempt, 0, len(l.attempts))
+	for _, a := range l.attempts {
+		attempts = append(attempts, a)
 	}
 	l.mu.Unlock()
-	for _, k := range calls {
-		k.reattach(c)
+	for _, a := range attempts {
+		a.reattach(c)
 	}
 }
 
@@ -55,14 +56,14 @@
 func (l *link) Closed(*peer.Conn, error) {
 	l.mu.Lock()
 	l.conn = nil
-	l.up = make(chan struct{})
-	calls := make([]*call, 0, len(l.calls))
-	for _, k := range l.calls {
-		calls = append(calls, k)
+	l.connected = make(chan struct{})
+	attempts := make([]*attempt, 0, len(l.attempts))
+	for _, a := range l.attempts {
+		attempts = append(attempts, a)
 	}
 	l.mu.Unlock()
-	for _, k := range calls {
-		k.lose()
+	for _, a := range attempts {
+		a.connectionLost()
 	}
 }
 
@@ -70,22 +71,22 @@
 func (l *link) Handle(_ *peer.Conn, m peer.Message) {
 	switch m := m.(type) {
 	case *peer.Head:
-		if k := l.call(m.Attempt); k != nil {
-			k.onHead(m)
+		if a := l.attempt(m.Attempt); a != nil {
+			a.onHead(m)
 		}
 	case *peer.Chunk:
-		if k := l.call(m.Attempt); k != nil {
-			k.onChunk(m)
+		if a := l.attempt(m.Attempt); a != nil {
+			a.onChunk(m)
 		}
 	case *peer.End:
-		l.entry.hint(l.host.Upstream, m.Hint)
-		if k := l.call(m.Attempt); k != nil {
-			k.onEnd(m)
+		l.entry.updateHint(l.host.Upstream, m.Hint)
+		if a := l.attempt(m.Attempt); a != nil {
+			a.onEnd(m)
 		}
 	case *peer.ConfigPage:
 		l.entry.onConfigPage(l.host.Upstream, m)
 	case *peer.Hint:
-		l.entry.hint(l.host.Upstream, m.Hint)
+		l.entry.updateHint(l.host.Upstream, m.Hint)
 	}
 }
 
@@ -93,60 +94,62 @@
 func (l *link) Busy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.calls) > 0
+	return len(l.attempts) > 0
 }
 
-func (l *link) call(id wardturn.AttemptID) *call {
+func (l *link) attempt(id wardturn.AttemptID) *attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.calls[id]
+	return l.attempts[id]
 }
 
-// wait returns the connection, waiting for a first one for up to a time.
-func (l *link) wait(limit time.Duration) *peer.Conn {
+// waitConn returns the current connection. If there is none, it waits for one until the
+// timeout and then returns nil.
+func (l *link) waitConn(timeout time.Duration) *peer.Conn {
 	l.mu.Lock()
-	conn, up := l.conn, l.up
-	l.usedAt = l.entry.clock.Now()
+	conn, connected := l.conn, l.connected
+	l.lastUsed = l.entry.clock.Now()
 	l.mu.Unlock()
 	if conn != nil {
 		return conn
 	}
-	late := make(chan struct{})
-	timer := l.entry.clock.AfterFunc(limit, func() {
-		close(late)
+	expired := make(chan struct{})
+	timer := l.entry.clock.AfterFunc(timeout, func() {
+		close(expired)
 	})
 	defer timer.Stop()
 	select {
-	case <-up:
+	case <-connected:
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.conn
-	case <-late:
+	case <-expired:
 		return nil
 	}
 }
 
-func (l *link) add(k *call) {
+func (l *link) add(a *attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.calls[k.id] = k
+	l.attempts[a.id] = a
 }
 
-func (l *link) remove(k *call) {
+func (l *link) remove(a *attempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.calls, k.id)
-	l.usedAt = l.entry.clock.Now()
+	delete(l.attempts, a.id)
+	l.lastUsed = l.entry.clock.Now()
 }
 
-// idleSince returns when the link was last used, and false while it is in use.
+// idleSince returns when the link was last used. It reports false while attempts use it.
 func (l *link) idleSince() (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.usedAt, len(l.calls) == 0
+	return l.lastUsed, len(l.attempts) == 0
 }
 
-// link returns the connection to an upstream, dialing if there is none.
+// link returns the link to an upstream, and opens it if there is none. It returns nil if
+// the upstream is not in the host list or the entry is closed.
 func (e *Entry) link(id wardturn.UpstreamID) *link {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -159,23 +162,24 @@
 		return l
 	}
 	if l != nil {
-		e.retire(l)
+		e.closeLink(l)
 	}
 	l = newLink(e, h)
 	e.links[id] = l
 	return l
 }
 
-// retire closes a link; the entry's lock is held.
-func (e *Entry) retire(l *link) {
-	if l.retired {
+// closeLink closes a link. The caller must hold e.mu.
+func (e *Entry) closeLink(l *link) {
+	if l.closed {
 		return
 	}
-	l.retired = true
+	l.closed = true
 	e.tasks.Go(l.client.Close)
 }
 
-// sweepLinks closes connections that were not used for a while.
+// sweepLinks closes links without attempts that have been idle for too long or whose
+// upstream left the host list.
 func (e *Entry) sweepLinks() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -185,12 +189,12 @@
 		_, listed := e.hosts[id]
 		if idle && (!listed || now.Sub(since) > e.cfg.IdleLink) {
 			delete(e.links, id)
-			e.retire(l)
+			e.closeLink(l)
 		}
 	}
 }
 
-func (e *Entry) hint(id wardturn.UpstreamID, h decide.Hint) {
+func (e *Entry) updateHint(id wardturn.UpstreamID, h decide.Hint) {
 	e.routerMu.Lock()
 	defer e.routerMu.Unlock()
 	e.router.Hint(e.clock.Now(), id, h)
--- a/entry/openai.go
+++ b/entry/openai.go
@@ -18,20 +18,21 @@
 	maxJSONDepth    = 64
 )
 
-// completion is what the entry needs of a completion request.
+// completion holds the parts of a completion request that the entry uses.
 type completion struct {
 	ref    wardturn.AdapterRef
 	stream bool
 	prompt wardturn.Tokens
 	output wardturn.Tokens
-	doc    *fastjson.Value // good until the parser is used again
+	doc    *fastjson.Value // valid until the parser's next use
 }
 
-// parsers holds parsers with the memory of their last document.
+// parsers lets requests reuse parsers and their memory.
 var parsers fastjson.ParserPool
 
-// parseCompletion reads a request in the shape of the OpenAI API.
-func parseCompletion(parser *fastjson.Parser, body []byte, defaultOutput wardturn.Tokens) (completion, problem) {
+// parseCompletion parses and validates a completion or chat completion request of the
+// OpenAI API.
+func parseCompletion(parser *fastjson.Parser, body []byte, defaultOutput wardturn.Tokens) (completion, errorResponse) {
 	if tooDeep(body) {
 		return completion{}, badRequest("", "the body nests too deeply")
 	}
@@ -63,11 +64,11 @@
 	if !doc.Exists("prompt") && !doc.Exists("messages") {
 		return completion{}, badRequest("prompt", "prompt or messages must be set")
 	}
-	return c, problem{}
+	return c, errorResponse{}
 }
 
-// tooDeep reports whether a body nests beyond what any request needs, without
-// parsing it.
+// tooDeep reports whether a JSON body exceeds the maximum nesting depth. It doesn't parse
+// the body, so that the parser never processes a deeply nested one.
 func tooDeep(body []byte) bool {
 	depth, inString, escaped := 0, false, false
 	for _, b := range body {
@@ -91,36 +92,37 @@
 	return false
 }
 
-// rewrite names the resolved adapter version and the engine's priority in the
-// body.
-func (c completion) rewrite(ref wardturn.AdapterRef, class wardturn.Class) []byte {
+// rewriteBody returns the body with the resolved adapter version as the model, and with
+// the engine's priority for the class.
+func (c completion) rewriteBody(ref wardturn.AdapterRef, class wardturn.Class) []byte {
 	var arena fastjson.Arena
 	c.doc.Set("model", arena.NewString(ref.String()))
 	c.doc.Set("priority", arena.NewNumberInt(int(class)))
 	return c.doc.MarshalTo(nil)
 }
 
-// renameModel names another version of the adapter in a body that rewrite made.
-func renameModel(body []byte, ref wardturn.AdapterRef, class wardturn.Class) []byte {
+// replaceModel sets another version of the adapter in a body that completion.rewriteBody
+// returned.
+func replaceModel(body []byte, ref wardturn.AdapterRef, class wardturn.Class) []byte {
 	parser := parsers.Get()
 	defer parsers.Put(parser)
 	doc, err := parser.ParseBytes(body)
 	if err != nil {
-		panic("entry: a body that was rewritten is not JSON")
+		panic("entry: rewritten request body is not valid JSON")
 	}
 	c := completion{
 		doc: doc,
 	}
-	return c.rewrite(ref, class)
+	return c.rewriteBody(ref, class)
 }
 
-// models answers /v1/models.
-func (e *Entry) models(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
+// listModels handles GET /v1/models.
+func (e *Entry) listModels(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
 	var buf bytes.Buffer
 	buf.WriteString(`{"object":"list","data":[`)
 	first := true
 	for _, id := range e.catalog.Adapters() {
-		if !e.mayUse(caller, string(id), adaptersOf) {
+		if !e.mayUse(caller, string(id), adapterPatterns) {
 			continue
 		}
 		if !first {
@@ -136,8 +138,9 @@
 	ctx.SetBody(buf.Bytes())
 }
 
-// digestOf tells two requests with the same key apart.
-func digestOf(req *wardturn.Request) wardturn.Digest {
+// requestDigest returns a digest of a service request, which tells different requests with
+// the same idempotency key apart.
+func requestDigest(req *wardturn.Request) wardturn.Digest {
 	h := sha256.New()
 	for _, part := range []string{string(req.Service), req.Method, req.Path} {
 		h.Write([]byte(part))
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -14,8 +14,8 @@
 	"wardturn/driver"
 )
 
-// problem is an error answer. Its zero value is none.
-type problem struct {
+// errorResponse describes an error response. The zero value means no error.
+type errorResponse struct {
 	status  int
 	code    string
 	message string
@@ -23,73 +23,74 @@
 	outcome wardturn.Outcome
 }
 
-// errorAnswer is the error shape of the OpenAI API, and whether the request ran.
-type errorAnswer struct {
+// errorBody is the body of an error response: an error object as in the OpenAI API,
+// extended by whether the request ran.
+type errorBody struct {
 	Error driver.ErrorDetail `json:"error"`
 	Ran   string             `json:"ran"` // no, yes or unknown
 }
 
-func (p problem) answer() errorAnswer {
-	kind := "server_error"
-	if p.status < fasthttp.StatusInternalServerError {
-		kind = "invalid_request_error"
+func (r errorResponse) body() errorBody {
+	errType := "server_error"
+	if r.status < fasthttp.StatusInternalServerError {
+		errType = "invalid_request_error"
 	}
 	ran := "no"
-	if p.outcome.Kind == wardturn.Unknown {
+	if r.outcome.Kind == wardturn.Unknown {
 		ran = "unknown"
 	}
-	return errorAnswer{
+	return errorBody{
 		Error: driver.ErrorDetail{
-			Message: p.message,
-			Type:    kind,
-			Code:    p.code,
-			Param:   p.param,
+			Message: r.message,
+			Type:    errType,
+			Code:    r.code,
+			Param:   r.param,
 		},
 		Ran: ran,
 	}
 }
 
-func writeProblem(ctx *fasthttp.RequestCtx, p problem) {
-	ctx.SetStatusCode(p.status)
+func writeError(ctx *fasthttp.RequestCtx, errResp errorResponse) {
+	ctx.SetStatusCode(errResp.status)
 	ctx.SetContentType("application/json")
-	if p.outcome.Kind == 0 {
-		p.outcome = wardturn.Refused(wardturn.Reason(p.code), 0)
+	if errResp.outcome.Kind == 0 {
+		errResp.outcome = wardturn.Refused(wardturn.Reason(errResp.code), 0)
 	}
-	ctx.Response.Header.Set(HeaderOutcome, p.outcome.Kind.String())
-	ctx.Response.Header.Set(HeaderReason, string(p.outcome.Reason))
-	if after := p.outcome.RetryAfter; after > 0 {
-		seconds := int(math.Ceil(after.Seconds()))
+	ctx.Response.Header.Set(HeaderOutcome, errResp.outcome.Kind.String())
+	ctx.Response.Header.Set(HeaderReason, string(errResp.outcome.Reason))
+	if retryAfter := errResp.outcome.RetryAfter; retryAfter > 0 {
+		seconds := int(math.Ceil(retryAfter.Seconds()))
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
 	}
-	body, _ := json.Marshal(p.answer())
+	body, _ := json.Marshal(errResp.body())
 	ctx.SetBody(append(body, '\n'))
 }
 
-// writeErrorEvent ends a stream that was cut short.
+// writeErrorEvent writes the error event that ends a truncated stream.
 func writeErrorEvent(w *bufio.Writer, outcome wardturn.Outcome) {
-	body, _ := json.Marshal(problemOf(outcome).answer())
+	body, _ := json.Marshal(outcomeError(outcome).body())
 	_, _ = w.WriteString("event: error\ndata: ")
 	_, _ = w.Write(body)
 	_, _ = w.WriteString("\n\n")
 }
 
-// problemOf turns an outcome into an answer. A request that was given up gets
-// it at once, with the time to come back.
-func problemOf(o wardturn.Outcome) problem {
-	p := problem{
-		status:  statusOf(o),
+// outcomeError returns the error response for an outcome. It includes the outcome's retry
+// delay, if any.
+func outcomeError(o wardturn.Outcome) errorResponse {
+	errResp := errorResponse{
+		status:  statusCode(o),
 		code:    string(o.Reason),
 		outcome: o,
 	}
 	if o.Kind == wardturn.Unknown {
-		p.message = "the request may have run: " + describe(o.Reason)
-		return p
+		errResp.message = "the request may have run: " + reasonText(o.Reason)
+		return errResp
 	}
-	p.message = "the request did not run: " + describe(o.Reason)
-	return p
+	errResp.message = "the request did not run: " + reasonText(o.Reason)
+	return errResp
 }
 
-func statusOf(o wardturn.Outcome) int {
+func statusCode(o wardturn.Outcome) int {
 	if o.Kind == wardturn.Unknown {
 		if o.Reason == wardturn.ReasonDeadline {
 			return fasthttp.StatusGatewayTimeout
@@ -107,8 +108,8 @@
 	return fasthttp.StatusServiceUnavailable
 }
 
-// describe says a reason in words.
-func describe(r wardturn.Reason) string {
+// reasonText returns a description of a reason for error messages.
+func reasonText(r wardturn.Reason) string {
 	switch r {
 	case wardturn.ReasonQueueFull:
 		return "too many requests are waiting"
@@ -140,8 +141,8 @@
 	return strings.ReplaceAll(string(r), "_", " ")
 }
 
-func badRequest(param, message string) problem {
-	return problem{
+func badRequest(param, message string) errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusBadRequest,
 		code:    string(wardturn.ReasonBadRequest),
 		message: strings.TrimSpace(param + " " + message),
@@ -149,24 +150,24 @@
 	}
 }
 
-func unauthorized() problem {
-	return problem{
+func unauthorized() errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusUnauthorized,
 		code:    "unauthorized",
 		message: "a known key is needed, as Authorization: Bearer KEY",
 	}
 }
 
-func forbidden(what string) problem {
-	return problem{
+func forbidden(what string) errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusForbidden,
 		code:    string(wardturn.ReasonForbidden),
 		message: "the key does not allow " + what,
 	}
 }
 
-func unknownAdapter(ref wardturn.AdapterRef) problem {
-	return problem{
+func unknownAdapter(ref wardturn.AdapterRef) errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusNotFound,
 		code:    string(wardturn.ReasonUnknownAdapter),
 		message: "no adapter " + ref.String(),
@@ -174,28 +175,29 @@
 	}
 }
 
-func unknownService(name wardturn.ServiceName) problem {
-	return problem{
+func unknownService(name wardturn.ServiceName) errorResponse {
+	return errorResponse{
 		status:  fasthttp.StatusNotFound,
 		code:    string(wardturn.ReasonUnknownService),
 		message: "no service " + string(name),
 	}
 }
 
-// onProtocolError answers what is no proper HTTP request.
+// onProtocolError responds to input that is not a valid HTTP request or exceeds the size
+// limits.
 func (e *Entry) onProtocolError(ctx *fasthttp.RequestCtx, err error) {
-	p := badRequest("", "the request cannot be read")
+	errResp := badRequest("", "the request cannot be read")
 	var small *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		p.status = fasthttp.StatusRequestEntityTooLarge
-		p.code = string(wardturn.ReasonTooLarge)
-		p.message = "the body is larger than " + strconv.Itoa(e.cfg.MaxBody) + " bytes"
+		errResp.status = fasthttp.StatusRequestEntityTooLarge
+		errResp.code = string(wardturn.ReasonTooLarge)
+		errResp.message = "the body is larger than " + strconv.Itoa(e.cfg.MaxBody) + " bytes"
 	case errors.As(err, &small):
-		p.status = fasthttp.StatusRequestHeaderFieldsTooLarge
-		p.code = string(wardturn.ReasonTooLarge)
-		p.message = "the headers are larger than 16 KiB"
+		errResp.status = fasthttp.StatusRequestHeaderFieldsTooLarge
+		errResp.code = string(wardturn.ReasonTooLarge)
+		errResp.message = "the headers are larger than 16 KiB"
 	}
-	linger(ctx.Conn())
-	writeProblem(ctx, p)
+	enableLinger(ctx.Conn())
+	writeError(ctx, errResp)
 }
--- a/entry/seed.go
+++ b/entry/seed.go
@@ -10,48 +10,50 @@
 )
 
 const (
-	seedEvery = 2 * time.Second
-	seedPeers = 3 // asked at once, in different failure domains
-	// logSilence is the time without a read of the log after which peers are asked
-	// for the configuration. A read without news returns after 2 s.
-	logSilence = 5 * time.Second
+	peerPollInterval = 2 * time.Second
+	peersPerPoll     = 3 // agents asked per round, if possible in different failure domains
+	// maxLogReadAge is the time without a successful read of the log after which agents are
+	// asked for the configuration. A read that finds no new records returns after 2 s, so
+	// this must be longer.
+	maxLogReadAge = 5 * time.Second
 )
 
-// seeds collects the configuration that peers send while the log is out.
-type seeds struct {
-	mu    sync.Mutex
-	pages map[wardturn.UpstreamID]*seed
+// peerConfigs collects the configurations that agents send while the log is unavailable.
+type peerConfigs struct {
+	mu      sync.Mutex
+	partial map[wardturn.UpstreamID]*partialConfig
 }
 
-// seed is one peer's configuration, as far as it has come.
-type seed struct {
-	config wardturn.Offset
-	page   control.Page
-	next   int
+// partialConfig is the part of an agent's configuration that has been received so far.
+type partialConfig struct {
+	config   wardturn.Offset
+	received control.Page
+	nextPage int
 }
 
-// seedFromPeers asks peers for the configuration for as long as the log cannot
-// be read. Each whole answer is offered to the replica, which takes nothing older
-// than what it holds.
-func (e *Entry) seedFromPeers() {
-	for e.tasks.Pause(seedEvery) {
-		if e.clock.Now().Sub(e.replica.LastRead()) < logSilence {
+// pollPeersForConfig asks agents for the configuration as long as the log can't be read.
+// Each complete configuration is passed to the replica, which ignores it if it is older
+// than its own.
+func (e *Entry) pollPeersForConfig() {
+	for e.tasks.Pause(peerPollInterval) {
+		if e.clock.Now().Sub(e.replica.LastRead()) < maxLogReadAge {
 			continue
 		}
-		for _, h := range e.spread(seedPeers) {
-			e.seedFrom(h.Upstream)
+		for _, h := range e.pickDiverseHosts(peersPerPoll) {
+			e.pollPeerForConfig(h.Upstream)
 		}
 	}
 }
 
-// seedFrom asks a peer for the configuration if it has a newer one, and otherwise
-// how new its own is: the next round knows.
-func (e *Entry) seedFrom(id wardturn.UpstreamID) {
+// pollPeerForConfig requests an agent's configuration if it is known to be newer than the
+// entry's. Otherwise it sends a ping to learn the agent's current offset for the next
+// round.
+func (e *Entry) pollPeerForConfig(id wardturn.UpstreamID) {
 	l := e.link(id)
 	if l == nil {
 		return
 	}
-	conn := l.wait(e.cfg.ConnectLimit)
+	conn := l.waitConn(e.cfg.ConnectLimit)
 	switch {
 	case conn == nil:
 	case conn.Config() > e.replica.Applied():
@@ -61,69 +63,70 @@
 	}
 }
 
-// spread returns up to n hosts, of different failure domains first.
-func (e *Entry) spread(n int) []wardturn.Host {
+// pickDiverseHosts returns up to n hosts, preferring different failure domains.
+func (e *Entry) pickDiverseHosts(n int) []wardturn.Host {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	used := make(map[wardturn.FailureDomain]bool)
-	var list, rest []wardturn.Host
+	var distinct, others []wardturn.Host
 	for _, h := range e.hosts {
 		if used[h.Domain] {
-			rest = append(rest, h)
+			others = append(others, h)
 			continue
 		}
 		used[h.Domain] = true
-		list = append(list, h)
+		distinct = append(distinct, h)
 	}
-	list = append(list, rest...)
-	return list[:min(n, len(list))]
+	distinct = append(distinct, others...)
+	return distinct[:min(n, len(distinct))]
 }
 
-func (e *Entry) askConfig(id wardturn.UpstreamID, page int) {
+func (e *Entry) requestConfigPage(id wardturn.UpstreamID, page int) {
 	l := e.link(id)
 	if l == nil {
 		return
 	}
-	if conn := l.wait(e.cfg.ConnectLimit); conn != nil {
+	if conn := l.waitConn(e.cfg.ConnectLimit); conn != nil {
 		_ = conn.Send(&peer.ConfigPull{
 			Page: page,
 		})
 	}
 }
 
-// onConfigPage takes a page of a peer's configuration and asks for the next.
+// onConfigPage adds a page to an agent's configuration. It then requests the next page,
+// or passes the complete configuration to the replica.
 func (e *Entry) onConfigPage(from wardturn.UpstreamID, m *peer.ConfigPage) {
 	page, err := control.DecodePage(m.Data)
 	if err != nil {
 		return
 	}
-	e.seeds.mu.Lock()
-	s := e.seeds.pages[from]
-	if m.Page == 0 || s == nil || s.config != m.Config {
-		s = &seed{
+	e.peerConfigs.mu.Lock()
+	cfg := e.peerConfigs.partial[from]
+	if m.Page == 0 || cfg == nil || cfg.config != m.Config {
+		cfg = &partialConfig{
 			config: m.Config,
 		}
-		e.seeds.pages[from] = s
+		e.peerConfigs.partial[from] = cfg
 	}
-	if m.Page != s.next {
-		delete(e.seeds.pages, from)
-		e.seeds.mu.Unlock()
+	if m.Page != cfg.nextPage {
+		delete(e.peerConfigs.partial, from)
+		e.peerConfigs.mu.Unlock()
 		return
 	}
-	s.page.Docs = append(s.page.Docs, page.Docs...)
-	s.page.Results = append(s.page.Results, page.Results...)
-	s.next++
-	whole := s.next >= m.Pages
-	if whole {
-		delete(e.seeds.pages, from)
+	cfg.received.Docs = append(cfg.received.Docs, page.Docs...)
+	cfg.received.Results = append(cfg.received.Results, page.Results...)
+	cfg.nextPage++
+	complete := cfg.nextPage >= m.Pages
+	if complete {
+		delete(e.peerConfigs.partial, from)
 	}
-	e.seeds.mu.Unlock()
-	if !whole {
+	e.peerConfigs.mu.Unlock()
+	if !complete {
 		e.tasks.Go(func() {
-			e.askConfig(from, m.Page+1)
+			e.requestConfigPage(from, m.Page+1)
 		})
 		return
 	}
-	e.logger.Info("configuration from a peer", "upstream", from, "config", s.config, "documents", len(s.page.Docs))
-	e.replica.Seed(s.page, s.config)
+	e.logger.Info("configuration received from an agent", "upstream", from, "config", cfg.config, "documents", len(cfg.received.Docs))
+	e.replica.Seed(cfg.received, cfg.config)
 }
--- a/process/clock.go
+++ b/process/clock.go
@@ -11,146 +11,150 @@
 	"wardturn"
 )
 
-// Clock is the host's clock. The zero value is ready for use; all values are one clock.
+// Clock is the system clock. The zero value is ready for use; all values share one clock.
 //
-// Its times have no reading of the steady clock: they are the time of day at the start of
-// the process and what has passed since, also while the host was suspended, so that the
-// time of day may be set. Deadlines of
-// contexts and connections, which go by the system's own times, are not set from them;
-// see wardturn.WithLimit.
+// Its times are the wall clock time at the start of the process plus the elapsed time,
+// including time during which the host was suspended. Changes of the wall clock therefore
+// don't affect them. They have no monotonic clock reading. Don't use them for deadlines of
+// contexts and connections, which are based on the runtime's clock; see
+// wardturn.WithLimit.
 type Clock struct{}
 
 // Now implements wardturn.Clock.
 func (Clock) Now() time.Time {
-	return host.Now()
+	return systemClock.Now()
 }
 
 // AfterFunc implements wardturn.Clock.
 func (Clock) AfterFunc(d time.Duration, f func()) wardturn.Timer {
-	return host.AfterFunc(d, f)
+	return systemClock.AfterFunc(d, f)
 }
 
-// host is the clock of this process.
-var host = newHostClock(systemReadings{
+// systemClock is the clock shared by all values of Clock.
+var systemClock = newHostClock(systemClockReader{
 	start: time.Now(),
 })
 
-// readings are what the host's clocks say.
-type readings interface {
-	// now returns the time of day, and what has passed since the start of the process by
-	// the steady clock, which stands still while the host is suspended.
-	now() (day time.Time, steady time.Duration)
-	// sinceBoot returns what has passed since the host booted, suspended or not.
+// clockReader reads the host's clocks.
+type clockReader interface {
+	// now returns the wall clock time, and the time since the start of the process by the
+	// monotonic clock, which stops while the host is suspended.
+	now() (wall time.Time, monotonic time.Duration)
+	// sinceBoot returns the time since the host booted, including time during which it was
+	// suspended.
 	sinceBoot() (time.Duration, error)
 }
 
-type systemReadings struct {
+type systemClockReader struct {
 	start time.Time
 }
 
-func (r systemReadings) now() (day time.Time, steady time.Duration) {
+func (r systemClockReader) now() (wall time.Time, monotonic time.Duration) {
 	now := time.Now()
 	return now.Round(0), now.Sub(r.start)
 }
 
-func (systemReadings) sinceBoot() (time.Duration, error) {
+func (systemClockReader) sinceBoot() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return 0, errors.Wrap(err, "clock since boot")
+		return 0, errors.Wrap(err, "read CLOCK_BOOTTIME")
 	}
 	return time.Duration(ts.Nano()), nil
 }
 
 const (
-	// leastGap is what the clocks must have come apart by before it counts: a suspension
-	// lasts far longer, and two readings in a row differ by microseconds.
-	leastGap = time.Millisecond
-	// lookEvery is how long the clock since boot is not read while the time of day and
-	// the steady clock go alike. A reading is a system call, the other two are none.
-	lookEvery = 100 * time.Millisecond
-	// gapTries is how often the clocks are read again when this process was held up
-	// between two readings.
-	gapTries = 5
+	// minGap is the minimum difference between the clocks that is treated as a suspension
+	// or a change of the wall clock. Suspensions last far longer, and two consecutive
+	// readings differ only by microseconds.
+	minGap = time.Millisecond
+	// checkInterval is the interval between reads of the boot-time clock while the wall clock
+	// and the monotonic clock advance together. Reading it takes a system call, which
+	// reading the other two doesn't.
+	checkInterval = 100 * time.Millisecond
+	// maxGapReads is how many times the clocks are read if the process is delayed between
+	// consecutive readings.
+	maxGapReads = 5
 )
 
-// hostClock is a clock made of a host's readings: the steady clock, and what it did not
-// count since the host was suspended. Where that is left out, a gateway that wakes takes
-// all that it knows for as much younger than it is, and a key that was taken away stays good
-// beyond the platform's bound.
+// hostClock combines the monotonic clock with the time during which the host was
+// suspended, which the monotonic clock doesn't count. Without the suspended time, a gateway
+// that resumes would underestimate the age of all its data by that time, and a revoked key
+// would remain valid beyond the platform's limit.
 type hostClock struct {
-	read  readings
-	start time.Time     // time of day at which the steady clock read zero
-	boot  time.Duration // by how much the clock since boot is ahead of the steady clock, unless suspended
-	// counts is whether there is a clock since boot.
-	counts bool
+	clocks         clockReader
+	start          time.Time     // wall clock time at which the monotonic clock was zero
+	initialBootGap time.Duration // boot-time clock minus monotonic clock, without suspensions
+	// hasBootClock is whether the boot-time clock can be read.
+	hasBootClock bool
 
-	suspended atomic.Int64 // ns, since the start of the process
-	apart     atomic.Int64 // ns by which the time of day has passed the steady clock, when last looked
-	lookedAt  atomic.Int64 // steady, ns
+	suspended  atomic.Int64 // total time suspended since the start of the process, in ns
+	wallOffset atomic.Int64 // wall clock time since start minus monotonic time at the last check, in ns
+	checkedAt  atomic.Int64 // monotonic time of the last check, in ns
 
 	mu     sync.Mutex
 	timers map[*hostTimer]bool
 }
 
-func newHostClock(r readings) *hostClock {
-	day, steady := r.now()
+func newHostClock(r clockReader) *hostClock {
+	wall, monotonic := r.now()
 	c := &hostClock{
-		read:   r,
-		start:  day.Add(-steady),
+		clocks: r,
+		start:  wall.Add(-monotonic),
 		timers: make(map[*hostTimer]bool),
 	}
-	// Without a clock since boot nothing counts as suspended.
-	c.boot, c.counts = c.bootGap()
+	// Without a boot-time clock, suspensions are not detected.
+	c.initialBootGap, c.hasBootClock = c.bootGap()
 	return c
 }
 
 // Now implements wardturn.Clock.
 func (c *hostClock) Now() time.Time {
-	day, steady := c.read.now()
-	apart := day.Sub(c.start) - steady
-	change := apart - time.Duration(c.apart.Load())
-	if change > leastGap || change < -leastGap || int64(steady)-c.lookedAt.Load() > int64(lookEvery) {
-		c.look(steady, apart)
+	wall, monotonic := c.clocks.now()
+	wallOffset := wall.Sub(c.start) - monotonic
+	change := wallOffset - time.Duration(c.wallOffset.Load())
+	if change > minGap || change < -minGap || int64(monotonic)-c.checkedAt.Load() > int64(checkInterval) {
+		c.checkSuspended(monotonic, wallOffset)
 	}
-	return c.start.Add(steady + time.Duration(c.suspended.Load()))
+	return c.start.Add(monotonic + time.Duration(c.suspended.Load()))
 }
 
-// look finds out whether the host was suspended; if so, timers that came due fire.
-func (c *hostClock) look(steady, apart time.Duration) {
-	c.apart.Store(int64(apart))
-	c.lookedAt.Store(int64(steady))
+// checkSuspended checks whether the host was suspended since the last check. If so, it
+// adjusts the pending timers.
+func (c *hostClock) checkSuspended(monotonic, wallOffset time.Duration) {
+	c.wallOffset.Store(int64(wallOffset))
+	c.checkedAt.Store(int64(monotonic))
 	gap, ok := c.bootGap()
-	if !ok || !c.counts {
+	if !ok || !c.hasBootClock {
 		return
 	}
-	suspended := gap - c.boot
-	known := c.suspended.Load()
-	if suspended < time.Duration(known)+leastGap || !c.suspended.CompareAndSwap(known, int64(suspended)) {
+	suspended := gap - c.initialBootGap
+	previous := c.suspended.Load()
+	if suspended < time.Duration(previous)+minGap || !c.suspended.CompareAndSwap(previous, int64(suspended)) {
 		return
 	}
-	go c.wake()
+	go c.resetTimers()
 }
 
-// bootGap returns by how much the clock since boot is ahead of the steady clock. It
-// reports false if that clock cannot be read.
+// bootGap returns by how much the boot-time clock is ahead of the monotonic clock. It
+// reports false if the boot-time clock can't be read.
 func (c *hostClock) bootGap() (time.Duration, bool) {
 	gap := time.Duration(0)
-	for range gapTries {
-		_, before := c.read.now()
-		boot, err := c.read.sinceBoot()
-		_, after := c.read.now()
+	for range maxGapReads {
+		_, before := c.clocks.now()
+		boot, err := c.clocks.sinceBoot()
+		_, after := c.clocks.now()
 		if err != nil {
 			return 0, false
 		}
-		gap = boot - after // never more than it is
-		if after-before < leastGap {
+		gap = boot - after // at most the true difference
+		if after-before < minGap {
 			break
 		}
 	}
 	return gap, true
 }
 
-// hostTimer is a pending call.
+// hostTimer is a timer of a hostClock.
 type hostTimer struct {
 	clock *hostClock
 	due   time.Time
@@ -185,9 +189,9 @@
 	delete(c.timers, t)
 }
 
-// wake sets the timers anew after the host was suspended: the system's own count only
-// the steady clock.
-func (c *hostClock) wake() {
+// resetTimers resets the pending timers after the host was suspended, because the runtime's
+// timers use the monotonic clock and don't count the suspended time.
+func (c *hostClock) resetTimers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Now()
