--- a/chaos/chaos_test.go
+++ b/chaos/chaos_test.go
@@ -7,7 +7,7 @@
 	"wardturn/chaos"
 )
 
-// TestHistories is the short version of wardturn chaos.
+// TestHistories runs a few histories; the command wardturn chaos runs more.
 func TestHistories(t *testing.T) {
 	const histories = 6
 	for seed := range uint64(histories) {
--- a/chaos/doc.go
+++ b/chaos/doc.go
@@ -1,8 +1,8 @@
-// Package chaos runs random histories against whole systems and holds them
-// against the promises: a small system on stand-ins serves traffic while a pair
-// of faults, drawn at random, happens to it; then the faults are healed and what
-// every caller was told is compared with what the upstreams really ran.
+// Package chaos tests a whole system under random faults. A history is one such
+// test: a small system on stand-ins serves traffic while two faults, chosen at
+// random, are injected. Then the faults are healed, and the outcomes that the callers
+// received are compared with what the upstreams ran.
 //
-// A history is drawn from its seed. The connections are real, so the exact
-// interleaving differs from run to run; the promises must hold in every one.
+// The seed determines the faults and the traffic. The connections are real, so the
+// interleaving differs between runs of one seed; the guarantees must hold in all.
 package chaos
--- a/chaos/faults.go
+++ b/chaos/faults.go
@@ -8,14 +8,14 @@
 	"wardturn/standin"
 )
 
-// Fault is something that goes wrong and is healed again.
+// Fault is a fault that a history injects into its system and heals later.
 type Fault struct {
 	Name  string
 	begin func(h *history)
 	heal  func(h *history)
 }
 
-// Faults lists every fault that a history may draw.
+// Faults returns all faults that a history may inject.
 func Faults() []Fault {
 	none := func(*history) {}
 	return []Fault{
@@ -110,17 +110,17 @@
 	h.sys.Store.SetFaults(standin.StoreFaults{})
 }
 
-// upstream draws one.
+// upstream returns a random upstream.
 func (h *history) upstream() *demo.Upstream {
 	return h.sys.Upstreams[h.rng.IntN(len(h.sys.Upstreams))]
 }
 
-// engine draws a model engine.
+// engine returns a random model engine.
 func (h *history) engine() *demo.Upstream {
 	return h.sys.Upstreams[h.rng.IntN(engines)]
 }
 
-// restartAgent kills an agent and starts another beside the same upstream.
+// restartAgent closes an upstream's agent without draining it and starts a new one.
 func (h *history) restartAgent(u *demo.Upstream) {
 	u.Agent.Close()
 	if err := h.sys.StartAgent(u, "127.0.0.1:0"); err != nil {
@@ -128,7 +128,7 @@
 	}
 }
 
-// leave stops an agent as planned, and starts another after the last request.
+// leave drains an upstream's agent and starts a new one after its last request.
 func (h *history) leave(u *demo.Upstream) {
 	old := u.Agent
 	select {
@@ -139,7 +139,7 @@
 	h.restartAgent(u)
 }
 
-// drawPair draws two different faults.
+// drawPair returns two different random faults.
 func drawPair(rng *rand.Rand) [2]Fault {
 	all := Faults()
 	i := rng.IntN(len(all))
--- a/chaos/history.go
+++ b/chaos/history.go
@@ -28,13 +28,14 @@
 	streams  = 10
 	lookups  = 6
 	tokens   = 30
-	tries    = 4  // of a caller, with the same key
-	speed    = 10 // of the system's clock
-	// patience bounds how long anything may take, in real time.
+	tries    = 4  // attempts of a caller with the same idempotency key
+	speed    = 10 // of the system's clock, relative to real time
+	// patience bounds each request, the planned stop of an agent and the recovery, in
+	// real time.
 	patience = 40 * time.Second
 )
 
-// Outcome is what a history showed.
+// Outcome is the result of a history.
 type Outcome struct {
 	Seed       uint64
 	Faults     [2]string
@@ -42,15 +43,15 @@
 	Counts     Counts
 }
 
-// Counts sums up what callers were told.
+// Counts counts the outcomes that callers received.
 type Counts struct {
 	Done    int
 	NotRun  int
 	Unknown int
-	Cut     int // streams that ended visibly short
+	Cut     int // streams that ended early, with an error event
 }
 
-// history is one run.
+// history is one test run: a system under traffic and the violations found.
 type history struct {
 	rng  *rand.Rand
 	sys  *demo.System
@@ -77,7 +78,7 @@
 	return time.After(patience)
 }
 
-// Run plays the history of a seed.
+// Run runs the history of a seed.
 func Run(ctx context.Context, seed uint64) (Outcome, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x6368616f73))
 	pair := drawPair(rng)
@@ -120,12 +121,12 @@
 	return cfg
 }
 
-// play runs the traffic while the faults happen, then checks.
+// play runs the traffic, injects the faults meanwhile, and checks the results.
 func (h *history) play(pair [2]Fault) {
 	var wg sync.WaitGroup
 	keys := make([]*charge, 0, charges)
 	spawn := func(f func()) {
-		// Spread the traffic over the time of the faults.
+		// Spread the requests over the time in which the faults are injected.
 		wait := time.Duration(h.rng.IntN(300)) * time.Millisecond
 		wg.Add(1)
 		go func() {
@@ -158,7 +159,7 @@
 	h.recover()
 }
 
-// happen lets both faults begin and heal at times of their own.
+// happen injects and heals both faults at random times.
 func (h *history) happen(pair [2]Fault) {
 	pause := func(most int) {
 		time.Sleep(time.Duration(h.rng.IntN(most)) * time.Millisecond)
@@ -171,12 +172,12 @@
 	pair[0].heal(h)
 	pause(200)
 	pair[1].heal(h)
-	if h.rng.IntN(2) == 0 { // twice
+	if h.rng.IntN(2) == 0 { // inject the first fault again
 		pair[0].begin(h)
 		pause(100)
 		pair[0].heal(h)
 	}
-	// A fault can undo another's healing; in the end all is well.
+	// A fault can undo the healing of the other one, so heal everything at the end.
 	healNet(h)
 	healLog(h)
 	healStore(h)
@@ -197,15 +198,15 @@
 	}
 }
 
-// charge is one charge with all that its caller was told.
+// charge is a request that must run at most once, with the responses to its caller.
 type charge struct {
 	body    string
 	created time.Time
-	answers []string // of done
+	answers []string // bodies of the responses with outcome done
 	told    []wardturn.OutcomeKind
 }
 
-// told reads the outcome that an answer states.
+// told returns the outcome in the headers of a response.
 func told(res *fasthttp.Response) wardturn.OutcomeKind {
 	switch string(res.Header.Peek(entry.HeaderOutcome)) {
 	case "done":
@@ -216,8 +217,8 @@
 	return wardturn.Unknown
 }
 
-// charge sends a charge and repeats it with its key, through either entry, until
-// it is done or the caller gives up.
+// charge sends a charge and retries it with its idempotency key, alternating between
+// the entries, until it is done or the attempts are used up.
 func (h *history) charge(c *charge, first int) {
 	for i := range tries {
 		req := fasthttp.AcquireRequest()
@@ -239,7 +240,7 @@
 			if len(c.answers) == 2 {
 				return
 			}
-			continue // ask once more: the answer must be the same
+			continue // send it once more: the response must be the same
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -258,7 +259,7 @@
 	})
 }
 
-// check holds what a charge's caller was told against what ran.
+// check compares the outcomes of a charge with its runs at the upstreams.
 func (h *history) check(c *charge) {
 	runs := 0
 	for _, u := range h.sys.Upstreams {
@@ -291,7 +292,8 @@
 	endMark   = []byte("data: [DONE]\n\n")
 )
 
-// stream asks for an answer and checks that it is whole, or visibly is not.
+// stream requests a streamed completion and checks that it is complete or ends with an
+// error event.
 func (h *history) stream(adapter string, at int) {
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
@@ -329,7 +331,7 @@
 	}
 }
 
-// lookup asks for something that may be repeated.
+// lookup sends a request that may run more than once.
 func (h *history) lookup(at int) {
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
@@ -351,8 +353,7 @@
 	}
 }
 
-// recover waits until every adapter and the service are served again through
-// every entry.
+// recover waits until every adapter is served again through every entry.
 func (h *history) recover() {
 	end := time.Now().Add(patience)
 	for at := range h.sys.Entries {
--- a/demo/doc.go
+++ b/demo/doc.go
@@ -1,5 +1,5 @@
 // Package demo runs a whole system in one process: stand-ins of the platform, an
-// agent beside each upstream, and entry hosts, all on loopback ports that the
-// kernel chooses. The processes talk over the same connections, and the same
-// protocols, as they do apart.
+// agent for each upstream, and entry hosts, all on loopback ports that the kernel
+// chooses. The parts use the same connections and protocols as in separate
+// processes.
 package demo
--- a/demo/path_bench_test.go
+++ b/demo/path_bench_test.go
@@ -11,8 +11,8 @@
 	"wardturn/demo"
 )
 
-// benchSystem is one entry and one engine whose steps take no time, so that what
-// is left is the path.
+// benchSystem starts one entry and one engine whose steps take no time, so that the
+// benchmarks measure the request path alone.
 func benchSystem(b *testing.B) *demo.System {
 	b.Helper()
 	cfg := demo.Zurich()
@@ -53,7 +53,7 @@
 	}
 }
 
-// oneByOne measures requests that come one after the other.
+// oneByOne measures sequential requests.
 func oneByOne(b *testing.B, url, model string) {
 	c := &fasthttp.Client{}
 	times := make([]time.Duration, 0, b.N)
@@ -70,8 +70,8 @@
 	b.ReportMetric(float64(times[len(times)*99/100].Microseconds()), "p99-µs")
 }
 
-// BenchmarkOneByOne puts the path through entry and agent beside a direct call
-// of the stand-in engine.
+// BenchmarkOneByOne compares sequential requests through entry and agent with direct
+// requests to the stand-in engine.
 func BenchmarkOneByOne(b *testing.B) {
 	sys := benchSystem(b)
 	b.Run("direct", func(b *testing.B) {
@@ -82,7 +82,8 @@
 	})
 }
 
-// BenchmarkTogether measures requests of many callers at once.
+// BenchmarkTogether measures the throughput of parallel requests, with the same
+// comparison as BenchmarkOneByOne.
 func BenchmarkTogether(b *testing.B) {
 	sys := benchSystem(b)
 	run := func(name, url, model string) {
--- a/demo/system.go
+++ b/demo/system.go
@@ -21,7 +21,7 @@
 	"wardturn/standin"
 )
 
-// Config sizes a system.
+// Config configures a system.
 type Config struct {
 	Engines      int
 	Services     int
@@ -34,16 +34,16 @@
 	Log          standin.LogConfig
 	HostLag      time.Duration
 	Engine       standin.EngineConfig
-	Work         time.Duration // of a call to a plain service
+	Work         time.Duration // service time of a call to a plain service
 	Logger       hclog.Logger
 	Clock        wardturn.Clock
-	Deadline     time.Duration // of requests that name none; zero: the entry's default
-	Grace        time.Duration // past a deadline, for the agent's word; zero: the entry's default
-	ConnectLimit time.Duration // of a first connection to an agent; zero: the entry's default
-	Relays       bool          // put a relay before each agent, so that its network can fail
+	Deadline     time.Duration // of requests without their own; zero: the entry's default
+	Grace        time.Duration // how long after a deadline an entry waits for the agent's result; zero: the entry's default
+	ConnectLimit time.Duration // timeout of the first connection to an agent; zero: the entry's default
+	Relays       bool          // reach each agent through a relay that can simulate network faults
 }
 
-// Zurich returns the sizes of Zurich today.
+// Zurich returns a configuration of the size of the present Zurich deployment.
 func Zurich() Config {
 	return Config{
 		Engines:  18,
@@ -73,14 +73,14 @@
 	Region  wardturn.Region      = "local"
 )
 
-// Upstream is one upstream of a system with its agent.
+// Upstream is an upstream of a system with its agent.
 type Upstream struct {
 	ID      wardturn.UpstreamID
 	Host    wardturn.Host
 	Engine  *standin.Engine  // nil for a plain service
 	Service *standin.Service // nil for a model engine
 	Agent   *agent.Agent
-	Relay   *standin.Relay // before the agent, if the system has relays
+	Relay   *standin.Relay // to the agent; nil without Config.Relays
 	addr    string         // of the upstream itself
 	stop    func()
 }
@@ -145,7 +145,7 @@
 	return ln, errors.Wrap(err, "listen")
 }
 
-// serve runs a handler on a port of its own until Close.
+// serve runs a handler on a new port until Close.
 func (s *System) serve(h fasthttp.RequestHandler) (string, error) {
 	ln, err := listen()
 	if err != nil {
@@ -194,7 +194,7 @@
 	return s.StartAgent(u, "127.0.0.1:0")
 }
 
-// StartAgent starts a new agent beside an upstream and lists it.
+// StartAgent starts a new agent for an upstream and adds it to the host list.
 func (s *System) StartAgent(u *Upstream, addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -241,7 +241,7 @@
 	return nil
 }
 
-// relay sets the address by which others reach an agent.
+// relay sets the upstream's listed address to that of its agent, or of the relay to it.
 func (s *System) relay(u *Upstream) error {
 	u.Host.Addr = u.Agent.Addr()
 	if !s.cfg.Relays {
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// StartEntry adds an entry.
+// StartEntry starts a new entry.
 func (s *System) StartEntry() error {
 	i := len(s.Entries)
 	ln, err := listen()
@@ -289,11 +289,11 @@
 	return nil
 }
 
-// OperatorKey is the operators' key of a demo system. It is public: the system
-// listens on loopback only.
+// OperatorKey is the operator key of a demo system. It need not be secret, since the
+// system listens on loopback only.
 const OperatorKey = "demo-operator"
 
-// docsPerChange bounds the documents in one publication of the demo.
+// docsPerChange is the maximum number of documents per publication.
 const docsPerChange = 500
 
 // publish publishes the adapters and the service.
@@ -324,7 +324,8 @@
 	return nil
 }
 
-// waitReady waits until every entry knows hosts and the whole configuration.
+// waitReady waits until every entry has read the host list and the published
+// configuration.
 func (s *System) waitReady(ctx context.Context) error {
 	last := s.Entries[0].Replica().Applied()
 	for _, e := range s.Entries {
@@ -342,7 +343,7 @@
 
 const readyPoll = 10 * time.Millisecond
 
-// Close stops everything at once.
+// Close stops all parts of the system without draining them.
 func (s *System) Close() {
 	for _, e := range s.Entries {
 		e.Close()
--- a/demo/totals.go
+++ b/demo/totals.go
@@ -1,12 +1,12 @@
 package demo
 
-// Totals sums up what the agents and engines of a system did.
+// Totals are sums over the agents and engines of a system.
 type Totals struct {
 	Running    int
 	Queued     int
 	Loads      int
 	Steps      int
-	Efficiency float64 // mean part of an engine step's places that was used
+	Efficiency float64 // mean fraction of the batch that an engine step used
 }
 
 // Addrs returns the addresses of the entries.
@@ -18,7 +18,7 @@
 	return list
 }
 
-// Totals returns the present sums.
+// Totals returns the current totals.
 func (s *System) Totals() Totals {
 	var t Totals
 	sequences := 0
@@ -40,7 +40,7 @@
 	return t
 }
 
-// Addr returns the address of the upstream itself, without its agent.
+// Addr returns the address of the upstream itself, not of its agent.
 func (u *Upstream) Addr() string {
 	return u.addr
 }
--- a/load/load.go
+++ b/load/load.go
@@ -1,8 +1,8 @@
 // Package load sends open-loop traffic to entry hosts and measures it.
 //
-// Requests leave at the times of a plan, whether or not earlier ones have been
-// answered, and each is timed from its planned departure: a slow system cannot
-// hide its delays by slowing the load down (coordinated omission).
+// Requests are sent at the times of a trace, whether or not earlier ones have been
+// answered, and the latency of each is measured from its scheduled time. A slow system
+// therefore can't hide its delays by slowing the load down (coordinated omission).
 package load
 
 import (
@@ -23,15 +23,15 @@
 	"wardturn/experiment"
 )
 
-// Plan says what to send where.
+// Plan describes the traffic to send.
 type Plan struct {
-	Addrs  []string // of entry hosts, IP:port; used in turn
+	Addrs  []string // of entry hosts, IP:port; used round-robin
 	Trace  []experiment.Request
 	Key    string // bearer key; empty: none
 	Stream bool
 	Clock  wardturn.Clock
-	// Limit bounds the requests under way; beyond it a request counts as
-	// skipped.
+	// Limit is the maximum number of requests in flight; a request beyond it is not
+	// sent and counts as skipped. Zero means DefaultLimit.
 	Limit int
 }
 
@@ -42,13 +42,13 @@
 	histDigits = 3
 )
 
-// Summary is what became of the traffic. Times are in milliseconds.
+// Summary is the result of a run. Latencies are in milliseconds.
 type Summary struct {
 	Sent    int            `json:"sent"`
 	Done    int            `json:"done"`
 	NotRun  int            `json:"not_run"`
 	Unknown int            `json:"unknown"`
-	Failed  int            `json:"failed"` // no answer that could be read
+	Failed  int            `json:"failed"` // no response, or one that could not be read
 	Skipped int            `json:"skipped"`
 	Reasons map[string]int `json:"reasons,omitempty"`
 	Whole   Latency        `json:"whole_ms"`
@@ -58,7 +58,7 @@
 	PerSec  float64        `json:"done_per_second"`
 }
 
-// Latency holds quantiles in milliseconds.
+// Latency holds the mean and quantiles of a latency in milliseconds.
 type Latency struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
@@ -67,7 +67,7 @@
 	Max  float64 `json:"max"`
 }
 
-// Runner sends a plan.
+// Runner sends the requests of a plan and measures them.
 type Runner struct {
 	plan   Plan
 	client *fasthttp.Client
@@ -80,7 +80,7 @@
 	stall *hdrhistogram.Histogram
 }
 
-// DefaultLimit bounds the requests under way.
+// DefaultLimit is the default of Plan.Limit.
 const DefaultLimit = 20_000
 
 // NewRunner returns a runner for a plan.
@@ -104,7 +104,8 @@
 	}
 }
 
-// Run sends the plan and waits for the answers.
+// Run sends the requests of the plan and waits for the responses. It stops sending when
+// ctx is done.
 func (r *Runner) Run(ctx context.Context) Summary {
 	start := r.plan.Clock.Now()
 	var wg sync.WaitGroup
@@ -165,7 +166,7 @@
 	}
 }
 
-// classify counts an answer; the lock is held.
+// classify counts a response. The caller holds the lock.
 func (r *Runner) classify(res *fasthttp.Response, whole bool, err error) {
 	reason := string(res.Header.Peek(entry.HeaderReason))
 	switch {
@@ -182,7 +183,7 @@
 	}
 }
 
-// promptFiller makes prompts of the planned length.
+// promptFiller is the text of which prompts are made.
 var promptFiller = bytes.Repeat([]byte("wait "), 1<<16)
 
 const bytesPerToken = 4
@@ -215,7 +216,8 @@
 
 var doneMark = []byte("data: [DONE]")
 
-// read reads an answer to its end. A stream is whole if it has its end marker.
+// read reads a response body to its end and returns when its first byte arrived.
+// A stream is whole if it contains the end marker.
 func (r *Runner) read(res *fasthttp.Response) (first time.Time, whole bool, err error) {
 	body := res.BodyStream()
 	if body == nil {
