--- a/chaos/faults.go
+++ b/chaos/faults.go
@@ -10,92 +10,92 @@
 
 // Fault is a fault that a history injects into its system and heals later.
 type Fault struct {
-	Name  string
-	begin func(h *history)
-	heal  func(h *history)
+	Name   string
+	inject func(h *history)
+	heal   func(h *history)
 }
 
 // Faults returns all faults that a history may inject.
 func Faults() []Fault {
-	none := func(*history) {}
+	noop := func(*history) {}
 	return []Fault{
 		{
-			Name:  "connection cut",
-			begin: func(h *history) { h.upstream().Relay.Cut() },
-			heal:  none,
+			Name:   "connection cut",
+			inject: func(h *history) { h.randomUpstream().Relay.Cut() },
+			heal:   noop,
 		},
 		{
-			Name:  "agent unreachable",
-			begin: func(h *history) { h.upstream().Relay.Block(true) },
-			heal:  healNet,
+			Name:   "agent unreachable",
+			inject: func(h *history) { h.randomUpstream().Relay.Block(true) },
+			heal:   healNetwork,
 		},
 		{
-			Name:  "network frozen",
-			begin: func(h *history) { h.upstream().Relay.Freeze(true) },
-			heal:  healNet,
+			Name:   "network frozen",
+			inject: func(h *history) { h.randomUpstream().Relay.Freeze(true) },
+			heal:   healNetwork,
 		},
 		{
-			Name:  "agent restarts",
-			begin: func(h *history) { h.restartAgent(h.upstream()) },
-			heal:  none,
+			Name:   "agent restarts",
+			inject: func(h *history) { h.restartAgent(h.randomUpstream()) },
+			heal:   noop,
 		},
 		{
 			Name: "all agents restart",
-			begin: func(h *history) {
+			inject: func(h *history) {
 				for _, u := range h.sys.Upstreams {
 					h.restartAgent(u)
 				}
 			},
-			heal: none,
+			heal: noop,
 		},
 		{
-			Name:  "engine restarts empty",
-			begin: func(h *history) { h.engine().Engine.Restart() },
-			heal:  none,
+			Name:   "engine restarts empty",
+			inject: func(h *history) { h.randomEngine().Engine.Restart() },
+			heal:   noop,
 		},
 		{
-			Name:  "planned stop",
-			begin: func(h *history) { h.leave(h.upstream()) },
-			heal:  none,
+			Name:   "planned stop",
+			inject: func(h *history) { h.drainAgent(h.randomUpstream()) },
+			heal:   noop,
 		},
 		{
-			Name:  "log out",
-			begin: func(h *history) { h.sys.Log.SetFaults(standin.LogFaults{Down: true}) },
-			heal:  healLog,
+			Name:   "log out",
+			inject: func(h *history) { h.sys.Log.SetFaults(standin.LogFaults{Down: true}) },
+			heal:   healLog,
 		},
 		{
 			Name: "log replies lost",
-			begin: func(h *history) {
+			inject: func(h *history) {
 				h.sys.Log.SetFaults(standin.LogFaults{LoseReply: func() bool { return true }})
 			},
 			heal: healLog,
 		},
 		{
-			Name:  "store out",
-			begin: func(h *history) { h.sys.Store.SetFaults(standin.StoreFaults{Down: true}) },
-			heal:  healStore,
+			Name:   "store out",
+			inject: func(h *history) { h.sys.Store.SetFaults(standin.StoreFaults{Down: true}) },
+			heal:   healStore,
 		},
 		{
-			Name:  "store slow",
-			begin: func(h *history) { h.sys.Store.SetFaults(standin.StoreFaults{Slow: 20}) },
-			heal:  healStore,
+			Name:   "store slow",
+			inject: func(h *history) { h.sys.Store.SetFaults(standin.StoreFaults{Slow: 20}) },
+			heal:   healStore,
 		},
 		{
 			Name: "loads fail",
-			begin: func(h *history) {
+			inject: func(h *history) {
 				h.sys.Store.SetFaults(standin.StoreFaults{Fail: func(wardturn.AdapterRef) error { return wardturn.ErrUnavailable }})
 			},
 			heal: healStore,
 		},
 		{
-			Name:  "host list out",
-			begin: func(h *history) { h.sys.Hosts.SetDown(true) },
-			heal:  func(h *history) { h.sys.Hosts.SetDown(false) },
+			Name:   "host list out",
+			inject: func(h *history) { h.sys.Hosts.SetDown(true) },
+			heal:   func(h *history) { h.sys.Hosts.SetDown(false) },
 		},
 	}
 }
 
-func healNet(h *history) {
+func healNetwork(h *history) {
 	for _, u := range h.sys.Upstreams {
 		u.Relay.Block(false)
 		u.Relay.Freeze(false)
@@ -110,42 +110,42 @@
 	h.sys.Store.SetFaults(standin.StoreFaults{})
 }
 
-// upstream returns a random upstream.
-func (h *history) upstream() *demo.Upstream {
+// randomUpstream returns a random upstream.
+func (h *history) randomUpstream() *demo.Upstream {
 	return h.sys.Upstreams[h.rng.IntN(len(h.sys.Upstreams))]
 }
 
-// engine returns a random model engine.
-func (h *history) engine() *demo.Upstream {
-	return h.sys.Upstreams[h.rng.IntN(engines)]
+// randomEngine returns a random model engine.
+func (h *history) randomEngine() *demo.Upstream {
+	return h.sys.Upstreams[h.rng.IntN(engineCount)]
 }
 
 // restartAgent closes an upstream's agent without draining it and starts a new one.
 func (h *history) restartAgent(u *demo.Upstream) {
 	u.Agent.Close()
 	if err := h.sys.StartAgent(u, "127.0.0.1:0"); err != nil {
-		h.fail("agent of %s does not start: %v", u.ID, err)
+		h.addViolation("agent of %s does not start: %v", u.ID, err)
 	}
 }
 
-// leave drains an upstream's agent and starts a new one after its last request.
-func (h *history) leave(u *demo.Upstream) {
+// drainAgent drains an upstream's agent and starts a new one after its last request.
+func (h *history) drainAgent(u *demo.Upstream) {
 	old := u.Agent
 	select {
 	case <-old.Leave():
-	case <-h.patience():
-		h.fail("%s does not end its requests", u.ID)
+	case <-h.timeout():
+		h.addViolation("%s does not end its requests", u.ID)
 	}
 	h.restartAgent(u)
 }
 
-// drawPair returns two different random faults.
-func drawPair(rng *rand.Rand) [2]Fault {
-	all := Faults()
-	i := rng.IntN(len(all))
-	j := rng.IntN(len(all) - 1)
+// randomFaultPair returns two different random faults.
+func randomFaultPair(rng *rand.Rand) [2]Fault {
+	faults := Faults()
+	i := rng.IntN(len(faults))
+	j := rng.IntN(len(faults) - 1)
 	if j >= i {
 		j++
 	}
-	return [2]Fault{all[i], all[j]}
+	return [2]Fault{faults[i], faults[j]}
 }
--- a/chaos/history.go
+++ b/chaos/history.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	engines  = 2
-	services = 2
-	adapters = 6
-	charges  = 12
-	streams  = 10
-	lookups  = 6
-	tokens   = 30
-	tries    = 4  // attempts of a caller with the same idempotency key
-	speed    = 10 // of the system's clock, relative to real time
-	// patience bounds each request, the planned stop of an agent and the recovery, in
+	engineCount  = 2
+	serviceCount = 2
+	adapterCount = 6
+	chargeCount  = 12
+	streamCount  = 10
+	lookupCount  = 6
+	streamTokens = 30
+	maxAttempts  = 4  // attempts of a caller with the same idempotency key
+	clockSpeed   = 10 // of the system's clock, relative to real time
+	// maxWait bounds each request, the planned stop of an agent and the recovery, in
 	// real time.
-	patience = 40 * time.Second
+	maxWait = 40 * time.Second
 )
 
 // Outcome is the result of a history.
@@ -62,26 +62,26 @@
 	counts     Counts
 }
 
-func (h *history) fail(format string, args ...any) {
+func (h *history) addViolation(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-func (h *history) count(f func(*Counts)) {
+func (h *history) updateCounts(f func(*Counts)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(&h.counts)
 }
 
-func (h *history) patience() <-chan time.Time {
-	return time.After(patience)
+func (h *history) timeout() <-chan time.Time {
+	return time.After(maxWait)
 }
 
 // Run runs the history of a seed.
 func Run(ctx context.Context, seed uint64) (Outcome, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x6368616f73))
-	pair := drawPair(rng)
+	pair := randomFaultPair(rng)
 	out := Outcome{
 		Seed:   seed,
 		Faults: [2]string{pair[0].Name, pair[1].Name},
@@ -99,7 +99,7 @@
 			MaxConnsPerHost:           256,
 		},
 	}
-	h.play(pair)
+	h.run(pair)
 	out.Violations = h.violations
 	out.Counts = h.counts
 	return out, nil
@@ -107,24 +107,24 @@
 
 func config() demo.Config {
 	cfg := demo.Zurich()
-	cfg.Clock = standin.NewFastClock(speed)
+	cfg.Clock = standin.NewFastClock(clockSpeed)
 	cfg.Relays = true
 	cfg.Logger = hclog.NewNullLogger()
 	cfg.HostLag = time.Second
 	cfg.Work = 400 * time.Millisecond
-	cfg.Engines = engines
-	cfg.Services = services
+	cfg.Engines = engineCount
+	cfg.Services = serviceCount
 	cfg.Entries = 2
-	cfg.Adapters = adapters
+	cfg.Adapters = adapterCount
 	cfg.Slots = 2
 	cfg.Store.Rate = 50
 	return cfg
 }
 
-// play runs the traffic, injects the faults meanwhile, and checks the results.
-func (h *history) play(pair [2]Fault) {
+// run runs the traffic, injects the faults meanwhile, and checks the results.
+func (h *history) run(pair [2]Fault) {
 	var wg sync.WaitGroup
-	keys := make([]*charge, 0, charges)
+	sent := make([]*charge, 0, chargeCount)
 	spawn := func(f func()) {
 		// Spread the requests over the time in which the faults are injected.
 		wait := time.Duration(h.rng.IntN(300)) * time.Millisecond
@@ -135,79 +135,79 @@
 			f()
 		}()
 	}
-	for i := range charges {
+	for i := range chargeCount {
 		c := &charge{
-			body:    fmt.Sprintf("card-%d", i),
+			key:     fmt.Sprintf("card-%d", i),
 			created: time.Now(),
 		}
-		keys = append(keys, c)
+		sent = append(sent, c)
 		first := h.rng.IntN(2)
 		spawn(func() { h.charge(c, first) })
 	}
-	for i := range streams {
-		adapter := fmt.Sprintf("a%04d", h.rng.IntN(adapters))
+	for i := range streamCount {
+		adapter := fmt.Sprintf("a%04d", h.rng.IntN(adapterCount))
 		spawn(func() { h.stream(adapter, i%2) })
 	}
-	for i := range lookups {
+	for i := range lookupCount {
 		spawn(func() { h.lookup(i % 2) })
 	}
-	h.happen(pair)
-	h.join(&wg)
-	for _, c := range keys {
-		h.check(c)
+	h.injectFaults(pair)
+	h.waitForRequests(&wg)
+	for _, c := range sent {
+		h.checkCharge(c)
 	}
-	h.recover()
+	h.waitForRecovery()
 }
 
-// happen injects and heals both faults at random times.
-func (h *history) happen(pair [2]Fault) {
-	pause := func(most int) {
-		time.Sleep(time.Duration(h.rng.IntN(most)) * time.Millisecond)
+// injectFaults injects and heals both faults at random times.
+func (h *history) injectFaults(pair [2]Fault) {
+	pause := func(maxMS int) {
+		time.Sleep(time.Duration(h.rng.IntN(maxMS)) * time.Millisecond)
 	}
 	pause(150)
-	pair[0].begin(h)
+	pair[0].inject(h)
 	pause(100)
-	pair[1].begin(h)
+	pair[1].inject(h)
 	pause(400)
 	pair[0].heal(h)
 	pause(200)
 	pair[1].heal(h)
 	if h.rng.IntN(2) == 0 { // inject the first fault again
-		pair[0].begin(h)
+		pair[0].inject(h)
 		pause(100)
 		pair[0].heal(h)
 	}
 	// A fault can undo the healing of the other one, so heal everything at the end.
-	healNet(h)
+	healNetwork(h)
 	healLog(h)
 	healStore(h)
 	h.sys.Hosts.SetDown(false)
 }
 
-func (h *history) join(wg *sync.WaitGroup) {
-	ended := make(chan struct{})
+func (h *history) waitForRequests(wg *sync.WaitGroup) {
+	done := make(chan struct{})
 	go func() {
 		wg.Wait()
-		close(ended)
+		close(done)
 	}()
 	select {
-	case <-ended:
-	case <-h.patience():
-		h.fail("requests without an answer after %v", patience)
+	case <-done:
+	case <-h.timeout():
+		h.addViolation("requests without an answer after %v", maxWait)
 		wg.Wait()
 	}
 }
 
 // charge is a request that must run at most once, with the responses to its caller.
 type charge struct {
-	body    string
-	created time.Time
-	answers []string // bodies of the responses with outcome done
-	told    []wardturn.OutcomeKind
+	key       string
+	created   time.Time
+	responses []string // bodies of the responses with outcome done
+	outcomes  []wardturn.OutcomeKind
 }
 
-// told returns the outcome in the headers of a response.
-func told(res *fasthttp.Response) wardturn.OutcomeKind {
+// outcomeOf returns the outcome in the headers of a response.
+func outcomeOf(res *fasthttp.Response) wardturn.OutcomeKind {
 	switch string(res.Header.Peek(entry.HeaderOutcome)) {
 	case "done":
 		return wardturn.Done
@@ -219,25 +219,25 @@
 
 // charge sends a charge and retries it with its idempotency key, alternating between
 // the entries, until it is done or the attempts are used up.
-func (h *history) charge(c *charge, first int) {
-	for i := range tries {
+func (h *history) charge(c *charge, firstEntry int) {
+	for i := range maxAttempts {
 		req := fasthttp.AcquireRequest()
 		res := &fasthttp.Response{}
-		req.SetRequestURI("http://" + h.sys.Addrs()[(first+i)%2] + "/v1/services/" + string(demo.Service) + "/charge")
+		req.SetRequestURI("http://" + h.sys.Addrs()[(firstEntry+i)%2] + "/v1/services/" + string(demo.Service) + "/charge")
 		req.Header.SetMethod(fasthttp.MethodPost)
-		req.Header.Set(entry.HeaderKey, c.body)
+		req.Header.Set(entry.HeaderKey, c.key)
 		req.Header.Set(entry.HeaderKeyCreated, c.created.UTC().Format(time.RFC3339))
-		req.SetBodyString(c.body)
-		if err := h.http.DoTimeout(req, res, patience); err != nil {
-			h.fail("%s: no answer: %v", c.body, err)
+		req.SetBodyString(c.key)
+		if err := h.http.DoTimeout(req, res, maxWait); err != nil {
+			h.addViolation("%s: no answer: %v", c.key, err)
 			return
 		}
-		kind := told(res)
-		c.told = append(c.told, kind)
+		kind := outcomeOf(res)
+		c.outcomes = append(c.outcomes, kind)
 		h.countOutcome(kind)
 		if kind == wardturn.Done {
-			c.answers = append(c.answers, string(res.Body()))
-			if len(c.answers) == 2 {
+			c.responses = append(c.responses, string(res.Body()))
+			if len(c.responses) == 2 {
 				return
 			}
 			continue // send it once more: the response must be the same
@@ -247,7 +247,7 @@
 }
 
 func (h *history) countOutcome(kind wardturn.OutcomeKind) {
-	h.count(func(n *Counts) {
+	h.updateCounts(func(n *Counts) {
 		switch kind {
 		case wardturn.Done:
 			n.Done++
@@ -259,88 +259,88 @@
 	})
 }
 
-// check compares the outcomes of a charge with its runs at the upstreams.
-func (h *history) check(c *charge) {
+// checkCharge compares the outcomes of a charge with its runs at the upstreams.
+func (h *history) checkCharge(c *charge) {
 	runs := 0
 	for _, u := range h.sys.Upstreams {
 		if u.Service != nil {
-			runs += u.Service.Runs(c.body)
+			runs += u.Service.Runs(c.key)
 		}
 	}
 	if runs > 1 {
-		h.fail("%s ran %d times; its caller was told %v", c.body, runs, c.told)
+		h.addViolation("%s ran %d times; its caller was told %v", c.key, runs, c.outcomes)
 	}
-	if len(c.answers) > 0 && runs != 1 {
-		h.fail("%s was answered as done and ran %d times", c.body, runs)
+	if len(c.responses) > 0 && runs != 1 {
+		h.addViolation("%s was answered as done and ran %d times", c.key, runs)
 	}
-	for _, a := range c.answers {
-		if a != c.answers[0] {
-			h.fail("%s has two answers: %s and %s", c.body, c.answers[0], a)
+	for _, a := range c.responses {
+		if a != c.responses[0] {
+			h.addViolation("%s has two answers: %s and %s", c.key, c.responses[0], a)
 		}
 	}
-	onlyNotRun := len(c.told) > 0
-	for _, k := range c.told {
+	onlyNotRun := len(c.outcomes) > 0
+	for _, k := range c.outcomes {
 		onlyNotRun = onlyNotRun && k == wardturn.NotRun
 	}
 	if onlyNotRun && runs > 0 {
-		h.fail("%s was always told not to have run, and ran", c.body)
+		h.addViolation("%s was always told not to have run, and ran", c.key)
 	}
 }
 
 var (
-	tokenText = regexp.MustCompile(`"model":"([^"]*)","choices":\[\{"index":0,"text":" w(\d+)"`)
-	endMark   = []byte("data: [DONE]\n\n")
+	tokenPattern = regexp.MustCompile(`"model":"([^"]*)","choices":\[\{"index":0,"text":" w(\d+)"`)
+	streamEnd    = []byte("data: [DONE]\n\n")
 )
 
 // stream requests a streamed completion and checks that it is complete or ends with an
 // error event.
-func (h *history) stream(adapter string, at int) {
+func (h *history) stream(adapter string, entryIndex int) {
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
-	req.SetRequestURI("http://" + h.sys.Addrs()[at] + "/v1/completions")
+	req.SetRequestURI("http://" + h.sys.Addrs()[entryIndex] + "/v1/completions")
 	req.Header.SetMethod(fasthttp.MethodPost)
-	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, adapter, tokens))
-	if err := h.http.DoTimeout(req, res, patience); err != nil {
-		h.fail("stream of %s: no answer: %v", adapter, err)
+	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, adapter, streamTokens))
+	if err := h.http.DoTimeout(req, res, maxWait); err != nil {
+		h.addViolation("stream of %s: no answer: %v", adapter, err)
 		return
 	}
 	if res.StatusCode() != fasthttp.StatusOK {
-		h.countOutcome(told(res))
+		h.countOutcome(outcomeOf(res))
 		return
 	}
 	n := 0
-	for _, m := range tokenText.FindAllSubmatch(res.Body(), -1) {
+	for _, m := range tokenPattern.FindAllSubmatch(res.Body(), -1) {
 		if string(m[1]) != adapter+"@1" {
-			h.fail("stream of %s has a token of %s", adapter, m[1])
+			h.addViolation("stream of %s has a token of %s", adapter, m[1])
 		}
 		if string(m[2]) != strconv.Itoa(n) {
-			h.fail("stream of %s has token %s at place %d", adapter, m[2], n)
+			h.addViolation("stream of %s has token %s at place %d", adapter, m[2], n)
 		}
 		n++
 	}
 	switch {
-	case !bytes.HasSuffix(res.Body(), endMark):
-		h.count(func(c *Counts) { c.Cut++ })
+	case !bytes.HasSuffix(res.Body(), streamEnd):
+		h.updateCounts(func(c *Counts) { c.Cut++ })
 		if !bytes.Contains(res.Body(), []byte("event: error\n")) {
-			h.fail("stream of %s is cut short without saying so", adapter)
+			h.addViolation("stream of %s is cut short without saying so", adapter)
 		}
-	case n != tokens:
-		h.fail("stream of %s looks whole with %d of %d tokens", adapter, n, tokens)
+	case n != streamTokens:
+		h.addViolation("stream of %s looks whole with %d of %d tokens", adapter, n, streamTokens)
 	default:
 		h.countOutcome(wardturn.Done)
 	}
 }
 
 // lookup sends a request that may run more than once.
-func (h *history) lookup(at int) {
+func (h *history) lookup(entryIndex int) {
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
-	req.SetRequestURI("http://" + h.sys.Addrs()[at] + "/v1/services/" + string(demo.Service) + "/tariff")
-	if err := h.http.DoTimeout(req, res, patience); err != nil {
-		h.fail("lookup: no answer: %v", err)
+	req.SetRequestURI("http://" + h.sys.Addrs()[entryIndex] + "/v1/services/" + string(demo.Service) + "/tariff")
+	if err := h.http.DoTimeout(req, res, maxWait); err != nil {
+		h.addViolation("lookup: no answer: %v", err)
 		return
 	}
-	kind := told(res)
+	kind := outcomeOf(res)
 	h.countOutcome(kind)
 	if kind != wardturn.Done {
 		return
@@ -349,18 +349,18 @@
 		Path string `json:"path"`
 	}
 	if json.Unmarshal(res.Body(), &receipt) != nil || receipt.Path != "/tariff" {
-		h.fail("lookup got another's answer: %s", res.Body())
+		h.addViolation("lookup got another's answer: %s", res.Body())
 	}
 }
 
-// recover waits until every adapter is served again through every entry.
-func (h *history) recover() {
-	end := time.Now().Add(patience)
-	for at := range h.sys.Entries {
-		for i := range adapters {
-			for !h.served(at, fmt.Sprintf("a%04d", i)) {
-				if time.Now().After(end) {
-					h.fail("adapter %d is not served %v after the faults", i, patience)
+// waitForRecovery waits until every adapter is served again through every entry.
+func (h *history) waitForRecovery() {
+	deadline := time.Now().Add(maxWait)
+	for entryIndex := range h.sys.Entries {
+		for i := range adapterCount {
+			for !h.served(entryIndex, fmt.Sprintf("a%04d", i)) {
+				if time.Now().After(deadline) {
+					h.addViolation("adapter %d is not served %v after the faults", i, maxWait)
 					return
 				}
 				time.Sleep(20 * time.Millisecond)
@@ -369,11 +369,11 @@
 	}
 }
 
-func (h *history) served(at int, adapter string) bool {
+func (h *history) served(entryIndex int, adapter string) bool {
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
-	req.SetRequestURI("http://" + h.sys.Addrs()[at] + "/v1/completions")
+	req.SetRequestURI("http://" + h.sys.Addrs()[entryIndex] + "/v1/completions")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":1}`, adapter))
-	return h.http.DoTimeout(req, res, patience) == nil && res.StatusCode() == fasthttp.StatusOK
+	return h.http.DoTimeout(req, res, maxWait) == nil && res.StatusCode() == fasthttp.StatusOK
 }
--- a/demo/path_bench_test.go
+++ b/demo/path_bench_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// oneByOne measures sequential requests.
-func oneByOne(b *testing.B, url, model string) {
+// benchSequential measures sequential requests.
+func benchSequential(b *testing.B, url, model string) {
 	c := &fasthttp.Client{}
 	times := make([]time.Duration, 0, b.N)
 	b.ReportAllocs()
@@ -75,10 +75,10 @@
 func BenchmarkOneByOne(b *testing.B) {
 	sys := benchSystem(b)
 	b.Run("direct", func(b *testing.B) {
-		oneByOne(b, "http://"+sys.Upstreams[0].Addr()+"/v1/completions", "a0001@1")
+		benchSequential(b, "http://"+sys.Upstreams[0].Addr()+"/v1/completions", "a0001@1")
 	})
 	b.Run("through", func(b *testing.B) {
-		oneByOne(b, "http://"+sys.Addrs()[0]+"/v1/completions", "a0001")
+		benchSequential(b, "http://"+sys.Addrs()[0]+"/v1/completions", "a0001")
 	})
 }
 
--- a/demo/system.go
+++ b/demo/system.go
@@ -75,29 +75,29 @@
 
 // Upstream is an upstream of a system with its agent.
 type Upstream struct {
-	ID      wardturn.UpstreamID
-	Host    wardturn.Host
-	Engine  *standin.Engine  // nil for a plain service
-	Service *standin.Service // nil for a model engine
-	Agent   *agent.Agent
-	Relay   *standin.Relay // to the agent; nil without Config.Relays
-	addr    string         // of the upstream itself
-	stop    func()
+	ID         wardturn.UpstreamID
+	Host       wardturn.Host
+	Engine     *standin.Engine  // nil for a plain service
+	Service    *standin.Service // nil for a model engine
+	Agent      *agent.Agent
+	Relay      *standin.Relay // to the agent; nil without Config.Relays
+	addr       string         // of the upstream itself
+	stopServer func()
 }
 
 // System is a running system.
 type System struct {
-	cfg       Config
-	Log       *standin.Log
-	Hosts     *standin.HostList
-	Store     *standin.Store
-	Upstreams []*Upstream
-	Entries   []*entry.Entry
-	LogAddr   string
-	HostsAddr string
-	metrics   []*process.Metrics
-	stops     []func()
-	processes int
+	cfg          Config
+	Log          *standin.Log
+	Hosts        *standin.HostList
+	Store        *standin.Store
+	Upstreams    []*Upstream
+	Entries      []*entry.Entry
+	LogAddr      string
+	HostsAddr    string
+	metrics      []*process.Metrics
+	stopServers  []func()
+	processCount int
 }
 
 // Start starts a system and publishes its configuration. It returns once every
@@ -151,17 +151,17 @@
 	if err != nil {
 		return "", err
 	}
-	s.stops = append(s.stops, standin.Serve(ln, h))
+	s.stopServers = append(s.stopServers, standin.Serve(ln, h))
 	return ln.Addr().String(), nil
 }
 
-func (s *System) domain(i int) wardturn.FailureDomain {
+func (s *System) failureDomain(i int) wardturn.FailureDomain {
 	return wardturn.FailureDomain(fmt.Sprintf("d%d", i%s.cfg.Domains))
 }
 
-func (s *System) process(kind string) wardturn.Incarnation {
-	s.processes++
-	return wardturn.Incarnation(fmt.Sprintf("%s%d", kind, s.processes))
+func (s *System) newProcess(kind string) wardturn.Incarnation {
+	s.processCount++
+	return wardturn.Incarnation(fmt.Sprintf("%s%d", kind, s.processCount))
 }
 
 func (s *System) addUpstream(i int) error {
@@ -171,7 +171,7 @@
 	u.Host = wardturn.Host{
 		Upstream: u.ID,
 		Region:   Region,
-		Domain:   s.domain(i),
+		Domain:   s.failureDomain(i),
 	}
 	ln, err := listen()
 	if err != nil {
@@ -184,11 +184,11 @@
 		cfg.Batch = s.cfg.Batch
 		u.Engine = standin.NewEngine(s.cfg.Clock, s.Store, cfg)
 		u.Host.Model = Model
-		u.stop = standin.Serve(ln, standin.EngineHandler(u.Engine))
+		u.stopServer = standin.Serve(ln, standin.EngineHandler(u.Engine))
 	} else {
 		u.Service = standin.NewService(s.cfg.Clock, s.cfg.Work)
 		u.Host.Service = Service
-		u.stop = standin.Serve(ln, u.Service.Handler())
+		u.stopServer = standin.Serve(ln, u.Service.Handler())
 	}
 	s.Upstreams = append(s.Upstreams, u)
 	return s.StartAgent(u, "127.0.0.1:0")
@@ -205,7 +205,7 @@
 	deps := agent.Deps{
 		Config: agent.Config{
 			Upstream: u.ID,
-			Process:  s.process("a"),
+			Process:  s.newProcess("a"),
 			Region:   u.Host.Region,
 			Domain:   u.Host.Domain,
 			Model:    u.Host.Model,
@@ -233,7 +233,7 @@
 		deps.Service = driver.NewService(u.addr)
 	}
 	u.Agent = agent.New(deps)
-	if err := s.relay(u); err != nil {
+	if err := s.setListedAddr(u); err != nil {
 		return err
 	}
 	u.Host.State = wardturn.HostLive
@@ -241,8 +241,9 @@
 	return nil
 }
 
-// relay sets the upstream's listed address to that of its agent, or of the relay to it.
-func (s *System) relay(u *Upstream) error {
+// setListedAddr sets the upstream's listed address to that of its agent, or of the relay
+// to it.
+func (s *System) setListedAddr(u *Upstream) error {
 	u.Host.Addr = u.Agent.Addr()
 	if !s.cfg.Relays {
 		return nil
@@ -270,9 +271,9 @@
 	s.metrics = append(s.metrics, metrics)
 	s.Entries = append(s.Entries, entry.New(entry.Deps{
 		Config: entry.Config{
-			Process:       s.process("e"),
+			Process:       s.newProcess("e"),
 			Region:        Region,
-			Domain:        s.domain(i),
+			Domain:        s.failureDomain(i),
 			Open:          true,
 			Deadline:      s.cfg.Deadline,
 			DeadlineGrace: s.cfg.Grace,
@@ -355,9 +356,9 @@
 		if u.Relay != nil {
 			u.Relay.Close()
 		}
-		u.stop()
+		u.stopServer()
 	}
-	for _, stop := range s.stops {
+	for _, stop := range s.stopServers {
 		stop()
 	}
 	for _, m := range s.metrics {
--- a/load/load.go
+++ b/load/load.go
@@ -69,15 +69,15 @@
 
 // Runner sends the requests of a plan and measures them.
 type Runner struct {
-	plan   Plan
-	client *fasthttp.Client
-	open   atomic.Int64
+	plan     Plan
+	client   *fasthttp.Client
+	inFlight atomic.Int64
 
-	mu    sync.Mutex
-	sum   Summary
-	whole *hdrhistogram.Histogram
-	first *hdrhistogram.Histogram
-	stall *hdrhistogram.Histogram
+	mu        sync.Mutex
+	totals    Summary
+	total     *hdrhistogram.Histogram
+	firstByte *hdrhistogram.Histogram
+	loadStall *hdrhistogram.Histogram
 }
 
 // DefaultLimit is the default of Plan.Limit.
@@ -95,12 +95,12 @@
 			StreamResponseBody:        true,
 			MaxIdemponentCallAttempts: 1,
 		},
-		sum: Summary{
+		totals: Summary{
 			Reasons: make(map[string]int),
 		},
-		whole: hdrhistogram.New(histMin, histMax, histDigits),
-		first: hdrhistogram.New(histMin, histMax, histDigits),
-		stall: hdrhistogram.New(histMin, histMax, histDigits),
+		total:     hdrhistogram.New(histMin, histMax, histDigits),
+		firstByte: hdrhistogram.New(histMin, histMax, histDigits),
+		loadStall: hdrhistogram.New(histMin, histMax, histDigits),
 	}
 }
 
@@ -110,85 +110,85 @@
 	start := r.plan.Clock.Now()
 	var wg sync.WaitGroup
 	for i, req := range r.plan.Trace {
-		due := start.Add(req.At())
-		if !wardturn.Sleep(ctx, r.plan.Clock, due.Sub(r.plan.Clock.Now())) {
+		scheduled := start.Add(req.At())
+		if !wardturn.Sleep(ctx, r.plan.Clock, scheduled.Sub(r.plan.Clock.Now())) {
 			break
 		}
-		if r.open.Load() >= int64(r.plan.Limit) {
-			r.count(func(s *Summary) { s.Skipped++ })
+		if r.inFlight.Load() >= int64(r.plan.Limit) {
+			r.updateTotals(func(s *Summary) { s.Skipped++ })
 			continue
 		}
-		r.open.Add(1)
+		r.inFlight.Add(1)
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			defer r.open.Add(-1)
-			r.send(i, req, due)
+			defer r.inFlight.Add(-1)
+			r.send(i, req, scheduled)
 		}()
 	}
 	wg.Wait()
 	return r.summary(r.plan.Clock.Now().Sub(start))
 }
 
-func (r *Runner) count(f func(*Summary)) {
+func (r *Runner) updateTotals(f func(*Summary)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.sum)
+	f(&r.totals)
 }
 
 // Snapshot returns the counts so far.
 func (r *Runner) Snapshot() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sum
+	return r.totals
 }
 
-func (r *Runner) send(i int, t experiment.Request, due time.Time) {
+func (r *Runner) send(i int, t experiment.Request, scheduled time.Time) {
 	req := fasthttp.AcquireRequest()
 	res := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
-	r.fill(req, i, t)
-	r.count(func(s *Summary) { s.Sent++ })
+	r.fillRequest(req, i, t)
+	r.updateTotals(func(s *Summary) { s.Sent++ })
 	if err := r.client.Do(req, res); err != nil {
-		r.count(func(s *Summary) { s.Failed++ })
+		r.updateTotals(func(s *Summary) { s.Failed++ })
 		return
 	}
-	first, whole, err := r.read(res)
+	firstByte, complete, err := r.readResponse(res)
 	stall, _ := strconv.Atoi(string(res.Header.Peek(entry.HeaderStall)))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.classify(res, whole, err)
+	r.classify(res, complete, err)
 	if err == nil && res.StatusCode() == fasthttp.StatusOK {
-		_ = r.whole.RecordValue(max(histMin, r.plan.Clock.Now().Sub(due).Microseconds()))
-		_ = r.first.RecordValue(max(histMin, first.Sub(due).Microseconds()))
-		_ = r.stall.RecordValue(max(histMin, int64(stall)*1000))
+		_ = r.total.RecordValue(max(histMin, r.plan.Clock.Now().Sub(scheduled).Microseconds()))
+		_ = r.firstByte.RecordValue(max(histMin, firstByte.Sub(scheduled).Microseconds()))
+		_ = r.loadStall.RecordValue(max(histMin, int64(stall)*1000))
 	}
 }
 
 // classify counts a response. The caller holds the lock.
-func (r *Runner) classify(res *fasthttp.Response, whole bool, err error) {
+func (r *Runner) classify(res *fasthttp.Response, complete bool, err error) {
 	reason := string(res.Header.Peek(entry.HeaderReason))
 	switch {
 	case err != nil:
-		r.sum.Failed++
-	case res.StatusCode() == fasthttp.StatusOK && whole:
-		r.sum.Done++
+		r.totals.Failed++
+	case res.StatusCode() == fasthttp.StatusOK && complete:
+		r.totals.Done++
 	case string(res.Header.Peek(entry.HeaderOutcome)) == wardturn.NotRun.String():
-		r.sum.NotRun++
-		r.sum.Reasons[reason]++
+		r.totals.NotRun++
+		r.totals.Reasons[reason]++
 	default:
-		r.sum.Unknown++
-		r.sum.Reasons[reason]++
+		r.totals.Unknown++
+		r.totals.Reasons[reason]++
 	}
 }
 
-// promptFiller is the text of which prompts are made.
-var promptFiller = bytes.Repeat([]byte("wait "), 1<<16)
+// promptText is the text of which prompts are made.
+var promptText = bytes.Repeat([]byte("wait "), 1<<16)
 
 const bytesPerToken = 4
 
-func (r *Runner) fill(req *fasthttp.Request, i int, t experiment.Request) {
+func (r *Runner) fillRequest(req *fasthttp.Request, i int, t experiment.Request) {
 	req.SetRequestURI("http://" + r.plan.Addrs[i%len(r.plan.Addrs)] + "/v1/completions")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType("application/json")
@@ -199,7 +199,7 @@
 	if t.DeadlineMS > 0 {
 		req.Header.Set(entry.HeaderDeadline, strconv.FormatInt(t.DeadlineMS, 10))
 	}
-	n := min(len(promptFiller), int(t.PromptTokens)*bytesPerToken)
+	n := min(len(promptText), int(t.PromptTokens)*bytesPerToken)
 	body := make([]byte, 0, n+128)
 	body = append(body, `{"model":"`...)
 	body = append(body, t.Adapter...)
@@ -209,16 +209,16 @@
 		body = append(body, `,"stream":true`...)
 	}
 	body = append(body, `,"prompt":"`...)
-	body = append(body, promptFiller[:n]...)
+	body = append(body, promptText[:n]...)
 	body = append(body, `"}`...)
 	req.SetBodyRaw(body)
 }
 
-var doneMark = []byte("data: [DONE]")
+var streamEnd = []byte("data: [DONE]")
 
-// read reads a response body to its end and returns when its first byte arrived.
+// readResponse reads a response body to its end and returns when its first byte arrived.
 // A stream is whole if it contains the end marker.
-func (r *Runner) read(res *fasthttp.Response) (first time.Time, whole bool, err error) {
+func (r *Runner) readResponse(res *fasthttp.Response) (firstByte time.Time, complete bool, err error) {
 	body := res.BodyStream()
 	if body == nil {
 		return r.plan.Clock.Now(), true, nil
@@ -228,19 +228,19 @@
 	if _, err := br.Peek(1); err != nil {
 		return r.plan.Clock.Now(), false, err
 	}
-	first = r.plan.Clock.Now()
-	whole = !r.plan.Stream
+	firstByte = r.plan.Clock.Now()
+	complete = !r.plan.Stream
 	for {
 		line, err := br.ReadSlice('\n')
-		if bytes.HasPrefix(line, doneMark) {
-			whole = true
+		if bytes.HasPrefix(line, streamEnd) {
+			complete = true
 		}
 		switch err {
 		case nil, bufio.ErrBufferFull:
 		case io.EOF:
-			return first, whole, nil
+			return firstByte, complete, nil
 		default:
-			return first, false, err
+			return firstByte, false, err
 		}
 	}
 }
@@ -248,10 +248,10 @@
 func (r *Runner) summary(took time.Duration) Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.sum
-	s.Whole = latency(r.whole)
-	s.First = latency(r.first)
-	s.Stall = latency(r.stall)
+	s := r.totals
+	s.Whole = latency(r.total)
+	s.First = latency(r.firstByte)
+	s.Stall = latency(r.loadStall)
 	s.Seconds = took.Seconds()
 	if took > 0 {
 		s.PerSec = float64(s.Done) / took.Seconds()
--- a/soak/answers.go
+++ b/soak/answers.go
@@ -12,26 +12,30 @@
 )
 
 const (
-	// leavingBound is how long after a gateway passed on that an upstream leaves requests of
-	// its callers may still be sent to it.
+	// leavingBound is the time after a gateway forwarded a response which says that its
+	// upstream is leaving. Requests that callers send to the gateway later must not reach
+	// that upstream.
 	leavingBound = 2 * time.Second
-	// leavingFor is how long an upstream says so before it ends.
+	// leavingFor is how long an upstream announces that it is leaving before it ends.
 	leavingFor = 2500 * time.Millisecond
-	// restFor is the rest that an upstream asks for, in seconds.
+	// restFor is the backoff that an upstream requests with Retry-After, in seconds.
 	restFor = 1.5
-	// restGrace and restAllowed are by when requests under way at a refusal have come, and how
-	// many of one gateway may come in the rest after that.
+	// restGrace is the time after a refusal in which requests already in flight may still
+	// arrive, and restAllowed how many requests of one gateway may arrive between then and
+	// the end of the backoff.
 	restGrace   = 500 * time.Millisecond
 	restAllowed = 2
 )
 
-// answerLedger holds which attempts were sent when by which gateway, and had answers that
-// say that their upstream leaves.
+// answerLedger checks that gateways obey the headers of upstream responses which announce
+// that the upstream is leaving or request a backoff. It records when each attempt was sent
+// to which gateway process, and which responses announced that the upstream is leaving.
 type answerLedger struct {
 	mu      sync.Mutex
 	sent    map[string]sentAttempt
-	leaving map[string]time.Time // when its caller had it, by attempt
-	// excused are times in which gateways or links could not take in answers.
+	leaving map[string]time.Time // when the caller received that announcement, by attempt
+	// excused are the intervals in which a daemon was paused, so that a gateway may not
+	// have processed responses.
 	excused []span
 }
 
@@ -56,7 +60,7 @@
 	}
 }
 
-// passedOn records the head of an answer that a caller had.
+// passedOn records the headers of a response to a caller.
 func (l *answerLedger) passedOn(id string, h http.Header) {
 	if h.Get(standin.HeaderLeaving) != "1" {
 		return
@@ -75,15 +79,16 @@
 	})
 }
 
-// excusedIn reports whether a time overlaps with one that is excused; the lock is held.
+// excusedIn reports whether an excused interval overlaps with the given one. The caller
+// holds the lock.
 func (l *answerLedger) excusedIn(from, to time.Time) bool {
 	return slices.ContainsFunc(l.excused, func(x span) bool {
 		return from.Before(x.to) && x.from.Before(to)
 	})
 }
 
-// sayingLeaves is an upstream whose answers say that it leaves while the store has it as
-// ready; then it starts again.
+// sayingLeaves returns a fault in which the responses of an upstream say that it is
+// leaving, while its entry in the store says that it is ready. At the end it restarts.
 func (s *soak) sayingLeaves(u *upstream) fault {
 	return fault{
 		name:   "upstream says in answers that it leaves",
@@ -102,7 +107,7 @@
 	}
 }
 
-// askingRest is an upstream that turns requests away and asks for a rest.
+// askingRest returns a fault in which an upstream refuses requests and requests a backoff.
 func askingRest(u *upstream) fault {
 	return fault{
 		name:   "upstream asks for a rest",
@@ -121,7 +126,8 @@
 	}
 }
 
-// checkAnswers holds what upstreams got against what their answers had said.
+// checkAnswers compares the requests that reached upstreams with what the headers of
+// their responses had announced before.
 func (s *soak) checkAnswers() {
 	l := s.answers
 	l.mu.Lock()
@@ -136,15 +142,17 @@
 	fmt.Fprintf(s.cfg.Log, "soak: answers that say that an upstream leaves: %d\n", len(l.leaving))
 }
 
-// lateAtLeaving returns the arrivals at lifetimes of an upstream whose callers sent them later
-// than allowed after their gateway had passed on that it leaves. The lock is held.
+// lateAtLeaving returns the arrivals that reached a leaving upstream although they were
+// sent more than leavingBound after their gateway had forwarded the announcement. Each
+// lifetime of the upstream is checked for itself. The caller holds the lock.
 func (l *answerLedger) lateAtLeaving(arrivals []standin.Arrival) (late []standin.Arrival) {
-	told := make(map[string]time.Time) // first, by gateway's process and lifetime
+	told := make(map[string]time.Time) // first announcement, by gateway process and lifetime
 	key := func(a standin.Arrival) string {
 		return l.sent[a.Attempt].process + " " + a.Lifetime
 	}
 	for _, a := range arrivals {
-		// An attempt may have arrived here, been turned away, and been answered elsewhere.
+		// The attempt may have been refused here and resent to another upstream, whose
+		// response the caller received.
 		at, ok := l.leaving[a.Attempt]
 		if first := told[key(a)]; ok && a.Leaving && (first.IsZero() || at.Before(first)) {
 			told[key(a)] = at
@@ -158,8 +166,8 @@
 	return late
 }
 
-// checkRests holds the arrivals of each gateway at an upstream against the rests that it was
-// asked for. The lock is held.
+// checkRests checks that each gateway obeyed the backoffs that the upstream requested. The
+// caller holds the lock.
 func (l *answerLedger) checkRests(to *ledger, u *upstream, arrivals []standin.Arrival) {
 	for _, refused := range arrivals {
 		if refused.Rest == 0 {
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -22,7 +22,7 @@
 	again bool // may run more than once
 }
 
-// names are the headers of the platform that the daemons serve on.
+// names are the header names of the platform that the daemons serve.
 var names = platform.Headers()
 
 var kinds = []kind{
@@ -44,22 +44,23 @@
 	},
 }
 
-// Counts are the answers of a soak.
+// Counts counts the responses of a soak.
 type Counts struct {
-	Done    int // whole answers
-	NotRun  int // refused as not run
-	Unknown int // errors that promise nothing
-	Cut     int // answers that ended visibly early, and connections without one
+	Done    int // status 200, with a complete body
+	NotRun  int // refused with a status which guarantees that the request did not run
+	Unknown int // other errors; the request may or may not have run
+	Cut     int // responses that ended early, and requests without a response
 }
 
-// ledger holds what callers were told, to be held against what ran.
+// ledger records the outcomes that callers received, to compare them with what ran, and
+// collects the violations that all checks of a soak find.
 type ledger struct {
 	w *world
 
 	mu         sync.Mutex
 	counts     Counts
-	notRun     []string // attempts that were told so
-	once       []string // attempts that may run once
+	notRun     []string // attempts refused as not run
+	once       []string // attempts that may run at most once
 	keyed      []keyedAttempt
 	violations []string
 }
@@ -76,7 +77,7 @@
 	l.keyed = append(l.keyed, a)
 }
 
-// callers send requests until stop is closed.
+// callers starts callers that send requests until stop is closed.
 func (s *soak) callers(n int) {
 	for i := range n {
 		s.wg.Add(1)
@@ -105,10 +106,12 @@
 const (
 	callerPatience = 5 * time.Second
 	deadlineMS     = "2500"
-	adapterSpread  = 4 // the mean of the exponential that adapters are drawn from
+	adapterSpread  = 4 // mean of the exponential distribution of adapter numbers
 )
 
-// call sends one request with a key and holds its answer against the promises.
+// call sends a request with an API key, checks the response and returns its status; zero
+// means that there was no complete response. The adapter and the speed of reading depend
+// on draw, a sample of an exponential distribution with mean 1.
 func (s *soak) call(client *http.Client, g *gatewayProcess, k kind, id, key string, draw float64) int {
 	req, err := http.NewRequest(http.MethodPost, "http://"+g.front+k.path, strings.NewReader(id))
 	if err != nil {
@@ -152,13 +155,14 @@
 }
 
 const (
-	// slowDraw is the draw from which a caller reads slowly: one in eighteen.
+	// slowDraw is the least draw with which a caller reads slowly, which makes it one
+	// request in 18.
 	slowDraw  = 2.9
 	slowPause = 150 * time.Millisecond
 	slowBytes = 64
 )
 
-// readBody reads an answer, for some draws a few bytes at a time.
+// readBody reads a response body, with some draws slowly and a few bytes at a time.
 func readBody(r io.Reader, draw float64) ([]byte, error) {
 	if draw < slowDraw {
 		return io.ReadAll(r)
@@ -209,8 +213,8 @@
 	}
 }
 
-// judgeCut records an answer that did not come or ended early. That must not
-// happen around a planned stop alone.
+// judgeCut records a response that is missing or ended early. For a request that ran, a
+// planned stop of the gateway alone must not cause that.
 func (s *soak) judgeCut(g *gatewayProcess, k kind, id string, began time.Time, err error) {
 	l := s.ledger
 	l.mu.Lock()
@@ -236,7 +240,7 @@
 	return b.String()
 }
 
-// settle holds what was told against what ran in the end.
+// settle compares the recorded outcomes with what the upstreams ran.
 func (l *ledger) settle() {
 	l.mu.Lock()
 	notRun, once := l.notRun, l.once
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,10 +1,10 @@
-// Package soak runs the daemons of the users' platform as separate processes on
-// one machine, sends them traffic, and hurts them from outside at random: links
-// that are delayed, reset, cut one way or silenced by loopback relays; processes
-// that are paused, killed, stopped and started; a store and upstreams that
-// misbehave; configurations and versions in quick succession.
+// Package soak tests the daemons of the users' platform, gateways and keepers, as
+// separate processes on one machine. It sends them traffic and injects random faults
+// from outside: loopback relays delay, reset, refuse or hold back the traffic of links;
+// processes are paused, killed, stopped and started; the store and the upstreams
+// misbehave; configurations and adapter versions change in quick succession.
 //
-// While it runs it holds what callers were told against what the upstreams ran.
-// A soak is drawn from its seed, but real processes interleave as they like: the
-// promises must hold in every run.
+// Checkers compare the responses to callers with the requests that reached the
+// upstreams and ran there. The seed determines the faults and the traffic, but not how
+// the processes interleave; the guarantees must hold in every run.
 package soak
--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// evacuatedBy is how long after the operator's word a failure domain gets no more
-	// requests: readings of the store, their word to others, and the acknowledgement.
+	// evacuatedBy is the time after the operator's order to evacuate a failure domain from
+	// which on it must get no requests. It covers the gateways' reads of the store, their
+	// reports of that to each other, and the acknowledgement.
 	evacuatedBy = 3 * time.Second
-	// emptyFor is how long that is watched.
+	// emptyFor is how long the evacuated failure domain is watched after that.
 	emptyFor = 1500 * time.Millisecond
 	// coldFor is how long an upstream is cold after its start.
 	coldFor = 6 * time.Second
-	// coldKnownBy is how long after such a start all gateways know of it.
+	// coldKnownBy is the time after such a start by which all gateways know of it.
 	coldKnownBy = 4 * time.Second
-	// coldRate, coldOverage and coldSlack are what a cold upstream bears within a second.
+	// A cold upstream may get coldRate*coldOverage + coldSlack requests within a second.
 	coldRate    = 20
 	coldOverage = 1.5
 	coldSlack   = 5
@@ -28,13 +29,13 @@
 // domains are the failure domains of the soak's upstreams.
 var domains = []string{"d", "e"}
 
-// evacuations are those that the operator has asked for.
+// evacuations are the evacuations in progress, by failure domain.
 type evacuations struct {
 	mu  sync.Mutex
 	now map[string]bool
 }
 
-// begin reports whether a domain was not evacuated.
+// begin marks a domain as evacuated and reports whether it was not before.
 func (e *evacuations) begin(domain string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,8 +52,8 @@
 	delete(e.now, domain)
 }
 
-// evacuation is the operator's word that a failure domain is to get nothing, taken back
-// after a while.
+// evacuation returns a fault in which the operator evacuates a failure domain, and revokes
+// that when the fault ends.
 func (s *soak) evacuation(r *rand.Rand) fault {
 	domain := pick(r, domains)
 	return fault{
@@ -75,8 +76,8 @@
 	}
 }
 
-// checkEmpty holds what an evacuated failure domain got against the word, if nothing else
-// happened meanwhile.
+// checkEmpty checks that the upstreams of an evacuated failure domain got no requests
+// after evacuatedBy, if there was no unplanned fault meanwhile.
 func (s *soak) checkEmpty(domain string, began time.Time) {
 	if !s.calmSince(began.Add(-calmBefore)) {
 		return
@@ -91,7 +92,7 @@
 	}
 }
 
-// arrivedIn counts arrivals between two times.
+// arrivedIn returns the number of arrivals between two times.
 func arrivedIn(arrivals []standin.Arrival, from, to time.Time) int {
 	n := 0
 	for _, a := range arrivals {
@@ -102,8 +103,9 @@
 	return n
 }
 
-// checkCold holds what an upstream that started anew got while it was cold against what it
-// bears, if nothing else happened from when all gateways should have known of it.
+// checkCold checks that a restarted upstream got no more requests while it was cold than
+// allowed, if there was no unplanned fault from calmBefore before all gateways should
+// have known of the restart.
 func (s *soak) checkCold(u *upstream, started time.Time) {
 	if !s.calmSince(started.Add(coldKnownBy - calmBefore)) {
 		return
@@ -115,7 +117,7 @@
 	}
 }
 
-// mostInSecond returns the most arrivals of a second between two times.
+// mostInSecond returns the maximum number of arrivals within any second between two times.
 func mostInSecond(arrivals []standin.Arrival, from, to time.Time) int {
 	var times []time.Time
 	for _, a := range arrivals {
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -10,32 +10,35 @@
 )
 
 const (
-	// fatalBody is the body of requests that crash each upstream that runs them.
+	// fatalBody is the body of requests that crash every upstream that runs them.
 	fatalBody = "fatal"
 	// fatalPause is the mean time between two of them.
 	fatalPause = 200 * time.Millisecond
-	// fatalTurn is how many in a row ask the same.
+	// fatalTurn is the number of consecutive fatal requests with the same path.
 	fatalTurn = 20
-	// fatalTold is how long gateways take to tell each other of an end, with some slack.
+	// fatalTold is the time in which gateways tell each other of a crash, with some slack.
 	fatalTold = 200 * time.Millisecond
-	// fatalListed is by when all gateways have read the list of upstreams: an end is told
-	// by that alone if the upstream is back before it is looked whether it still listens.
+	// fatalListed is the time in which all gateways read the list of upstreams. The list
+	// alone tells of a crash if the upstream is back before a gateway checks whether it
+	// still listens.
 	fatalListed = 1200 * time.Millisecond
-	// fatalLimit is how many upstreams may end under one before it is refused.
+	// fatalLimit is the number of upstreams that a request may crash before it is refused.
 	fatalLimit = 3
-	// fatalLate is how many times more such a request may reach upstreams.
+	// fatalLate is how often such a request may still reach upstreams after that.
 	fatalLate = 3
-	// fatalKnown is how long after the last fault all gateways have to know it.
+	// fatalKnown is the time after the last fault by which all gateways must know the
+	// requests that crash upstreams.
 	fatalKnown = 3 * time.Second
 )
 
-// fatals are the requests that crash upstreams, by path.
+// fatals counts the crashes that fatal requests caused, by path.
 type fatals struct {
 	mu      sync.Mutex
 	crashes map[string]int
 }
 
-// crashed ends an upstream: it starts again at once, empty, as another lifetime.
+// crashed simulates the crash of an upstream by a request: it counts it and restarts the
+// upstream at once, without adapters, as a new lifetime.
 func (w *world) crashed(u *upstream, path string) {
 	w.fatals.mu.Lock()
 	w.fatals.crashes[path]++
@@ -44,8 +47,8 @@
 	u.link.Reset()
 }
 
-// sendFatal sends a request that crashes its upstream, and returns the status of the
-// answer; zero: there was none.
+// sendFatal sends a request that crashes its upstream and returns the status of the
+// response; zero means that there was none.
 func (s *soak) sendFatal(client *http.Client, g *gatewayProcess, path, id string) int {
 	req, err := http.NewRequest(http.MethodPost, "http://"+g.front+path, strings.NewReader(fatalBody))
 	if err != nil {
@@ -58,13 +61,13 @@
 	req.Header.Set("Authorization", "Bearer "+stayKey)
 	res, err := client.Do(req)
 	if err != nil {
-		return 0 // its upstream ended, or a fault is under way
+		return 0 // the upstream crashed, or a fault is in progress
 	}
 	res.Body.Close()
 	return res.StatusCode
 }
 
-// fatalCaller sends such requests until stop is closed.
+// fatalCaller starts a caller that sends fatal requests until stop is closed.
 func (s *soak) fatalCaller() {
 	s.wg.Add(1)
 	go func() {
@@ -86,10 +89,11 @@
 	}()
 }
 
-// checkFatals sends each request under which enough upstreams have ended to each gateway,
-// twice: they may send it on fatalLate times in all, and then none may. Some upstreams end
-// unnoticed, since they are back within a millisecond and end again before the list tells
-// of that. It is called when all faults are over.
+// checkFatals sends each request that has crashed at least fatalLimit upstreams to each
+// gateway twice. In the first round the gateways together may forward it fatalLate times,
+// in the second they must refuse it. The allowance is needed since gateways miss some
+// crashes: an upstream that is back within a millisecond may crash again before the list
+// shows its new lifetime. It is called after the last fault.
 func (s *soak) checkFatals() {
 	time.Sleep(fatalKnown)
 	client := &http.Client{
@@ -127,7 +131,7 @@
 	}
 }
 
-// count returns how many upstreams have ended under a request.
+// count returns how many crashes the requests with a path have caused.
 func (f *fatals) count(path string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -9,11 +9,12 @@
 	"wardturn/standin"
 )
 
-// fault is one trouble: begin starts it, and what begin returns ends it.
+// fault is a fault or planned work: begin starts it, and the function that begin returns,
+// if any, ends it.
 type fault struct {
 	name    string
 	target  string
-	planned bool // planned work, around which nothing may be cut
+	planned bool // planned work, which must not interrupt requests
 	last    time.Duration
 	begin   func() (undo func())
 }
@@ -24,7 +25,7 @@
 	return standin.NewRelay(s.world.storeAddr)
 }
 
-// draw picks a fault.
+// draw returns a random fault.
 func (s *soak) draw(r *rand.Rand) fault {
 	var f fault
 	switch r.IntN(5) {
@@ -86,7 +87,7 @@
 	}
 }
 
-// links returns every link between two processes.
+// links returns the links between processes.
 func (s *soak) links() []*standin.Relay {
 	var list []*standin.Relay
 	for _, u := range s.world.upstreams {
@@ -239,8 +240,9 @@
 	}
 }
 
-// plannedWork is a stop of a daemon, a new configuration, a new version of an
-// adapter, the evacuation of a failure domain, or an upstream that leaves and comes back.
+// plannedWork returns planned work: a stop of a daemon, a new configuration, a new
+// version of an adapter, the evacuation of a failure domain, or an upstream that drains
+// and becomes ready again.
 func (s *soak) plannedWork(r *rand.Rand) fault {
 	f := fault{
 		planned: true,
@@ -287,7 +289,7 @@
 	return f
 }
 
-// heal ends every trouble.
+// heal ends all faults.
 func (s *soak) heal() {
 	s.world.store.SetFaults(standin.MetaFaults{})
 	for _, l := range s.links() {
--- a/soak/keys.go
+++ b/soak/keys.go
@@ -9,20 +9,20 @@
 
 const (
 	soakTeam = "clerks"
-	// stayKey is in every configuration, noKey in none; between two configurations
-	// one more key is taken away and another added.
+	// stayKey is in every configuration and noKey in none. Each configuration has one
+	// more key, which the next one replaces.
 	stayKey = "key-stay"
 	noKey   = "key-none"
-	// keyBound is how long after a configuration without a key requests may be sent
-	// that run with it: the gateways' setting.
+	// keyBound is how long after the removal of a key from the configuration a request
+	// with it may still run; it follows a setting of the gateways.
 	keyBound = 5 * time.Second
 )
 
-// teamKeys are the keys of the team whose callers a soak plays.
+// teamKeys are the API keys of the team that the soak's callers belong to.
 type teamKeys struct {
 	mu      sync.Mutex
 	present string
-	removed map[string]time.Time // of keys that were taken away, when the store had taken that
+	removed map[string]time.Time // when the store had accepted the removal, by key
 	all     []string
 }
 
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("key-turn-%d", version)
 }
 
-// configured records that the store holds a version of the configuration.
+// configured records that the store has accepted a version of the configuration.
 func (k *teamKeys) configured(version int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -44,7 +44,7 @@
 	k.all = append(k.all, k.present)
 }
 
-// draw returns the key of a request.
+// draw returns a random key for a request.
 func (k *teamKeys) draw(r *rand.Rand) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -57,7 +57,7 @@
 	return stayKey
 }
 
-// mayRun reports whether a request with a key that was sent at a time may run.
+// mayRun reports whether a request sent at the given time with a key may run.
 func (k *teamKeys) mayRun(key string, sent time.Time) bool {
 	if key == noKey {
 		return false
@@ -68,14 +68,15 @@
 	return !gone || !sent.After(at.Add(keyBound))
 }
 
-// keyedAttempt is a request with its key.
+// keyedAttempt is an attempt with its API key.
 type keyedAttempt struct {
 	id   string
 	key  string
 	sent time.Time
 }
 
-// settleKeys holds the keys of requests against what ran, and as which team.
+// settleKeys checks that no request ran without a valid key, and that upstreams received
+// the team in place of the key.
 func (l *ledger) settleKeys() {
 	l.mu.Lock()
 	list := l.keyed
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	limitWindow  = 4 * time.Second
-	limitGrace   = 500 * time.Millisecond // from an answer that names a limit until its gateway keeps it
-	limitExcused = 1500 * time.Millisecond
-	leastNamed   = 6 * time.Second // that an upstream names a limit
-	moreNamed    = 5 * time.Second
-	limitRest    = 2 * time.Second // between two upstreams that do
-	garbledFor   = 300 * time.Millisecond
-	mostRate     = 20.0 // requests a second
+	limitWindow  = 4 * time.Second         // in which requests are counted
+	limitGrace   = 500 * time.Millisecond  // until a gateway obeys a limit in a response
+	limitExcused = 1500 * time.Millisecond // how long the effects of a fault outlast it
+	leastNamed   = 6 * time.Second         // minimum duration of an announced limit
+	moreNamed    = 5 * time.Second         // maximum random addition to leastNamed
+	limitRest    = 2 * time.Second         // between the limits of two upstreams
+	garbledFor   = 300 * time.Millisecond  // for which the announced limit can't be parsed
+	mostRate     = 20.0                    // maximum limit in requests per second
 )
 
-// naming is a time in which an upstream names a limit. Its figure is given by no other.
+// naming is an interval in which an upstream announces a rate limit in its responses. Its
+// figure, the text of the limit, is unique.
 type naming struct {
 	u      *upstream
 	figure string
@@ -31,20 +32,21 @@
 	to     time.Time
 }
 
-// span is a time in which requests reach an upstream in other order than they were sent, or
-// in which it is a new one to gateways.
+// span is an interval to which checks of arrivals do not apply, since a fault may have
+// delayed or reordered requests, or since an upstream has a new id.
 type span struct {
 	from time.Time
 	to   time.Time
 }
 
-// limitLedger holds which upstreams named limits, which gateways passed that on, and by
-// which gateway each attempt went.
+// limitLedger checks that gateways obey the rate limits that upstreams announce. It records
+// which upstreams announced which limits, which gateway processes forwarded them, and to
+// which gateway process each attempt was sent.
 type limitLedger struct {
 	mu      sync.Mutex
 	namings []naming
-	told    map[string]time.Time // first, by gateway's process and figure
-	via     map[string]string    // gateway's process, by attempt
+	told    map[string]time.Time // first response with it, by gateway process and figure
+	via     map[string]string    // gateway process, by attempt
 }
 
 func newLimitLedger() *limitLedger {
@@ -60,7 +62,7 @@
 	l.via[id] = process
 }
 
-// passedOn records that a caller had an answer that names a limit.
+// passedOn records that a caller received a response that announces a limit.
 func (l *limitLedger) passedOn(process, figure string) {
 	if figure == "" {
 		return
@@ -73,8 +75,8 @@
 	}
 }
 
-// nameLimits has one upstream after another name a limit until the soak ends; some figures
-// in between are garbled.
+// nameLimits starts a goroutine in which one random upstream after another announces a
+// limit, until the soak ends. For a while in between it announces one that can't be parsed.
 func (s *soak) nameLimits() {
 	s.wg.Add(1)
 	go func() {
@@ -108,7 +110,7 @@
 	}()
 }
 
-// pause waits, and reports whether the soak goes on.
+// pause waits for d or the end of the soak, and reports whether the soak goes on.
 func (s *soak) pause(d time.Duration) bool {
 	select {
 	case <-s.stop:
@@ -118,7 +120,8 @@
 	}
 }
 
-// checkLimits holds what upstreams got against what they named.
+// checkLimits compares the rates of requests that upstreams got with the limits that they
+// announced.
 func (s *soak) checkLimits() {
 	l := s.limits
 	l.mu.Lock()
@@ -133,8 +136,8 @@
 	}
 }
 
-// mostOf returns the most requests of a window that count: of gateways that had passed the
-// figure on. The lock is held.
+// mostOf returns the maximum number of requests within any limitWindow that is not excused.
+// Only requests of gateways that had forwarded the limit count. The caller holds the lock.
 func (l *limitLedger) mostOf(n naming, arrivals []standin.Arrival) int {
 	var times []time.Time
 	for _, a := range arrivals {
@@ -156,7 +159,7 @@
 	return most
 }
 
-// nameLimit sets the figure that the upstream's answers name; empty: none.
+// nameLimit sets the limit that the upstream's responses announce; empty means none.
 func (u *upstream) nameLimit(figure string) {
 	u.mu.Lock()
 	u.limit = figure
@@ -165,8 +168,8 @@
 	u.behave(f)
 }
 
-// excuse records that something happened to the upstream or its link that may bring
-// requests together.
+// excuse records an event at the upstream or its link that may delay requests so that they
+// arrive bunched.
 func (u *upstream) excuse(from, to time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -176,7 +179,7 @@
 	})
 }
 
-// excusedIn reports whether a window overlaps with such a time.
+// excusedIn reports whether an excused interval overlaps with the given one.
 func (u *upstream) excusedIn(from, to time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -185,7 +188,7 @@
 	})
 }
 
-// upstreamOf returns the upstream of a link, or nil.
+// upstreamOf returns the upstream behind a link between it and gateways, or nil.
 func (w *world) upstreamOf(l *standin.Relay) *upstream {
 	for _, u := range w.upstreams {
 		if u.link == l {
@@ -195,7 +198,8 @@
 	return nil
 }
 
-// excusing has a fault of an upstream's link excuse what comes while it lasts.
+// excusing wraps the begin function of a fault at an upstream's link, so that the
+// upstream's arrivals are excused while the fault lasts.
 func excusing(u *upstream, begin func() func()) func() func() {
 	if u == nil {
 		return begin
--- a/soak/process.go
+++ b/soak/process.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// daemon is one process of the system, started again whenever it ends.
+// daemon is a process of the system, restarted whenever it exits.
 type daemon struct {
 	name string
 	bin  string
@@ -25,9 +25,9 @@
 	closed  bool
 	termed  time.Time // of the latest SIGTERM
 	ended   chan struct{}
-	crashes int // ends without a signal of ours
+	crashes int // exits without a SIGTERM or SIGKILL from the soak
 	starts  int
-	hurt    bool
+	hurt    bool // the running process got a SIGTERM or SIGKILL
 }
 
 func start(name, bin string, args []string, log io.Writer) (*daemon, error) {
@@ -56,7 +56,7 @@
 	return errors.Wrap(d.cmd.Start(), d.name)
 }
 
-// restartPause is the time between the end of a process and its next start.
+// restartPause is the time between the exit of a process and its next start.
 const restartPause = 100 * time.Millisecond
 
 func (d *daemon) supervise() {
@@ -65,7 +65,7 @@
 		d.mu.Lock()
 		cmd := d.cmd
 		d.mu.Unlock()
-		_ = cmd.Wait() // how it ended does not matter
+		_ = cmd.Wait() // the exit status does not matter
 		d.mu.Lock()
 		closed := d.closed
 		if !closed && !d.hurt {
@@ -82,14 +82,14 @@
 	}
 }
 
-// process names the process that runs now.
+// process returns a unique name of the running process.
 func (d *daemon) process() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return fmt.Sprintf("%s/%d", d.name, d.starts)
 }
 
-// signal sends a signal to the process that runs now.
+// signal sends a signal to the running process.
 func (d *daemon) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,7 +99,7 @@
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
 		d.hurt = true
 	}
-	_ = d.cmd.Process.Signal(s) // it may just have ended
+	_ = d.cmd.Process.Signal(s) // fails if the process has just exited
 }
 
 func (d *daemon) close() {
@@ -111,7 +111,7 @@
 	<-d.ended
 }
 
-// freeAddr returns a loopback address that is free now.
+// freeAddr returns a loopback address whose port is free at present.
 func freeAddr() (string, error) {
 	var err error
 	for range portTries {
@@ -125,8 +125,8 @@
 	return "", errors.Wrap(err, "soak")
 }
 
-// leastPort and ports are the ports that daemons listen on. They lie below those that the
-// kernel gives to connections, which would take one before its daemon has started.
+// Daemons listen on ports ports from leastPort on. These lie below the kernel's range of
+// ephemeral ports, where a connection could take a port before its daemon has started.
 const (
 	leastPort = 12000
 	ports     = 18000
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -12,35 +12,35 @@
 )
 
 const (
-	grace      = 4 * time.Second  // between SIGTERM and the end, for the daemons
-	leaveAfter = time.Second      // that a stopping gateway takes requests
-	calmBefore = 3 * time.Second  // without an unplanned fault, for promises about planned stops
-	recoverIn  = 12 * time.Second // to full service after the last fault
-	patience   = 15 * time.Second // for the first requests
+	grace      = 4 * time.Second  // the gateways' time between SIGTERM and exit
+	leaveAfter = time.Second      // how long a stopping gateway still accepts requests
+	calmBefore = 3 * time.Second  // without unplanned faults, required by some checks
+	recoverIn  = 12 * time.Second // until full service after the last fault
+	patience   = 15 * time.Second // until full service after the start
 )
 
-// Config says how a soak runs.
+// Config configures a soak.
 type Config struct {
-	Binary   string // of the daemons
+	Binary   string // path of the daemons' executable
 	Seed     uint64
-	For      time.Duration // with faults
+	For      time.Duration // time in which faults are injected
 	Gateways int
-	Engines  int
-	Apps     int
+	Engines  int // each with a keeper
+	Apps     int // plain services
 	Callers  int
-	AtOnce   int       // faults that overlap
-	Log      io.Writer // lines of the daemons and of the faults
+	AtOnce   int       // maximum number of concurrent faults
+	Log      io.Writer // receives the output of the daemons and a line for each fault
 }
 
-// Report is what a soak showed.
+// Report is the result of a soak.
 type Report struct {
 	Counts     Counts
-	Faults     map[string]int
-	Recovered  time.Duration // from the last fault to full service
+	Faults     map[string]int // number of injected faults by name
+	Recovered  time.Duration  // from the last fault to full service
 	Violations []string
 }
 
-// gatewayProcess is a gateway with the link to its store.
+// gatewayProcess is a gateway with its link to the store.
 type gatewayProcess struct {
 	*daemon
 	front string
@@ -62,11 +62,11 @@
 
 	mu      sync.Mutex
 	faults  map[string]int
-	hurting int       // unplanned faults under way
-	calmAt  time.Time // end of the latest of them
+	hurting int       // unplanned faults in progress
+	calmAt  time.Time // when the latest one ended
 }
 
-// Run plays one soak.
+// Run runs a soak and returns its result.
 func Run(ctx context.Context, cfg Config) (Report, error) {
 	w, err := newWorld(cfg.Engines, cfg.Apps)
 	if err != nil {
@@ -164,7 +164,7 @@
 	}, err
 }
 
-// keeperProcess is a keeper with the link to its store.
+// keeperProcess is a keeper with its link to the store.
 type keeperProcess struct {
 	*daemon
 	store storeLink
@@ -198,8 +198,8 @@
 	}
 }
 
-// served waits until every gateway serves every kind of request, and returns how
-// long that took.
+// served waits until every gateway has served every kind of request and returns how
+// long that took. It reports false if it took longer than the limit.
 func (s *soak) served(limit time.Duration) (time.Duration, bool) {
 	began := time.Now()
 	client := &http.Client{
@@ -224,7 +224,7 @@
 	return time.Since(began), true
 }
 
-// checkCrashes looks for daemons that ended by themselves.
+// checkCrashes reports daemons that exited without a signal from the soak.
 func (s *soak) checkCrashes() {
 	var all []*daemon
 	for _, g := range s.gateways {
@@ -243,15 +243,15 @@
 	}
 }
 
-// calmSince reports whether no unplanned fault has been under way since a time.
+// calmSince reports whether no unplanned fault has been in progress since t.
 func (s *soak) calmSince(t time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hurting == 0 && s.calmAt.Before(t)
 }
 
-// hurt plays random faults, some at once, until the time is over; then all are
-// healed.
+// hurt injects random faults, up to cfg.AtOnce concurrently, until cfg.For has passed,
+// and then heals all of them.
 func (s *soak) hurt(ctx context.Context) {
 	var wg sync.WaitGroup
 	until := time.Now().Add(s.cfg.For)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,7 +14,7 @@
 	"wardturn/standin"
 )
 
-// TestSoak plays a short soak with the real daemons.
+// TestSoak runs a short soak with the real daemons.
 func TestSoak(t *testing.T) {
 	bin := filepath.Join(t.TempDir(), "wardturn-fleet")
 	build := exec.Command("go", "build", "-o", bin, "wardturn/cmd/wardturn-fleet")
@@ -43,7 +43,7 @@
 	}
 }
 
-// ranOnce sends a request straight to an upstream, as a gateway would.
+// ranOnce sends a request directly to an upstream, as a gateway would.
 func ranOnce(t *testing.T, u *upstream, id string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+u.addr+"/charge/x", strings.NewReader("x"))
@@ -87,7 +87,7 @@
 		},
 	}, "not the answer")
 	if len(l.violations) != 4 {
-		t.Fatalf("a wrong receipt and a wrong body are not seen: %q", l.violations)
+		t.Fatalf("a wrong receipt or a wrong body is not detected: %q", l.violations)
 	}
 }
 
@@ -112,13 +112,13 @@
 	s.checkCold(cold, started)
 	s.checkEmpty(w.upstreams[1].domain, began)
 	if len(s.ledger.violations) != 0 {
-		t.Fatalf("as many as it bears, and none in the other domain: %q", s.ledger.violations)
+		t.Fatalf("violations for the allowed number of requests and none in the other domain: %q", s.ledger.violations)
 	}
 	ranOnce(t, cold, "one more")
 	s.checkCold(cold, started)
 	s.checkEmpty(cold.domain, began)
 	if len(s.ledger.violations) != 2 {
-		t.Fatalf("one request too many, and those after an evacuation: %q", s.ledger.violations)
+		t.Fatalf("want violations for one request too many and for those after an evacuation: %q", s.ledger.violations)
 	}
 }
 
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	defer w.close()
-	w.configure() // takes the first key away
+	w.configure() // removes the first key
 	u := w.upstreams[0]
 	ranOnce(t, u, "unknown")
 	ranOnce(t, u, "late")
@@ -153,7 +153,7 @@
 		},
 	}
 	l.settleKeys()
-	// Two ran without a right, and all three without their team.
+	// Two ran without a valid key, and all three without the team header.
 	if len(l.violations) != 5 {
 		t.Fatalf("%d violations: %q", len(l.violations), l.violations)
 	}
@@ -192,23 +192,23 @@
 	}
 	s.limits.passedOn("told", figure)
 	send("untold", 20)
-	send("told", 20) // at once
+	send("told", 20) // within limitGrace
 	time.Sleep(limitGrace)
 	send("told-later", 20)
-	send("told", 8) // as many as are allowed
+	send("told", 8) // the allowed number
 	n.to = time.Now()
 	s.limits.namings = []naming{n}
 	if s.checkLimits(); len(s.ledger.violations) != 0 {
-		t.Fatalf("what is allowed is broken: %q", s.ledger.violations)
+		t.Fatalf("allowed requests are reported: %q", s.ledger.violations)
 	}
 	send("told", 1)
 	s.limits.namings[0].to = time.Now()
 	if s.checkLimits(); len(s.ledger.violations) != 1 {
-		t.Fatalf("one more is not seen: %q", s.ledger.violations)
+		t.Fatalf("one request too many is not detected: %q", s.ledger.violations)
 	}
 	u.excuse(n.from, time.Now())
 	if s.checkLimits(); len(s.ledger.violations) != 1 {
-		t.Fatalf("an excused window counts: %q", s.ledger.violations)
+		t.Fatalf("a violation in an excused window is reported: %q", s.ledger.violations)
 	}
 }
 
@@ -233,7 +233,7 @@
 		s.answers.note(id, process)
 		ranOnce(t, u, id)
 	}
-	send("elsewhere", "resent") // and answered by an upstream that leaves
+	send("elsewhere", "resent") // resent to a leaving upstream, which answered
 	s.answers.leaving["resent"] = time.Now().Add(-leavingBound)
 	send("elsewhere", "allowed")
 	u.behave(standin.WorkerFaults{
@@ -243,11 +243,11 @@
 	s.answers.leaving["leaves"] = time.Now().Add(-leavingBound)
 	send("untold", "other")
 	if s.checkAnswers(); len(s.ledger.violations) != 0 {
-		t.Fatalf("what is allowed is broken: %q", s.ledger.violations)
+		t.Fatalf("allowed requests are reported: %q", s.ledger.violations)
 	}
 	send("told", "late")
 	if s.checkAnswers(); len(s.ledger.violations) != 1 {
-		t.Fatalf("a late request is not seen: %q", s.ledger.violations)
+		t.Fatalf("a late request is not detected: %q", s.ledger.violations)
 	}
 	s.ledger.violations = nil
 	s.answers.leaving = nil
@@ -255,20 +255,20 @@
 	send("resting", "refused")
 	time.Sleep(restGrace)
 	for i := range restAllowed + 1 {
-		send("other", fmt.Sprint("allowed", i)) // each is told as well
+		send("other", fmt.Sprint("allowed", i)) // gets backoff requests too
 		if i < restAllowed {
 			send("resting", fmt.Sprint("in", i))
 		}
 	}
 	if s.checkAnswers(); len(s.ledger.violations) != 0 {
-		t.Fatalf("what is allowed is broken: %q", s.ledger.violations)
+		t.Fatalf("allowed requests are reported: %q", s.ledger.violations)
 	}
 	send("resting", "over")
 	if s.checkAnswers(); len(s.ledger.violations) != 1 {
-		t.Fatalf("one more is not seen: %q", s.ledger.violations)
+		t.Fatalf("one request too many is not detected: %q", s.ledger.violations)
 	}
 	s.answers.excuse(time.Now().Add(-time.Second), time.Now())
 	if s.checkAnswers(); len(s.ledger.violations) != 1 {
-		t.Fatalf("an excused rest counts: %q", s.ledger.violations)
+		t.Fatalf("a violation in an excused backoff is reported: %q", s.ledger.violations)
 	}
 }
--- a/soak/storereturn.go
+++ b/soak/storereturn.go
@@ -7,17 +7,18 @@
 	"wardturn/standin"
 )
 
-// awayBefore is how long the store is away before it comes back from an older copy.
+// awayBefore is how long the store is unavailable before it is restored.
 const awayBefore = 300 * time.Millisecond
 
-// writings are what was written to the store, to be written again.
+// writings are the changes made to the store, to repeat them after it was restored from
+// an older copy.
 type writings struct {
 	mu       sync.Mutex
-	versions map[string]int64 // newest of each adapter
-	dropped  []string         // entries of lifetimes that ended
+	versions map[string]int64 // newest version by adapter
+	dropped  []string         // ids of the dropped entries of upstreams
 }
 
-// drop drops the entry of a lifetime that ended.
+// drop deletes the store entry of a lifetime that ended.
 func (w *world) drop(id string) {
 	w.written.mu.Lock()
 	defer w.written.mu.Unlock()
@@ -25,7 +26,7 @@
 	w.store.DropServer(id)
 }
 
-// nameVersion names a new version of an adapter.
+// nameVersion announces a new version of an adapter.
 func (s *soak) nameVersion(adapter string, version int64) {
 	for _, u := range s.world.upstreams {
 		u.worker.Name(adapter, version)
@@ -37,7 +38,8 @@
 	s.world.store.PutVersion("m0", adapter, w.versions[adapter])
 }
 
-// storeReturn is a store that comes back from a copy of the fault's begin.
+// storeReturn returns a fault at whose end the store is restored from a copy made at its
+// begin.
 func (s *soak) storeReturn() fault {
 	return fault{
 		name:   "store comes back from an older copy",
@@ -57,7 +59,7 @@
 	}
 }
 
-// writeAgain writes what the store may have lost.
+// writeAgain repeats the writes that the store may have lost.
 func (s *soak) writeAgain() {
 	s.evacuations.mu.Lock()
 	for _, domain := range domains {
--- a/soak/world.go
+++ b/soak/world.go
@@ -13,40 +13,42 @@
 )
 
 const (
-	beatEvery  = time.Second // of the upstreams' entries in the store
-	slots      = 3           // adapter slots of an engine, few so that they turn over
+	beatEvery  = time.Second // interval of the renewal of the upstreams' entries
+	slots      = 3           // adapter slots of an engine; few, to cause evictions
 	loadTime   = 30 * time.Millisecond
 	pieces     = 6 // events of a stream
 	piecePause = 10 * time.Millisecond
 )
 
-// upstream is a stand-in of an engine or a plain service with its links.
+// upstream is a stand-in for an engine or a plain service, with its links.
 type upstream struct {
 	worker  *standin.ModelWorker
 	service string
 	domain  string
-	addr    string // that gateways use: the relay's
-	link    *standin.Relay
-	keeper  *standin.Relay // between gateways and the keeper; nil for a plain service
+	addr    string         // address for gateways, that of link
+	link    *standin.Relay // from gateways to the upstream
+	keeper  *standin.Relay // from gateways to the upstream's keeper; nil for a plain service
 	server  *http.Server
 
 	mu    sync.Mutex
 	id    string
 	lives int
 	state string
-	// faults and limit are how it misbehaves, and the requests a second that it names.
-	faults  standin.WorkerFaults
-	limit   string
+	// faults are the injected faults, and limit is the rate limit, in requests per second,
+	// that the responses announce.
+	faults standin.WorkerFaults
+	limit  string
+	// excused are the intervals in which the rates of its requests are not checked.
 	excused []span
 }
 
-// world is the platform around the daemons.
+// world simulates the platform around the daemons: the store and the upstreams.
 type world struct {
 	store     *standin.MetaStore
 	storeAddr string
 	server    *http.Server
 	upstreams []*upstream
-	port      string // of keepers
+	port      string // of all keepers
 	version   int
 	keys      teamKeys
 	fatals    fatals
@@ -125,14 +127,14 @@
 	return w, nil
 }
 
-// configure publishes the next configuration.
+// configure publishes the next version of the configuration.
 func (w *world) configure() {
 	w.version++
 	w.store.PutConfig(fmt.Sprintf(soakConfig, w.version, coldRate, slots, coldRate, soakTeam, stayKey, turnKey(w.version)))
 	w.keys.configured(w.version)
 }
 
-// frontHost and backHost are the two sides of an upstream's links.
+// frontHost and backHost are the IP addresses of an upstream before and behind its links.
 func frontHost(i int) string { return fmt.Sprintf("127.0.0.%d", 10+i) }
 func backHost(i int) string  { return fmt.Sprintf("127.0.1.%d", 10+i) }
 
@@ -169,7 +171,7 @@
 	return nil
 }
 
-// freePort returns a port that is free on both sides of the links of n engines.
+// freePort returns a port that is free on the front and back hosts of n engines.
 func freePort(n int) (string, error) {
 	for range 100 {
 		port, free := "0", true
@@ -195,14 +197,14 @@
 	return "", errors.New("soak: no port is free on all hosts")
 }
 
-// addKeeperLink opens the relay before a keeper. All keepers have one port.
+// addKeeperLink opens the relay to a keeper. All keepers use the same port.
 func (w *world) addKeeperLink(u *upstream, i int) error {
 	var err error
 	u.keeper, err = standin.NewRelayAt(net.JoinHostPort(frontHost(i), w.port), net.JoinHostPort(backHost(i), w.port))
 	return err
 }
 
-// backAddr is where the keeper beside an engine finds it.
+// backAddr returns the address at which the keeper reaches its engine, without a relay.
 func (u *upstream) backAddr() string {
 	return u.link.Target()
 }
@@ -213,7 +215,7 @@
 	w.store.PutServer(u.id, u.worker.Entry(u.service, u.addr, u.domain, u.state))
 }
 
-// beat renews the entries of the upstreams.
+// beat renews the store entries of the upstreams periodically.
 func (w *world) beat() {
 	for {
 		select {
@@ -227,8 +229,8 @@
 	}
 }
 
-// restart begins a new lifetime of an upstream, empty: under another id, or each second
-// time under the one that it has.
+// restart restarts an upstream without adapters, as a new lifetime. Every second time it
+// keeps its id, otherwise it gets a new one.
 func (w *world) restart(u *upstream) {
 	u.mu.Lock()
 	old := u.id
@@ -243,12 +245,13 @@
 	u.id = fmt.Sprintf("%s-%d", old, u.lives)
 	u.worker.Restart(u.id)
 	u.mu.Unlock()
-	u.excuse(time.Now(), time.Now()) // under this id it has named nothing
+	u.excuse(time.Now(), time.Now()) // gateways know no limit for the new id
 	w.enter(u)
 	w.drop(old)
 }
 
-// behave gives an upstream some troubles; a fatal request crashes it all the same.
+// behave sets the injected faults of an upstream. Fatal requests crash it whatever they
+// are.
 func (u *upstream) behave(f standin.WorkerFaults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -264,7 +267,7 @@
 	u.state = state
 }
 
-// runs counts the runs of an attempt at all upstreams.
+// runs returns how often an attempt ran, at all upstreams together.
 func (w *world) runs(attempt string) int {
 	n := 0
 	for _, u := range w.upstreams {
