--- a/soak/callers.go
+++ b/soak/callers.go
@@ -15,32 +15,32 @@
 	"wardturn/standin"
 )
 
-// kind is a kind of request.
-type kind struct {
-	path  string
-	model bool // runs on an engine, with an adapter
-	again bool // may run more than once
+// requestKind is a kind of request.
+type requestKind struct {
+	path       string
+	onEngine   bool // runs on an engine, with an adapter
+	repeatable bool // may run more than once
 }
 
-// names are the header names of the platform that the daemons serve.
-var names = platform.Headers()
+// platformHeaders are the header names of the platform that the daemons serve.
+var platformHeaders = platform.Headers()
 
-var kinds = []kind{
+var requestKinds = []requestKind{
 	{
-		path:  "/ask/x",
-		model: true,
+		path:     "/ask/x",
+		onEngine: true,
 	},
 	{
-		path:  "/resume/x",
-		model: true,
-		again: true,
+		path:       "/resume/x",
+		onEngine:   true,
+		repeatable: true,
 	},
 	{
 		path: "/charge/x",
 	},
 	{
-		path:  "/look/x",
-		again: true,
+		path:       "/look/x",
+		repeatable: true,
 	},
 }
 
@@ -52,40 +52,40 @@
 	Cut     int // responses that ended early, and requests without a response
 }
 
-// ledger records the outcomes that callers received, to compare them with what ran, and
+// requestChecker records the outcomes that callers received, to compare them with what ran, and
 // collects the violations that all checks of a soak find.
-type ledger struct {
-	w *world
+type requestChecker struct {
+	world *world
 
 	mu         sync.Mutex
 	counts     Counts
 	notRun     []string // attempts refused as not run
-	once       []string // attempts that may run at most once
+	atMostOnce []string // attempts that may run at most once
 	keyed      []keyedAttempt
 	violations []string
 }
 
-func (l *ledger) broken(format string, args ...any) {
+func (l *requestChecker) addViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-func (l *ledger) note(a keyedAttempt) {
+func (l *requestChecker) recordSent(a keyedAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.keyed = append(l.keyed, a)
 }
 
-// callers starts callers that send requests until stop is closed.
-func (s *soak) callers(n int) {
+// startCallers starts callers that send requests until stop is closed.
+func (s *soak) startCallers(n int) {
 	for i := range n {
 		s.wg.Add(1)
 		go func() {
 			defer s.wg.Done()
 			r := rand.New(rand.NewPCG(s.cfg.Seed, uint64(i)))
 			client := &http.Client{
-				Timeout:   callerPatience,
+				Timeout:   callerTimeout,
 				Transport: &http.Transport{},
 			}
 			defer client.CloseIdleConnections()
@@ -97,78 +97,78 @@
 				}
 				g := s.gateways[r.IntN(len(s.gateways))]
 				id := fmt.Sprintf("c%d-%d", i, n)
-				s.call(client, g, kinds[r.IntN(len(kinds))], id, s.world.keys.draw(r), r.ExpFloat64())
+				s.sendRequest(client, g, requestKinds[r.IntN(len(requestKinds))], id, s.world.keys.randomKey(r), r.ExpFloat64())
 			}
 		}()
 	}
 }
 
 const (
-	callerPatience = 5 * time.Second
-	deadlineMS     = "2500"
-	adapterSpread  = 4 // mean of the exponential distribution of adapter numbers
+	callerTimeout = 5 * time.Second
+	deadlineMS    = "2500"
+	adapterMean   = 4 // mean of the exponential distribution of adapter numbers
 )
 
-// call sends a request with an API key, checks the response and returns its status; zero
+// sendRequest sends a request with an API key, checks the response and returns its status; zero
 // means that there was no complete response. The adapter and the speed of reading depend
 // on draw, a sample of an exponential distribution with mean 1.
-func (s *soak) call(client *http.Client, g *gatewayProcess, k kind, id, key string, draw float64) int {
-	req, err := http.NewRequest(http.MethodPost, "http://"+g.front+k.path, strings.NewReader(id))
+func (s *soak) sendRequest(client *http.Client, g *gatewayProcess, k requestKind, id, key string, draw float64) int {
+	req, err := http.NewRequest(http.MethodPost, "http://"+g.addr+k.path, strings.NewReader(id))
 	if err != nil {
-		s.ledger.broken("%s: %v", id, err)
+		s.requests.addViolation("%s: %v", id, err)
 		return 0
 	}
 	req.Host = "h"
-	req.Header.Set(names.Attempt, id)
-	req.Header.Set(names.DeadlineMS, deadlineMS)
-	if k.model {
-		req.Header.Set(names.Adapter, fmt.Sprintf("m0/a%d", int(draw*adapterSpread)))
+	req.Header.Set(platformHeaders.Attempt, id)
+	req.Header.Set(platformHeaders.DeadlineMS, deadlineMS)
+	if k.onEngine {
+		req.Header.Set(platformHeaders.Adapter, fmt.Sprintf("m0/a%d", int(draw*adapterMean)))
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	began := time.Now()
-	process := g.process()
-	s.limits.sent(id, process)
-	s.answers.note(id, process)
-	s.ledger.note(keyedAttempt{
+	process := g.processName()
+	s.limits.recordSent(id, process)
+	s.responses.recordSent(id, process)
+	s.requests.recordSent(keyedAttempt{
 		id:   id,
 		key:  key,
 		sent: began,
 	})
 	res, err := client.Do(req)
 	if err != nil {
-		s.judgeCut(g, k, id, began, err)
+		s.recordCut(g, k, id, began, err)
 		return 0
 	}
-	s.limits.passedOn(process, res.Header.Get(standin.HeaderLimit))
-	s.answers.passedOn(id, res.Header)
+	s.limits.recordResponse(process, res.Header.Get(standin.HeaderLimit))
+	s.responses.recordResponse(id, res.Header)
 	body, err := readBody(res.Body, draw)
 	res.Body.Close()
 	if err != nil {
-		s.judgeCut(g, k, id, began, err)
+		s.recordCut(g, k, id, began, err)
 		return 0
 	}
-	if key == stayKey && res.StatusCode == http.StatusUnauthorized {
-		s.ledger.broken("%s: 401 for a key that every configuration holds", id)
+	if key == permanentKey && res.StatusCode == http.StatusUnauthorized {
+		s.requests.addViolation("%s: 401 for a key that every configuration holds", id)
 	}
-	s.judge(k, id, res, string(body))
+	s.checkResponse(k, id, res, string(body))
 	return res.StatusCode
 }
 
 const (
-	// slowDraw is the least draw with which a caller reads slowly, which makes it one
+	// slowReaderDraw is the least draw with which a caller reads slowly, which makes it one
 	// request in 18.
-	slowDraw  = 2.9
-	slowPause = 150 * time.Millisecond
-	slowBytes = 64
+	slowReaderDraw   = 2.9
+	slowReadInterval = 150 * time.Millisecond
+	slowReadSize     = 64
 )
 
 // readBody reads a response body, with some draws slowly and a few bytes at a time.
 func readBody(r io.Reader, draw float64) ([]byte, error) {
-	if draw < slowDraw {
+	if draw < slowReaderDraw {
 		return io.ReadAll(r)
 	}
 	var body []byte
-	buf := make([]byte, slowBytes)
+	buf := make([]byte, slowReadSize)
 	for {
 		n, err := r.Read(buf)
 		body = append(body, buf[:n]...)
@@ -178,15 +178,15 @@
 		if err != nil {
 			return body, err
 		}
-		time.Sleep(slowPause)
+		time.Sleep(slowReadInterval)
 	}
 }
 
-func (s *soak) judge(k kind, id string, res *http.Response, body string) {
-	l := s.ledger
+func (s *soak) checkResponse(k requestKind, id string, res *http.Response, body string) {
+	l := s.requests
 	l.mu.Lock()
-	if !k.again {
-		l.once = append(l.once, id)
+	if !k.repeatable {
+		l.atMostOnce = append(l.atMostOnce, id)
 	}
 	switch {
 	case res.StatusCode == http.StatusOK:
@@ -202,63 +202,63 @@
 		return
 	}
 	if got := res.Header.Get(standin.HeaderReceipt); got != "seal-"+id {
-		l.broken("%s: the answer has the receipt %q", id, got)
+		l.addViolation("%s: the answer has the receipt %q", id, got)
 	}
 	want := "echo:" + id
-	if k.model {
-		want = wholeStream()
+	if k.onEngine {
+		want = completeStream()
 	}
 	if body != want {
-		l.broken("%s: a whole answer reads %q", id, body)
+		l.addViolation("%s: a whole answer reads %q", id, body)
 	}
 }
 
-// judgeCut records a response that is missing or ended early. For a request that ran, a
+// recordCut records a response that is missing or ended early. For a request that ran, a
 // planned stop of the gateway alone must not cause that.
-func (s *soak) judgeCut(g *gatewayProcess, k kind, id string, began time.Time, err error) {
-	l := s.ledger
+func (s *soak) recordCut(g *gatewayProcess, k requestKind, id string, began time.Time, err error) {
+	l := s.requests
 	l.mu.Lock()
 	l.counts.Cut++
-	if !k.again {
-		l.once = append(l.once, id)
+	if !k.repeatable {
+		l.atMostOnce = append(l.atMostOnce, id)
 	}
 	l.mu.Unlock()
 	g.mu.Lock()
-	termed := g.termed
+	termed := g.terminatedAt
 	g.mu.Unlock()
-	planned := !termed.IsZero() && time.Since(termed) < grace+time.Second
-	if planned && s.calmSince(began.Add(-calmBefore)) && s.world.runs(id) > 0 {
-		l.broken("%s: cut by the planned stop of %s: %v", id, g.name, err)
+	planned := !termed.IsZero() && time.Since(termed) < stopGrace+time.Second
+	if planned && s.noFaultsSince(began.Add(-quietBefore)) && s.world.runs(id) > 0 {
+		l.addViolation("%s: cut by the planned stop of %s: %v", id, g.name, err)
 	}
 }
 
-func wholeStream() string {
+func completeStream() string {
 	var b strings.Builder
-	for i := 1; i <= pieces; i++ {
+	for i := 1; i <= streamEvents; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
 	}
 	return b.String()
 }
 
-// settle compares the recorded outcomes with what the upstreams ran.
-func (l *ledger) settle() {
+// check compares the recorded outcomes with what the upstreams ran.
+func (l *requestChecker) check() {
 	l.mu.Lock()
-	notRun, once := l.notRun, l.once
+	notRun, once := l.notRun, l.atMostOnce
 	l.mu.Unlock()
 	for _, id := range notRun {
-		if n := l.w.runs(id); n > 0 {
-			l.broken("%s: told that it has not run, and ran %d times", id, n)
+		if n := l.world.runs(id); n > 0 {
+			l.addViolation("%s: told that it has not run, and ran %d times", id, n)
 		}
 	}
 	for _, id := range once {
-		if n := l.w.runs(id); n > 1 {
-			l.broken("%s: may run once, and ran %d times", id, n)
+		if n := l.world.runs(id); n > 1 {
+			l.addViolation("%s: may run once, and ran %d times", id, n)
 		}
 	}
-	l.settleKeys()
-	for _, u := range l.w.upstreams {
+	l.checkKeys()
+	for _, u := range l.world.upstreams {
 		if u.worker.Fell() {
-			l.broken("upstream %s was ordered to hold more than it can", u.id)
+			l.addViolation("upstream %s was ordered to hold more than it can", u.id)
 		}
 	}
 }
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -12,53 +12,53 @@
 const (
 	// fatalBody is the body of requests that crash every upstream that runs them.
 	fatalBody = "fatal"
-	// fatalPause is the mean time between two of them.
-	fatalPause = 200 * time.Millisecond
-	// fatalTurn is the number of consecutive fatal requests with the same path.
-	fatalTurn = 20
-	// fatalTold is the time in which gateways tell each other of a crash, with some slack.
-	fatalTold = 200 * time.Millisecond
-	// fatalListed is the time in which all gateways read the list of upstreams. The list
+	// fatalInterval is the mean time between two of them.
+	fatalInterval = 200 * time.Millisecond
+	// fatalRepeats is the number of consecutive fatal requests with the same path.
+	fatalRepeats = 20
+	// crashGossipTime is the time in which gateways tell each other of a crash, with some slack.
+	crashGossipTime = 200 * time.Millisecond
+	// listReadTime is the time in which all gateways read the list of upstreams. The list
 	// alone tells of a crash if the upstream is back before a gateway checks whether it
 	// still listens.
-	fatalListed = 1200 * time.Millisecond
-	// fatalLimit is the number of upstreams that a request may crash before it is refused.
-	fatalLimit = 3
-	// fatalLate is how often such a request may still reach upstreams after that.
-	fatalLate = 3
-	// fatalKnown is the time after the last fault by which all gateways must know the
+	listReadTime = 1200 * time.Millisecond
+	// crashLimit is the number of upstreams that a request may crash before it is refused.
+	crashLimit = 3
+	// maxLateCrashes is how often such a request may still reach upstreams after that.
+	maxLateCrashes = 3
+	// crashSettleTime is the time after the last fault by which all gateways must know the
 	// requests that crash upstreams.
-	fatalKnown = 3 * time.Second
+	crashSettleTime = 3 * time.Second
 )
 
-// fatals counts the crashes that fatal requests caused, by path.
-type fatals struct {
+// fatalRequests counts the crashes that fatal requests caused, by path.
+type fatalRequests struct {
 	mu      sync.Mutex
 	crashes map[string]int
 }
 
-// crashed simulates the crash of an upstream by a request: it counts it and restarts the
+// handleCrash simulates the crash of an upstream by a request: it counts it and restarts the
 // upstream at once, without adapters, as a new lifetime.
-func (w *world) crashed(u *upstream, path string) {
+func (w *world) handleCrash(u *upstream, path string) {
 	w.fatals.mu.Lock()
 	w.fatals.crashes[path]++
 	w.fatals.mu.Unlock()
 	w.restart(u)
-	u.link.Reset()
+	u.relay.Reset()
 }
 
 // sendFatal sends a request that crashes its upstream and returns the status of the
 // response; zero means that there was none.
 func (s *soak) sendFatal(client *http.Client, g *gatewayProcess, path, id string) int {
-	req, err := http.NewRequest(http.MethodPost, "http://"+g.front+path, strings.NewReader(fatalBody))
+	req, err := http.NewRequest(http.MethodPost, "http://"+g.addr+path, strings.NewReader(fatalBody))
 	if err != nil {
-		s.ledger.broken("%s: %v", id, err)
+		s.requests.addViolation("%s: %v", id, err)
 		return 0
 	}
 	req.Host = "h"
-	req.Header.Set(names.Attempt, id)
-	req.Header.Set(names.DeadlineMS, deadlineMS)
-	req.Header.Set("Authorization", "Bearer "+stayKey)
+	req.Header.Set(platformHeaders.Attempt, id)
+	req.Header.Set(platformHeaders.DeadlineMS, deadlineMS)
+	req.Header.Set("Authorization", "Bearer "+permanentKey)
 	res, err := client.Do(req)
 	if err != nil {
 		return 0 // the upstream crashed, or a fault is in progress
@@ -67,14 +67,14 @@
 	return res.StatusCode
 }
 
-// fatalCaller starts a caller that sends fatal requests until stop is closed.
-func (s *soak) fatalCaller() {
+// startFatalCaller starts a caller that sends fatal requests until stop is closed.
+func (s *soak) startFatalCaller() {
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
 		r := rand.New(rand.NewPCG(s.cfg.Seed, 1<<32))
 		client := &http.Client{
-			Timeout:   callerPatience,
+			Timeout:   callerTimeout,
 			Transport: &http.Transport{},
 		}
 		defer client.CloseIdleConnections()
@@ -82,22 +82,22 @@
 			select {
 			case <-s.stop:
 				return
-			case <-time.After(time.Duration(r.ExpFloat64() * float64(fatalPause))):
+			case <-time.After(time.Duration(r.ExpFloat64() * float64(fatalInterval))):
 			}
-			s.sendFatal(client, pick(r, s.gateways), fmt.Sprintf("/charge/fatal%d", n/fatalTurn), fmt.Sprintf("fatal-%d", n))
+			s.sendFatal(client, randomElement(r, s.gateways), fmt.Sprintf("/charge/fatal%d", n/fatalRepeats), fmt.Sprintf("fatal-%d", n))
 		}
 	}()
 }
 
-// checkFatals sends each request that has crashed at least fatalLimit upstreams to each
-// gateway twice. In the first round the gateways together may forward it fatalLate times,
+// checkFatals sends each request that has crashed at least crashLimit upstreams to each
+// gateway twice. In the first round the gateways together may forward it maxLateCrashes times,
 // in the second they must refuse it. The allowance is needed since gateways miss some
 // crashes: an upstream that is back within a millisecond may crash again before the list
 // shows its new lifetime. It is called after the last fault.
 func (s *soak) checkFatals() {
-	time.Sleep(fatalKnown)
+	time.Sleep(crashSettleTime)
 	client := &http.Client{
-		Timeout:   callerPatience,
+		Timeout:   callerTimeout,
 		Transport: &http.Transport{},
 	}
 	defer client.CloseIdleConnections()
@@ -105,7 +105,7 @@
 	f.mu.Lock()
 	known := make(map[string]int)
 	for path, n := range f.crashes {
-		if n >= fatalLimit {
+		if n >= crashLimit {
 			known[path] = n
 		}
 	}
@@ -113,26 +113,26 @@
 	for path, n := range known {
 		for i, g := range s.gateways {
 			s.sendFatal(client, g, path, fmt.Sprintf("%s-late-%d", path, i))
-			time.Sleep(fatalTold)
+			time.Sleep(crashGossipTime)
 		}
-		late := f.count(path) - n
+		late := f.crashCount(path) - n
 		if late > 0 {
-			time.Sleep(fatalListed)
+			time.Sleep(listReadTime)
 		}
 		for i, g := range s.gateways {
 			status := s.sendFatal(client, g, path, fmt.Sprintf("%s-last-%d", path, i))
-			if status != http.StatusServiceUnavailable || late > fatalLate {
-				s.ledger.broken("%s: answered %d by %s, sent on %d times after %d upstreams had ended under it", path, status, g.name, late, n)
+			if status != http.StatusServiceUnavailable || late > maxLateCrashes {
+				s.requests.addViolation("%s: answered %d by %s, sent on %d times after %d upstreams had ended under it", path, status, g.name, late, n)
 			}
 		}
-		if now := f.count(path) - n; now > late {
-			s.ledger.broken("%s: sent on %d times more", path, now-late)
+		if now := f.crashCount(path) - n; now > late {
+			s.requests.addViolation("%s: sent on %d times more", path, now-late)
 		}
 	}
 }
 
-// count returns how many crashes the requests with a path have caused.
-func (f *fatals) count(path string) int {
+// crashCount returns how many crashes the requests with a path have caused.
+func (f *fatalRequests) crashCount(path string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashes[path]
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -12,36 +12,36 @@
 // fault is a fault or planned work: begin starts it, and the function that begin returns,
 // if any, ends it.
 type fault struct {
-	name    string
-	target  string
-	planned bool // planned work, which must not interrupt requests
-	last    time.Duration
-	begin   func() (undo func())
+	name     string
+	target   string
+	planned  bool // planned work, which must not interrupt requests
+	duration time.Duration
+	begin    func() (undo func())
 }
 
 type storeLink = *standin.Relay
 
-func (s *soak) storeLink() (storeLink, error) {
+func (s *soak) newStoreLink() (storeLink, error) {
 	return standin.NewRelay(s.world.storeAddr)
 }
 
-// draw returns a random fault.
-func (s *soak) draw(r *rand.Rand) fault {
+// randomFault returns a random fault.
+func (s *soak) randomFault(r *rand.Rand) fault {
 	var f fault
 	switch r.IntN(5) {
 	case 0:
-		f = s.processFault(r)
+		f = s.randomProcessFault(r)
 	case 1:
-		f = s.linkFault(r)
+		f = s.randomLinkFault(r)
 	case 2:
-		f = s.storeFault(r)
+		f = s.randomStoreFault(r)
 	case 3:
-		f = s.upstreamFault(r)
+		f = s.randomUpstreamFault(r)
 	default:
-		f = s.plannedWork(r)
+		f = s.randomPlannedWork(r)
 	}
-	if f.last == 0 {
-		f.last = time.Duration(100+r.IntN(1900)) * time.Millisecond
+	if f.duration == 0 {
+		f.duration = time.Duration(100+r.IntN(1900)) * time.Millisecond
 	}
 	return f
 }
@@ -57,12 +57,12 @@
 	return all
 }
 
-func pick[T any](r *rand.Rand, list []T) T {
+func randomElement[T any](r *rand.Rand, list []T) T {
 	return list[r.IntN(len(list))]
 }
 
-func (s *soak) processFault(r *rand.Rand) fault {
-	d := pick(r, s.daemons())
+func (s *soak) randomProcessFault(r *rand.Rand) fault {
+	d := randomElement(r, s.daemons())
 	if r.IntN(2) == 0 {
 		return fault{
 			name:   "kill",
@@ -81,7 +81,7 @@
 			d.signal(syscall.SIGSTOP)
 			return func() {
 				d.signal(syscall.SIGCONT)
-				s.answers.excuse(from, time.Now())
+				s.responses.addExcused(from, time.Now())
 			}
 		},
 	}
@@ -91,9 +91,9 @@
 func (s *soak) links() []*standin.Relay {
 	var list []*standin.Relay
 	for _, u := range s.world.upstreams {
-		list = append(list, u.link)
-		if u.keeper != nil {
-			list = append(list, u.keeper)
+		list = append(list, u.relay)
+		if u.keeperRelay != nil {
+			list = append(list, u.keeperRelay)
 		}
 	}
 	for _, g := range s.gateways {
@@ -105,54 +105,54 @@
 	return list
 }
 
-func (s *soak) linkFault(r *rand.Rand) fault {
-	l := pick(r, s.links())
-	way := standin.Way(r.IntN(2))
+func (s *soak) randomLinkFault(r *rand.Rand) fault {
+	link := randomElement(r, s.links())
+	direction := standin.Way(r.IntN(2))
 	delay := time.Duration(r.IntN(300)) * time.Millisecond
 	list := []fault{
 		{
 			name: "silence both ways",
 			begin: func() func() {
-				l.Freeze(true)
-				return func() { l.Freeze(false) }
+				link.Freeze(true)
+				return func() { link.Freeze(false) }
 			},
 		},
 		{
 			name: "silence one way",
 			begin: func() func() {
-				l.Silence(way, true)
-				return func() { l.Silence(way, false) }
+				link.Silence(direction, true)
+				return func() { link.Silence(direction, false) }
 			},
 		},
 		{
 			name: "delay",
 			begin: func() func() {
-				l.Delay(delay)
-				return func() { l.Delay(0) }
+				link.Delay(delay)
+				return func() { link.Delay(0) }
 			},
 		},
 		{
 			name: "reset",
 			begin: func() func() {
-				l.Reset()
+				link.Reset()
 				return nil
 			},
 		},
 		{
 			name: "refuse",
 			begin: func() func() {
-				l.Block(true)
-				return func() { l.Block(false) }
+				link.Block(true)
+				return func() { link.Block(false) }
 			},
 		},
 	}
-	f := pick(r, list)
-	f.target = l.Addr()
-	f.begin = excusing(s.world.upstreamOf(l), f.begin)
+	f := randomElement(r, list)
+	f.target = link.Addr()
+	f.begin = excuseDuring(s.world.upstreamOf(link), f.begin)
 	return f
 }
 
-func (s *soak) storeFault(r *rand.Rand) fault {
+func (s *soak) randomStoreFault(r *rand.Rand) fault {
 	list := map[string]standin.MetaFaults{
 		"store away": {
 			Away: true,
@@ -168,9 +168,9 @@
 		},
 	}
 	names := []string{"store away", "store silent", "store loses answers", "store slow", "store comes back"}
-	name := pick(r, names)
+	name := randomElement(r, names)
 	if name == "store comes back" {
-		return s.storeReturn()
+		return s.storeRestoreFault()
 	}
 	return fault{
 		name:   name,
@@ -182,8 +182,8 @@
 	}
 }
 
-func (s *soak) upstreamFault(r *rand.Rand) fault {
-	u := pick(r, s.world.upstreams)
+func (s *soak) randomUpstreamFault(r *rand.Rand) fault {
+	u := randomElement(r, s.world.upstreams)
 	list := []standin.WorkerFaults{
 		{
 			LoseOrders: true,
@@ -210,19 +210,19 @@
 	i := r.IntN(len(list) + 3)
 	switch {
 	case i == len(list)+2:
-		return askingRest(u)
+		return backoffFault(u)
 	case i == len(list)+1:
-		return s.sayingLeaves(u)
+		return s.leavingFault(u)
 	case i == len(list):
 		return fault{
 			name:   "upstream restarts empty",
 			target: u.addr,
 			begin: func() func() {
 				s.world.restart(u)
-				u.link.Reset()
+				u.relay.Reset()
 				started := time.Now()
 				s.wg.Go(func() {
-					if s.pause(coldFor) {
+					if s.sleep(coldDuration) {
 						s.checkCold(u, started)
 					}
 				})
@@ -234,22 +234,22 @@
 		name:   fmt.Sprintf("upstream misbehaves %+v", list[i]),
 		target: u.addr,
 		begin: func() func() {
-			u.behave(list[i])
-			return func() { u.behave(standin.WorkerFaults{}) }
+			u.setFaults(list[i])
+			return func() { u.setFaults(standin.WorkerFaults{}) }
 		},
 	}
 }
 
-// plannedWork returns planned work: a stop of a daemon, a new configuration, a new
+// randomPlannedWork returns planned work: a stop of a daemon, a new configuration, a new
 // version of an adapter, the evacuation of a failure domain, or an upstream that drains
 // and becomes ready again.
-func (s *soak) plannedWork(r *rand.Rand) fault {
+func (s *soak) randomPlannedWork(r *rand.Rand) fault {
 	f := fault{
 		planned: true,
 	}
 	switch r.IntN(5) {
 	case 0:
-		d := pick(r, s.daemons())
+		d := randomElement(r, s.daemons())
 		f.name, f.target = "stop", d.name
 		f.begin = func() func() {
 			d.signal(syscall.SIGTERM)
@@ -259,30 +259,30 @@
 		f.name, f.target = "configuration", "store"
 		f.begin = func() func() {
 			s.mu.Lock()
-			s.world.configure()
+			s.world.publishConfig()
 			s.mu.Unlock()
 			s.world.store.CompactConfig()
 			return nil
 		}
 	case 2:
-		adapter := fmt.Sprintf("a%d", r.IntN(adapterSpread))
+		adapter := fmt.Sprintf("a%d", r.IntN(adapterMean))
 		version := time.Now().UnixNano()
 		f.name, f.target = "version", adapter
 		f.begin = func() func() {
-			s.nameVersion(adapter, version)
+			s.announceVersion(adapter, version)
 			return nil
 		}
 	case 3:
-		return s.evacuation(r)
+		return s.evacuationFault(r)
 	default:
-		u := pick(r, s.world.upstreams)
+		u := randomElement(r, s.world.upstreams)
 		f.name, f.target = "upstream leaves", u.addr
 		f.begin = func() func() {
 			u.setState("draining")
-			s.world.enter(u)
+			s.world.writeEntry(u)
 			return func() {
 				u.setState("ready")
-				s.world.enter(u)
+				s.world.writeEntry(u)
 			}
 		}
 	}
@@ -298,9 +298,9 @@
 		l.Block(false)
 	}
 	for _, u := range s.world.upstreams {
-		u.behave(standin.WorkerFaults{})
+		u.setFaults(standin.WorkerFaults{})
 		u.setState("ready")
-		s.world.enter(u)
+		s.world.writeEntry(u)
 	}
 	for _, d := range s.daemons() {
 		d.signal(syscall.SIGCONT)
--- a/soak/keys.go
+++ b/soak/keys.go
@@ -8,64 +8,64 @@
 )
 
 const (
-	soakTeam = "clerks"
-	// stayKey is in every configuration and noKey in none. Each configuration has one
+	callerTeam = "clerks"
+	// permanentKey is in every configuration and unknownKey in none. Each configuration has one
 	// more key, which the next one replaces.
-	stayKey = "key-stay"
-	noKey   = "key-none"
-	// keyBound is how long after the removal of a key from the configuration a request
+	permanentKey = "key-stay"
+	unknownKey   = "key-none"
+	// maxKeyDelay is how long after the removal of a key from the configuration a request
 	// with it may still run; it follows a setting of the gateways.
-	keyBound = 5 * time.Second
+	maxKeyDelay = 5 * time.Second
 )
 
 // teamKeys are the API keys of the team that the soak's callers belong to.
 type teamKeys struct {
-	mu      sync.Mutex
-	present string
-	removed map[string]time.Time // when the store had accepted the removal, by key
-	all     []string
+	mu        sync.Mutex
+	current   string
+	removedAt map[string]time.Time // when the store had accepted the removal, by key
+	all       []string
 }
 
-func turnKey(version int) string {
+func rotatedKey(version int) string {
 	return fmt.Sprintf("key-turn-%d", version)
 }
 
-// configured records that the store has accepted a version of the configuration.
-func (k *teamKeys) configured(version int) {
+// recordVersion records that the store has accepted a version of the configuration.
+func (k *teamKeys) recordVersion(version int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.removed == nil {
-		k.removed = make(map[string]time.Time)
+	if k.removedAt == nil {
+		k.removedAt = make(map[string]time.Time)
 	}
-	if k.present != "" {
-		k.removed[k.present] = time.Now()
+	if k.current != "" {
+		k.removedAt[k.current] = time.Now()
 	}
-	k.present = turnKey(version)
-	k.all = append(k.all, k.present)
+	k.current = rotatedKey(version)
+	k.all = append(k.all, k.current)
 }
 
-// draw returns a random key for a request.
-func (k *teamKeys) draw(r *rand.Rand) string {
+// randomKey returns a random key for a request.
+func (k *teamKeys) randomKey(r *rand.Rand) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch n := r.IntN(20); {
 	case n == 0:
-		return noKey
+		return unknownKey
 	case n <= 2 && len(k.all) > 0:
 		return k.all[r.IntN(len(k.all))]
 	}
-	return stayKey
+	return permanentKey
 }
 
 // mayRun reports whether a request sent at the given time with a key may run.
 func (k *teamKeys) mayRun(key string, sent time.Time) bool {
-	if key == noKey {
+	if key == unknownKey {
 		return false
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	at, gone := k.removed[key]
-	return !gone || !sent.After(at.Add(keyBound))
+	at, removed := k.removedAt[key]
+	return !removed || !sent.After(at.Add(maxKeyDelay))
 }
 
 // keyedAttempt is an attempt with its API key.
@@ -75,23 +75,23 @@
 	sent time.Time
 }
 
-// settleKeys checks that no request ran without a valid key, and that upstreams received
+// checkKeys checks that no request ran without a valid key, and that upstreams received
 // the team in place of the key.
-func (l *ledger) settleKeys() {
+func (l *requestChecker) checkKeys() {
 	l.mu.Lock()
 	list := l.keyed
 	l.mu.Unlock()
 	for _, a := range list {
-		if l.w.runs(a.id) > 0 && !l.w.keys.mayRun(a.key, a.sent) {
-			l.broken("%s: ran with %s, sent at %s", a.id, a.key, a.sent.Format(time.StampMilli))
+		if l.world.runs(a.id) > 0 && !l.world.keys.mayRun(a.key, a.sent) {
+			l.addViolation("%s: ran with %s, sent at %s", a.id, a.key, a.sent.Format(time.StampMilli))
 		}
-		for _, u := range l.w.upstreams {
+		for _, u := range l.world.upstreams {
 			h := u.worker.Headers(a.id)
 			if h == nil {
 				continue
 			}
-			if got := h.Values(names.Team); len(got) != 1 || got[0] != soakTeam || h.Get("Authorization") != "" {
-				l.broken("%s: reached %s as team %q, with a key: %v", a.id, u.id, got, h.Get("Authorization") != "")
+			if got := h.Values(platformHeaders.Team); len(got) != 1 || got[0] != callerTeam || h.Get("Authorization") != "" {
+				l.addViolation("%s: reached %s as team %q, with a key: %v", a.id, u.id, got, h.Get("Authorization") != "")
 			}
 		}
 	}
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -12,106 +12,106 @@
 )
 
 const (
-	limitWindow  = 4 * time.Second         // in which requests are counted
-	limitGrace   = 500 * time.Millisecond  // until a gateway obeys a limit in a response
-	limitExcused = 1500 * time.Millisecond // how long the effects of a fault outlast it
-	leastNamed   = 6 * time.Second         // minimum duration of an announced limit
-	moreNamed    = 5 * time.Second         // maximum random addition to leastNamed
-	limitRest    = 2 * time.Second         // between the limits of two upstreams
-	garbledFor   = 300 * time.Millisecond  // for which the announced limit can't be parsed
-	mostRate     = 20.0                    // maximum limit in requests per second
+	limitWindow        = 4 * time.Second         // in which requests are counted
+	limitGrace         = 500 * time.Millisecond  // until a gateway obeys a limit in a response
+	excuseMargin       = 1500 * time.Millisecond // how long the effects of a fault outlast it
+	minLimitDuration   = 6 * time.Second         // minimum duration of an announced limit
+	maxExtraDuration   = 5 * time.Second         // maximum random addition to minLimitDuration
+	limitPause         = 2 * time.Second         // between the limits of two upstreams
+	unparsableDuration = 300 * time.Millisecond  // for which the announced limit can't be parsed
+	maxLimit           = 20.0                    // maximum limit in requests per second
 )
 
-// naming is an interval in which an upstream announces a rate limit in its responses. Its
+// limitPeriod is an interval in which an upstream announces a rate limit in its responses. Its
 // figure, the text of the limit, is unique.
-type naming struct {
-	u      *upstream
-	figure string
-	rate   float64
-	from   time.Time
-	to     time.Time
+type limitPeriod struct {
+	upstream *upstream
+	limit    string
+	rate     float64
+	from     time.Time
+	to       time.Time
 }
 
-// span is an interval to which checks of arrivals do not apply, since a fault may have
+// interval is an interval to which checks of arrivals do not apply, since a fault may have
 // delayed or reordered requests, or since an upstream has a new id.
-type span struct {
+type interval struct {
 	from time.Time
 	to   time.Time
 }
 
-// limitLedger checks that gateways obey the rate limits that upstreams announce. It records
+// limitChecker checks that gateways obey the rate limits that upstreams announce. It records
 // which upstreams announced which limits, which gateway processes forwarded them, and to
 // which gateway process each attempt was sent.
-type limitLedger struct {
-	mu      sync.Mutex
-	namings []naming
-	told    map[string]time.Time // first response with it, by gateway process and figure
-	via     map[string]string    // gateway process, by attempt
+type limitChecker struct {
+	mu          sync.Mutex
+	periods     []limitPeriod
+	announcedAt map[string]time.Time // first response with it, by gateway process and figure
+	gatewayOf   map[string]string    // gateway process, by attempt
 }
 
-func newLimitLedger() *limitLedger {
-	return &limitLedger{
-		told: make(map[string]time.Time),
-		via:  make(map[string]string),
+func newLimitChecker() *limitChecker {
+	return &limitChecker{
+		announcedAt: make(map[string]time.Time),
+		gatewayOf:   make(map[string]string),
 	}
 }
 
-func (l *limitLedger) sent(id, process string) {
+func (l *limitChecker) recordSent(id, process string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.via[id] = process
+	l.gatewayOf[id] = process
 }
 
-// passedOn records that a caller received a response that announces a limit.
-func (l *limitLedger) passedOn(process, figure string) {
+// recordResponse records that a caller received a response that announces a limit.
+func (l *limitChecker) recordResponse(process, figure string) {
 	if figure == "" {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := process + " " + figure
-	if l.told[key].IsZero() {
-		l.told[key] = time.Now()
+	if l.announcedAt[key].IsZero() {
+		l.announcedAt[key] = time.Now()
 	}
 }
 
-// nameLimits starts a goroutine in which one random upstream after another announces a
+// startLimits starts a goroutine in which one random upstream after another announces a
 // limit, until the soak ends. For a while in between it announces one that can't be parsed.
-func (s *soak) nameLimits() {
+func (s *soak) startLimits() {
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
 		r := rand.New(rand.NewPCG(s.cfg.Seed, 500))
 		for i := 0; ; i++ {
-			rate := r.Float64() * mostRate
-			n := naming{
-				u:      pick(r, s.world.upstreams),
-				figure: strconv.FormatFloat(rate, 'f', 2, 64) + fmt.Sprintf("%04d", i),
-				rate:   rate,
-				from:   time.Now(),
+			rate := r.Float64() * maxLimit
+			n := limitPeriod{
+				upstream: randomElement(r, s.world.upstreams),
+				limit:    strconv.FormatFloat(rate, 'f', 2, 64) + fmt.Sprintf("%04d", i),
+				rate:     rate,
+				from:     time.Now(),
 			}
-			fmt.Fprintf(s.cfg.Log, "soak: fault=limit target=%s figure=%s\n", n.u.addr, n.figure)
-			n.u.nameLimit(n.figure)
-			half := (leastNamed + time.Duration(r.Int64N(int64(moreNamed)))) / 2
-			going := s.pause(half)
-			n.u.nameLimit("4,5 a second")
-			going = going && s.pause(garbledFor)
-			n.u.nameLimit(n.figure)
-			going = going && s.pause(half)
-			n.u.nameLimit("")
+			fmt.Fprintf(s.cfg.Log, "soak: fault=limit target=%s figure=%s\n", n.upstream.addr, n.limit)
+			n.upstream.setLimit(n.limit)
+			half := (minLimitDuration + time.Duration(r.Int64N(int64(maxExtraDuration)))) / 2
+			running := s.sleep(half)
+			n.upstream.setLimit("4,5 a second")
+			running = running && s.sleep(unparsableDuration)
+			n.upstream.setLimit(n.limit)
+			running = running && s.sleep(half)
+			n.upstream.setLimit("")
 			n.to = time.Now()
 			s.limits.mu.Lock()
-			s.limits.namings = append(s.limits.namings, n)
+			s.limits.periods = append(s.limits.periods, n)
 			s.limits.mu.Unlock()
-			if !going || !s.pause(limitRest) {
+			if !running || !s.sleep(limitPause) {
 				return
 			}
 		}
 	}()
 }
 
-// pause waits for d or the end of the soak, and reports whether the soak goes on.
-func (s *soak) pause(d time.Duration) bool {
+// sleep waits for d or the end of the soak, and reports whether the soak goes on.
+func (s *soak) sleep(d time.Duration) bool {
 	select {
 	case <-s.stop:
 		return false
@@ -126,56 +126,56 @@
 	l := s.limits
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, n := range l.namings {
+	for _, n := range l.periods {
 		allowed := int(1.5*n.rate*limitWindow.Seconds()) + 5
-		got := l.mostOf(n, n.u.worker.Arrivals())
-		fmt.Fprintf(s.cfg.Log, "soak: limit target=%s figure=%s most=%d allowed=%d\n", n.u.addr, n.figure, got, allowed)
+		got := l.maxRequests(n, n.upstream.worker.Arrivals())
+		fmt.Fprintf(s.cfg.Log, "soak: limit target=%s figure=%s most=%d allowed=%d\n", n.upstream.addr, n.limit, got, allowed)
 		if got > allowed {
-			s.ledger.broken("upstream %s named %s a second and got %d requests in %v from gateways that it had told, at most %d", n.u.addr, n.figure, got, limitWindow, allowed)
+			s.requests.addViolation("upstream %s named %s a second and got %d requests in %v from gateways that it had told, at most %d", n.upstream.addr, n.limit, got, limitWindow, allowed)
 		}
 	}
 }
 
-// mostOf returns the maximum number of requests within any limitWindow that is not excused.
+// maxRequests returns the maximum number of requests within any limitWindow that is not excused.
 // Only requests of gateways that had forwarded the limit count. The caller holds the lock.
-func (l *limitLedger) mostOf(n naming, arrivals []standin.Arrival) int {
+func (l *limitChecker) maxRequests(n limitPeriod, arrivals []standin.Arrival) int {
 	var times []time.Time
 	for _, a := range arrivals {
-		told := l.told[l.via[a.Attempt]+" "+n.figure]
-		if !told.IsZero() && a.At.Sub(told) >= limitGrace && a.At.Before(n.to) {
+		announced := l.announcedAt[l.gatewayOf[a.Attempt]+" "+n.limit]
+		if !announced.IsZero() && a.At.Sub(announced) >= limitGrace && a.At.Before(n.to) {
 			times = append(times, a.At)
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, t := range times {
 		for t.Sub(times[first]) >= limitWindow {
 			first++
 		}
-		if !n.u.excusedIn(times[first], t) {
-			most = max(most, i-first+1)
+		if !n.upstream.excusedIn(times[first], t) {
+			highest = max(highest, i-first+1)
 		}
 	}
-	return most
+	return highest
 }
 
-// nameLimit sets the limit that the upstream's responses announce; empty means none.
-func (u *upstream) nameLimit(figure string) {
+// setLimit sets the limit that the upstream's responses announce; empty means none.
+func (u *upstream) setLimit(figure string) {
 	u.mu.Lock()
 	u.limit = figure
 	f := u.faults
 	u.mu.Unlock()
-	u.behave(f)
+	u.setFaults(f)
 }
 
-// excuse records an event at the upstream or its link that may delay requests so that they
+// addExcused records an event at the upstream or its link that may delay requests so that they
 // arrive bunched.
-func (u *upstream) excuse(from, to time.Time) {
+func (u *upstream) addExcused(from, to time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.excused = append(u.excused, span{
+	u.excused = append(u.excused, interval{
 		from: from,
-		to:   to.Add(limitExcused),
+		to:   to.Add(excuseMargin),
 	})
 }
 
@@ -183,7 +183,7 @@
 func (u *upstream) excusedIn(from, to time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return slices.ContainsFunc(u.excused, func(x span) bool {
+	return slices.ContainsFunc(u.excused, func(x interval) bool {
 		return from.Before(x.to) && x.from.Before(to)
 	})
 }
@@ -191,28 +191,28 @@
 // upstreamOf returns the upstream behind a link between it and gateways, or nil.
 func (w *world) upstreamOf(l *standin.Relay) *upstream {
 	for _, u := range w.upstreams {
-		if u.link == l {
+		if u.relay == l {
 			return u
 		}
 	}
 	return nil
 }
 
-// excusing wraps the begin function of a fault at an upstream's link, so that the
+// excuseDuring wraps the begin function of a fault at an upstream's link, so that the
 // upstream's arrivals are excused while the fault lasts.
-func excusing(u *upstream, begin func() func()) func() func() {
+func excuseDuring(u *upstream, begin func() func()) func() func() {
 	if u == nil {
 		return begin
 	}
 	return func() func() {
 		from := time.Now()
 		undo := begin()
-		u.excuse(from, from)
+		u.addExcused(from, from)
 		return func() {
 			if undo != nil {
 				undo()
 			}
-			u.excuse(from, time.Now())
+			u.addExcused(from, time.Now())
 		}
 	}
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -20,23 +20,23 @@
 	args []string
 	log  io.Writer
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	closed  bool
-	termed  time.Time // of the latest SIGTERM
-	ended   chan struct{}
-	crashes int // exits without a SIGTERM or SIGKILL from the soak
-	starts  int
-	hurt    bool // the running process got a SIGTERM or SIGKILL
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	closed       bool
+	terminatedAt time.Time // of the latest SIGTERM
+	exited       chan struct{}
+	crashes      int // exits without a SIGTERM or SIGKILL from the soak
+	starts       int
+	signaled     bool // the running process got a SIGTERM or SIGKILL
 }
 
-func start(name, bin string, args []string, log io.Writer) (*daemon, error) {
+func startDaemon(name, bin string, args []string, log io.Writer) (*daemon, error) {
 	d := &daemon{
-		name:  name,
-		bin:   bin,
-		args:  args,
-		log:   log,
-		ended: make(chan struct{}),
+		name:   name,
+		bin:    bin,
+		args:   args,
+		log:    log,
+		exited: make(chan struct{}),
 	}
 	if err := d.launch(); err != nil {
 		return nil, err
@@ -51,16 +51,16 @@
 	d.cmd = exec.Command(d.bin, d.args...)
 	d.cmd.Stdout = d.log
 	d.cmd.Stderr = d.log
-	d.hurt = false
+	d.signaled = false
 	d.starts++
 	return errors.Wrap(d.cmd.Start(), d.name)
 }
 
-// restartPause is the time between the exit of a process and its next start.
-const restartPause = 100 * time.Millisecond
+// restartDelay is the time between the exit of a process and its next start.
+const restartDelay = 100 * time.Millisecond
 
 func (d *daemon) supervise() {
-	defer close(d.ended)
+	defer close(d.exited)
 	for {
 		d.mu.Lock()
 		cmd := d.cmd
@@ -68,38 +68,38 @@
 		_ = cmd.Wait() // the exit status does not matter
 		d.mu.Lock()
 		closed := d.closed
-		if !closed && !d.hurt {
+		if !closed && !d.signaled {
 			d.crashes++
 		}
 		d.mu.Unlock()
 		if closed {
 			return
 		}
-		time.Sleep(restartPause)
+		time.Sleep(restartDelay)
 		if err := d.launch(); err != nil {
 			return
 		}
 	}
 }
 
-// process returns a unique name of the running process.
-func (d *daemon) process() string {
+// processName returns a unique name of the running process.
+func (d *daemon) processName() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return fmt.Sprintf("%s/%d", d.name, d.starts)
 }
 
 // signal sends a signal to the running process.
-func (d *daemon) signal(s syscall.Signal) {
+func (d *daemon) signal(sig syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if s == syscall.SIGTERM {
-		d.termed = time.Now()
+	if sig == syscall.SIGTERM {
+		d.terminatedAt = time.Now()
 	}
-	if s == syscall.SIGTERM || s == syscall.SIGKILL {
-		d.hurt = true
+	if sig == syscall.SIGTERM || sig == syscall.SIGKILL {
+		d.signaled = true
 	}
-	_ = d.cmd.Process.Signal(s) // fails if the process has just exited
+	_ = d.cmd.Process.Signal(sig) // fails if the process has just exited
 }
 
 func (d *daemon) close() {
@@ -108,14 +108,14 @@
 	d.mu.Unlock()
 	d.signal(syscall.SIGCONT)
 	d.signal(syscall.SIGKILL)
-	<-d.ended
+	<-d.exited
 }
 
 // freeAddr returns a loopback address whose port is free at present.
 func freeAddr() (string, error) {
 	var err error
-	for range portTries {
-		addr := fmt.Sprintf("127.0.0.1:%d", leastPort+rand.IntN(ports))
+	for range maxPortTries {
+		addr := fmt.Sprintf("127.0.0.1:%d", minPort+rand.IntN(portCount))
 		var ln net.Listener
 		if ln, err = net.Listen("tcp", addr); err == nil {
 			ln.Close()
@@ -125,10 +125,10 @@
 	return "", errors.Wrap(err, "soak")
 }
 
-// Daemons listen on ports ports from leastPort on. These lie below the kernel's range of
+// Daemons listen on ports ports from minPort on. These lie below the kernel's range of
 // ephemeral ports, where a connection could take a port before its daemon has started.
 const (
-	leastPort = 12000
-	ports     = 18000
-	portTries = 20
+	minPort      = 12000
+	portCount    = 18000
+	maxPortTries = 20
 )
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	grace      = 4 * time.Second  // the gateways' time between SIGTERM and exit
-	leaveAfter = time.Second      // how long a stopping gateway still accepts requests
-	calmBefore = 3 * time.Second  // without unplanned faults, required by some checks
-	recoverIn  = 12 * time.Second // until full service after the last fault
-	patience   = 15 * time.Second // until full service after the start
+	stopGrace       = 4 * time.Second  // the gateways' time between SIGTERM and exit
+	leaveAfter      = time.Second      // how long a stopping gateway still accepts requests
+	quietBefore     = 3 * time.Second  // without unplanned faults, required by some checks
+	maxRecoveryTime = 12 * time.Second // until full service after the last fault
+	maxStartTime    = 15 * time.Second // until full service after the start
 )
 
 // Config configures a soak.
@@ -43,27 +43,27 @@
 // gatewayProcess is a gateway with its link to the store.
 type gatewayProcess struct {
 	*daemon
-	front string
+	addr  string
 	store storeLink
 }
 
 type soak struct {
-	cfg      Config
-	world    *world
-	gateways []*gatewayProcess
-	keepers  []*keeperProcess
-	ledger   *ledger
-	limits   *limitLedger
-	answers  *answerLedger
-	stop     chan struct{}
-	wg       sync.WaitGroup
+	cfg       Config
+	world     *world
+	gateways  []*gatewayProcess
+	keepers   []*keeperProcess
+	requests  *requestChecker
+	limits    *limitChecker
+	responses *responseChecker
+	stop      chan struct{}
+	wg        sync.WaitGroup
 
 	evacuations evacuations
 
-	mu      sync.Mutex
-	faults  map[string]int
-	hurting int       // unplanned faults in progress
-	calmAt  time.Time // when the latest one ended
+	mu              sync.Mutex
+	faultCounts     map[string]int
+	unplannedFaults int       // unplanned faults in progress
+	lastFaultEnd    time.Time // when the latest one ended
 }
 
 // Run runs a soak and returns its result.
@@ -74,52 +74,52 @@
 	}
 	defer w.close()
 	s := &soak{
-		cfg:     cfg,
-		world:   w,
-		stop:    make(chan struct{}),
-		faults:  make(map[string]int),
-		limits:  newLimitLedger(),
-		answers: newAnswerLedger(),
+		cfg:         cfg,
+		world:       w,
+		stop:        make(chan struct{}),
+		faultCounts: make(map[string]int),
+		limits:      newLimitChecker(),
+		responses:   newResponseChecker(),
 		evacuations: evacuations{
-			now: make(map[string]bool),
+			active: make(map[string]bool),
 		},
-		ledger: &ledger{
-			w: w,
+		requests: &requestChecker{
+			world: w,
 		},
 	}
 	defer s.closeDaemons()
 	if err := s.startDaemons(); err != nil {
 		return Report{}, err
 	}
-	if _, ok := s.served(patience); !ok {
-		s.ledger.broken("no full service %v after the start", patience)
+	if _, ok := s.waitForService(maxStartTime); !ok {
+		s.requests.addViolation("no full service %v after the start", maxStartTime)
 	}
-	s.callers(cfg.Callers)
-	s.fatalCaller()
-	s.nameLimits()
-	s.hurt(ctx)
-	took, ok := s.served(recoverIn)
+	s.startCallers(cfg.Callers)
+	s.startFatalCaller()
+	s.startLimits()
+	s.injectFaults(ctx)
+	took, ok := s.waitForService(maxRecoveryTime)
 	if !ok {
-		s.ledger.broken("no full service %v after the last fault", recoverIn)
+		s.requests.addViolation("no full service %v after the last fault", maxRecoveryTime)
 	}
 	close(s.stop)
 	s.wg.Wait()
 	s.checkFatals()
 	s.checkLimits()
-	s.checkAnswers()
-	s.ledger.settle()
+	s.checkResponses()
+	s.requests.check()
 	s.checkCrashes()
 	return Report{
-		Counts:     s.ledger.counts,
-		Faults:     s.faults,
+		Counts:     s.requests.counts,
+		Faults:     s.faultCounts,
 		Recovered:  took,
-		Violations: s.ledger.violations,
+		Violations: s.requests.violations,
 	}, nil
 }
 
 func (s *soak) startDaemons() error {
 	for i, u := range s.world.upstreams {
-		if u.keeper == nil {
+		if u.keeperRelay == nil {
 			continue
 		}
 		k, err := s.startKeeper(i, u)
@@ -139,7 +139,7 @@
 }
 
 func (s *soak) startGateway(i int) (*gatewayProcess, error) {
-	link, err := s.storeLink()
+	link, err := s.newStoreLink()
 	if err != nil {
 		return nil, err
 	}
@@ -152,14 +152,14 @@
 		return nil, err
 	}
 	name := fmt.Sprintf("gateway-%d", i)
-	d, err := start(name, s.cfg.Binary, []string{
-		"gateway", "--node=" + name, "--domain=d", "--store=" + link.Addr(), "--port=" + s.world.port,
-		"--listen=" + front, "--ready=" + ready, "--grace=" + grace.String(), "--leave-after=" + leaveAfter.String(),
+	d, err := startDaemon(name, s.cfg.Binary, []string{
+		"gateway", "--node=" + name, "--domain=d", "--store=" + link.Addr(), "--port=" + s.world.keeperPort,
+		"--listen=" + front, "--ready=" + ready, "--grace=" + stopGrace.String(), "--leave-after=" + leaveAfter.String(),
 		fmt.Sprintf("--cold-overage=%g", coldOverage), fmt.Sprintf("--cold-slack=%d", coldSlack),
 	}, s.cfg.Log)
 	return &gatewayProcess{
 		daemon: d,
-		front:  front,
+		addr:   front,
 		store:  link,
 	}, err
 }
@@ -171,14 +171,14 @@
 }
 
 func (s *soak) startKeeper(i int, u *upstream) (*keeperProcess, error) {
-	link, err := s.storeLink()
+	link, err := s.newStoreLink()
 	if err != nil {
 		return nil, err
 	}
 	name := fmt.Sprintf("keeper-%d", i)
 	host, _, _ := net.SplitHostPort(u.backAddr())
-	d, err := start(name, s.cfg.Binary, []string{
-		"keeper", "--node=" + name, "--domain=" + u.domain, "--store=" + link.Addr(), "--port=" + s.world.port,
+	d, err := startDaemon(name, s.cfg.Binary, []string{
+		"keeper", "--node=" + name, "--domain=" + u.domain, "--store=" + link.Addr(), "--port=" + s.world.keeperPort,
 		"--ip=" + host, "--engine=" + u.backAddr(),
 	}, s.cfg.Log)
 	return &keeperProcess{
@@ -198,20 +198,20 @@
 	}
 }
 
-// served waits until every gateway has served every kind of request and returns how
+// waitForService waits until every gateway has served every kind of request and returns how
 // long that took. It reports false if it took longer than the limit.
-func (s *soak) served(limit time.Duration) (time.Duration, bool) {
+func (s *soak) waitForService(limit time.Duration) (time.Duration, bool) {
 	began := time.Now()
 	client := &http.Client{
-		Timeout:   callerPatience,
+		Timeout:   callerTimeout,
 		Transport: &http.Transport{},
 	}
 	defer client.CloseIdleConnections()
 	for i, g := range s.gateways {
-		for j, k := range kinds {
+		for j, k := range requestKinds {
 			for n := 0; ; n++ {
 				id := fmt.Sprintf("probe-%d-%d-%d-%d", began.UnixNano(), i, j, n)
-				if s.call(client, g, k, id, stayKey, 0) == http.StatusOK {
+				if s.sendRequest(client, g, k, id, permanentKey, 0) == http.StatusOK {
 					break
 				}
 				if time.Since(began) > limit {
@@ -238,21 +238,21 @@
 		n := d.crashes
 		d.mu.Unlock()
 		if n > 0 {
-			s.ledger.broken("%s ended %d times by itself", d.name, n)
+			s.requests.addViolation("%s ended %d times by itself", d.name, n)
 		}
 	}
 }
 
-// calmSince reports whether no unplanned fault has been in progress since t.
-func (s *soak) calmSince(t time.Time) bool {
+// noFaultsSince reports whether no unplanned fault has been in progress since t.
+func (s *soak) noFaultsSince(t time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hurting == 0 && s.calmAt.Before(t)
+	return s.unplannedFaults == 0 && s.lastFaultEnd.Before(t)
 }
 
-// hurt injects random faults, up to cfg.AtOnce concurrently, until cfg.For has passed,
+// injectFaults injects random faults, up to cfg.AtOnce concurrently, until cfg.For has passed,
 // and then heals all of them.
-func (s *soak) hurt(ctx context.Context) {
+func (s *soak) injectFaults(ctx context.Context) {
 	var wg sync.WaitGroup
 	until := time.Now().Add(s.cfg.For)
 	for i := range s.cfg.AtOnce {
@@ -261,7 +261,7 @@
 			defer wg.Done()
 			r := rand.New(rand.NewPCG(s.cfg.Seed, 1000+uint64(i)))
 			for time.Now().Before(until) && ctx.Err() == nil {
-				s.play(r)
+				s.injectFault(r)
 				time.Sleep(time.Duration(r.IntN(800)) * time.Millisecond)
 			}
 		}()
@@ -270,24 +270,24 @@
 	s.heal()
 }
 
-func (s *soak) play(r *rand.Rand) {
-	f := s.draw(r)
+func (s *soak) injectFault(r *rand.Rand) {
+	f := s.randomFault(r)
 	s.mu.Lock()
-	s.faults[f.name]++
+	s.faultCounts[f.name]++
 	if !f.planned {
-		s.hurting++
+		s.unplannedFaults++
 	}
 	s.mu.Unlock()
-	fmt.Fprintf(s.cfg.Log, "soak: fault=%s target=%s for=%v\n", f.name, f.target, f.last)
+	fmt.Fprintf(s.cfg.Log, "soak: fault=%s target=%s for=%v\n", f.name, f.target, f.duration)
 	undo := f.begin()
-	time.Sleep(f.last)
+	time.Sleep(f.duration)
 	if undo != nil {
 		undo()
 	}
 	if !f.planned {
 		s.mu.Lock()
-		s.hurting--
-		s.calmAt = time.Now()
+		s.unplannedFaults--
+		s.lastFaultEnd = time.Now()
 		s.mu.Unlock()
 	}
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -68,19 +68,19 @@
 	ranOnce(t, w.upstreams[0], "twice")
 	ranOnce(t, w.upstreams[1], "twice")
 	ranOnce(t, w.upstreams[0], "right")
-	l := &ledger{
-		w:      w,
-		notRun: []string{"refused", "never"},
-		once:   []string{"twice", "right"},
+	l := &requestChecker{
+		world:      w,
+		notRun:     []string{"refused", "never"},
+		atMostOnce: []string{"twice", "right"},
 	}
-	l.settle()
+	l.check()
 	if len(l.violations) != 2 {
 		t.Fatalf("%d violations, want one for refused and one for twice: %q", len(l.violations), l.violations)
 	}
 	s := &soak{
-		ledger: l,
+		requests: l,
 	}
-	s.judge(kind{}, "other", &http.Response{
+	s.checkResponse(requestKind{}, "other", &http.Response{
 		StatusCode: http.StatusOK,
 		Header: http.Header{
 			"X-Wardturn-Server-Seal": {"seal-of-another"},
@@ -99,26 +99,26 @@
 	defer w.close()
 	s := &soak{
 		world: w,
-		ledger: &ledger{
-			w: w,
+		requests: &requestChecker{
+			world: w,
 		},
 	}
 	cold := w.upstreams[0]
-	began := time.Now().Add(-evacuatedBy)
+	began := time.Now().Add(-maxEvacuationTime)
 	for i := range int(coldOverage*coldRate) + coldSlack {
 		ranOnce(t, cold, fmt.Sprint("r", i))
 	}
-	started := time.Now().Add(time.Second - coldFor)
+	started := time.Now().Add(time.Second - coldDuration)
 	s.checkCold(cold, started)
-	s.checkEmpty(w.upstreams[1].domain, began)
-	if len(s.ledger.violations) != 0 {
-		t.Fatalf("violations for the allowed number of requests and none in the other domain: %q", s.ledger.violations)
+	s.checkEvacuated(w.upstreams[1].domain, began)
+	if len(s.requests.violations) != 0 {
+		t.Fatalf("violations for the allowed number of requests and none in the other domain: %q", s.requests.violations)
 	}
 	ranOnce(t, cold, "one more")
 	s.checkCold(cold, started)
-	s.checkEmpty(cold.domain, began)
-	if len(s.ledger.violations) != 2 {
-		t.Fatalf("want violations for one request too many and for those after an evacuation: %q", s.ledger.violations)
+	s.checkEvacuated(cold.domain, began)
+	if len(s.requests.violations) != 2 {
+		t.Fatalf("want violations for one request too many and for those after an evacuation: %q", s.requests.violations)
 	}
 }
 
@@ -128,31 +128,31 @@
 		t.Fatal(err)
 	}
 	defer w.close()
-	w.configure() // removes the first key
+	w.publishConfig() // removes the first key
 	u := w.upstreams[0]
 	ranOnce(t, u, "unknown")
 	ranOnce(t, u, "late")
 	ranOnce(t, u, "intime")
-	l := &ledger{
-		w: w,
+	l := &requestChecker{
+		world: w,
 		keyed: []keyedAttempt{
 			{
 				id:  "unknown",
-				key: noKey,
+				key: unknownKey,
 			},
 			{
 				id:   "late",
-				key:  turnKey(1),
-				sent: time.Now().Add(keyBound + time.Second),
+				key:  rotatedKey(1),
+				sent: time.Now().Add(maxKeyDelay + time.Second),
 			},
 			{
 				id:   "intime",
-				key:  turnKey(1),
+				key:  rotatedKey(1),
 				sent: time.Now(),
 			},
 		},
 	}
-	l.settleKeys()
+	l.checkKeys()
 	// Two ran without a valid key, and all three without the team header.
 	if len(l.violations) != 5 {
 		t.Fatalf("%d violations: %q", len(l.violations), l.violations)
@@ -171,44 +171,44 @@
 			Log: io.Discard,
 		},
 		world: w,
-		ledger: &ledger{
-			w: w,
+		requests: &requestChecker{
+			world: w,
 		},
-		limits: newLimitLedger(),
+		limits: newLimitChecker(),
 	}
 	const figure = "0.500001"
-	n := naming{
-		u:      u,
-		figure: figure,
-		rate:   0.5,
-		from:   time.Now(),
+	n := limitPeriod{
+		upstream: u,
+		limit:    figure,
+		rate:     0.5,
+		from:     time.Now(),
 	}
 	send := func(process string, count int) {
 		for i := range count {
 			id := fmt.Sprint(process, i)
-			s.limits.sent(id, process)
+			s.limits.recordSent(id, process)
 			ranOnce(t, u, id)
 		}
 	}
-	s.limits.passedOn("told", figure)
+	s.limits.recordResponse("told", figure)
 	send("untold", 20)
 	send("told", 20) // within limitGrace
 	time.Sleep(limitGrace)
 	send("told-later", 20)
 	send("told", 8) // the allowed number
 	n.to = time.Now()
-	s.limits.namings = []naming{n}
-	if s.checkLimits(); len(s.ledger.violations) != 0 {
-		t.Fatalf("allowed requests are reported: %q", s.ledger.violations)
+	s.limits.periods = []limitPeriod{n}
+	if s.checkLimits(); len(s.requests.violations) != 0 {
+		t.Fatalf("allowed requests are reported: %q", s.requests.violations)
 	}
 	send("told", 1)
-	s.limits.namings[0].to = time.Now()
-	if s.checkLimits(); len(s.ledger.violations) != 1 {
-		t.Fatalf("one request too many is not detected: %q", s.ledger.violations)
+	s.limits.periods[0].to = time.Now()
+	if s.checkLimits(); len(s.requests.violations) != 1 {
+		t.Fatalf("one request too many is not detected: %q", s.requests.violations)
 	}
-	u.excuse(n.from, time.Now())
-	if s.checkLimits(); len(s.ledger.violations) != 1 {
-		t.Fatalf("a violation in an excused window is reported: %q", s.ledger.violations)
+	u.addExcused(n.from, time.Now())
+	if s.checkLimits(); len(s.requests.violations) != 1 {
+		t.Fatalf("a violation in an excused window is reported: %q", s.requests.violations)
 	}
 }
 
@@ -224,51 +224,51 @@
 			Log: io.Discard,
 		},
 		world: w,
-		ledger: &ledger{
-			w: w,
+		requests: &requestChecker{
+			world: w,
 		},
-		answers: newAnswerLedger(),
+		responses: newResponseChecker(),
 	}
 	send := func(process, id string) {
-		s.answers.note(id, process)
+		s.responses.recordSent(id, process)
 		ranOnce(t, u, id)
 	}
 	send("elsewhere", "resent") // resent to a leaving upstream, which answered
-	s.answers.leaving["resent"] = time.Now().Add(-leavingBound)
+	s.responses.leavingAt["resent"] = time.Now().Add(-maxLeavingDelay)
 	send("elsewhere", "allowed")
-	u.behave(standin.WorkerFaults{
+	u.setFaults(standin.WorkerFaults{
 		Leaving: "1",
 	})
 	send("told", "leaves")
-	s.answers.leaving["leaves"] = time.Now().Add(-leavingBound)
+	s.responses.leavingAt["leaves"] = time.Now().Add(-maxLeavingDelay)
 	send("untold", "other")
-	if s.checkAnswers(); len(s.ledger.violations) != 0 {
-		t.Fatalf("allowed requests are reported: %q", s.ledger.violations)
+	if s.checkResponses(); len(s.requests.violations) != 0 {
+		t.Fatalf("allowed requests are reported: %q", s.requests.violations)
 	}
 	send("told", "late")
-	if s.checkAnswers(); len(s.ledger.violations) != 1 {
-		t.Fatalf("a late request is not detected: %q", s.ledger.violations)
+	if s.checkResponses(); len(s.requests.violations) != 1 {
+		t.Fatalf("a late request is not detected: %q", s.requests.violations)
 	}
-	s.ledger.violations = nil
-	s.answers.leaving = nil
-	u.behave(askingRestFaults())
+	s.requests.violations = nil
+	s.responses.leavingAt = nil
+	u.setFaults(backoffWorkerFaults())
 	send("resting", "refused")
-	time.Sleep(restGrace)
-	for i := range restAllowed + 1 {
+	time.Sleep(backoffGrace)
+	for i := range backoffAllowed + 1 {
 		send("other", fmt.Sprint("allowed", i)) // gets backoff requests too
-		if i < restAllowed {
+		if i < backoffAllowed {
 			send("resting", fmt.Sprint("in", i))
 		}
 	}
-	if s.checkAnswers(); len(s.ledger.violations) != 0 {
-		t.Fatalf("allowed requests are reported: %q", s.ledger.violations)
+	if s.checkResponses(); len(s.requests.violations) != 0 {
+		t.Fatalf("allowed requests are reported: %q", s.requests.violations)
 	}
 	send("resting", "over")
-	if s.checkAnswers(); len(s.ledger.violations) != 1 {
-		t.Fatalf("one request too many is not detected: %q", s.ledger.violations)
+	if s.checkResponses(); len(s.requests.violations) != 1 {
+		t.Fatalf("one request too many is not detected: %q", s.requests.violations)
 	}
-	s.answers.excuse(time.Now().Add(-time.Second), time.Now())
-	if s.checkAnswers(); len(s.ledger.violations) != 1 {
-		t.Fatalf("a violation in an excused backoff is reported: %q", s.ledger.violations)
+	s.responses.addExcused(time.Now().Add(-time.Second), time.Now())
+	if s.checkResponses(); len(s.requests.violations) != 1 {
+		t.Fatalf("a violation in an excused backoff is reported: %q", s.requests.violations)
 	}
 }
--- a/soak/storereturn.go
+++ b/soak/storereturn.go
@@ -7,78 +7,78 @@
 	"wardturn/standin"
 )
 
-// awayBefore is how long the store is unavailable before it is restored.
-const awayBefore = 300 * time.Millisecond
+// outageBeforeRestore is how long the store is unavailable before it is restored.
+const outageBeforeRestore = 300 * time.Millisecond
 
-// writings are the changes made to the store, to repeat them after it was restored from
+// storeWrites are the changes made to the store, to repeat them after it was restored from
 // an older copy.
-type writings struct {
-	mu       sync.Mutex
-	versions map[string]int64 // newest version by adapter
-	dropped  []string         // ids of the dropped entries of upstreams
+type storeWrites struct {
+	mu             sync.Mutex
+	versions       map[string]int64 // newest version by adapter
+	droppedEntries []string         // ids of the dropped entries of upstreams
 }
 
-// drop deletes the store entry of a lifetime that ended.
-func (w *world) drop(id string) {
-	w.written.mu.Lock()
-	defer w.written.mu.Unlock()
-	w.written.dropped = append(w.written.dropped, id)
+// dropEntry deletes the store entry of a lifetime that ended.
+func (w *world) dropEntry(id string) {
+	w.writes.mu.Lock()
+	defer w.writes.mu.Unlock()
+	w.writes.droppedEntries = append(w.writes.droppedEntries, id)
 	w.store.DropServer(id)
 }
 
-// nameVersion announces a new version of an adapter.
-func (s *soak) nameVersion(adapter string, version int64) {
+// announceVersion announces a new version of an adapter.
+func (s *soak) announceVersion(adapter string, version int64) {
 	for _, u := range s.world.upstreams {
 		u.worker.Name(adapter, version)
 	}
-	w := &s.world.written
+	w := &s.world.writes
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.versions[adapter] = max(w.versions[adapter], version)
 	s.world.store.PutVersion("m0", adapter, w.versions[adapter])
 }
 
-// storeReturn returns a fault at whose end the store is restored from a copy made at its
+// storeRestoreFault returns a fault at whose end the store is restored from a copy made at its
 // begin.
-func (s *soak) storeReturn() fault {
+func (s *soak) storeRestoreFault() fault {
 	return fault{
 		name:   "store comes back from an older copy",
 		target: "store",
 		begin: func() func() {
-			old := s.world.store.Copy()
+			saved := s.world.store.Copy()
 			return func() {
 				s.world.store.SetFaults(standin.MetaFaults{
 					Away: true,
 				})
-				time.Sleep(awayBefore)
-				s.world.store.ComeBack(old)
+				time.Sleep(outageBeforeRestore)
+				s.world.store.ComeBack(saved)
 				s.world.store.SetFaults(standin.MetaFaults{})
-				s.writeAgain()
+				s.repeatStoreWrites()
 			}
 		},
 	}
 }
 
-// writeAgain repeats the writes that the store may have lost.
-func (s *soak) writeAgain() {
+// repeatStoreWrites repeats the writes that the store may have lost.
+func (s *soak) repeatStoreWrites() {
 	s.evacuations.mu.Lock()
 	for _, domain := range domains {
-		s.world.store.Evacuate(domain, s.evacuations.now[domain])
+		s.world.store.Evacuate(domain, s.evacuations.active[domain])
 	}
 	s.evacuations.mu.Unlock()
 	s.mu.Lock()
-	s.world.configure()
+	s.world.publishConfig()
 	s.mu.Unlock()
-	w := &s.world.written
+	w := &s.world.writes
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for adapter, version := range w.versions {
 		s.world.store.PutVersion("m0", adapter, version)
 	}
-	for _, id := range w.dropped {
+	for _, id := range w.droppedEntries {
 		s.world.store.DropServer(id)
 	}
 	for _, u := range s.world.upstreams {
-		s.world.enter(u)
+		s.world.writeEntry(u)
 	}
 }
--- a/soak/world.go
+++ b/soak/world.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	beatEvery  = time.Second // interval of the renewal of the upstreams' entries
-	slots      = 3           // adapter slots of an engine; few, to cause evictions
-	loadTime   = 30 * time.Millisecond
-	pieces     = 6 // events of a stream
-	piecePause = 10 * time.Millisecond
+	entryInterval = time.Second // interval of the renewal of the upstreams' entries
+	adapterSlots  = 3           // adapter slots of an engine; few, to cause evictions
+	loadTime      = 30 * time.Millisecond
+	streamEvents  = 6 // events of a stream
+	eventInterval = 10 * time.Millisecond
 )
 
 // upstream is a stand-in for an engine or a plain service, with its links.
 type upstream struct {
-	worker  *standin.ModelWorker
-	service string
-	domain  string
-	addr    string         // address for gateways, that of link
-	link    *standin.Relay // from gateways to the upstream
-	keeper  *standin.Relay // from gateways to the upstream's keeper; nil for a plain service
-	server  *http.Server
+	worker      *standin.ModelWorker
+	service     string
+	domain      string
+	addr        string         // address for gateways, that of link
+	relay       *standin.Relay // from gateways to the upstream
+	keeperRelay *standin.Relay // from gateways to the upstream's keeper; nil for a plain service
+	server      *http.Server
 
-	mu    sync.Mutex
-	id    string
-	lives int
-	state string
+	mu       sync.Mutex
+	id       string
+	restarts int
+	state    string
 	// faults are the injected faults, and limit is the rate limit, in requests per second,
 	// that the responses announce.
 	faults standin.WorkerFaults
 	limit  string
 	// excused are the intervals in which the rates of its requests are not checked.
-	excused []span
+	excused []interval
 }
 
 // world simulates the platform around the daemons: the store and the upstreams.
 type world struct {
-	store     *standin.MetaStore
-	storeAddr string
-	server    *http.Server
-	upstreams []*upstream
-	port      string // of all keepers
-	version   int
-	keys      teamKeys
-	fatals    fatals
-	written   writings
-	stop      chan struct{}
-	wg        sync.WaitGroup
+	store      *standin.MetaStore
+	storeAddr  string
+	server     *http.Server
+	upstreams  []*upstream
+	keeperPort string // of all keepers
+	version    int
+	keys       teamKeys
+	fatals     fatalRequests
+	writes     storeWrites
+	stop       chan struct{}
+	wg         sync.WaitGroup
 }
 
 const soakConfig = `{"version":%d,"routes":[
@@ -84,10 +84,10 @@
 	w := &world{
 		store: standin.NewMetaStore(),
 		stop:  make(chan struct{}),
-		fatals: fatals{
+		fatals: fatalRequests{
 			crashes: make(map[string]int),
 		},
-		written: writings{
+		writes: storeWrites{
 			versions: make(map[string]int64),
 		},
 	}
@@ -96,24 +96,24 @@
 	if err != nil {
 		return nil, err
 	}
-	w.configure()
-	if w.port, err = freePort(engines); err != nil {
+	w.publishConfig()
+	if w.keeperPort, err = freePort(engines); err != nil {
 		return nil, err
 	}
 	for i := range engines {
-		if err := w.add("llm", i, standin.ModelWorkerConfig{
+		if err := w.addUpstream("llm", i, standin.ModelWorkerConfig{
 			ID:       fmt.Sprintf("e%d", i),
 			Model:    "m0",
-			Slots:    slots,
+			Slots:    adapterSlots,
 			LoadTime: loadTime,
-			Pieces:   pieces,
-			Pause:    piecePause,
+			Pieces:   streamEvents,
+			Pause:    eventInterval,
 		}); err != nil {
 			return nil, err
 		}
 	}
 	for i := range apps {
-		if err := w.add("app", engines+i, standin.ModelWorkerConfig{
+		if err := w.addUpstream("app", engines+i, standin.ModelWorkerConfig{
 			ID: fmt.Sprintf("a%d", i),
 		}); err != nil {
 			return nil, err
@@ -122,23 +122,23 @@
 	w.wg.Add(1)
 	go func() {
 		defer w.wg.Done()
-		w.beat()
+		w.renewEntries()
 	}()
 	return w, nil
 }
 
-// configure publishes the next version of the configuration.
-func (w *world) configure() {
+// publishConfig publishes the next version of the configuration.
+func (w *world) publishConfig() {
 	w.version++
-	w.store.PutConfig(fmt.Sprintf(soakConfig, w.version, coldRate, slots, coldRate, soakTeam, stayKey, turnKey(w.version)))
-	w.keys.configured(w.version)
+	w.store.PutConfig(fmt.Sprintf(soakConfig, w.version, coldRate, adapterSlots, coldRate, callerTeam, permanentKey, rotatedKey(w.version)))
+	w.keys.recordVersion(w.version)
 }
 
 // frontHost and backHost are the IP addresses of an upstream before and behind its links.
 func frontHost(i int) string { return fmt.Sprintf("127.0.0.%d", 10+i) }
 func backHost(i int) string  { return fmt.Sprintf("127.0.1.%d", 10+i) }
 
-func (w *world) add(service string, i int, cfg standin.ModelWorkerConfig) error {
+func (w *world) addUpstream(service string, i int, cfg standin.ModelWorkerConfig) error {
 	u := &upstream{
 		service: service,
 		domain:  domains[i%len(domains)],
@@ -146,28 +146,28 @@
 		state:   "ready",
 	}
 	cfg.Crash = func(path string) {
-		w.crashed(u, path)
+		w.handleCrash(u, path)
 	}
 	u.worker = standin.NewModelWorker(cfg)
-	u.behave(standin.WorkerFaults{})
-	var back string
+	u.setFaults(standin.WorkerFaults{})
+	var backAddr string
 	var err error
-	u.server, back, err = serve(backHost(i)+":0", u.worker)
+	u.server, backAddr, err = serve(backHost(i)+":0", u.worker)
 	if err != nil {
 		return err
 	}
-	u.link, err = standin.NewRelayAt(frontHost(i)+":0", back)
+	u.relay, err = standin.NewRelayAt(frontHost(i)+":0", backAddr)
 	if err != nil {
 		return err
 	}
-	u.addr = u.link.Addr()
+	u.addr = u.relay.Addr()
 	if cfg.Model != "" {
 		if err := w.addKeeperLink(u, i); err != nil {
 			return err
 		}
 	}
 	w.upstreams = append(w.upstreams, u)
-	w.enter(u)
+	w.writeEntry(u)
 	return nil
 }
 
@@ -175,7 +175,7 @@
 func freePort(n int) (string, error) {
 	for range 100 {
 		port, free := "0", true
-		var list []net.Listener
+		var listeners []net.Listener
 		for i := range n {
 			for _, host := range []string{frontHost(i), backHost(i)} {
 				ln, err := net.Listen("tcp", net.JoinHostPort(host, port))
@@ -184,10 +184,10 @@
 					continue
 				}
 				_, port, _ = net.SplitHostPort(ln.Addr().String())
-				list = append(list, ln)
+				listeners = append(listeners, ln)
 			}
 		}
-		for _, ln := range list {
+		for _, ln := range listeners {
 			ln.Close()
 		}
 		if free {
@@ -200,31 +200,31 @@
 // addKeeperLink opens the relay to a keeper. All keepers use the same port.
 func (w *world) addKeeperLink(u *upstream, i int) error {
 	var err error
-	u.keeper, err = standin.NewRelayAt(net.JoinHostPort(frontHost(i), w.port), net.JoinHostPort(backHost(i), w.port))
+	u.keeperRelay, err = standin.NewRelayAt(net.JoinHostPort(frontHost(i), w.keeperPort), net.JoinHostPort(backHost(i), w.keeperPort))
 	return err
 }
 
 // backAddr returns the address at which the keeper reaches its engine, without a relay.
 func (u *upstream) backAddr() string {
-	return u.link.Target()
+	return u.relay.Target()
 }
 
-func (w *world) enter(u *upstream) {
+func (w *world) writeEntry(u *upstream) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	w.store.PutServer(u.id, u.worker.Entry(u.service, u.addr, u.domain, u.state))
 }
 
-// beat renews the store entries of the upstreams periodically.
-func (w *world) beat() {
+// renewEntries renews the store entries of the upstreams periodically.
+func (w *world) renewEntries() {
 	for {
 		select {
 		case <-w.stop:
 			return
-		case <-time.After(beatEvery):
+		case <-time.After(entryInterval):
 		}
 		for _, u := range w.upstreams {
-			w.enter(u)
+			w.writeEntry(u)
 		}
 	}
 }
@@ -234,25 +234,25 @@
 func (w *world) restart(u *upstream) {
 	u.mu.Lock()
 	old := u.id
-	u.lives++
-	u.worker.TurnCold(coldFor)
-	if u.lives%2 == 0 {
+	u.restarts++
+	u.worker.TurnCold(coldDuration)
+	if u.restarts%2 == 0 {
 		u.worker.StartAgain(time.Now().UnixMilli())
 		u.mu.Unlock()
-		w.enter(u)
+		w.writeEntry(u)
 		return
 	}
-	u.id = fmt.Sprintf("%s-%d", old, u.lives)
+	u.id = fmt.Sprintf("%s-%d", old, u.restarts)
 	u.worker.Restart(u.id)
 	u.mu.Unlock()
-	u.excuse(time.Now(), time.Now()) // gateways know no limit for the new id
-	w.enter(u)
-	w.drop(old)
+	u.addExcused(time.Now(), time.Now()) // gateways know no limit for the new id
+	w.writeEntry(u)
+	w.dropEntry(old)
 }
 
-// behave sets the injected faults of an upstream. Fatal requests crash it whatever they
+// setFaults sets the injected faults of an upstream. Fatal requests crash it whatever they
 // are.
-func (u *upstream) behave(f standin.WorkerFaults) {
+func (u *upstream) setFaults(f standin.WorkerFaults) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.faults = f
@@ -280,9 +280,9 @@
 	close(w.stop)
 	w.wg.Wait()
 	for _, u := range w.upstreams {
-		u.link.Close()
-		if u.keeper != nil {
-			u.keeper.Close()
+		u.relay.Close()
+		if u.keeperRelay != nil {
+			u.keeperRelay.Close()
 		}
 		_ = u.server.Close()
 	}
