--- a/soak/callers.go
+++ b/soak/callers.go
@@ -52,8 +52,8 @@
 	Cut     int // responses that ended early, and requests without a response
 }
 
-// requestChecker records the outcomes that callers received, to compare them with what ran, and
-// collects the violations that all checks of a soak find.
+// requestChecker records the outcomes that callers received, to compare them with what
+// ran, and collects the violations that all checks of a soak find.
 type requestChecker struct {
 	world *world
 
@@ -65,16 +65,16 @@
 	violations []string
 }
 
-func (l *requestChecker) addViolation(format string, args ...any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.violations = append(l.violations, fmt.Sprintf(format, args...))
+func (c *requestChecker) addViolation(format string, args ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-func (l *requestChecker) recordSent(a keyedAttempt) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.keyed = append(l.keyed, a)
+func (c *requestChecker) recordSent(a keyedAttempt) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.keyed = append(c.keyed, a)
 }
 
 // startCallers starts callers that send requests until stop is closed.
@@ -109,9 +109,9 @@
 	adapterMean   = 4 // mean of the exponential distribution of adapter numbers
 )
 
-// sendRequest sends a request with an API key, checks the response and returns its status; zero
-// means that there was no complete response. The adapter and the speed of reading depend
-// on draw, a sample of an exponential distribution with mean 1.
+// sendRequest sends a request with an API key, checks the response and returns its
+// status; zero means that there was no complete response. The adapter and the speed of
+// reading depend on draw, a sample of an exponential distribution with mean 1.
 func (s *soak) sendRequest(client *http.Client, g *gatewayProcess, k requestKind, id, key string, draw float64) int {
 	req, err := http.NewRequest(http.MethodPost, "http://"+g.addr+k.path, strings.NewReader(id))
 	if err != nil {
@@ -155,8 +155,8 @@
 }
 
 const (
-	// slowReaderDraw is the least draw with which a caller reads slowly, which makes it one
-	// request in 18.
+	// slowReaderDraw is the least draw with which a caller reads slowly, which makes it
+	// one request in 18.
 	slowReaderDraw   = 2.9
 	slowReadInterval = 150 * time.Millisecond
 	slowReadSize     = 64
@@ -183,52 +183,52 @@
 }
 
 func (s *soak) checkResponse(k requestKind, id string, res *http.Response, body string) {
-	l := s.requests
-	l.mu.Lock()
+	c := s.requests
+	c.mu.Lock()
 	if !k.repeatable {
-		l.atMostOnce = append(l.atMostOnce, id)
+		c.atMostOnce = append(c.atMostOnce, id)
 	}
 	switch {
 	case res.StatusCode == http.StatusOK:
-		l.counts.Done++
+		c.counts.Done++
 	case res.StatusCode == http.StatusServiceUnavailable:
-		l.counts.NotRun++
-		l.notRun = append(l.notRun, id)
+		c.counts.NotRun++
+		c.notRun = append(c.notRun, id)
 	default:
-		l.counts.Unknown++
+		c.counts.Unknown++
 	}
-	l.mu.Unlock()
+	c.mu.Unlock()
 	if res.StatusCode != http.StatusOK {
 		return
 	}
 	if got := res.Header.Get(standin.HeaderReceipt); got != "seal-"+id {
-		l.addViolation("%s: the answer has the receipt %q", id, got)
+		c.addViolation("%s: the answer has the receipt %q", id, got)
 	}
 	want := "echo:" + id
 	if k.onEngine {
 		want = completeStream()
 	}
 	if body != want {
-		l.addViolation("%s: a whole answer reads %q", id, body)
+		c.addViolation("%s: a whole answer reads %q", id, body)
 	}
 }
 
 // recordCut records a response that is missing or ended early. For a request that ran, a
 // planned stop of the gateway alone must not cause that.
 func (s *soak) recordCut(g *gatewayProcess, k requestKind, id string, began time.Time, err error) {
-	l := s.requests
-	l.mu.Lock()
-	l.counts.Cut++
+	c := s.requests
+	c.mu.Lock()
+	c.counts.Cut++
 	if !k.repeatable {
-		l.atMostOnce = append(l.atMostOnce, id)
+		c.atMostOnce = append(c.atMostOnce, id)
 	}
-	l.mu.Unlock()
+	c.mu.Unlock()
 	g.mu.Lock()
-	termed := g.terminatedAt
+	terminatedAt := g.terminatedAt
 	g.mu.Unlock()
-	planned := !termed.IsZero() && time.Since(termed) < stopGrace+time.Second
+	planned := !terminatedAt.IsZero() && time.Since(terminatedAt) < stopGrace+time.Second
 	if planned && s.noFaultsSince(began.Add(-quietBefore)) && s.world.runs(id) > 0 {
-		l.addViolation("%s: cut by the planned stop of %s: %v", id, g.name, err)
+		c.addViolation("%s: cut by the planned stop of %s: %v", id, g.name, err)
 	}
 }
 
@@ -241,24 +241,24 @@
 }
 
 // check compares the recorded outcomes with what the upstreams ran.
-func (l *requestChecker) check() {
-	l.mu.Lock()
-	notRun, once := l.notRun, l.atMostOnce
-	l.mu.Unlock()
+func (c *requestChecker) check() {
+	c.mu.Lock()
+	notRun, atMostOnce := c.notRun, c.atMostOnce
+	c.mu.Unlock()
 	for _, id := range notRun {
-		if n := l.world.runs(id); n > 0 {
-			l.addViolation("%s: told that it has not run, and ran %d times", id, n)
+		if n := c.world.runs(id); n > 0 {
+			c.addViolation("%s: told that it has not run, and ran %d times", id, n)
 		}
 	}
-	for _, id := range once {
-		if n := l.world.runs(id); n > 1 {
-			l.addViolation("%s: may run once, and ran %d times", id, n)
+	for _, id := range atMostOnce {
+		if n := c.world.runs(id); n > 1 {
+			c.addViolation("%s: may run once, and ran %d times", id, n)
 		}
 	}
-	l.checkKeys()
-	for _, u := range l.world.upstreams {
+	c.checkKeys()
+	for _, u := range c.world.upstreams {
 		if u.worker.Fell() {
-			l.addViolation("upstream %s was ordered to hold more than it can", u.id)
+			c.addViolation("upstream %s was ordered to hold more than it can", u.id)
 		}
 	}
 }
--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxEvacuationTime is the time after the operator's order to evacuate a failure domain from
-	// which on it must get no requests. It covers the gateways' reads of the store, their
-	// reports of that to each other, and the acknowledgement.
+	// maxEvacuationTime is the time after the operator's order to evacuate a failure
+	// domain from which on it must get no requests. It covers the gateways' reads of
+	// the store, their reports of that to each other, and the acknowledgement.
 	maxEvacuationTime = 3 * time.Second
 	// evacuationWatch is how long the evacuated failure domain is watched after that.
 	evacuationWatch = 1500 * time.Millisecond
@@ -52,8 +52,8 @@
 	delete(e.active, domain)
 }
 
-// evacuationFault returns a fault in which the operator evacuates a failure domain, and revokes
-// that when the fault ends.
+// evacuationFault returns a fault in which the operator evacuates a failure domain, and
+// revokes that when the fault ends.
 func (s *soak) evacuationFault(r *rand.Rand) fault {
 	domain := randomElement(r, domains)
 	return fault{
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -16,7 +16,8 @@
 	fatalInterval = 200 * time.Millisecond
 	// fatalRepeats is the number of consecutive fatal requests with the same path.
 	fatalRepeats = 20
-	// crashGossipTime is the time in which gateways tell each other of a crash, with some slack.
+	// crashGossipTime is the time in which gateways tell each other of a crash, with
+	// some slack.
 	crashGossipTime = 200 * time.Millisecond
 	// listReadTime is the time in which all gateways read the list of upstreams. The list
 	// alone tells of a crash if the upstream is back before a gateway checks whether it
@@ -37,8 +38,8 @@
 	crashes map[string]int
 }
 
-// handleCrash simulates the crash of an upstream by a request: it counts it and restarts the
-// upstream at once, without adapters, as a new lifetime.
+// handleCrash simulates the crash of an upstream by a request: it counts it and
+// restarts the upstream at once, without adapters, as a new lifetime.
 func (w *world) handleCrash(u *upstream, path string) {
 	w.fatals.mu.Lock()
 	w.fatals.crashes[path]++
@@ -90,10 +91,10 @@
 }
 
 // checkFatals sends each request that has crashed at least crashLimit upstreams to each
-// gateway twice. In the first round the gateways together may forward it maxLateCrashes times,
-// in the second they must refuse it. The allowance is needed since gateways miss some
-// crashes: an upstream that is back within a millisecond may crash again before the list
-// shows its new lifetime. It is called after the last fault.
+// gateway twice. In the first round the gateways together may forward it maxLateCrashes
+// times, in the second they must refuse it. The allowance is needed since gateways miss
+// some crashes: an upstream that is back within a millisecond may crash again before
+// the list shows its new lifetime. It is called after the last fault.
 func (s *soak) checkFatals() {
 	time.Sleep(crashSettleTime)
 	client := &http.Client{
--- a/soak/keys.go
+++ b/soak/keys.go
@@ -9,8 +9,8 @@
 
 const (
 	callerTeam = "clerks"
-	// permanentKey is in every configuration and unknownKey in none. Each configuration has one
-	// more key, which the next one replaces.
+	// permanentKey is in every configuration and unknownKey in none. Each configuration
+	// has one more key, which the next one replaces.
 	permanentKey = "key-stay"
 	unknownKey   = "key-none"
 	// maxKeyDelay is how long after the removal of a key from the configuration a request
@@ -77,21 +77,21 @@
 
 // checkKeys checks that no request ran without a valid key, and that upstreams received
 // the team in place of the key.
-func (l *requestChecker) checkKeys() {
-	l.mu.Lock()
-	list := l.keyed
-	l.mu.Unlock()
+func (c *requestChecker) checkKeys() {
+	c.mu.Lock()
+	list := c.keyed
+	c.mu.Unlock()
 	for _, a := range list {
-		if l.world.runs(a.id) > 0 && !l.world.keys.mayRun(a.key, a.sent) {
-			l.addViolation("%s: ran with %s, sent at %s", a.id, a.key, a.sent.Format(time.StampMilli))
+		if c.world.runs(a.id) > 0 && !c.world.keys.mayRun(a.key, a.sent) {
+			c.addViolation("%s: ran with %s, sent at %s", a.id, a.key, a.sent.Format(time.StampMilli))
 		}
-		for _, u := range l.world.upstreams {
+		for _, u := range c.world.upstreams {
 			h := u.worker.Headers(a.id)
 			if h == nil {
 				continue
 			}
 			if got := h.Values(platformHeaders.Team); len(got) != 1 || got[0] != callerTeam || h.Get("Authorization") != "" {
-				l.addViolation("%s: reached %s as team %q, with a key: %v", a.id, u.id, got, h.Get("Authorization") != "")
+				c.addViolation("%s: reached %s as team %q, with a key: %v", a.id, u.id, got, h.Get("Authorization") != "")
 			}
 		}
 	}
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -22,8 +22,8 @@
 	maxLimit           = 20.0                    // maximum limit in requests per second
 )
 
-// limitPeriod is an interval in which an upstream announces a rate limit in its responses. Its
-// figure, the text of the limit, is unique.
+// limitPeriod is a time in which an upstream announces a rate limit in its responses. The
+// text of the limit is unique, to tell which period a response belongs to.
 type limitPeriod struct {
 	upstream *upstream
 	limit    string
@@ -32,20 +32,20 @@
 	to       time.Time
 }
 
-// interval is an interval to which checks of arrivals do not apply, since a fault may have
-// delayed or reordered requests, or since an upstream has a new id.
+// interval is a time interval to which checks of arrivals do not apply, since a fault
+// may have delayed or reordered requests, or since an upstream has a new id.
 type interval struct {
 	from time.Time
 	to   time.Time
 }
 
-// limitChecker checks that gateways obey the rate limits that upstreams announce. It records
-// which upstreams announced which limits, which gateway processes forwarded them, and to
-// which gateway process each attempt was sent.
+// limitChecker checks that gateways obey the rate limits that upstreams announce. It
+// records which upstreams announced which limits, which gateway processes forwarded
+// them, and to which gateway process each attempt was sent.
 type limitChecker struct {
 	mu          sync.Mutex
 	periods     []limitPeriod
-	announcedAt map[string]time.Time // first response with it, by gateway process and figure
+	announcedAt map[string]time.Time // first response with it, by gateway process and limit
 	gatewayOf   map[string]string    // gateway process, by attempt
 }
 
@@ -56,52 +56,53 @@
 	}
 }
 
-func (l *limitChecker) recordSent(id, process string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.gatewayOf[id] = process
+func (c *limitChecker) recordSent(id, process string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.gatewayOf[id] = process
 }
 
 // recordResponse records that a caller received a response that announces a limit.
-func (l *limitChecker) recordResponse(process, figure string) {
-	if figure == "" {
+func (c *limitChecker) recordResponse(process, limit string) {
+	if limit == "" {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	key := process + " " + figure
-	if l.announcedAt[key].IsZero() {
-		l.announcedAt[key] = time.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	key := process + " " + limit
+	if c.announcedAt[key].IsZero() {
+		c.announcedAt[key] = time.Now()
 	}
 }
 
-// startLimits starts a goroutine in which one random upstream after another announces a
-// limit, until the soak ends. For a while in between it announces one that can't be parsed.
-func (s *soak) startLimits() {
+// startLimitPeriods starts a goroutine in which one random upstream after another
+// announces a limit, until the soak ends. For a while in between it announces one that
+// can't be parsed.
+func (s *soak) startLimitPeriods() {
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
 		r := rand.New(rand.NewPCG(s.cfg.Seed, 500))
 		for i := 0; ; i++ {
 			rate := r.Float64() * maxLimit
-			n := limitPeriod{
+			period := limitPeriod{
 				upstream: randomElement(r, s.world.upstreams),
 				limit:    strconv.FormatFloat(rate, 'f', 2, 64) + fmt.Sprintf("%04d", i),
 				rate:     rate,
 				from:     time.Now(),
 			}
-			fmt.Fprintf(s.cfg.Log, "soak: fault=limit target=%s figure=%s\n", n.upstream.addr, n.limit)
-			n.upstream.setLimit(n.limit)
+			fmt.Fprintf(s.cfg.Log, "soak: fault=limit target=%s figure=%s\n", period.upstream.addr, period.limit)
+			period.upstream.setLimit(period.limit)
 			half := (minLimitDuration + time.Duration(r.Int64N(int64(maxExtraDuration)))) / 2
 			running := s.sleep(half)
-			n.upstream.setLimit("4,5 a second")
+			period.upstream.setLimit("4,5 a second")
 			running = running && s.sleep(unparsableDuration)
-			n.upstream.setLimit(n.limit)
+			period.upstream.setLimit(period.limit)
 			running = running && s.sleep(half)
-			n.upstream.setLimit("")
-			n.to = time.Now()
+			period.upstream.setLimit("")
+			period.to = time.Now()
 			s.limits.mu.Lock()
-			s.limits.periods = append(s.limits.periods, n)
+			s.limits.periods = append(s.limits.periods, period)
 			s.limits.mu.Unlock()
 			if !running || !s.sleep(limitPause) {
 				return
@@ -123,25 +124,26 @@
 // checkLimits compares the rates of requests that upstreams got with the limits that they
 // announced.
 func (s *soak) checkLimits() {
-	l := s.limits
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, n := range l.periods {
-		allowed := int(1.5*n.rate*limitWindow.Seconds()) + 5
-		got := l.maxRequests(n, n.upstream.worker.Arrivals())
-		fmt.Fprintf(s.cfg.Log, "soak: limit target=%s figure=%s most=%d allowed=%d\n", n.upstream.addr, n.limit, got, allowed)
+	c := s.limits
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, period := range c.periods {
+		allowed := int(1.5*period.rate*limitWindow.Seconds()) + 5
+		got := c.maxRequests(period, period.upstream.worker.Arrivals())
+		fmt.Fprintf(s.cfg.Log, "soak: limit target=%s figure=%s most=%d allowed=%d\n", period.upstream.addr, period.limit, got, allowed)
 		if got > allowed {
-			s.requests.addViolation("upstream %s named %s a second and got %d requests in %v from gateways that it had told, at most %d", n.upstream.addr, n.limit, got, limitWindow, allowed)
+			s.requests.addViolation("upstream %s named %s a second and got %d requests in %v from gateways that it had told, at most %d", period.upstream.addr, period.limit, got, limitWindow, allowed)
 		}
 	}
 }
 
-// maxRequests returns the maximum number of requests within any limitWindow that is not excused.
-// Only requests of gateways that had forwarded the limit count. The caller holds the lock.
-func (l *limitChecker) maxRequests(n limitPeriod, arrivals []standin.Arrival) int {
+// maxRequests returns the maximum number of requests within any limitWindow that is not
+// excused. Only requests of gateways that had forwarded the limit count. The caller
+// holds the lock.
+func (c *limitChecker) maxRequests(n limitPeriod, arrivals []standin.Arrival) int {
 	var times []time.Time
 	for _, a := range arrivals {
-		announced := l.announcedAt[l.gatewayOf[a.Attempt]+" "+n.limit]
+		announced := c.announcedAt[c.gatewayOf[a.Attempt]+" "+n.limit]
 		if !announced.IsZero() && a.At.Sub(announced) >= limitGrace && a.At.Before(n.to) {
 			times = append(times, a.At)
 		}
@@ -160,16 +162,16 @@
 }
 
 // setLimit sets the limit that the upstream's responses announce; empty means none.
-func (u *upstream) setLimit(figure string) {
+func (u *upstream) setLimit(limit string) {
 	u.mu.Lock()
-	u.limit = figure
+	u.limit = limit
 	f := u.faults
 	u.mu.Unlock()
 	u.setFaults(f)
 }
 
-// addExcused records an event at the upstream or its link that may delay requests so that they
-// arrive bunched.
+// addExcused records an event at the upstream or its link that may delay requests so
+// that they arrive bunched.
 func (u *upstream) addExcused(from, to time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/soak/process.go
+++ b/soak/process.go
@@ -125,8 +125,9 @@
 	return "", errors.Wrap(err, "soak")
 }
 
-// Daemons listen on ports ports from minPort on. These lie below the kernel's range of
-// ephemeral ports, where a connection could take a port before its daemon has started.
+// Daemons listen on the portCount ports from minPort on. These lie below the kernel's
+// range of ephemeral ports, where a connection could take a port before its daemon has
+// started.
 const (
 	minPort      = 12000
 	portCount    = 18000
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -96,7 +96,7 @@
 	}
 	s.startCallers(cfg.Callers)
 	s.startFatalCaller()
-	s.startLimits()
+	s.startLimitPeriods()
 	s.injectFaults(ctx)
 	took, ok := s.waitForService(maxRecoveryTime)
 	if !ok {
@@ -143,7 +143,7 @@
 	if err != nil {
 		return nil, err
 	}
-	front, err := freeAddr()
+	addr, err := freeAddr()
 	if err != nil {
 		return nil, err
 	}
@@ -154,12 +154,12 @@
 	name := fmt.Sprintf("gateway-%d", i)
 	d, err := startDaemon(name, s.cfg.Binary, []string{
 		"gateway", "--node=" + name, "--domain=d", "--store=" + link.Addr(), "--port=" + s.world.keeperPort,
-		"--listen=" + front, "--ready=" + ready, "--grace=" + stopGrace.String(), "--leave-after=" + leaveAfter.String(),
+		"--listen=" + addr, "--ready=" + ready, "--grace=" + stopGrace.String(), "--leave-after=" + leaveAfter.String(),
 		fmt.Sprintf("--cold-overage=%g", coldOverage), fmt.Sprintf("--cold-slack=%d", coldSlack),
 	}, s.cfg.Log)
 	return &gatewayProcess{
 		daemon: d,
-		addr:   front,
+		addr:   addr,
 		store:  link,
 	}, err
 }
@@ -198,8 +198,8 @@
 	}
 }
 
-// waitForService waits until every gateway has served every kind of request and returns how
-// long that took. It reports false if it took longer than the limit.
+// waitForService waits until every gateway has served every kind of request and returns
+// how long that took. It reports false if it took longer than the limit.
 func (s *soak) waitForService(limit time.Duration) (time.Duration, bool) {
 	began := time.Now()
 	client := &http.Client{
@@ -250,8 +250,8 @@
 	return s.unplannedFaults == 0 && s.lastFaultEnd.Before(t)
 }
 
-// injectFaults injects random faults, up to cfg.AtOnce concurrently, until cfg.For has passed,
-// and then heals all of them.
+// injectFaults injects random faults, up to cfg.AtOnce concurrently, until cfg.For has
+// passed, and then heals all of them.
 func (s *soak) injectFaults(ctx context.Context) {
 	var wg sync.WaitGroup
 	until := time.Now().Add(s.cfg.For)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -16,13 +16,13 @@
 
 // TestSoak runs a short soak with the real daemons.
 func TestSoak(t *testing.T) {
-	bin := filepath.Join(t.TempDir(), "wardturn-fleet")
-	build := exec.Command("go", "build", "-o", bin, "wardturn/cmd/wardturn-fleet")
+	binary := filepath.Join(t.TempDir(), "wardturn-fleet")
+	build := exec.Command("go", "build", "-o", binary, "wardturn/cmd/wardturn-fleet")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	rep, err := Run(context.Background(), Config{
-		Binary:   bin,
+		Binary:   binary,
 		Seed:     1,
 		For:      5 * time.Second,
 		Gateways: 2,
@@ -43,8 +43,8 @@
 	}
 }
 
-// ranOnce sends a request directly to an upstream, as a gateway would.
-func ranOnce(t *testing.T, u *upstream, id string) {
+// sendDirect sends a request directly to an upstream, as a gateway would.
+func sendDirect(t *testing.T, u *upstream, id string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+u.addr+"/charge/x", strings.NewReader("x"))
 	if err != nil {
@@ -64,21 +64,21 @@
 		t.Fatal(err)
 	}
 	defer w.close()
-	ranOnce(t, w.upstreams[0], "refused")
-	ranOnce(t, w.upstreams[0], "twice")
-	ranOnce(t, w.upstreams[1], "twice")
-	ranOnce(t, w.upstreams[0], "right")
-	l := &requestChecker{
+	sendDirect(t, w.upstreams[0], "refused")
+	sendDirect(t, w.upstreams[0], "twice")
+	sendDirect(t, w.upstreams[1], "twice")
+	sendDirect(t, w.upstreams[0], "right")
+	c := &requestChecker{
 		world:      w,
 		notRun:     []string{"refused", "never"},
 		atMostOnce: []string{"twice", "right"},
 	}
-	l.check()
-	if len(l.violations) != 2 {
-		t.Fatalf("%d violations, want one for refused and one for twice: %q", len(l.violations), l.violations)
+	c.check()
+	if len(c.violations) != 2 {
+		t.Fatalf("%d violations, want one for refused and one for twice: %q", len(c.violations), c.violations)
 	}
 	s := &soak{
-		requests: l,
+		requests: c,
 	}
 	s.checkResponse(requestKind{}, "other", &http.Response{
 		StatusCode: http.StatusOK,
@@ -86,8 +86,8 @@
 			"X-Wardturn-Server-Seal": {"seal-of-another"},
 		},
 	}, "not the answer")
-	if len(l.violations) != 4 {
-		t.Fatalf("a wrong receipt or a wrong body is not detected: %q", l.violations)
+	if len(c.violations) != 4 {
+		t.Fatalf("a wrong receipt or a wrong body is not detected: %q", c.violations)
 	}
 }
 
@@ -106,7 +106,7 @@
 	cold := w.upstreams[0]
 	began := time.Now().Add(-maxEvacuationTime)
 	for i := range int(coldOverage*coldRate) + coldSlack {
-		ranOnce(t, cold, fmt.Sprint("r", i))
+		sendDirect(t, cold, fmt.Sprint("r", i))
 	}
 	started := time.Now().Add(time.Second - coldDuration)
 	s.checkCold(cold, started)
@@ -114,7 +114,7 @@
 	if len(s.requests.violations) != 0 {
 		t.Fatalf("violations for the allowed number of requests and none in the other domain: %q", s.requests.violations)
 	}
-	ranOnce(t, cold, "one more")
+	sendDirect(t, cold, "one more")
 	s.checkCold(cold, started)
 	s.checkEvacuated(cold.domain, began)
 	if len(s.requests.violations) != 2 {
@@ -130,10 +130,10 @@
 	defer w.close()
 	w.publishConfig() // removes the first key
 	u := w.upstreams[0]
-	ranOnce(t, u, "unknown")
-	ranOnce(t, u, "late")
-	ranOnce(t, u, "intime")
-	l := &requestChecker{
+	sendDirect(t, u, "unknown")
+	sendDirect(t, u, "late")
+	sendDirect(t, u, "intime")
+	c := &requestChecker{
 		world: w,
 		keyed: []keyedAttempt{
 			{
@@ -152,10 +152,10 @@
 			},
 		},
 	}
-	l.checkKeys()
+	c.checkKeys()
 	// Two ran without a valid key, and all three without the team header.
-	if len(l.violations) != 5 {
-		t.Fatalf("%d violations: %q", len(l.violations), l.violations)
+	if len(c.violations) != 5 {
+		t.Fatalf("%d violations: %q", len(c.violations), c.violations)
 	}
 }
 
@@ -176,10 +176,10 @@
 		},
 		limits: newLimitChecker(),
 	}
-	const figure = "0.500001"
-	n := limitPeriod{
+	const limit = "0.500001"
+	period := limitPeriod{
 		upstream: u,
-		limit:    figure,
+		limit:    limit,
 		rate:     0.5,
 		from:     time.Now(),
 	}
@@ -187,17 +187,17 @@
 		for i := range count {
 			id := fmt.Sprint(process, i)
 			s.limits.recordSent(id, process)
-			ranOnce(t, u, id)
+			sendDirect(t, u, id)
 		}
 	}
-	s.limits.recordResponse("told", figure)
+	s.limits.recordResponse("told", limit)
 	send("untold", 20)
 	send("told", 20) // within limitGrace
 	time.Sleep(limitGrace)
 	send("told-later", 20)
 	send("told", 8) // the allowed number
-	n.to = time.Now()
-	s.limits.periods = []limitPeriod{n}
+	period.to = time.Now()
+	s.limits.periods = []limitPeriod{period}
 	if s.checkLimits(); len(s.requests.violations) != 0 {
 		t.Fatalf("allowed requests are reported: %q", s.requests.violations)
 	}
@@ -206,7 +206,7 @@
 	if s.checkLimits(); len(s.requests.violations) != 1 {
 		t.Fatalf("one request too many is not detected: %q", s.requests.violations)
 	}
-	u.addExcused(n.from, time.Now())
+	u.addExcused(period.from, time.Now())
 	if s.checkLimits(); len(s.requests.violations) != 1 {
 		t.Fatalf("a violation in an excused window is reported: %q", s.requests.violations)
 	}
@@ -231,7 +231,7 @@
 	}
 	send := func(process, id string) {
 		s.responses.recordSent(id, process)
-		ranOnce(t, u, id)
+		sendDirect(t, u, id)
 	}
 	send("elsewhere", "resent") // resent to a leaving upstream, which answered
 	s.responses.leavingAt["resent"] = time.Now().Add(-maxLeavingDelay)
--- a/soak/storereturn.go
+++ b/soak/storereturn.go
@@ -38,8 +38,8 @@
 	s.world.store.PutVersion("m0", adapter, w.versions[adapter])
 }
 
-// storeRestoreFault returns a fault at whose end the store is restored from a copy made at its
-// begin.
+// storeRestoreFault returns a fault at whose end the store is restored from a copy made
+// at its begin.
 func (s *soak) storeRestoreFault() fault {
 	return fault{
 		name:   "store comes back from an older copy",
--- a/soak/world.go
+++ b/soak/world.go
@@ -25,7 +25,7 @@
 	worker      *standin.ModelWorker
 	service     string
 	domain      string
-	addr        string         // address for gateways, that of link
+	addr        string         // address for gateways, that of relay
 	relay       *standin.Relay // from gateways to the upstream
 	keeperRelay *standin.Relay // from gateways to the upstream's keeper; nil for a plain service
 	server      *http.Server
