--- a/demo/path_bench_test.go
+++ b/demo/path_bench_test.go
@@ -11,8 +11,8 @@
 	"wardturn/demo"
 )
 
-// benchSystem is one entry and one engine whose steps take no time, so that what
-// is left is the path.
+// benchSystem starts one entry and one engine whose steps take no time, so that the
+// benchmarks measure the request path alone.
 func benchSystem(b *testing.B) *demo.System {
 	b.Helper()
 	cfg := demo.Zurich()
@@ -53,8 +53,8 @@
 	}
 }
 
-// oneByOne measures requests that come one after the other.
-func oneByOne(b *testing.B, url, model string) {
+// benchSequential measures sequential requests.
+func benchSequential(b *testing.B, url, model string) {
 	c := &fasthttp.Client{}
 	times := make([]time.Duration, 0, b.N)
 	b.ReportAllocs()
@@ -70,19 +70,20 @@
 	b.ReportMetric(float64(times[len(times)*99/100].Microseconds()), "p99-µs")
 }
 
-// BenchmarkOneByOne puts the path through entry and agent beside a direct call
-// of the stand-in engine.
+// BenchmarkOneByOne compares sequential requests through entry and agent with direct
+// requests to the stand-in engine.
 func BenchmarkOneByOne(b *testing.B) {
 	sys := benchSystem(b)
 	b.Run("direct", func(b *testing.B) {
-		oneByOne(b, "http://"+sys.Upstreams[0].Addr()+"/v1/completions", "a0001@1")
+		benchSequential(b, "http://"+sys.Upstreams[0].Addr()+"/v1/completions", "a0001@1")
 	})
 	b.Run("through", func(b *testing.B) {
-		oneByOne(b, "http://"+sys.Addrs()[0]+"/v1/completions", "a0001")
+		benchSequential(b, "http://"+sys.Addrs()[0]+"/v1/completions", "a0001")
 	})
 }
 
-// BenchmarkTogether measures requests of many callers at once.
+// BenchmarkTogether measures the throughput of parallel requests, with the same
+// comparison as BenchmarkOneByOne.
 func BenchmarkTogether(b *testing.B) {
 	sys := benchSystem(b)
 	run := func(name, url, model string) {
--- a/demo/system.go
+++ b/demo/system.go
@@ -21,7 +21,7 @@
 	"wardturn/standin"
 )
 
-// Config sizes a system.
+// Config configures a system.
 type Config struct {
 	Engines      int
 	Services     int
@@ -34,16 +34,16 @@
 	Log          standin.LogConfig
 	HostLag      time.Duration
 	Engine       standin.EngineConfig
-	Work         time.Duration // of a call to a plain service
+	Work         time.Duration // service time of a call to a plain service
 	Logger       hclog.Logger
 	Clock        wardturn.Clock
-	Deadline     time.Duration // of requests that name none; zero: the entry's default
-	Grace        time.Duration // past a deadline, for the agent's word; zero: the entry's default
-	ConnectLimit time.Duration // of a first connection to an agent; zero: the entry's default
-	Relays       bool          // put a relay before each agent, so that its network can fail
+	Deadline     time.Duration // of requests without their own; zero: the entry's default
+	Grace        time.Duration // how long after a deadline an entry waits for the agent's result; zero: the entry's default
+	ConnectLimit time.Duration // timeout of the first connection to an agent; zero: the entry's default
+	Relays       bool          // reach each agent through a relay that can simulate network faults
 }
 
-// Zurich returns the sizes of Zurich today.
+// Zurich returns a configuration of the size of the present Zurich deployment.
 func Zurich() Config {
 	return Config{
 		Engines:  18,
@@ -73,31 +73,31 @@
 	Region  wardturn.Region      = "local"
 )
 
-// Upstream is one upstream of a system with its agent.
+// Upstream is an upstream of a system with its agent.
 type Upstream struct {
-	ID      wardturn.UpstreamID
-	Host    wardturn.Host
-	Engine  *standin.Engine  // nil for a plain service
-	Service *standin.Service // nil for a model engine
-	Agent   *agent.Agent
-	Relay   *standin.Relay // before the agent, if the system has relays
-	addr    string         // of the upstream itself
-	stop    func()
+	ID         wardturn.UpstreamID
+	Host       wardturn.Host
+	Engine     *standin.Engine  // nil for a plain service
+	Service    *standin.Service // nil for a model engine
+	Agent      *agent.Agent
+	Relay      *standin.Relay // to the agent; nil without Config.Relays
+	addr       string         // of the upstream itself
+	stopServer func()
 }
 
 // System is a running system.
 type System struct {
-	cfg       Config
-	Log       *standin.Log
-	Hosts     *standin.HostList
-	Store     *standin.Store
-	Upstreams []*Upstream
-	Entries   []*entry.Entry
-	LogAddr   string
-	HostsAddr string
-	metrics   []*process.Metrics
-	stops     []func()
-	processes int
+	cfg          Config
+	Log          *standin.Log
+	Hosts        *standin.HostList
+	Store        *standin.Store
+	Upstreams    []*Upstream
+	Entries      []*entry.Entry
+	LogAddr      string
+	HostsAddr    string
+	metrics      []*process.Metrics
+	stopServers  []func()
+	processCount int
 }
 
 // Start starts a system and publishes its configuration. It returns once every
@@ -145,23 +145,23 @@
 	return ln, errors.Wrap(err, "listen")
 }
 
-// serve runs a handler on a port of its own until Close.
+// serve runs a handler on a new port until Close.
 func (s *System) serve(h fasthttp.RequestHandler) (string, error) {
 	ln, err := listen()
 	if err != nil {
 		return "", err
 	}
-	s.stops = append(s.stops, standin.Serve(ln, h))
+	s.stopServers = append(s.stopServers, standin.Serve(ln, h))
 	return ln.Addr().String(), nil
 }
 
-func (s *System) domain(i int) wardturn.FailureDomain {
+func (s *System) failureDomain(i int) wardturn.FailureDomain {
 	return wardturn.FailureDomain(fmt.Sprintf("d%d", i%s.cfg.Domains))
 }
 
-func (s *System) process(kind string) wardturn.Incarnation {
-	s.processes++
-	return wardturn.Incarnation(fmt.Sprintf("%s%d", kind, s.processes))
+func (s *System) newProcess(kind string) wardturn.Incarnation {
+	s.processCount++
+	return wardturn.Incarnation(fmt.Sprintf("%s%d", kind, s.processCount))
 }
 
 func (s *System) addUpstream(i int) error {
@@ -171,7 +171,7 @@
 	u.Host = wardturn.Host{
 		Upstream: u.ID,
 		Region:   Region,
-		Domain:   s.domain(i),
+		Domain:   s.failureDomain(i),
 	}
 	ln, err := listen()
 	if err != nil {
@@ -184,17 +184,17 @@
 		cfg.Batch = s.cfg.Batch
 		u.Engine = standin.NewEngine(s.cfg.Clock, s.Store, cfg)
 		u.Host.Model = Model
-		u.stop = standin.Serve(ln, standin.EngineHandler(u.Engine))
+		u.stopServer = standin.Serve(ln, standin.EngineHandler(u.Engine))
 	} else {
 		u.Service = standin.NewService(s.cfg.Clock, s.cfg.Work)
 		u.Host.Service = Service
-		u.stop = standin.Serve(ln, u.Service.Handler())
+		u.stopServer = standin.Serve(ln, u.Service.Handler())
 	}
 	s.Upstreams = append(s.Upstreams, u)
 	return s.StartAgent(u, "127.0.0.1:0")
 }
 
-// StartAgent starts a new agent beside an upstream and lists it.
+// StartAgent starts a new agent for an upstream and adds it to the host list.
 func (s *System) StartAgent(u *Upstream, addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -205,7 +205,7 @@
 	deps := agent.Deps{
 		Config: agent.Config{
 			Upstream: u.ID,
-			Process:  s.process("a"),
+			Process:  s.newProcess("a"),
 			Region:   u.Host.Region,
 			Domain:   u.Host.Domain,
 			Model:    u.Host.Model,
@@ -233,7 +233,7 @@
 		deps.Service = driver.NewService(u.addr)
 	}
 	u.Agent = agent.New(deps)
-	if err := s.relay(u); err != nil {
+	if err := s.setListedAddr(u); err != nil {
 		return err
 	}
 	u.Host.State = wardturn.HostLive
@@ -241,8 +241,9 @@
 	return nil
 }
 
-// relay sets the address by which others reach an agent.
-func (s *System) relay(u *Upstream) error {
+// setListedAddr sets the upstream's listed address to that of its agent, or of the relay
+// to it.
+func (s *System) setListedAddr(u *Upstream) error {
 	u.Host.Addr = u.Agent.Addr()
 	if !s.cfg.Relays {
 		return nil
@@ -259,7 +260,7 @@
 	return nil
 }
 
-// StartEntry adds an entry.
+// StartEntry starts a new entry.
 func (s *System) StartEntry() error {
 	i := len(s.Entries)
 	ln, err := listen()
@@ -270,9 +271,9 @@
 	s.metrics = append(s.metrics, metrics)
 	s.Entries = append(s.Entries, entry.New(entry.Deps{
 		Config: entry.Config{
-			Process:       s.process("e"),
+			Process:       s.newProcess("e"),
 			Region:        Region,
-			Domain:        s.domain(i),
+			Domain:        s.failureDomain(i),
 			Open:          true,
 			Deadline:      s.cfg.Deadline,
 			DeadlineGrace: s.cfg.Grace,
@@ -289,11 +290,11 @@
 	return nil
 }
 
-// OperatorKey is the operators' key of a demo system. It is public: the system
-// listens on loopback only.
+// OperatorKey is the operator key of a demo system. It need not be secret, since the
+// system listens on loopback only.
 const OperatorKey = "demo-operator"
 
-// docsPerChange bounds the documents in one publication of the demo.
+// docsPerChange is the maximum number of documents per publication.
 const docsPerChange = 500
 
 // publish publishes the adapters and the service.
@@ -324,7 +325,8 @@
 	return nil
 }
 
-// waitReady waits until every entry knows hosts and the whole configuration.
+// waitReady waits until every entry has read the host list and the published
+// configuration.
 func (s *System) waitReady(ctx context.Context) error {
 	last := s.Entries[0].Replica().Applied()
 	for _, e := range s.Entries {
@@ -342,7 +344,7 @@
 
 const readyPoll = 10 * time.Millisecond
 
-// Close stops everything at once.
+// Close stops all parts of the system without draining them.
 func (s *System) Close() {
 	for _, e := range s.Entries {
 		e.Close()
@@ -354,9 +356,9 @@
 		if u.Relay != nil {
 			u.Relay.Close()
 		}
-		u.stop()
+		u.stopServer()
 	}
-	for _, stop := range s.stops {
+	for _, stop := range s.stopServers {
 		stop()
 	}
 	for _, m := range s.metrics {
--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// evacuatedBy is how long after the operator's word a failure domain gets no more
-	// requests: readings of the store, their word to others, and the acknowledgement.
-	evacuatedBy = 3 * time.Second
-	// emptyFor is how long that is watched.
-	emptyFor = 1500 * time.Millisecond
-	// coldFor is how long an upstream is cold after its start.
-	coldFor = 6 * time.Second
-	// coldKnownBy is how long after such a start all gateways know of it.
-	coldKnownBy = 4 * time.Second
-	// coldRate, coldOverage and coldSlack are what a cold upstream bears within a second.
+	// maxEvacuationTime is the time after the operator's order to evacuate a failure
+	// domain from which on it must get no requests. It covers the gateways' reads of
+	// the store, their reports of that to each other, and the acknowledgement.
+	maxEvacuationTime = 3 * time.Second
+	// evacuationWatch is how long the evacuated failure domain is watched after that.
+	evacuationWatch = 1500 * time.Millisecond
+	// coldDuration is how long an upstream is cold after its start.
+	coldDuration = 6 * time.Second
+	// maxColdDelay is the time after such a start by which all gateways know of it.
+	maxColdDelay = 4 * time.Second
+	// A cold upstream may get coldRate*coldOverage + coldSlack requests within a second.
 	coldRate    = 20
 	coldOverage = 1.5
 	coldSlack   = 5
@@ -28,38 +29,38 @@
 // domains are the failure domains of the soak's upstreams.
 var domains = []string{"d", "e"}
 
-// evacuations are those that the operator has asked for.
+// evacuations are the evacuations in progress, by failure domain.
 type evacuations struct {
-	mu  sync.Mutex
-	now map[string]bool
+	mu     sync.Mutex
+	active map[string]bool
 }
 
-// begin reports whether a domain was not evacuated.
+// begin marks a domain as evacuated and reports whether it was not before.
 func (e *evacuations) begin(domain string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.now[domain] {
+	if e.active[domain] {
 		return false
 	}
-	e.now[domain] = true
+	e.active[domain] = true
 	return true
 }
 
 func (e *evacuations) end(domain string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.now, domain)
+	delete(e.active, domain)
 }
 
-// evacuation is the operator's word that a failure domain is to get nothing, taken back
-// after a while.
-func (s *soak) evacuation(r *rand.Rand) fault {
-	domain := pick(r, domains)
+// evacuationFault returns a fault in which the operator evacuates a failure domain, and
+// revokes that when the fault ends.
+func (s *soak) evacuationFault(r *rand.Rand) fault {
+	domain := randomElement(r, domains)
 	return fault{
-		name:    "evacuation",
-		target:  domain,
-		planned: true,
-		last:    evacuatedBy + emptyFor,
+		name:     "evacuation",
+		target:   domain,
+		planned:  true,
+		duration: maxEvacuationTime + evacuationWatch,
 		begin: func() func() {
 			if !s.evacuations.begin(domain) {
 				return nil
@@ -67,7 +68,7 @@
 			began := time.Now()
 			s.world.store.Evacuate(domain, true)
 			return func() {
-				s.checkEmpty(domain, began)
+				s.checkEvacuated(domain, began)
 				s.world.store.Evacuate(domain, false)
 				s.evacuations.end(domain)
 			}
@@ -75,24 +76,24 @@
 	}
 }
 
-// checkEmpty holds what an evacuated failure domain got against the word, if nothing else
-// happened meanwhile.
-func (s *soak) checkEmpty(domain string, began time.Time) {
-	if !s.calmSince(began.Add(-calmBefore)) {
+// checkEvacuated checks that the upstreams of an evacuated failure domain got no requests
+// after maxEvacuationTime, if there was no unplanned fault meanwhile.
+func (s *soak) checkEvacuated(domain string, began time.Time) {
+	if !s.noFaultsSince(began.Add(-quietBefore)) {
 		return
 	}
 	for _, u := range s.world.upstreams {
 		if u.domain != domain {
 			continue
 		}
-		if n := arrivedIn(u.worker.Arrivals(), began.Add(evacuatedBy), time.Now()); n > 0 {
-			s.ledger.broken("upstream %s got %d requests later than %v after the evacuation of %s", u.addr, n, evacuatedBy, domain)
+		if n := countArrivals(u.worker.Arrivals(), began.Add(maxEvacuationTime), time.Now()); n > 0 {
+			s.requests.addViolation("upstream %s got %d requests later than %v after the evacuation of %s", u.addr, n, maxEvacuationTime, domain)
 		}
 	}
 }
 
-// arrivedIn counts arrivals between two times.
-func arrivedIn(arrivals []standin.Arrival, from, to time.Time) int {
+// countArrivals returns the number of arrivals between two times.
+func countArrivals(arrivals []standin.Arrival, from, to time.Time) int {
 	n := 0
 	for _, a := range arrivals {
 		if a.At.After(from) && a.At.Before(to) {
@@ -102,21 +103,22 @@
 	return n
 }
 
-// checkCold holds what an upstream that started anew got while it was cold against what it
-// bears, if nothing else happened from when all gateways should have known of it.
+// checkCold checks that a restarted upstream got no more requests while it was cold than
+// allowed, if there was no unplanned fault from quietBefore before all gateways should
+// have known of the restart.
 func (s *soak) checkCold(u *upstream, started time.Time) {
-	if !s.calmSince(started.Add(coldKnownBy - calmBefore)) {
+	if !s.noFaultsSince(started.Add(maxColdDelay - quietBefore)) {
 		return
 	}
 	allowed := int(coldOverage*coldRate) + coldSlack
-	got := mostInSecond(u.worker.Arrivals(), started.Add(coldKnownBy), started.Add(coldFor))
+	got := maxPerSecond(u.worker.Arrivals(), started.Add(maxColdDelay), started.Add(coldDuration))
 	if got > allowed {
-		s.ledger.broken("upstream %s got %d requests in a second while it was cold, at most %d", u.addr, got, allowed)
+		s.requests.addViolation("upstream %s got %d requests in a second while it was cold, at most %d", u.addr, got, allowed)
 	}
 }
 
-// mostInSecond returns the most arrivals of a second between two times.
-func mostInSecond(arrivals []standin.Arrival, from, to time.Time) int {
+// maxPerSecond returns the maximum number of arrivals within any second between two times.
+func maxPerSecond(arrivals []standin.Arrival, from, to time.Time) int {
 	var times []time.Time
 	for _, a := range arrivals {
 		if a.At.After(from) && a.At.Before(to) {
@@ -124,12 +126,12 @@
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, t := range times {
 		for t.Sub(times[first]) >= time.Second {
 			first++
 		}
-		most = max(most, i-first+1)
+		highest = max(highest, i-first+1)
 	}
-	return most
+	return highest
 }
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -12,104 +12,107 @@
 )
 
 const (
-	limitWindow  = 4 * time.Second
-	limitGrace   = 500 * time.Millisecond // from an answer that names a limit until its gateway keeps it
-	limitExcused = 1500 * time.Millisecond
-	leastNamed   = 6 * time.Second // that an upstream names a limit
-	moreNamed    = 5 * time.Second
-	limitRest    = 2 * time.Second // between two upstreams that do
-	garbledFor   = 300 * time.Millisecond
-	mostRate     = 20.0 // requests a second
+	limitWindow        = 4 * time.Second         // in which requests are counted
+	limitGrace         = 500 * time.Millisecond  // until a gateway obeys a limit in a response
+	excuseMargin       = 1500 * time.Millisecond // how long the effects of a fault outlast it
+	minLimitDuration   = 6 * time.Second         // minimum duration of an announced limit
+	maxExtraDuration   = 5 * time.Second         // maximum random addition to minLimitDuration
+	limitPause         = 2 * time.Second         // between the limits of two upstreams
+	unparsableDuration = 300 * time.Millisecond  // for which the announced limit can't be parsed
+	maxLimit           = 20.0                    // maximum limit in requests per second
 )
 
-// naming is a time in which an upstream names a limit. Its figure is given by no other.
-type naming struct {
-	u      *upstream
-	figure string
-	rate   float64
-	from   time.Time
-	to     time.Time
+// limitPeriod is a time in which an upstream announces a rate limit in its responses. The
+// text of the limit is unique, to tell which period a response belongs to.
+type limitPeriod struct {
+	upstream *upstream
+	limit    string
+	rate     float64
+	from     time.Time
+	to       time.Time
 }
 
-// span is a time in which requests reach an upstream in other order than they were sent, or
-// in which it is a new one to gateways.
-type span struct {
+// interval is a time interval to which checks of arrivals do not apply, since a fault
+// may have delayed or reordered requests, or since an upstream has a new id.
+type interval struct {
 	from time.Time
 	to   time.Time
 }
 
-// limitLedger holds which upstreams named limits, which gateways passed that on, and by
-// which gateway each attempt went.
-type limitLedger struct {
-	mu      sync.Mutex
-	namings []naming
-	told    map[string]time.Time // first, by gateway's process and figure
-	via     map[string]string    // gateway's process, by attempt
+// limitChecker checks that gateways obey the rate limits that upstreams announce. It
+// records which upstreams announced which limits, which gateway processes forwarded
+// them, and to which gateway process each attempt was sent.
+type limitChecker struct {
+	mu          sync.Mutex
+	periods     []limitPeriod
+	announcedAt map[string]time.Time // first response with it, by gateway process and limit
+	gatewayOf   map[string]string    // gateway process, by attempt
 }
 
-func newLimitLedger() *limitLedger {
-	return &limitLedger{
-		told: make(map[string]time.Time),
-		via:  make(map[string]string),
+func newLimitChecker() *limitChecker {
+	return &limitChecker{
+		announcedAt: make(map[string]time.Time),
+		gatewayOf:   make(map[string]string),
 	}
 }
 
-func (l *limitLedger) sent(id, process string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.via[id] = process
+func (c *limitChecker) recordSent(id, process string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.gatewayOf[id] = process
 }
 
-// passedOn records that a caller had an answer that names a limit.
-func (l *limitLedger) passedOn(process, figure string) {
-	if figure == "" {
+// recordResponse records that a caller received a response that announces a limit.
+func (c *limitChecker) recordResponse(process, limit string) {
+	if limit == "" {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	key := process + " " + figure
-	if l.told[key].IsZero() {
-		l.told[key] = time.Now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	key := process + " " + limit
+	if c.announcedAt[key].IsZero() {
+		c.announcedAt[key] = time.Now()
 	}
 }
 
-// nameLimits has one upstream after another name a limit until the soak ends; some figures
-// in between are garbled.
-func (s *soak) nameLimits() {
+// startLimitPeriods starts a goroutine in which one random upstream after another
+// announces a limit, until the soak ends. For a while in between it announces one that
+// can't be parsed.
+func (s *soak) startLimitPeriods() {
 	s.wg.Add(1)
 	go func() {
 		defer s.wg.Done()
 		r := rand.New(rand.NewPCG(s.cfg.Seed, 500))
 		for i := 0; ; i++ {
-			rate := r.Float64() * mostRate
-			n := naming{
-				u:      pick(r, s.world.upstreams),
-				figure: strconv.FormatFloat(rate, 'f', 2, 64) + fmt.Sprintf("%04d", i),
-				rate:   rate,
-				from:   time.Now(),
+			rate := r.Float64() * maxLimit
+			period := limitPeriod{
+				upstream: randomElement(r, s.world.upstreams),
+				limit:    strconv.FormatFloat(rate, 'f', 2, 64) + fmt.Sprintf("%04d", i),
+				rate:     rate,
+				from:     time.Now(),
 			}
-			fmt.Fprintf(s.cfg.Log, "soak: fault=limit target=%s figure=%s\n", n.u.addr, n.figure)
-			n.u.nameLimit(n.figure)
-			half := (leastNamed + time.Duration(r.Int64N(int64(moreNamed)))) / 2
-			going := s.pause(half)
-			n.u.nameLimit("4,5 a second")
-			going = going && s.pause(garbledFor)
-			n.u.nameLimit(n.figure)
-			going = going && s.pause(half)
-			n.u.nameLimit("")
-			n.to = time.Now()
+			fmt.Fprintf(s.cfg.Log, "soak: fault=limit target=%s figure=%s\n", period.upstream.addr, period.limit)
+			period.upstream.setLimit(period.limit)
+			half := (minLimitDuration + time.Duration(r.Int64N(int64(maxExtraDuration)))) / 2
+			running := s.sleep(half)
+			period.upstream.setLimit("4,5 a second")
+			running = running && s.sleep(unparsableDuration)
+			period.upstream.setLimit(period.limit)
+			running = running && s.sleep(half)
+			period.upstream.setLimit("")
+			period.to = time.Now()
 			s.limits.mu.Lock()
-			s.limits.namings = append(s.limits.namings, n)
+			s.limits.periods = append(s.limits.periods, period)
 			s.limits.mu.Unlock()
-			if !going || !s.pause(limitRest) {
+			if !running || !s.sleep(limitPause) {
 				return
 			}
 		}
 	}()
 }
 
-// pause waits, and reports whether the soak goes on.
-func (s *soak) pause(d time.Duration) bool {
+// sleep waits for d or the end of the soak, and reports whether the soak goes on.
+func (s *soak) sleep(d time.Duration) bool {
 	select {
 	case <-s.stop:
 		return false
@@ -118,97 +121,100 @@
 	}
 }
 
-// checkLimits holds what upstreams got against what they named.
+// checkLimits compares the rates of requests that upstreams got with the limits that they
+// announced.
 func (s *soak) checkLimits() {
-	l := s.limits
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, n := range l.namings {
-		allowed := int(1.5*n.rate*limitWindow.Seconds()) + 5
-		got := l.mostOf(n, n.u.worker.Arrivals())
-		fmt.Fprintf(s.cfg.Log, "soak: limit target=%s figure=%s most=%d allowed=%d\n", n.u.addr, n.figure, got, allowed)
+	c := s.limits
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, period := range c.periods {
+		allowed := int(1.5*period.rate*limitWindow.Seconds()) + 5
+		got := c.maxRequests(period, period.upstream.worker.Arrivals())
+		fmt.Fprintf(s.cfg.Log, "soak: limit target=%s figure=%s most=%d allowed=%d\n", period.upstream.addr, period.limit, got, allowed)
 		if got > allowed {
-			s.ledger.broken("upstream %s named %s a second and got %d requests in %v from gateways that it had told, at most %d", n.u.addr, n.figure, got, limitWindow, allowed)
+			s.requests.addViolation("upstream %s named %s a second and got %d requests in %v from gateways that it had told, at most %d", period.upstream.addr, period.limit, got, limitWindow, allowed)
 		}
 	}
 }
 
-// mostOf returns the most requests of a window that count: of gateways that had passed the
-// figure on. The lock is held.
-func (l *limitLedger) mostOf(n naming, arrivals []standin.Arrival) int {
+// maxRequests returns the maximum number of requests within any limitWindow that is not
+// excused. Only requests of gateways that had forwarded the limit count. The caller
+// holds the lock.
+func (c *limitChecker) maxRequests(n limitPeriod, arrivals []standin.Arrival) int {
 	var times []time.Time
 	for _, a := range arrivals {
-		told := l.told[l.via[a.Attempt]+" "+n.figure]
-		if !told.IsZero() && a.At.Sub(told) >= limitGrace && a.At.Before(n.to) {
+		announced := c.announcedAt[c.gatewayOf[a.Attempt]+" "+n.limit]
+		if !announced.IsZero() && a.At.Sub(announced) >= limitGrace && a.At.Before(n.to) {
 			times = append(times, a.At)
 		}
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	most, first := 0, 0
+	highest, first := 0, 0
 	for i, t := range times {
 		for t.Sub(times[first]) >= limitWindow {
 			first++
 		}
-		if !n.u.excusedIn(times[first], t) {
-			most = max(most, i-first+1)
+		if !n.upstream.excusedIn(times[first], t) {
+			highest = max(highest, i-first+1)
 		}
 	}
-	return most
+	return highest
 }
 
-// nameLimit sets the figure that the upstream's answers name; empty: none.
-func (u *upstream) nameLimit(figure string) {
+// setLimit sets the limit that the upstream's responses announce; empty means none.
+func (u *upstream) setLimit(limit string) {
 	u.mu.Lock()
-	u.limit = figure
+	u.limit = limit
 	f := u.faults
 	u.mu.Unlock()
-	u.behave(f)
+	u.setFaults(f)
 }
 
-// excuse records that something happened to the upstream or its link that may bring
-// requests together.
-func (u *upstream) excuse(from, to time.Time) {
+// addExcused records an event at the upstream or its link that may delay requests so
+// that they arrive bunched.
+func (u *upstream) addExcused(from, to time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.excused = append(u.excused, span{
+	u.excused = append(u.excused, interval{
 		from: from,
-		to:   to.Add(limitExcused),
+		to:   to.Add(excuseMargin),
 	})
 }
 
-// excusedIn reports whether a window overlaps with such a time.
+// excusedIn reports whether an excused interval overlaps with the given one.
 func (u *upstream) excusedIn(from, to time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return slices.ContainsFunc(u.excused, func(x span) bool {
+	return slices.ContainsFunc(u.excused, func(x interval) bool {
 		return from.Before(x.to) && x.from.Before(to)
 	})
 }
 
-// upstreamOf returns the upstream of a link, or nil.
+// upstreamOf returns the upstream behind a link between it and gateways, or nil.
 func (w *world) upstreamOf(l *standin.Relay) *upstream {
 	for _, u := range w.upstreams {
-		if u.link == l {
+		if u.relay == l {
 			return u
 		}
 	}
 	return nil
 }
 
-// excusing has a fault of an upstream's link excuse what comes while it lasts.
-func excusing(u *upstream, begin func() func()) func() func() {
+// excuseDuring wraps the begin function of a fault at an upstream's link, so that the
+// upstream's arrivals are excused while the fault lasts.
+func excuseDuring(u *upstream, begin func() func()) func() func() {
 	if u == nil {
 		return begin
 	}
 	return func() func() {
 		from := time.Now()
 		undo := begin()
-		u.excuse(from, from)
+		u.addExcused(from, from)
 		return func() {
 			if undo != nil {
 				undo()
 			}
-			u.excuse(from, time.Now())
+			u.addExcused(from, time.Now())
 		}
 	}
 }
