--- a/cli/agentd.go
+++ b/cli/agentd.go
@@ -17,7 +17,7 @@
 	"wardturn/process"
 )
 
-// agentSettings are the settings of wardturn-agent.
+// agentSettings has the settings of wardturn-agent.
 type agentSettings struct {
 	processSettings
 	Upstream       string  `required:"" help:"Name of the upstream beside this agent."`
--- a/cli/burn.go
+++ b/cli/burn.go
@@ -20,14 +20,15 @@
 	Burn burnCmd `cmd:"" help:"Report on service-level burn."`
 }
 
-// burnCmd reports on service-level burn.
+// burnCmd reports how fast services burn the error budgets of their objectives.
 type burnCmd struct {
 	entryFlags
 	HTML string `name:"html" placeholder:"FILE" help:"Write a page with plots to this file."`
 	Fail bool   `help:"Exit with 1 if an alert fires."`
 }
 
-// Run merges what all named entries counted and prints the burn rates.
+// Run merges the event counts of all entries given by --entry and prints the burn rates.
+// Entries that do not respond are listed as missing in the report.
 func (c *burnCmd) Run(s Streams) error {
 	cl := c.client()
 	objectives, err := cl.objectives()
@@ -56,11 +57,12 @@
 		err = burn.WriteText(s.Out)
 	}
 	if err == nil && c.Fail && len(burn.Firing()) > 0 {
-		err = errors.Newf("%d objectives burn too fast", len(burn.Firing()))
+		err = errors.Newf("alerts are firing for %d objectives", len(burn.Firing()))
 	}
 	return err
 }
 
+// writeFile creates a file and fills it with write.
 func writeFile(name string, write func(io.Writer) error) error {
 	f, err := os.Create(name)
 	if err != nil {
--- a/cli/chaos.go
+++ b/cli/chaos.go
@@ -10,14 +10,15 @@
 	"wardturn/chaos"
 )
 
-// chaosCmd runs random histories of faults.
+// chaosCmd runs histories. A history is a run of a small system with traffic and two
+// faults drawn at random from a seed, after which the system's guarantees are checked.
 type chaosCmd struct {
 	Seed      uint64 `default:"1" help:"Seed of the first history; the next ones follow."`
 	Histories int    `default:"20" help:"Number of histories."`
 	Parallel  int    `default:"2" help:"Histories at once."`
 }
 
-// Run plays the histories and prints what they showed.
+// Run runs the histories and prints their outcomes.
 func (c *chaosCmd) Run(ctx context.Context, s Streams) error {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -61,7 +62,7 @@
 		return firstErr
 	}
 	if failed > 0 {
-		return errors.Newf("%d histories broke a promise", failed)
+		return errors.Newf("%d histories had violations", failed)
 	}
 	return nil
 }
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,5 +1,6 @@
-// Package cli is the operator's command line as a library: each command is a
-// type with its flags, and Main parses, runs and turns errors into exit codes.
+// Package cli implements the command lines of the wardturn, wardturn-agent and
+// wardturn-entry programs. Each command is a type with its flags as fields. Main,
+// AgentMain and EntryMain parse the arguments, run the program and return its exit code.
 package cli
 
 import (
@@ -20,7 +21,7 @@
 	ExitUsage   = 2 // the command line or a setting is wrong; nothing was started
 )
 
-// Streams are the inputs and outputs of a command.
+// Streams has the standard streams of a command.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
@@ -36,10 +37,10 @@
 	}
 }
 
-// ErrUsage marks errors that are the user's: Main exits with ExitUsage.
+// ErrUsage marks errors in the user's input, for which Main returns ExitUsage.
 var ErrUsage = errors.New("usage")
 
-// commands is the grammar of the wardturn command.
+// commands has the subcommands of the wardturn command.
 type commands struct {
 	Trace      traceCmd                     `cmd:"" help:"Generate a trace with a user's sizes."`
 	Compare    compareCmd                   `cmd:"" help:"Compare policies on the same trace."`
@@ -80,7 +81,7 @@
 		fmt.Fprintln(s.Err, "wardturn:", err)
 		return ExitFailure
 	}
-	kongplete.Complete(parser) // ends the process if the shell asks for completions
+	kongplete.Complete(parser) // exits the process if the shell requests completions
 	k, err := parser.Parse(args)
 	if exit >= 0 {
 		return exit
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -25,7 +25,7 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// golden compares output with a file in testdata.
+// golden compares output with a golden file in testdata.
 func golden(t *testing.T, name string, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
@@ -175,7 +175,7 @@
 	}
 }
 
-// certificate returns a certificate and key signed by itself, as PEM.
+// certificate returns a self-signed certificate and its key in PEM.
 func certificate(t *testing.T) (certPEM, keyPEM string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -205,8 +205,9 @@
 		string(pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: keyDER}))
 }
 
-// TestProcessesOverTLS runs an agent and an entry as their mains do, with mutual
-// TLS between them and TLS towards the caller, and sends a request through.
+// TestProcessesOverTLS runs an agent and an entry by their main functions, with mutual TLS
+// between them and TLS for the caller, and sends a request through both. The agent must
+// reject a client certificate that its CA did not sign.
 func TestProcessesOverTLS(t *testing.T) {
 	cert, key := certificate(t)
 	strangerCert, strangerKey := certificate(t)
@@ -224,22 +225,24 @@
 		return c.complete("https://"+entryAddr+"/v1/completions", "secret") == 200
 	})
 	if got := c.complete("https://"+entryAddr+"/v1/completions", "wrong"); got != 401 {
-		t.Errorf("a wrong key got %d", got)
+		t.Errorf("status %d for a wrong key", got)
 	}
 	if err := dialTLS(agentAddr, strangerCert, strangerKey, cert); err == nil {
-		t.Error("the agent took a certificate that its CA did not sign")
+		t.Error("the agent accepted a certificate that its CA did not sign")
 	}
 	if err := dialTLS(agentAddr, cert, key, cert); err != nil {
-		t.Errorf("the agent refused a good certificate: %v", err)
+		t.Errorf("the agent rejected a valid certificate: %v", err)
 	}
 }
 
-// newPlatform serves stand-ins with one adapter published.
+// testPlatform has the addresses of stand-ins for the services that daemons depend on.
+// list adds an agent to the list of hosts.
 type testPlatform struct {
 	log, hosts, engine string
 	list               func(agentAddr string)
 }
 
+// newPlatform serves stand-ins on loopback, with one adapter published.
 func newPlatform(t *testing.T) testPlatform {
 	t.Helper()
 	clock := process.Clock{}
--- a/cli/client.go
+++ b/cli/client.go
@@ -14,7 +14,7 @@
 	"wardturn/entry"
 )
 
-// entryFlags say which entry host to talk to, and as whom.
+// entryFlags are the flags of commands that call the operators' API of an entry.
 type entryFlags struct {
 	Entry       []string `required:"" placeholder:"IP:PORT" help:"Address of an entry host; several are tried in turn."`
 	OperatorKey string   `required:"" help:"Key of the operator."`
@@ -24,10 +24,10 @@
 
 const clientLimit = 15 * time.Second
 
-// ErrRefused is wrapped by the error of a request that the entry refused.
+// ErrRefused matches errors of requests that the entry refused.
 var ErrRefused = errors.New("refused")
 
-// client talks to the operators' API.
+// client is a client of the operators' API.
 type client struct {
 	flags entryFlags
 	http  fasthttp.Client
@@ -39,7 +39,8 @@
 	}
 }
 
-// do sends a request to the first entry that answers and decodes the answer.
+// do sends a request to the entries in order until one responds, and decodes the response
+// into into. A refusal also counts as a response.
 func (c *client) do(method, path string, body, into any) error {
 	var data []byte
 	if body != nil {
@@ -57,6 +58,7 @@
 	return err
 }
 
+// doAt sends a request to the entry at addr.
 func (c *client) doAt(addr, method, path string, body []byte, into any) error {
 	req := fasthttp.AcquireRequest()
 	res := fasthttp.AcquireResponse()
@@ -79,7 +81,7 @@
 	return errors.Wrap(json.Unmarshal(res.Body(), into), "answer")
 }
 
-// refusedError is an entry's refusal with its code.
+// refusedError is the error of a request that an entry refused.
 type refusedError struct {
 	code    string
 	message string
@@ -90,11 +92,12 @@
 	return e.message + " (" + e.code + ")"
 }
 
-// Is makes every refusal an ErrRefused.
+// Is reports that every refusedError matches ErrRefused.
 func (e *refusedError) Is(target error) bool {
 	return target == ErrRefused
 }
 
+// refusal returns the error in a response whose status is not 200.
 func refusal(res *fasthttp.Response) error {
 	var body driver.ErrorBody
 	if json.Unmarshal(res.Body(), &body) != nil || body.Error.Code == "" {
@@ -109,7 +112,7 @@
 	}
 }
 
-// doc returns a document in force, or false.
+// doc returns the current version of a document, or false if there is none.
 func (c *client) doc(key control.Key) (entry.DocView, bool, error) {
 	var d entry.DocView
 	err := c.do(fasthttp.MethodGet, entry.PathDocs+"/"+string(key), nil, &d)
@@ -120,7 +123,7 @@
 	return d, err == nil, err
 }
 
-// docs returns all documents of a kind.
+// docs returns the current versions of all documents of a kind.
 func (c *client) docs(kind string) ([]entry.DocView, error) {
 	var all []entry.DocView
 	after := control.Key("")
--- a/cli/daemon.go
+++ b/cli/daemon.go
@@ -18,7 +18,7 @@
 	"wardturn/process"
 )
 
-// processSettings are the settings that entry and agent share.
+// processSettings has the settings that the entry and the agent share.
 type processSettings struct {
 	Listen   string `required:"" help:"Address to serve on, IP:port; port 0 lets the kernel choose."`
 	Region   string `required:"" help:"Region of this host."`
@@ -33,12 +33,12 @@
 	Check    bool   `help:"Check the settings and exit."`
 }
 
-// problems collects bad settings, one for each flag.
+// problems collects invalid settings, at most one problem per flag.
 type problems struct {
 	list wardturn.SettingProblems
 }
 
-// add records a problem of a flag, unless there is none or the flag has one.
+// add records err for a flag, unless err is nil or the flag already has a problem.
 func (p *problems) add(flag string, err error) {
 	if err == nil {
 		return
@@ -51,14 +51,14 @@
 	p.list.Require(false, flag, err.Error())
 }
 
-// check records the problems that a configuration found in itself.
+// check records the problems found by the validation of a configuration.
 func (p *problems) check(list wardturn.SettingProblems) {
 	for _, sp := range list {
 		p.add(sp.Setting, errors.New(sp.Reason))
 	}
 }
 
-// problems records the bad settings that all processes share.
+// problems records the invalid settings among those that all processes share.
 func (s *processSettings) problems(p *problems) {
 	p.add("listen", checkAddr(s.Listen, s.Plain))
 	p.add("log-addr", checkAddr(s.LogAddr, false))
@@ -74,7 +74,7 @@
 	return s.Check
 }
 
-// provide adds what entry and agent are both built from.
+// provide adds the dependencies that the entry and the agent share to the container.
 func (s *processSettings) provide(c *dig.Container, logger hclog.Logger, ln net.Listener) error {
 	return process.Provide(c,
 		func() wardturn.Clock { return process.Clock{} },
@@ -85,7 +85,7 @@
 	)
 }
 
-// variable is the environment variable of a flag.
+// variable returns the name of the environment variable of a flag.
 func variable(flag string) string {
 	return "WARDTURN_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
@@ -96,12 +96,12 @@
 		return errors.Newf("%q is not IP:port", addr)
 	}
 	if loopback && !ap.Addr().IsLoopback() {
-		return errors.Newf("%q is not a loopback address, as --plain demands", addr)
+		return errors.Newf("%q is not a loopback address, which --plain requires", addr)
 	}
 	return nil
 }
 
-// tlsConfig returns the mutual TLS configuration, or nil in plain mode.
+// tlsConfig returns the configuration for mutual TLS between processes, or nil without TLS.
 func (s *processSettings) tlsConfig() (*tls.Config, error) {
 	if s.Plain {
 		return nil, nil
@@ -115,7 +115,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM([]byte(s.TLSCA)) {
-		return nil, errors.New("CA holds no certificate")
+		return nil, errors.New("CA contains no certificate")
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert},
@@ -135,16 +135,16 @@
 	})
 }
 
-// daemonSettings are the settings of a daemon with its command line.
+// daemonSettings is implemented by the settings of a daemon, which are also its flags.
 type daemonSettings interface {
-	// problems returns what is wrong with the settings.
+	// problems returns the invalid settings.
 	problems() *problems
-	// checkOnly reports whether the daemon is to end after that check.
+	// checkOnly reports whether the daemon only validates its settings and exits.
 	checkOnly() bool
 }
 
-// readSettings fills a daemon's settings from its command line and checks them. It
-// returns the exit code if the daemon is not to start.
+// readSettings parses a daemon's settings from its command line and validates them. If
+// done is true, the daemon must not start but exit with the returned code.
 func readSettings(name, description string, settings daemonSettings, args []string, s Streams) (code int, done bool) {
 	if code, done := parse(name, description, settings, args, s); done {
 		return code, true
@@ -155,7 +155,8 @@
 	return ExitOK, settings.checkOnly()
 }
 
-// parse fills a daemon's settings, or returns the exit code.
+// parse parses a daemon's settings from its command line. If done is true, the daemon must
+// exit with the returned code.
 func parse(name, description string, settings any, args []string, s Streams) (code int, done bool) {
 	exit := -1
 	parser, err := kong.New(settings,
@@ -180,7 +181,7 @@
 	return 0, false
 }
 
-// refuse prints every bad setting and returns the exit code for them.
+// refuse prints all invalid settings and returns the exit code for them.
 func (p *problems) refuse(name string, s Streams) int {
 	for _, sp := range p.list {
 		fmt.Fprintf(s.Err, "%s: bad setting: --%s (%s): %s\n", name, sp.Setting, variable(sp.Setting), sp.Reason)
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -18,7 +18,7 @@
 	"wardturn/process"
 )
 
-// demoCmd runs the whole system on stand-ins.
+// demoCmd runs the whole system on embedded stand-ins for its dependencies.
 type demoCmd struct {
 	Duration time.Duration `default:"20s" help:"Time of traffic."`
 	Rate     float64       `default:"15" help:"Requests a second."`
@@ -28,7 +28,7 @@
 	LogLevel string        `default:"error" enum:"trace,debug,info,warn,error" help:"Least level of log lines: trace, debug, info, warn or error."`
 }
 
-// Run starts the system, sends traffic and prints what became of it.
+// Run starts the system, sends traffic and prints the outcomes and latencies.
 func (c *demoCmd) Run(ctx context.Context, s Streams) error {
 	cfg := demo.Zurich()
 	cfg.Logger = newLogger(s, "demo", c.LogLevel)
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// showProgress writes a line every half second until the result is called.
+// showProgress writes a progress line every half second until stop is called.
 func showProgress(w io.Writer, r *load.Runner, sys *demo.System) (stop func()) {
 	const every = 500 * time.Millisecond
 	ticker := time.NewTicker(every)
@@ -130,7 +130,7 @@
 	JSON   bool     `name:"json" help:"Print one JSON object."`
 }
 
-// Run sends the trace and prints what became of it.
+// Run sends the trace and prints a summary of the outcomes and latencies as JSON.
 func (c *loadCmd) Run(ctx context.Context, s Streams) error {
 	f, err := os.Open(c.Trace)
 	if err != nil {
--- a/cli/entryd.go
+++ b/cli/entryd.go
@@ -15,7 +15,7 @@
 	"wardturn/process"
 )
 
-// entrySettings are the settings of wardturn-entry.
+// entrySettings has the settings of wardturn-entry.
 type entrySettings struct {
 	processSettings
 	CallerKeys    []string      `help:"Keys of callers as name:sha256, beside those of the configuration; two for one name allow rotation."`
@@ -72,7 +72,7 @@
 	return p
 }
 
-// httpsConfig returns the TLS configuration towards callers, or nil.
+// httpsConfig returns the TLS configuration for callers, or nil without TLS.
 func (s *entrySettings) httpsConfig() (*tls.Config, error) {
 	if s.Plain {
 		return nil, nil
@@ -83,7 +83,7 @@
 	}
 	cert, err := tls.X509KeyPair([]byte(certPEM), []byte(keyPEM))
 	if err != nil {
-		return nil, errors.Wrap(err, "certificate towards callers")
+		return nil, errors.Wrap(err, "certificate for callers")
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{cert},
@@ -101,8 +101,8 @@
 	return exitCode(s, runEntry(ctx, &set, newLogger(s, name, set.LogLevel)))
 }
 
-// entryParts tells the TLS configuration towards callers from the one towards
-// agents, which has the same type.
+// entryParts has the dependencies of the entry. The names distinguish the TLS
+// configuration for callers from the one for agents, which has the same type.
 type entryParts struct {
 	dig.In
 
--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -84,7 +84,7 @@
 	Quiet         bool          `short:"q" help:"Print no progress."`
 }
 
-// Run compares the policies and prints the result.
+// Run simulates the trace with each policy and prints the results.
 func (c *compareCmd) Run(ctx context.Context, s Streams) error {
 	setup, err := c.setup()
 	if err != nil {
@@ -153,7 +153,7 @@
 	return setup, nil
 }
 
-// parseFault reads KIND@AT[+FOR][*FACTOR].
+// parseFault parses KIND@AT[+FOR][*FACTOR].
 func parseFault(text string) (experiment.Fault, error) {
 	bad := errors.Newf("--fault %q: want KIND@AT[+FOR][*FACTOR], as in store-slow@60s+30s*3", text)
 	kind, rest, ok := strings.Cut(text, "@")
@@ -180,6 +180,7 @@
 	return f, err
 }
 
+// parseSpan parses AT[+FOR] into f. It returns bad if the text is malformed.
 func parseSpan(text string, f *experiment.Fault, bad error) error {
 	at, long, ok := strings.Cut(text, "+")
 	var err error
@@ -195,7 +196,8 @@
 	return nil
 }
 
-// readPolicies reads files and leaves built-in names as they are.
+// readPolicies returns the policies to compare. Names with the suffix .star are files,
+// which it reads; all others must be built-in policies.
 func readPolicies(names []string) ([]experiment.Candidate, error) {
 	list := make([]experiment.Candidate, 0, len(names))
 	for _, name := range names {
@@ -228,7 +230,7 @@
 	return t.Flush()
 }
 
-// progressLine shows how far the runs are, at most ten times a second.
+// progressLine prints the progress of the runs, at most ten times a second.
 type progressLine struct {
 	mu    sync.Mutex
 	w     io.Writer
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -13,14 +13,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// explainCmd prints the story of one request from the logs of daemons.
+// explainCmd prints the log lines of daemons that explain what happened to a request.
 type explainCmd struct {
 	ID    string        `arg:"" help:"Id of the request's attempt."`
 	Files []string      `arg:"" optional:"" help:"Logs of one or several daemons; standard input if none."`
 	Since time.Duration `default:"3s" help:"How far back lines about the request's adapter and upstreams count."`
 }
 
-// logTime is the form of the time in log lines.
+// logTime is the layout of the time in log lines.
 const logTime = "15:04:05.000"
 
 var (
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// readLogs reads files, or in if there are none.
+// readLogs reads the lines of files, or of in if no files are given.
 func readLogs(files []string, in io.Reader) ([]logLine, error) {
 	if len(files) == 0 {
 		return readLog(in)
@@ -72,7 +72,7 @@
 	return all, nil
 }
 
-// readLog reads the lines that carry a time; others are passed over.
+// readLog reads the lines that contain a time and skips the others.
 func readLog(r io.Reader) ([]logLine, error) {
 	var lines []logLine
 	scanner := bufio.NewScanner(r)
@@ -94,8 +94,9 @@
 	return lines, scanner.Err()
 }
 
-// explain returns, in order of time, the lines about a request, and those about
-// its adapter and its upstreams from a while before its first line to its last.
+// explain returns the lines about a request in order of time. It adds the lines about the
+// request's adapter, upstreams and team and about dependencies, from since before the
+// first line of the request to its last.
 func explain(lines []logLine, id string, since time.Duration) []logLine {
 	var own []logLine
 	about := make(map[string]bool)
@@ -127,8 +128,8 @@
 	return own
 }
 
-// dependency reports whether a line tells of a lost or regained dependency or of
-// a configuration.
+// dependency reports whether a line is about the state of the store, a new configuration
+// or an instance that is shutting down.
 func dependency(l logLine) bool {
 	return strings.Contains(l.text, "store ") || strings.Contains(l.text, "configuration in force") || strings.Contains(l.text, "leaving")
 }
--- a/cli/explain_test.go
+++ b/cli/explain_test.go
@@ -42,6 +42,6 @@
 		Err: &errs,
 	})
 	if code != cli.ExitFailure {
-		t.Errorf("exit %d for a request that no line tells of", code)
+		t.Errorf("exit %d for a request without log lines", code)
 	}
 }
--- a/cli/fleet/crashes.go
+++ b/cli/fleet/crashes.go
@@ -17,8 +17,9 @@
 	"wardturn/process"
 )
 
-// crashesCmd shows the requests under which upstreams ended, and has them served again: a
-// content that ended three by chance would else be refused for as long as crashes count.
+// crashesCmd lists the request contents during which upstreams crashed, and removes the
+// crash records of contents so that they are served again. Without it, a content that was
+// in progress during three unrelated crashes would be refused until its records expire.
 type crashesCmd struct {
 	Store string               `required:"" help:"Address of the platform's store, IP:port."`
 	Clear []wardturn.ContentID `placeholder:"CONTENT" help:"Contents whose records are taken back; gateways serve them again within some seconds."`
@@ -55,9 +56,11 @@
 	return w.Flush()
 }
 
-// errNoSuchContent is returned for a content that has no record.
-var errNoSuchContent = errors.New("no upstream is recorded to have ended under it")
+// errNoSuchContent is returned for a content without crash records.
+var errNoSuchContent = errors.New("no crash is recorded for this content")
 
+// clear removes the records of the contents in Clear. If one of them has none, it returns
+// an error and removes nothing.
 func (c *crashesCmd) clear(record wardturn.CrashRecord, byContent map[wardturn.ContentID][]wardturn.RecordedCrash) error {
 	var takeBack []wardturn.Crash
 	for _, content := range c.Clear {
--- a/cli/fleet/fleet.go
+++ b/cli/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet is the command line of the daemons on the users' platform: the
-// gateway on entry hosts and the keeper beside model engines. It is apart from
+// gateway on entry hosts and the keeper next to model engines. It is separate from
 // package cli so that the daemons link only what they need.
 package fleet
 
@@ -23,17 +23,17 @@
 // The exit codes of Main.
 const (
 	ExitOK      = 0
-	ExitFailure = 1 // it ran and failed
+	ExitFailure = 1 // the command ran and failed
 	ExitUsage   = 2 // the command line or a setting is wrong; nothing was started
 )
 
 const (
-	logLines = 4096 // that wait for a slow reader of the log
-	// The lines a second of one message. Refusals and failures go before what
-	// succeeded.
+	logLines = 4096 // lines buffered for a slow reader of the log
+	// Limits on log lines per second for each message. Refusals and failures get a
+	// higher limit than successes.
 	failureLines = 100
 	otherLines   = 20
-	// gcPercent trades memory for processor time; the heap is a few MB.
+	// gcPercent trades memory for CPU time; the heap is a few MB.
 	gcPercent = 100
 )
 
@@ -43,7 +43,7 @@
 	Crashes crashesCmd `cmd:"" help:"Shows the requests under which upstreams ended, or has them served again."`
 }
 
-// common are the settings of both daemons.
+// common has the settings of both daemons.
 type common struct {
 	Node     string `required:"" help:"Name of this host."`
 	Domain   string `required:"" help:"Failure domain of this host."`
@@ -55,14 +55,15 @@
 	Settings string `help:"File of settings, a line FLAG=VALUE each; the command line and variables go before it. Read again on SIGHUP and when it changes."`
 }
 
-// name is the program's.
+// name is the name of the program.
 const name = "wardturn-fleet"
 
-// commandLine are the arguments of the process, to be read again with its
-// settings.
+// commandLine has the arguments of the process. They are parsed again when the settings
+// are reloaded.
 type commandLine []string
 
-// newParser returns the parser of a command line, with the settings of its file.
+// newParser returns a parser for a command line. It also takes values from the settings
+// file that the command line names.
 func newParser(args []string, root *commands, options ...kong.Option) (*kong.Kong, error) {
 	s, err := readSettings(settingsPath(args))
 	if err != nil {
@@ -76,7 +77,7 @@
 	)...)
 }
 
-// Main runs a daemon until ctx ends and returns the exit code.
+// Main runs a command, a daemon until ctx ends, and returns the exit code.
 func Main(ctx context.Context, args []string, out, errs io.Writer) int {
 	var root commands
 	exit := -1
@@ -114,7 +115,7 @@
 	return ExitOK
 }
 
-// badSettings collects the faults of a command line's settings.
+// badSettings collects the invalid settings of a command.
 type badSettings struct {
 	wardturn.SettingProblems
 }
@@ -149,7 +150,7 @@
 	})
 }
 
-// daemon has what gateway and keeper are both built from.
+// daemon has the dependencies that the gateway and the keeper share.
 type daemon struct {
 	*dig.Container
 
@@ -157,8 +158,9 @@
 	stopMetrics func()
 }
 
-// newDaemon starts the metrics and the log of a daemon and provides them, with the
-// clock. Whoever builds it stops the metrics and closes the log.
+// newDaemon starts the metrics server and the log queue of a daemon and provides its
+// clock, logger and metrics scope. The function that calls it has to stop the metrics and
+// close the log.
 func (c *common) newDaemon(name string, out io.Writer) (*daemon, error) {
 	debug.SetGCPercent(gcPercent)
 	scope, stopMetrics, err := c.serveMetrics()
@@ -182,7 +184,8 @@
 	return d, nil
 }
 
-// serveMetrics returns the scope of the process's metrics.
+// serveMetrics starts the metrics server if an address is set. It returns the scope of the
+// process's metrics and a function that stops the server.
 func (c *common) serveMetrics() (tally.Scope, func(), error) {
 	if c.Metrics == "" {
 		return tally.NoopScope, func() {}, nil
--- a/cli/fleet/fleet_test.go
+++ b/cli/fleet/fleet_test.go
@@ -22,7 +22,7 @@
 	}
 	for _, setting := range []string{"store", "ready", "drain", "loads-at-start"} {
 		if !strings.Contains(errs, "bad setting: "+setting) {
-			t.Errorf("nothing said of %s:\n%s", setting, errs)
+			t.Errorf("no error for setting %s:\n%s", setting, errs)
 		}
 	}
 }
--- a/cli/fleet/gateway.go
+++ b/cli/fleet/gateway.go
@@ -44,13 +44,14 @@
 	LoadsAtMost  float64                                    `default:"1024" help:"Adapter loads under way from the weight store, for all gateways, at most; ten times what the largest known store serves at full speed."`
 }
 
-// heldPart is the part of the memory, as one in so many, that callers' bodies may take. The
-// rest is for what the gateway knows, for answers, and for the collector, which lets the heap
-// double.
+// heldPart is the divisor of the memory limit that gives the bytes of buffered request
+// bodies. The rest is for the gateway's state, for responses, and for the garbage collector,
+// which lets the heap double.
 const heldPart = 8
 
-// leastKeyBound leaves time for the readings of the configuration: gateways that rely
-// on another's word know it as of up to 1.7 s ago.
+// leastKeyBound is the least KeyBound other than 0. It leaves time to read the
+// configuration: gateways that rely on another gateway's announcement of a read know the
+// configuration as it was up to 1.7 s earlier.
 const leastKeyBound = 3 * time.Second
 
 func (c *gatewayCmd) problems() error {
@@ -116,7 +117,8 @@
 	}
 }
 
-// retune takes the settings that may change while the gateway runs.
+// retune applies the reloaded settings of n that can change at run time. It changes
+// nothing if one of them is invalid.
 func (c *gatewayCmd) retune(g *gateway.Gateway, logger hclog.Logger, n *gatewayCmd) {
 	if refused(logger, n.problems()) {
 		return
@@ -127,10 +129,11 @@
 	logger.Info("settings read again", "log_level", n.LogLevel, "retry_share", t.RetryShare, "retry_extra", t.RetryExtra, "retry_window", t.RetryWindow, "cross_bytes", t.Fleet.CrossBytes, "loads_at_most", t.Fleet.Window.Most)
 }
 
-// leaveMargin is kept before SIGKILL to end the answers under way visibly and to
-// write the last lines of the log, which take a few ms. It costs the streams that
-// would have ended in it: of 67 that were still running 300 ms before SIGKILL, 5
-// ended in the next 200 ms (24 departures under load), and no gateway was killed.
+// leaveMargin is the time reserved before SIGKILL to terminate the responses in progress
+// with an error that the caller sees, and to write the last log lines, which takes a few
+// ms. It cuts streams that would have completed within the margin: in 24 shutdowns under
+// load, 67 streams were still running 300 ms before SIGKILL and 5 of them completed in the
+// next 200 ms. No gateway was killed.
 const leaveMargin = 100 * time.Millisecond
 
 // Run implements the gateway command.
--- a/cli/fleet/settings.go
+++ b/cli/fleet/settings.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// settingsFlag and settingsVariable name the file of settings.
+	// settingsFlag and settingsVariable set the path of the settings file.
 	settingsFlag     = "--settings"
 	settingsVariable = "WARDTURN_SETTINGS"
-	// settingsEvery is how often the file is looked at: it may change without a
-	// signal.
+	// settingsEvery is the interval at which the file's modification time is polled,
+	// since the file may change without a signal.
 	settingsEvery = time.Second
 )
 
-// settings are the values of a settings file, by flag.
+// settings has the values of a settings file by flag name.
 type settings map[string]string
 
-// settingsPath returns the path of the settings file, or an empty string. The
-// command line goes before the environment.
+// settingsPath returns the path of the settings file, or an empty string if there is
+// none. The command line takes precedence over the environment.
 func settingsPath(args []string) string {
 	for i, a := range args {
 		if path, ok := strings.CutPrefix(a, settingsFlag+"="); ok {
@@ -41,9 +41,8 @@
 	return os.Getenv(settingsVariable)
 }
 
-// readSettings reads a file of lines FLAG=VALUE. Names that no flag has, and
-// flags without a value, are passed over: the file may tell more than this
-// version knows, or less.
+// readSettings reads a file of FLAG=VALUE lines. Unknown flags and empty values are
+// ignored, since the file may be written for an older or newer version of the program.
 func readSettings(path string) (settings, error) {
 	s := make(settings)
 	if path == "" {
@@ -67,8 +66,8 @@
 	return nil
 }
 
-// Resolve implements kong.Resolver: the command line and the environment go
-// before the file.
+// Resolve implements kong.Resolver. The command line and the environment take precedence
+// over the file.
 func (s settings) Resolve(_ *kong.Context, _ *kong.Path, flag *kong.Flag) (any, error) {
 	for _, name := range flag.Envs {
 		if _, ok := os.LookupEnv(name); ok {
@@ -81,8 +80,8 @@
 	return nil, nil
 }
 
-// watchSettings reads the settings again at each SIGHUP and when their file has
-// changed, and hands them to apply, until ctx ends.
+// watchSettings reloads the settings at each SIGHUP and when their file has changed, and
+// passes them to apply, until ctx ends.
 func watchSettings(ctx context.Context, args []string, logger hclog.Logger, apply func(*commands)) {
 	hups := make(chan os.Signal, 1)
 	signal.Notify(hups, syscall.SIGHUP)
@@ -108,7 +107,7 @@
 	}
 }
 
-// changedAt returns when a file was last changed; zero if that is not known.
+// changedAt returns the modification time of a file, or zero if it is unknown.
 func changedAt(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -117,8 +116,8 @@
 	return info.ModTime()
 }
 
-// reload reads the settings again and hands them to apply. Settings with a fault
-// are refused as a whole.
+// reload parses the command line and the settings file again and passes the result to
+// apply. If parsing fails, no setting changes.
 func reload(args []string, logger hclog.Logger, apply func(*commands)) {
 	var root commands
 	parser, err := newParser(args, &root)
@@ -126,14 +125,14 @@
 		_, err = parser.Parse(args)
 	}
 	if err != nil {
-		logger.Error("settings not understood, the present ones stay", "error", err)
+		logger.Error("settings not understood, keeping the current ones", "error", err)
 		return
 	}
 	apply(&root)
 }
 
-// refused logs the faults of settings that were read again, and reports whether
-// there are any.
+// refused reports whether err, the result of validating reloaded settings, is an error. It
+// logs each invalid setting.
 func refused(logger hclog.Logger, err error) bool {
 	if err == nil {
 		return false
@@ -141,10 +140,10 @@
 	var bad wardturn.SettingProblems
 	if errors.As(err, &bad) {
 		for _, p := range bad {
-			logger.Error("bad setting, the present settings stay", "setting", p.Setting, "reason", p.Reason)
+			logger.Error("bad setting, keeping the current settings", "setting", p.Setting, "reason", p.Reason)
 		}
 		return true
 	}
-	logger.Error("settings refused, the present ones stay", "error", err)
+	logger.Error("settings refused, keeping the current ones", "error", err)
 	return true
 }
--- a/cli/fleet/settings_test.go
+++ b/cli/fleet/settings_test.go
@@ -14,7 +14,7 @@
 	"wardturn/cli/fleet"
 )
 
-// logBuffer is a log that a test reads while a daemon writes it.
+// logBuffer collects a daemon's log so that a test can read it while the daemon runs.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -26,7 +26,7 @@
 	return b.text.Write(p)
 }
 
-// await waits until a text stands in the log a number of times.
+// await waits until the log contains text at least the given number of times.
 func (b *logBuffer) await(t *testing.T, text string, times int) {
 	t.Helper()
 	for range 1000 {
@@ -56,17 +56,17 @@
 	path := filepath.Join(t.TempDir(), "settings")
 	writeSettings(t, path, "log-level=noise\nretry-share=\nnot.ours=1\n")
 	if code, errs := run(keeperArgs("--check", "--settings="+path)...); code != fleet.ExitUsage || !strings.Contains(errs, "log-level") {
-		t.Errorf("a wrong value in the file: exit %d: %s", code, errs)
+		t.Errorf("an invalid value in the file: exit %d: %s", code, errs)
 	}
 	if code, errs := run(keeperArgs("--check", "--settings="+path, "--log-level=warn")...); code != fleet.ExitOK {
-		t.Errorf("the command line does not go before the file: exit %d: %s", code, errs)
+		t.Errorf("the command line does not override the file: exit %d: %s", code, errs)
 	}
 	t.Setenv("WARDTURN_LOG_LEVEL", "warn")
 	if code, errs := run(keeperArgs("--check", "--settings", path)...); code != fleet.ExitOK {
-		t.Errorf("the environment does not go before the file: exit %d: %s", code, errs)
+		t.Errorf("the environment does not override the file: exit %d: %s", code, errs)
 	}
 	if code, _ := run(keeperArgs("--check", "--settings="+path+".missing")...); code == fleet.ExitOK {
-		t.Error("a missing file passes")
+		t.Error("a missing file is accepted")
 	}
 }
 
@@ -83,7 +83,7 @@
 	defer wg.Wait()
 	defer stop()
 	log.await(t, "keeper started", 1)
-	time.Sleep(50 * time.Millisecond) // the time of the change differs
+	time.Sleep(50 * time.Millisecond) // so that the modification time differs
 	writeSettings(t, path, "log-level=debug\n")
 	log.await(t, "settings read again: log_level=debug", 1)
 	writeSettings(t, path, "log-level=noise\n")
--- a/cli/helpers_test.go
+++ b/cli/helpers_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// logText keeps what a daemon logs, to be read while it runs.
+// logText collects the log of a daemon and can be read while the daemon runs.
 type logText struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -74,25 +74,25 @@
 	return l.text.Write(data)
 }
 
-// String returns what was logged so far.
+// String returns the log so far.
 func (l *logText) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// startedAt finds the address in the line that a daemon logs once it serves.
+// startedAt matches the address in the line that a daemon logs when it starts to serve.
 var startedAt = regexp.MustCompile(` started: .*\baddr=(\S+) `)
 
-// start runs a daemon's main until the test ends, and then expects it to stop as
-// planned. The kernel chooses the port that the daemon listens on; start returns the
-// address.
+// start runs a daemon's main function until the test ends, and then expects it to exit
+// with ExitOK. The kernel chooses the port; start returns the address that the daemon
+// listens on.
 func start(t *testing.T, main func(context.Context, []string, cli.Streams) int, args []string) string {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	logs := &logText{}
 	ended := make(chan struct{})
-	code := cli.ExitOK // read once the daemon has ended
+	code := cli.ExitOK // read only after the daemon has ended
 	go func() {
 		defer close(ended)
 		code = main(ctx, append([]string{"--listen=127.0.0.1:0"}, args...), cli.Streams{
@@ -127,7 +127,7 @@
 	end := time.Now().Add(30 * time.Second)
 	for !holds() {
 		if time.Now().After(end) {
-			t.Fatalf("did not come: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -177,7 +177,7 @@
 	return res.StatusCode()
 }
 
-// dialTLS makes a connection to an agent and reads the first byte that it sends.
+// dialTLS connects to an agent with mutual TLS and reads the first byte that it sends.
 func dialTLS(addr, cert, key, ca string) error {
 	pair, err := tls.X509KeyPair([]byte(cert), []byte(key))
 	if err != nil {
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// lossesCmd sums up, from the logs of gateways, where service was lost.
+// lossesCmd summarizes, from the logs of gateways, why responses were late and requests
+// were refused.
 type lossesCmd struct {
 	Files []string `arg:"" optional:"" help:"Logs of one or several gateways; standard input if none."`
 }
@@ -24,32 +25,32 @@
 	return newLosses(lines).write(s.Out)
 }
 
-// losses are what the lines about loads, late answers and refusals tell.
+// losses has statistics of the log lines about adapter loads, late responses and refusals.
 type losses struct {
 	loads    map[string]*loadLosses // by cause
 	adapters map[string]bool
-	late     map[string]*lateLosses // by what took most of the time
-	refused  map[string][]time.Duration
+	late     map[string]*lateLosses     // by the phase that took the most time
+	refused  map[string][]time.Duration // time before the refusal, by reason
 	tenths   *tenths
-	leftOut  int // lines that the budgets of the logs left out
+	leftOut  int // lines dropped by the rate limits of the logs
 }
 
-// loadLosses are the loads of one cause.
+// loadLosses has the adapter loads of one cause.
 type loadLosses struct {
 	took  []time.Duration
-	pairs map[string]bool // of adapter and upstream
+	pairs map[string]bool // adapter and upstream, separated by a space
 }
 
-// lateLosses are the late answers of one kind.
+// lateLosses has the late responses for which one phase took the most time.
 type lateLosses struct {
-	first  []time.Duration // from the arrival to the first token
-	placed []time.Duration // of that, until an upstream was chosen
-	before []int           // tokens of prompts that the upstream was to read before
-	prompt []int           // tokens of the own prompt
-	pause  []time.Duration // the longest between two events
+	first  []time.Duration // time from arrival to the first token
+	placed []time.Duration // part of first until an upstream was chosen
+	before []int           // tokens of earlier prompts that the upstream had yet to prefill
+	prompt []int           // tokens of the request's own prompt
+	pause  []time.Duration // longest pause between two events of the stream
 }
 
-// What may have taken most of the time of a late answer.
+// The phases of a late response that may have taken the most time.
 const (
 	lateByLoad   = "adapter or place"
 	lateByBefore = "prompts before"
@@ -114,8 +115,9 @@
 	k.prompt = append(k.prompt, prompt)
 }
 
-// lateKind says what took most of a late answer's time. The time from the choice of
-// an upstream to the first token is shared out by the tokens that it had to read.
+// lateKind returns the phase that took the most time of a late response. The time from the
+// choice of an upstream to the first token is divided between earlier prompts and the
+// request's own in proportion to their tokens.
 func lateKind(first, placed, pause time.Duration, before, prompt int) string {
 	reading := max(first-placed, 0)
 	own := reading
@@ -147,7 +149,7 @@
 	return kind
 }
 
-// write prints the sums as tables.
+// write prints the statistics as tables.
 func (l *losses) write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "loads by cause\tloads\tadapter at upstream\ttook p50\tp90")
@@ -173,7 +175,7 @@
 	return t.Flush()
 }
 
-// byCount returns the keys of the largest counts first, equal ones by name.
+// byCount returns the keys in descending order of their counts, and by name if equal.
 func byCount[V any](m map[string]V, count func(V) int) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
@@ -188,7 +190,7 @@
 	return keys
 }
 
-// quantile returns the value below which a part of a list lies; zero for none.
+// quantile returns a quantile of a list, such as 0.5 for the median; zero if it is empty.
 func quantile[T int | time.Duration](list []T, part float64) T {
 	if len(list) == 0 {
 		return 0
@@ -201,20 +203,20 @@
 	return strconv.FormatInt(d.Milliseconds(), 10) + " ms"
 }
 
-// duration returns a field that holds a time; zero if it does not.
+// duration returns the value of a field as a duration, or zero if it is none.
 func (l logLine) duration(field string) time.Duration {
 	d, err := time.ParseDuration(l.fields[field])
 	if err != nil {
-		return 0 // a line without that field tells nothing of it
+		return 0 // the line has no such field
 	}
 	return d
 }
 
-// number returns a field that holds a whole number; zero if it does not.
+// number returns the value of a field as an integer, or zero if it is none.
 func (l logLine) number(field string) int {
 	n, err := strconv.Atoi(l.fields[field])
 	if err != nil {
-		return 0 // a line without that field tells nothing of it
+		return 0 // the line has no such field
 	}
 	return n
 }
--- a/cli/losses_tenth.go
+++ b/cli/losses_tenth.go
@@ -9,33 +9,34 @@
 	"time"
 )
 
-// readRate is how many tokens of prompts an engine of today reads in a millisecond;
-// what the prompts known at the choice do not account for at it is the engine's other
-// work.
+// readRate is the prefill rate of current engines, in prompt tokens per millisecond. Time
+// beyond that which the prompts known at the choice of the engine take at this rate is
+// attributed to the engine's other work.
 const readRate = 40.0
 
-// What may have taken most of the time of a request of the largest tenth, beside what
-// late answers know.
+// lateByBusy is a phase in addition to those of late responses in general: work of the
+// engine that was not known when it was chosen.
 const lateByBusy = "busy engine"
 
-// lostRequest is one line about a late answer or a refusal.
+// lostRequest is a request that was refused or whose response was late.
 type lostRequest struct {
 	route   string
 	adapter string
 	prompt  int // tokens
 	refused bool
-	by      string        // what took most of its time
-	took    time.Duration // to the first token, or to the refusal
+	by      string        // phase that took the most time
+	took    time.Duration // time to the first token or to the refusal
 }
 
-// tenths are the lost requests of routes whose callers tell the size of the prompt.
+// tenths has the lost requests of routes whose callers give the size of the prompt. They
+// are reported for the largest tenth of the prompts of each route.
 type tenths struct {
 	lost   map[string][]lostRequest // by route
-	sizes  map[string]map[int]int   // requests by route and least size of a step
-	counts map[string]int           // lines about lost requests of each adapter
+	sizes  map[string]map[int]int   // requests by route and lower bound of a size bucket
+	counts map[string]int           // lines about lost requests by adapter
 }
 
-// tenthRow sums up what took most of the time of lost requests of one route.
+// tenthRow has the lost requests of a route for which one phase took the most time.
 type tenthRow struct {
 	late    int
 	refused int
@@ -52,7 +53,7 @@
 	}
 }
 
-// add takes the line of a late answer or a refusal.
+// add adds the line of a late response or a refusal.
 func (t *tenths) add(line logLine, refused bool) {
 	r := lostRequest{
 		route:   line.fields["route"],
@@ -66,7 +67,7 @@
 		t.counts[r.adapter]++
 	}
 	if r.prompt == 0 || r.route == "" {
-		return // a plain service, or a caller that does not say
+		return // a plain service, or the caller gives no prompt size
 	}
 	if !refused {
 		r.took = line.duration("first")
@@ -75,9 +76,10 @@
 	t.lost[r.route] = append(t.lost[r.route], r)
 }
 
-// tenthBy says what took most of a late answer's time. Prompts that were known at the
-// choice of the engine are taken at their pace; what they do not account for was the
-// engine's other work: runs, and prompts that came later or were known to nobody.
+// tenthBy returns the phase that took the most time of a late response. Prompts that were
+// known at the choice of the engine are assumed to take their time at readRate. The rest of
+// the time until the first token was the engine's other work: running requests, and prompts
+// that arrived later or that no gateway knew of.
 func tenthBy(first, placed, pause time.Duration, before, prompt int) string {
 	reading := max(first-placed, 0)
 	own, others := readTime(prompt), readTime(before)
@@ -118,7 +120,7 @@
 	return time.Duration(float64(tokens) / readRate * float64(time.Millisecond))
 }
 
-// ranks returns the place of each adapter by its lines, 1 for the most.
+// ranks returns the rank of each adapter by its number of lines, 1 for the most.
 func (t *tenths) ranks() map[string]int {
 	ranks := make(map[string]int, len(t.counts))
 	for i, adapter := range byCount(t.counts, func(n int) int { return n }) {
@@ -127,7 +129,7 @@
 	return ranks
 }
 
-// addSizes takes the line about the prompts that a route was sent.
+// addSizes adds a line with the number of requests by prompt size of a route.
 func (t *tenths) addSizes(line logLine) {
 	route := line.fields["route"]
 	sizes := t.sizes[route]
@@ -139,7 +141,7 @@
 		size, requests, _ := strings.Cut(entry, ":")
 		least, err := strconv.Atoi(size)
 		if err != nil {
-			continue // a line that was cut
+			continue // the line was truncated
 		}
 		n, err := strconv.Atoi(requests)
 		if err != nil {
@@ -149,9 +151,9 @@
 	}
 }
 
-// begins returns the size from which on the largest tenth of a route lies, or a little
-// less than a tenth since sizes are counted in steps, and how many requests that is;
-// zero if the logs do not tell.
+// begins returns the least prompt size of the largest tenth of a route and the number of
+// requests in it; zero if the logs do not have the sizes. It may be less than a tenth, since
+// sizes are counted in buckets.
 func (t *tenths) begins(route string) (from, requests int) {
 	sizes := t.sizes[route]
 	total := 0
@@ -171,7 +173,7 @@
 	return from, requests
 }
 
-// write prints the table, if any line tells of sizes.
+// write prints the table if the logs have prompt sizes.
 func (t *tenths) write(w io.Writer) {
 	if len(t.sizes) == 0 {
 		return
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -22,14 +22,15 @@
 	"wardturn/process"
 )
 
-// docFile is a document in a file. Its key is the end of its path, kind/name.
+// docFile is a document read from a file. Its key consists of the last two elements of
+// the path without the extension, kind/name.
 type docFile struct {
 	path string
 	key  control.Key
 	body []byte
 }
 
-// readDocs reads files, and directories with everything below them.
+// readDocs reads files, and the YAML files in directories and their subdirectories.
 func readDocs(paths []string) ([]docFile, error) {
 	var list []docFile
 	for _, root := range paths {
@@ -66,7 +67,7 @@
 	return control.KeyOf(filepath.Base(dir), name)
 }
 
-// checkDocs returns the problems of all files.
+// checkDocs returns the errors of all invalid documents.
 func checkDocs(files []docFile) []error {
 	var list []error
 	for _, f := range files {
@@ -84,7 +85,7 @@
 	ID    string   `help:"Name of the publication; repeat it after a lost reply."`
 }
 
-// Run checks the documents, then publishes all of them or none.
+// Run validates the documents and publishes all of them in one change, or none.
 func (c *publishCmd) Run(s Streams) error {
 	files, err := readDocs(c.Files)
 	if err != nil {
@@ -94,7 +95,7 @@
 		for _, p := range problems {
 			fmt.Fprintln(s.Err, p)
 		}
-		return errors.Newf("%d bad documents; nothing was published", len(problems))
+		return errors.Newf("%d invalid documents; nothing was published", len(problems))
 	}
 	cl := c.client()
 	req := entry.ChangeRequest{
@@ -123,7 +124,7 @@
 	})
 }
 
-// show prints a result for programs or for people.
+// show prints a result as JSON, or as a table written by table.
 func show(w io.Writer, output string, v any, table func(io.Writer)) error {
 	if output == "json" {
 		return json.NewEncoder(w).Encode(v)
@@ -133,7 +134,7 @@
 	return t.Flush()
 }
 
-// diffCmd compares files with what is in force.
+// diffCmd compares files with the documents in force.
 type diffCmd struct {
 	entryFlags
 	Files []string `arg:"" help:"Files named kind/name.yaml, or directories of them."`
@@ -142,12 +143,12 @@
 // diffLine is one document that differs.
 type diffLine struct {
 	Key     control.Key     `json:"key"`
-	Version wardturn.Offset `json:"version"` // in force; zero: none
+	Version wardturn.Offset `json:"version"` // version in force; zero if there is none
 	Lines   []string        `json:"lines"`
 }
 
-// Run prints what publishing the files would change. It fails if anything
-// differs, as diff does.
+// Run prints what publishing the files would change. It fails if anything differs, as
+// diff(1) does.
 func (c *diffCmd) Run(s Streams) error {
 	files, err := readDocs(c.Files)
 	if err != nil {
@@ -182,7 +183,7 @@
 	return err
 }
 
-// lineDiff lists the lines that only one of two texts has.
+// lineDiff lists the lines that occur in only one of two texts.
 func lineDiff(old, now string) []string {
 	a := strings.Split(strings.TrimRight(old, "\n"), "\n")
 	b := strings.Split(strings.TrimRight(now, "\n"), "\n")
@@ -233,7 +234,7 @@
 	})
 }
 
-// historyCmd prints the audit record.
+// historyCmd prints the history of publications.
 type historyCmd struct {
 	entryFlags
 	Key string `arg:"" optional:"" help:"Only changes of this document."`
@@ -253,6 +254,7 @@
 	})
 }
 
+// shorten lists the keys, or only the first and a count if there are many.
 func shorten(keys []control.Key) string {
 	const most = 3
 	if len(keys) > most {
@@ -314,7 +316,7 @@
 	}
 }
 
-// drainCmd orders an upstream to leave.
+// drainCmd orders an upstream to shut down gracefully, or withdraws that order.
 type drainCmd struct {
 	entryFlags
 	Upstream string `arg:"" help:"Name of the upstream."`
@@ -322,7 +324,7 @@
 	Undo     bool   `help:"Withdraw the order; a new agent serves again."`
 }
 
-// Run publishes or withdraws the order.
+// Run publishes the drain order, or deletes it with --undo.
 func (c *drainCmd) Run(s Streams) error {
 	cl := c.client()
 	key := control.DrainKey(wardturn.UpstreamID(c.Upstream))
@@ -331,9 +333,9 @@
 		return err
 	}
 	if c.Undo && !ok {
-		return errors.Newf("%s is not ordered to leave", c.Upstream)
+		return errors.Newf("%s has no drain order", c.Upstream)
 	}
-	body, _ := json.Marshal(c.Reason) // JSON strings are YAML
+	body, _ := json.Marshal(c.Reason) // a JSON string is valid YAML
 	req := entry.ChangeRequest{
 		ID: control.PublicationID("cli-" + string(process.NewIncarnation())),
 		Docs: []entry.DocRequest{{
--- a/cli/policy.go
+++ b/cli/policy.go
@@ -19,7 +19,7 @@
 	File string `arg:"" help:"Starlark file."`
 }
 
-// Run checks the file and prints what its functions return for the samples.
+// Run checks the file and prints the values that its functions return for sample inputs.
 func (c *policyCheckCmd) Run(s Streams) error {
 	text, err := os.ReadFile(c.File)
 	if err != nil {
--- a/cli/soak.go
+++ b/cli/soak.go
@@ -14,7 +14,7 @@
 	"wardturn/soak"
 )
 
-// soakCmd hurts the real daemons and checks the promises.
+// soakCmd injects faults into real daemon processes and checks the system's guarantees.
 type soakCmd struct {
 	Binary   string        `default:"target/wardturn-fleet" help:"Program of the daemons."`
 	Seed     uint64        `default:"1" help:"Seed of the faults and of the traffic."`
@@ -27,7 +27,7 @@
 	LogFile  string        `help:"File for the lines of daemons and faults; none if empty."`
 }
 
-// Run plays the soak and prints what it showed.
+// Run runs the soak test and prints its report.
 func (c *soakCmd) Run(ctx context.Context, s Streams) error {
 	log := io.Discard
 	if c.LogFile != "" {
@@ -61,7 +61,7 @@
 		fmt.Fprintln(s.Out, "BROKEN:", v)
 	}
 	if len(rep.Violations) > 0 {
-		return errors.Newf("%d promises broken", len(rep.Violations))
+		return errors.Newf("%d violations", len(rep.Violations))
 	}
 	return nil
 }
--- a/cmd/wardturn-fleet/main.go
+++ b/cmd/wardturn-fleet/main.go
@@ -1,4 +1,5 @@
-// Command wardturn-fleet runs one daemon of wardturn on the users' platform.
+// Command wardturn-fleet runs a gateway or a keeper on the users' platform. It also has
+// the commands that operators of these daemons need.
 package main
 
 import (
@@ -11,7 +12,7 @@
 )
 
 func main() {
-	signal.Ignore(syscall.SIGHUP) // until the daemon reads its settings again on it
+	signal.Ignore(syscall.SIGHUP) // until the daemon handles it by reloading its settings
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	code := fleet.Main(ctx, os.Args[1:], os.Stdout, os.Stderr)
 	stop()
