--- a/cli/agentd.go
+++ b/cli/agentd.go
@@ -61,7 +61,7 @@
 	p := &problems{}
 	s.processSettings.problems(p)
 	p.add("upstream-addr", checkAddr(s.UpstreamAddr, false))
-	p.check(s.config("check").Check())
+	p.addAll(s.config("check").Check())
 	if !s.ChecksFences && s.GuardAddr == "" {
 		p.add("guard-addr", errors.New("must be set for an upstream that checks no fences"))
 	}
@@ -71,57 +71,57 @@
 // AgentMain runs wardturn-agent and returns its exit code.
 func AgentMain(ctx context.Context, args []string, s Streams) int {
 	const name = "wardturn-agent"
-	var set agentSettings
-	if code, done := readSettings(name, "The process beside one upstream.", &set, args, s); done {
+	var settings agentSettings
+	if code, done := readSettings(name, "The process beside one upstream.", &settings, args, s); done {
 		return code
 	}
-	if set.GuardAddr != "" {
-		guard, err := net.Listen("tcp", set.GuardAddr)
+	if settings.GuardAddr != "" {
+		guard, err := net.Listen("tcp", settings.GuardAddr)
 		if err != nil {
 			fmt.Fprintln(s.Err, name+": another agent gives this upstream orders:", err)
 			return ExitFailure
 		}
 		defer guard.Close()
 	}
-	return exitCode(s, runAgent(ctx, &set, newLogger(s, name, set.LogLevel)))
+	return exitCode(s, runAgent(ctx, &settings, newLogger(s, name, settings.LogLevel)))
 }
 
-func runAgent(ctx context.Context, set *agentSettings, logger hclog.Logger) error {
-	ln, err := net.Listen("tcp", set.Listen)
+func runAgent(ctx context.Context, settings *agentSettings, logger hclog.Logger) error {
+	ln, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	conf, err := set.tlsConfig()
+	tlsConfig, err := settings.tlsConfig()
 	if err != nil {
 		return err
 	}
 	metrics := process.NewMetrics()
 	defer metrics.Close()
-	if set.MetricsAddress != "" {
-		stop, err := process.ServeMetrics(set.MetricsAddress, metrics)
+	if settings.MetricsAddress != "" {
+		stop, err := process.ServeMetrics(settings.MetricsAddress, metrics)
 		if err != nil {
 			return err
 		}
 		defer stop()
 	}
 	c := dig.New()
-	if err := set.provide(c, logger, ln); err != nil {
+	if err := settings.provide(c, logger, ln); err != nil {
 		return err
 	}
 	err = process.Provide(c,
-		func() agent.Config { return set.config(process.NewIncarnation()) },
+		func() agent.Config { return settings.config(process.NewIncarnation()) },
 		func() *agent.Metrics { return agent.NewMetrics(metrics.Scope) },
 		func() wardturn.Policy { return policy.Default{} },
-		func() *tls.Config { return conf },
+		func() *tls.Config { return tlsConfig },
 		agent.New,
 	)
 	if err != nil {
 		return err
 	}
-	if set.Service != "" {
-		err = c.Provide(func() wardturn.Service { return driver.NewService(set.UpstreamAddr) })
+	if settings.Service != "" {
+		err = c.Provide(func() wardturn.Service { return driver.NewService(settings.UpstreamAddr) })
 	} else {
-		err = c.Provide(func() wardturn.Engine { return driver.NewEngine(set.UpstreamAddr) })
+		err = c.Provide(func() wardturn.Engine { return driver.NewEngine(settings.UpstreamAddr) })
 	}
 	if err != nil {
 		return errors.Wrap(err, "wiring")
--- a/cli/burn.go
+++ b/cli/burn.go
@@ -30,8 +30,8 @@
 // Run merges the event counts of all entries given by --entry and prints the burn rates.
 // Entries that do not respond are listed as missing in the report.
 func (c *burnCmd) Run(s Streams) error {
-	cl := c.client()
-	objectives, err := cl.objectives()
+	client := c.client()
+	objectives, err := client.objectives()
 	if err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 	missing := []string{}
 	for _, addr := range c.Entry {
 		var b report.Batch
-		if err := cl.doAt(addr, fasthttp.MethodGet, entry.PathWindows, nil, &b); err != nil {
+		if err := client.doAddr(addr, fasthttp.MethodGet, entry.PathWindows, nil, &b); err != nil {
 			missing = append(missing, addr)
 			continue
 		}
--- a/cli/chaos.go
+++ b/cli/chaos.go
@@ -24,26 +24,26 @@
 	var wg sync.WaitGroup
 	var failed int
 	var firstErr error
-	var sum chaos.Counts
+	var total chaos.Counts
 	seeds := make(chan uint64)
 	for range max(c.Parallel, 1) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for seed := range seeds {
-				out, err := chaos.Run(ctx, seed)
+				outcome, err := chaos.Run(ctx, seed)
 				mu.Lock()
 				if err != nil && firstErr == nil {
 					firstErr = err
 				}
-				if len(out.Violations) > 0 {
+				if len(outcome.Violations) > 0 {
 					failed++
 				}
-				sum.Done += out.Counts.Done
-				sum.NotRun += out.Counts.NotRun
-				sum.Unknown += out.Counts.Unknown
-				sum.Cut += out.Counts.Cut
-				printHistory(s, out)
+				total.Done += outcome.Counts.Done
+				total.NotRun += outcome.Counts.NotRun
+				total.Unknown += outcome.Counts.Unknown
+				total.Cut += outcome.Counts.Cut
+				printHistory(s, outcome)
 				mu.Unlock()
 			}
 		}()
@@ -57,7 +57,7 @@
 	close(seeds)
 	wg.Wait()
 	fmt.Fprintf(s.Out, "%d histories, %d broke a promise; answers: %d done, %d not run, %d unknown, %d streams cut visibly\n",
-		c.Histories, failed, sum.Done, sum.NotRun, sum.Unknown, sum.Cut)
+		c.Histories, failed, total.Done, total.NotRun, total.Unknown, total.Cut)
 	if firstErr != nil {
 		return firstErr
 	}
@@ -67,13 +67,13 @@
 	return nil
 }
 
-func printHistory(s Streams, out chaos.Outcome) {
+func printHistory(s Streams, outcome chaos.Outcome) {
 	verdict := "ok"
-	if len(out.Violations) > 0 {
+	if len(outcome.Violations) > 0 {
 		verdict = "BROKEN"
 	}
-	fmt.Fprintf(s.Out, "seed %d: %s, %s: %s %+v\n", out.Seed, out.Faults[0], out.Faults[1], verdict, out.Counts)
-	for _, v := range out.Violations {
+	fmt.Fprintf(s.Out, "seed %d: %s, %s: %s %+v\n", outcome.Seed, outcome.Faults[0], outcome.Faults[1], verdict, outcome.Counts)
+	for _, v := range outcome.Violations {
 		fmt.Fprintln(s.Out, "   ", v)
 	}
 }
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -109,21 +109,21 @@
 
 func TestPolicyCheck(t *testing.T) {
 	good := filepath.Join(t.TempDir(), "good.star")
-	write(t, good, "def slot(a):\n  return a.rate\n\ndef hold(r):\n  return 5\n")
+	writeFile(t, good, "def slot(a):\n  return a.rate\n\ndef hold(r):\n  return 5\n")
 	r := run(cli.Main, "policy", "check", good)
 	if r.code != cli.ExitOK {
 		t.Errorf("%d %s", r.code, r.err)
 	}
 	golden(t, "policy-check", r.out)
 	bad := filepath.Join(t.TempDir(), "bad.star")
-	write(t, bad, "def slot(a):\n  return a.rate / 0\n")
+	writeFile(t, bad, "def slot(a):\n  return a.rate / 0\n")
 	r = run(cli.Main, "policy", "check", bad)
 	if r.code != cli.ExitFailure || !strings.Contains(r.err, "bad.star:2:17: floating-point division by zero") {
 		t.Errorf("%d %s", r.code, r.err)
 	}
 }
 
-func write(t *testing.T, file, text string) {
+func writeFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
@@ -136,7 +136,7 @@
 	if r.code != cli.ExitOK {
 		t.Fatal(r.err)
 	}
-	write(t, trace, r.out)
+	writeFile(t, trace, r.out)
 	golden(t, "trace-head", strings.Join(strings.SplitAfterN(r.out, "\n", 4)[:3], ""))
 	r = run(cli.Main, "compare", "-q", "--json", "--trace="+trace, "--policy=zurich", "--policy=builtin:lru", "--fault=store-slow@5s+5s*3")
 	if r.code != cli.ExitOK {
@@ -156,7 +156,7 @@
 
 func TestCompareRefuses(t *testing.T) {
 	trace := filepath.Join(t.TempDir(), "t.jsonl")
-	write(t, trace, `{"at_ms":1,"caller":"c","adapter":"a","version":1,"class":"x","prompt_tokens":1,"output_tokens":1}`+"\n")
+	writeFile(t, trace, `{"at_ms":1,"caller":"c","adapter":"a","version":1,"class":"x","prompt_tokens":1,"output_tokens":1}`+"\n")
 	r := run(cli.Main, "compare", "--trace="+trace, "--policy=zurich")
 	if r.code != cli.ExitFailure || !strings.Contains(r.err, "t.jsonl:1: class") {
 		t.Errorf("%d %s", r.code, r.err)
@@ -210,15 +210,15 @@
 // reject a client certificate that its CA did not sign.
 func TestProcessesOverTLS(t *testing.T) {
 	cert, key := certificate(t)
-	strangerCert, strangerKey := certificate(t)
-	plat := newPlatform(t)
+	untrustedCert, untrustedKey := certificate(t)
+	platform := newTestPlatform(t)
 	shared := []string{
-		"--region=r", "--domain=d", "--log-addr=" + plat.log, "--host-list=" + plat.hosts,
+		"--region=r", "--domain=d", "--log-addr=" + platform.log, "--host-list=" + platform.hosts,
 		"--tls-cert=" + cert, "--tls-key=" + key, "--tls-ca=" + cert,
 	}
-	agentAddr := start(t, cli.AgentMain, append(shared, "--upstream=u", "--upstream-addr="+plat.engine, "--model=base", "--store-agents=1"))
-	plat.list(agentAddr)
-	entryAddr := start(t, cli.EntryMain, append(shared, "--caller-keys=me:"+digest("secret")))
+	agentAddr := start(t, cli.AgentMain, append(shared, "--upstream=u", "--upstream-addr="+platform.engine, "--model=base", "--store-agents=1"))
+	platform.addHost(agentAddr)
+	entryAddr := start(t, cli.EntryMain, append(shared, "--caller-keys=me:"+keyDigest("secret")))
 	c := httpsClient(t, cert)
 	waitFor(t, "readiness", func() bool { return c.status("https://"+entryAddr+"/readyz", "") == 200 })
 	waitFor(t, "an answer", func() bool {
@@ -227,7 +227,7 @@
 	if got := c.complete("https://"+entryAddr+"/v1/completions", "wrong"); got != 401 {
 		t.Errorf("status %d for a wrong key", got)
 	}
-	if err := dialTLS(agentAddr, strangerCert, strangerKey, cert); err == nil {
+	if err := dialTLS(agentAddr, untrustedCert, untrustedKey, cert); err == nil {
 		t.Error("the agent accepted a certificate that its CA did not sign")
 	}
 	if err := dialTLS(agentAddr, cert, key, cert); err != nil {
@@ -239,11 +239,11 @@
 // list adds an agent to the list of hosts.
 type testPlatform struct {
 	log, hosts, engine string
-	list               func(agentAddr string)
+	addHost            func(agentAddr string)
 }
 
-// newPlatform serves stand-ins on loopback, with one adapter published.
-func newPlatform(t *testing.T) testPlatform {
+// newTestPlatform serves stand-ins on loopback, with one adapter published.
+func newTestPlatform(t *testing.T) testPlatform {
 	t.Helper()
 	clock := process.Clock{}
 	log := standin.NewLog(clock, standin.LogConfig{})
@@ -261,8 +261,8 @@
 		log:    listenAndServe(t, standin.LogHandler(log)),
 		hosts:  listenAndServe(t, standin.HostsHandler(hosts)),
 		engine: listenAndServe(t, standin.EngineHandler(engine)),
-		list: func(addr string) {
-			hosts.Set(hostAt(addr))
+		addHost: func(addr string) {
+			hosts.Set(testHost(addr))
 		},
 	}
 }
--- a/cli/client.go
+++ b/cli/client.go
@@ -22,7 +22,7 @@
 	Output      string   `default:"table" enum:"table,json" help:"Output for people or for programs: table or json."`
 }
 
-const clientLimit = 15 * time.Second
+const requestTimeout = 15 * time.Second
 
 // ErrRefused matches errors of requests that the entry refused.
 var ErrRefused = errors.New("refused")
@@ -41,7 +41,7 @@
 
 // do sends a request to the entries in order until one responds, and decodes the response
 // into into. A refusal also counts as a response.
-func (c *client) do(method, path string, body, into any) error {
+func (c *client) do(method, path string, body, result any) error {
 	var data []byte
 	if body != nil {
 		var err error
@@ -51,15 +51,15 @@
 	}
 	var err error
 	for _, addr := range c.flags.Entry {
-		if err = c.doAt(addr, method, path, data, into); err == nil || errors.Is(err, ErrRefused) {
+		if err = c.doAddr(addr, method, path, data, result); err == nil || errors.Is(err, ErrRefused) {
 			return err
 		}
 	}
 	return err
 }
 
-// doAt sends a request to the entry at addr.
-func (c *client) doAt(addr, method, path string, body []byte, into any) error {
+// doAddr sends a request to the entry at addr.
+func (c *client) doAddr(addr, method, path string, body []byte, result any) error {
 	req := fasthttp.AcquireRequest()
 	res := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -72,13 +72,13 @@
 	req.Header.SetMethod(method)
 	req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+c.flags.OperatorKey)
 	req.SetBody(body)
-	if err := c.http.DoTimeout(req, res, clientLimit); err != nil {
+	if err := c.http.DoTimeout(req, res, requestTimeout); err != nil {
 		return errors.Wrapf(err, "entry %s", addr)
 	}
 	if res.StatusCode() != fasthttp.StatusOK {
-		return refusal(res)
+		return decodeRefusal(res)
 	}
-	return errors.Wrap(json.Unmarshal(res.Body(), into), "answer")
+	return errors.Wrap(json.Unmarshal(res.Body(), result), "answer")
 }
 
 // refusedError is the error of a request that an entry refused.
@@ -97,8 +97,8 @@
 	return target == ErrRefused
 }
 
-// refusal returns the error in a response whose status is not 200.
-func refusal(res *fasthttp.Response) error {
+// decodeRefusal returns the error in a response whose status is not 200.
+func decodeRefusal(res *fasthttp.Response) error {
 	var body driver.ErrorBody
 	if json.Unmarshal(res.Body(), &body) != nil || body.Error.Code == "" {
 		return &refusedError{
--- a/cli/daemon.go
+++ b/cli/daemon.go
@@ -43,16 +43,16 @@
 	if err == nil {
 		return
 	}
-	for _, have := range p.list {
-		if have.Setting == flag {
+	for _, known := range p.list {
+		if known.Setting == flag {
 			return
 		}
 	}
 	p.list.Require(false, flag, err.Error())
 }
 
-// check records the problems found by the validation of a configuration.
-func (p *problems) check(list wardturn.SettingProblems) {
+// addAll records the problems found by the validation of a configuration.
+func (p *problems) addAll(list wardturn.SettingProblems) {
 	for _, sp := range list {
 		p.add(sp.Setting, errors.New(sp.Reason))
 	}
@@ -85,8 +85,8 @@
 	)
 }
 
-// variable returns the name of the environment variable of a flag.
-func variable(flag string) string {
+// envVar returns the name of the environment variable of a flag.
+func envVar(flag string) string {
 	return "WARDTURN_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
@@ -150,7 +150,7 @@
 		return code, true
 	}
 	if p := settings.problems(); len(p.list) > 0 {
-		return p.refuse(name, s), true
+		return p.print(name, s), true
 	}
 	return ExitOK, settings.checkOnly()
 }
@@ -181,10 +181,10 @@
 	return 0, false
 }
 
-// refuse prints all invalid settings and returns the exit code for them.
-func (p *problems) refuse(name string, s Streams) int {
+// print prints all invalid settings and returns the exit code for them.
+func (p *problems) print(name string, s Streams) int {
 	for _, sp := range p.list {
-		fmt.Fprintf(s.Err, "%s: bad setting: --%s (%s): %s\n", name, sp.Setting, variable(sp.Setting), sp.Reason)
+		fmt.Fprintf(s.Err, "%s: bad setting: --%s (%s): %s\n", name, sp.Setting, envVar(sp.Setting), sp.Reason)
 	}
 	return ExitUsage
 }
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -57,13 +57,13 @@
 		Clock:  process.Clock{},
 	})
 	stop := showProgress(s.Err, runner, sys)
-	sum := runner.Run(ctx)
+	summary := runner.Run(ctx)
 	stop()
-	if err := printDemo(s.Out, sum, sys); err != nil {
+	if err := printSummary(s.Out, summary, sys); err != nil {
 		return err
 	}
 	if c.Serve {
-		printCurl(s.Out, sys)
+		printEndpoints(s.Out, sys)
 		<-ctx.Done()
 	}
 	return nil
@@ -71,8 +71,8 @@
 
 // showProgress writes a progress line every half second until stop is called.
 func showProgress(w io.Writer, r *load.Runner, sys *demo.System) (stop func()) {
-	const every = 500 * time.Millisecond
-	ticker := time.NewTicker(every)
+	const interval = 500 * time.Millisecond
+	ticker := time.NewTicker(interval)
 	quit := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
@@ -80,10 +80,10 @@
 		for {
 			select {
 			case <-ticker.C:
-				sum := r.Snapshot()
-				t := sys.Totals()
+				summary := r.Snapshot()
+				totals := sys.Totals()
 				fmt.Fprintf(w, "\rsent %d  done %d  not run %d  unknown %d  running %d  waiting %d  loads %d   ",
-					sum.Sent, sum.Done, sum.NotRun, sum.Unknown, t.Running, t.Queued, t.Loads)
+					summary.Sent, summary.Done, summary.NotRun, summary.Unknown, totals.Running, totals.Queued, totals.Loads)
 			case <-quit:
 				fmt.Fprintln(w)
 				return
@@ -97,25 +97,25 @@
 	}
 }
 
-func printDemo(w io.Writer, sum load.Summary, sys *demo.System) error {
+func printSummary(w io.Writer, summary load.Summary, sys *demo.System) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "\tmean\tp50\tp95\tp99\tmax\t")
 	row := func(name string, l load.Latency) {
 		fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", name, l.Mean, l.P50, l.P95, l.P99, l.Max)
 	}
-	row("load stall, ms", sum.Stall)
-	row("first byte, ms", sum.First)
-	row("whole answer, ms", sum.Whole)
+	row("load stall, ms", summary.Stall)
+	row("first byte, ms", summary.First)
+	row("whole answer, ms", summary.Whole)
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	tot := sys.Totals()
-	fmt.Fprintf(w, "outcomes: done %d, not run %d, unknown %d, failed %d\n", sum.Done, sum.NotRun, sum.Unknown, sum.Failed)
-	fmt.Fprintf(w, "batch efficiency %.3f over %d steps, %d loads, %d log records\n", tot.Efficiency, tot.Steps, tot.Loads, sys.Log.Appends())
+	totals := sys.Totals()
+	fmt.Fprintf(w, "outcomes: done %d, not run %d, unknown %d, failed %d\n", summary.Done, summary.NotRun, summary.Unknown, summary.Failed)
+	fmt.Fprintf(w, "batch efficiency %.3f over %d steps, %d loads, %d log records\n", totals.Efficiency, totals.Steps, totals.Loads, sys.Log.Appends())
 	return nil
 }
 
-func printCurl(w io.Writer, sys *demo.System) {
+func printEndpoints(w io.Writer, sys *demo.System) {
 	fmt.Fprintf(w, "log at %s, host list at %s, operator key %s\n", sys.LogAddr, sys.HostsAddr, demo.OperatorKey)
 	fmt.Fprintf(w, "serving; try:\ncurl -sN http://%s/v1/completions -H 'Content-Type: application/json' -d '{\"model\":\"a0001\",\"prompt\":\"Why is my fare 6.40?\",\"max_tokens\":12,\"stream\":true}'\n", sys.Addrs()[0])
 }
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	sum := load.NewRunner(load.Plan{
+	summary := load.NewRunner(load.Plan{
 		Addrs:  c.Addr,
 		Trace:  trace,
 		Key:    c.Key,
@@ -153,5 +153,5 @@
 	if !c.JSON {
 		enc.SetIndent("", "  ")
 	}
-	return enc.Encode(sum)
+	return enc.Encode(summary)
 }
--- a/cli/entryd.go
+++ b/cli/entryd.go
@@ -68,7 +68,7 @@
 	if s.Open && !s.Plain {
 		p.add("open", errors.New("only with --plain"))
 	}
-	p.check(s.config("check").Check())
+	p.addAll(s.config("check").Check())
 	return p
 }
 
@@ -94,11 +94,11 @@
 // EntryMain runs wardturn-entry and returns its exit code.
 func EntryMain(ctx context.Context, args []string, s Streams) int {
 	const name = "wardturn-entry"
-	var set entrySettings
-	if code, done := readSettings(name, "The process on an entry host.", &set, args, s); done {
+	var settings entrySettings
+	if code, done := readSettings(name, "The process on an entry host.", &settings, args, s); done {
 		return code
 	}
-	return exitCode(s, runEntry(ctx, &set, newLogger(s, name, set.LogLevel)))
+	return exitCode(s, runEntry(ctx, &settings, newLogger(s, name, settings.LogLevel)))
 }
 
 // entryParts has the dependencies of the entry. The names distinguish the TLS
@@ -131,44 +131,44 @@
 	})
 }
 
-func runEntry(ctx context.Context, set *entrySettings, logger hclog.Logger) error {
-	ln, err := net.Listen("tcp", set.Listen)
+func runEntry(ctx context.Context, settings *entrySettings, logger hclog.Logger) error {
+	ln, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	peers, err := set.tlsConfig()
+	peerTLS, err := settings.tlsConfig()
 	if err != nil {
 		return err
 	}
-	callers, err := set.httpsConfig()
+	callerTLS, err := settings.httpsConfig()
 	if err != nil {
 		return err
 	}
 	metrics := process.NewMetrics()
 	defer metrics.Close()
 	c := dig.New()
-	if err := set.provide(c, logger, ln); err != nil {
+	if err := settings.provide(c, logger, ln); err != nil {
 		return err
 	}
 	err = process.Provide(c,
-		func() entry.Config { return set.config(process.NewIncarnation()) },
+		func() entry.Config { return settings.config(process.NewIncarnation()) },
 		func() *entry.Metrics { return entry.NewMetrics(metrics.Scope, metrics.Handler) },
 		newEntry,
 	)
 	if err != nil {
 		return err
 	}
-	if err := c.Provide(func() *tls.Config { return peers }, dig.Name("peers")); err != nil {
+	if err := c.Provide(func() *tls.Config { return peerTLS }, dig.Name("peers")); err != nil {
 		return errors.Wrap(err, "wiring")
 	}
-	if err := c.Provide(func() *tls.Config { return callers }, dig.Name("callers")); err != nil {
+	if err := c.Provide(func() *tls.Config { return callerTLS }, dig.Name("callers")); err != nil {
 		return errors.Wrap(err, "wiring")
 	}
 	return c.Invoke(func(e *entry.Entry, clock wardturn.Clock) {
 		<-ctx.Done()
-		limit, cancel := wardturn.WithLimit(context.Background(), clock, set.ShutdownLimit)
+		shutdownCtx, cancel := wardturn.WithLimit(context.Background(), clock, settings.ShutdownLimit)
 		defer cancel()
-		e.Leave(limit)
+		e.Leave(shutdownCtx)
 		e.Close()
 	})
 }
--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -114,7 +114,7 @@
 	if c.JSON {
 		return json.NewEncoder(s.Out).Encode(rep)
 	}
-	return printResults(s.Out, rep)
+	return printComparison(s.Out, rep)
 }
 
 func (c *compareCmd) readTrace(s Streams) ([]experiment.Request, error) {
@@ -155,10 +155,10 @@
 
 // parseFault parses KIND@AT[+FOR][*FACTOR].
 func parseFault(text string) (experiment.Fault, error) {
-	bad := errors.Newf("--fault %q: want KIND@AT[+FOR][*FACTOR], as in store-slow@60s+30s*3", text)
+	errFormat := errors.Newf("--fault %q: want KIND@AT[+FOR][*FACTOR], as in store-slow@60s+30s*3", text)
 	kind, rest, ok := strings.Cut(text, "@")
 	if !ok {
-		return experiment.Fault{}, bad
+		return experiment.Fault{}, errFormat
 	}
 	f := experiment.Fault{
 		Kind:   experiment.FaultKind(kind),
@@ -167,31 +167,31 @@
 	switch f.Kind {
 	case experiment.FaultStoreDown, experiment.FaultStoreSlow, experiment.FaultLoadFail, experiment.FaultRestart:
 	default:
-		return f, bad
+		return f, errFormat
 	}
 	var err error
 	if rest, factor, ok := strings.Cut(rest, "*"); ok {
 		if f.Factor, err = strconv.ParseFloat(factor, 64); err != nil {
-			return f, bad
+			return f, errFormat
 		}
-		return f, parseSpan(rest, &f, bad)
+		return f, parseFaultTime(rest, &f, errFormat)
 	}
-	err = parseSpan(rest, &f, bad)
+	err = parseFaultTime(rest, &f, errFormat)
 	return f, err
 }
 
-// parseSpan parses AT[+FOR] into f. It returns bad if the text is malformed.
-func parseSpan(text string, f *experiment.Fault, bad error) error {
-	at, long, ok := strings.Cut(text, "+")
+// parseFaultTime parses AT[+FOR] into f. It returns errFormat if the text is malformed.
+func parseFaultTime(text string, f *experiment.Fault, errFormat error) error {
+	at, duration, ok := strings.Cut(text, "+")
 	var err error
 	if f.At, err = time.ParseDuration(at); err != nil {
-		return bad
+		return errFormat
 	}
 	if !ok {
 		return nil
 	}
-	if f.For, err = time.ParseDuration(long); err != nil {
-		return bad
+	if f.For, err = time.ParseDuration(duration); err != nil {
+		return errFormat
 	}
 	return nil
 }
@@ -218,7 +218,7 @@
 	return list, nil
 }
 
-func printResults(w io.Writer, rep experiment.Report) error {
+func printComparison(w io.Writer, rep experiment.Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "policy\tstall mean ms\tp50\tp99\ttotal s\tbatch eff.\tttft p50 ms\tp99\tbatch ttft p99 s\tloads\tevictions\tdone\tnot run\tlongest wait s\t")
 	for _, r := range rep.Policies {
@@ -232,34 +232,34 @@
 
 // progressLine prints the progress of the runs, at most ten times a second.
 type progressLine struct {
-	mu    sync.Mutex
-	w     io.Writer
-	shown time.Time
-	parts map[string]int
-	order []string
+	mu      sync.Mutex
+	w       io.Writer
+	printed time.Time
+	percent map[string]int
+	order   []string
 }
 
 func newProgressLine(w io.Writer) *progressLine {
 	return &progressLine{
-		w:     w,
-		parts: make(map[string]int),
+		w:       w,
+		percent: make(map[string]int),
 	}
 }
 
-func (p *progressLine) update(name string, at, of time.Duration) {
+func (p *progressLine) update(name string, elapsed, total time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, ok := p.parts[name]; !ok {
+	if _, ok := p.percent[name]; !ok {
 		p.order = append(p.order, name)
 	}
-	p.parts[name] = int(100 * at / max(of, 1))
-	const spacing = 100 * time.Millisecond
-	if time.Since(p.shown) < spacing {
+	p.percent[name] = int(100 * elapsed / max(total, 1))
+	const interval = 100 * time.Millisecond
+	if time.Since(p.printed) < interval {
 		return
 	}
-	p.shown = time.Now()
+	p.printed = time.Now()
 	fmt.Fprint(p.w, "\r")
 	for _, n := range p.order {
-		fmt.Fprintf(p.w, "%s %d%%  ", n, p.parts[n])
+		fmt.Fprintf(p.w, "%s %d%%  ", n, p.percent[n])
 	}
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -20,8 +20,8 @@
 	Since time.Duration `default:"3s" help:"How far back lines about the request's adapter and upstreams count."`
 }
 
-// logTime is the layout of the time in log lines.
-const logTime = "15:04:05.000"
+// logTimeLayout is the layout of the time in log lines.
+const logTimeLayout = "15:04:05.000"
 
 var (
 	timePattern  = regexp.MustCompile(`\d\d:\d\d:\d\d\.\d\d\d`)
@@ -41,11 +41,11 @@
 	if err != nil {
 		return err
 	}
-	story := explain(lines, c.ID, c.Since)
-	if len(story) == 0 {
+	relevant := explainRequest(lines, c.ID, c.Since)
+	if len(relevant) == 0 {
 		return errors.Newf("no line about request %s", c.ID)
 	}
-	for _, l := range story {
+	for _, l := range relevant {
 		fmt.Fprintln(s.Out, l.text)
 	}
 	return nil
@@ -77,7 +77,7 @@
 	var lines []logLine
 	scanner := bufio.NewScanner(r)
 	for scanner.Scan() {
-		at, err := time.Parse(logTime, timePattern.FindString(scanner.Text()))
+		at, err := time.Parse(logTimeLayout, timePattern.FindString(scanner.Text()))
 		if err != nil {
 			continue
 		}
@@ -94,46 +94,46 @@
 	return lines, scanner.Err()
 }
 
-// explain returns the lines about a request in order of time. It adds the lines about the
-// request's adapter, upstreams and team and about dependencies, from since before the
-// first line of the request to its last.
-func explain(lines []logLine, id string, since time.Duration) []logLine {
-	var own []logLine
-	about := make(map[string]bool)
+// explainRequest returns the lines about a request in order of time. It adds the lines about
+// the request's adapter, upstreams and team and about dependencies, from lookback before
+// the first line of the request to its last.
+func explainRequest(lines []logLine, id string, lookback time.Duration) []logLine {
+	var result []logLine
+	subjects := make(map[string]bool)
 	for _, l := range lines {
 		if l.fields["id"] != id {
 			continue
 		}
-		own = append(own, l)
+		result = append(result, l)
 		for _, key := range []string{"adapter", "upstream", "team"} {
 			if v := l.fields[key]; v != "" {
-				about[key+"="+v] = true
+				subjects[key+"="+v] = true
 			}
 		}
 	}
-	if len(own) == 0 {
+	if len(result) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(own, byTime)
-	first, last := own[0].at.Add(-since), own[len(own)-1].at
+	slices.SortStableFunc(result, compareTime)
+	first, last := result[0].at.Add(-lookback), result[len(result)-1].at
 	for _, l := range lines {
 		if l.fields["id"] != "" || l.at.Before(first) || l.at.After(last) {
 			continue
 		}
-		if about["adapter="+l.fields["adapter"]] || about["upstream="+l.fields["upstream"]] || about["team="+l.fields["team"]] || dependency(l) {
-			own = append(own, l)
+		if subjects["adapter="+l.fields["adapter"]] || subjects["upstream="+l.fields["upstream"]] || subjects["team="+l.fields["team"]] || aboutDependency(l) {
+			result = append(result, l)
 		}
 	}
-	slices.SortStableFunc(own, byTime)
-	return own
+	slices.SortStableFunc(result, compareTime)
+	return result
 }
 
-// dependency reports whether a line is about the state of the store, a new configuration
+// aboutDependency reports whether a line is about the state of the store, a new configuration
 // or an instance that is shutting down.
-func dependency(l logLine) bool {
+func aboutDependency(l logLine) bool {
 	return strings.Contains(l.text, "store ") || strings.Contains(l.text, "configuration in force") || strings.Contains(l.text, "leaving")
 }
 
-func byTime(x, y logLine) int {
+func compareTime(x, y logLine) int {
 	return x.at.Compare(y.at)
 }
--- a/cli/fleet/crashes.go
+++ b/cli/fleet/crashes.go
@@ -17,7 +17,7 @@
 	"wardturn/process"
 )
 
-// crashesCmd lists the request contents during which upstreams crashed, and removes the
+// crashesCmd lists the contents of requests during which upstreams crashed, and removes the
 // crash records of contents so that they are served again. Without it, a content that was
 // in progress during three unrelated crashes would be refused until its records expire.
 type crashesCmd struct {
@@ -32,8 +32,8 @@
 	if err := b.Err(); err != nil {
 		return err
 	}
-	record := platform.NewCrashes(platform.NewStore(c.Store, tally.NoopScope), hclog.NewNullLogger())
-	change, err := record.Next()
+	store := platform.NewCrashes(platform.NewStore(c.Store, tally.NoopScope), hclog.NewNullLogger())
+	change, err := store.Next()
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 		byContent[r.Content] = append(byContent[r.Content], r)
 	}
 	if len(c.Clear) > 0 {
-		return c.clear(record, byContent)
+		return c.clearCrashes(store, byContent)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "content\tupstreams\tlatest")
@@ -56,21 +56,21 @@
 	return w.Flush()
 }
 
-// errNoSuchContent is returned for a content without crash records.
-var errNoSuchContent = errors.New("no crash is recorded for this content")
+// errNoRecordedCrash is returned for a content without crash records.
+var errNoRecordedCrash = errors.New("no crash is recorded for this content")
 
-// clear removes the records of the contents in Clear. If one of them has none, it returns
-// an error and removes nothing.
-func (c *crashesCmd) clear(record wardturn.CrashRecord, byContent map[wardturn.ContentID][]wardturn.RecordedCrash) error {
-	var takeBack []wardturn.Crash
+// clearCrashes removes the records of the contents in Clear. If one of them has none, it
+// returns an error and removes nothing.
+func (c *crashesCmd) clearCrashes(store wardturn.CrashRecord, byContent map[wardturn.ContentID][]wardturn.RecordedCrash) error {
+	var removed []wardturn.Crash
 	for _, content := range c.Clear {
 		list := byContent[content]
 		if len(list) == 0 {
-			return errors.Wrapf(errNoSuchContent, "%s", content)
+			return errors.Wrapf(errNoRecordedCrash, "%s", content)
 		}
 		for _, r := range list {
-			takeBack = append(takeBack, r.Crash)
+			removed = append(removed, r.Crash)
 		}
 	}
-	return record.Write(process.Clock{}.Now(), nil, takeBack)
+	return store.Write(process.Clock{}.Now(), nil, removed)
 }
--- a/cli/fleet/fleet.go
+++ b/cli/fleet/fleet.go
@@ -28,11 +28,11 @@
 )
 
 const (
-	logLines = 4096 // lines buffered for a slow reader of the log
+	logQueueSize = 4096 // lines buffered for a slow reader of the log
 	// Limits on log lines per second for each message. Refusals and failures get a
 	// higher limit than successes.
-	failureLines = 100
-	otherLines   = 20
+	failureLogRate = 100
+	defaultLogRate = 20
 	// gcPercent trades memory for CPU time; the heap is a few MB.
 	gcPercent = 100
 )
@@ -55,8 +55,8 @@
 	Settings string `help:"File of settings, a line FLAG=VALUE each; the command line and variables go before it. Read again on SIGHUP and when it changes."`
 }
 
-// name is the name of the program.
-const name = "wardturn-fleet"
+// programName is the name of the program.
+const programName = "wardturn-fleet"
 
 // commandLine has the arguments of the process. They are parsed again when the settings
 // are reloaded.
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	return kong.New(root, append(options,
-		kong.Name(name),
+		kong.Name(programName),
 		kong.Description("The daemons of wardturn on the users' platform, and what their operators need."),
 		kong.DefaultEnvars("WARDTURN"),
 		kong.Resolvers(s),
@@ -89,7 +89,7 @@
 		kong.Bind(commandLine(args)),
 	)
 	if err != nil {
-		fmt.Fprintln(errs, name+":", err)
+		fmt.Fprintln(errs, programName+":", err)
 		return ExitFailure
 	}
 	k, err := parser.Parse(args)
@@ -97,7 +97,7 @@
 		return exit
 	}
 	if err != nil {
-		fmt.Fprintln(errs, name+":", err)
+		fmt.Fprintln(errs, programName+":", err)
 		return ExitUsage
 	}
 	err = k.Run()
@@ -105,11 +105,11 @@
 	switch {
 	case errors.As(err, &bad):
 		for _, p := range bad {
-			fmt.Fprintln(errs, name+": bad setting:", p.Error())
+			fmt.Fprintln(errs, programName+": bad setting:", p.Error())
 		}
 		return ExitUsage
 	case err != nil:
-		fmt.Fprintln(errs, name+":", err)
+		fmt.Fprintln(errs, programName+":", err)
 		return ExitFailure
 	}
 	return ExitOK
@@ -140,13 +140,13 @@
 	})
 	return process.NewBudgetedLogger(l, process.Clock{}, process.LogRates{
 		Of: map[string]float64{
-			"refused":        failureLines,
-			"beyond the cap": failureLines,
-			"failed":         failureLines,
-			"answer cut":     failureLines,
-			"send failed":    failureLines,
+			"refused":        failureLogRate,
+			"beyond the cap": failureLogRate,
+			"failed":         failureLogRate,
+			"answer cut":     failureLogRate,
+			"send failed":    failureLogRate,
 		},
-		Others: otherLines,
+		Others: defaultLogRate,
 	})
 }
 
@@ -169,7 +169,7 @@
 	}
 	d := &daemon{
 		Container:   dig.New(),
-		logs:        process.NewLogQueue(out, logLines),
+		logs:        process.NewLogQueue(out, logQueueSize),
 		stopMetrics: stopMetrics,
 	}
 	err = process.Provide(d.Container,
--- a/cli/fleet/gateway.go
+++ b/cli/fleet/gateway.go
@@ -44,17 +44,17 @@
 	LoadsAtMost  float64                                    `default:"1024" help:"Adapter loads under way from the weight store, for all gateways, at most; ten times what the largest known store serves at full speed."`
 }
 
-// heldPart is the divisor of the memory limit that gives the bytes of buffered request
-// bodies. The rest is for the gateway's state, for responses, and for the garbage collector,
-// which lets the heap double.
-const heldPart = 8
+// bodyMemoryDivisor is the divisor of the memory limit that gives the limit on buffered
+// request bodies. The rest is for the gateway's state, for responses, and for the garbage
+// collector, which lets the heap double.
+const bodyMemoryDivisor = 8
 
-// leastKeyBound is the least KeyBound other than 0. It leaves time to read the
+// minKeyBound is the least KeyBound other than 0. It leaves time to read the
 // configuration: gateways that rely on another gateway's announcement of a read know the
 // configuration as it was up to 1.7 s earlier.
-const leastKeyBound = 3 * time.Second
+const minKeyBound = 3 * time.Second
 
-func (c *gatewayCmd) problems() error {
+func (c *gatewayCmd) validate() error {
 	var b badSettings
 	b.addr("listen", c.Listen)
 	b.addr("ready", c.Ready)
@@ -66,7 +66,7 @@
 	b.Require(c.RetryExtra >= 0, "retry-extra", "must not be negative")
 	b.Require(c.RetryWindow > 0, "retry-window", "must be over 0")
 	b.Require(c.VersionBound >= 0, "version-bound", "must not be negative")
-	b.Require(c.KeyBound == 0 || c.KeyBound >= leastKeyBound, "key-bound", "must be 0 or at least 3s")
+	b.Require(c.KeyBound == 0 || c.KeyBound >= minKeyBound, "key-bound", "must be 0 or at least 3s")
 	b.Require(c.MemoryMB >= 64, "memory-mb", "must be at least 64")
 	b.Require(c.UpstreamMB >= 1, "upstream-mb", "must be at least 1")
 	b.Require(c.ColdOverage >= 1, "cold-overage", "must be at least 1")
@@ -87,7 +87,7 @@
 		Drain:       c.Drain,
 		LapseGrace:  c.LapseGrace,
 		MaxBody:     c.MaxBody,
-		MaxHeld:     c.MemoryMB << 20 / heldPart,
+		MaxHeld:     c.MemoryMB << 20 / bodyMemoryDivisor,
 		RetryShare:  c.RetryShare,
 		RetryExtra:  c.RetryExtra,
 		RetryWindow: c.RetryWindow,
@@ -117,35 +117,35 @@
 	}
 }
 
-// retune applies the reloaded settings of n that can change at run time. It changes
-// nothing if one of them is invalid.
-func (c *gatewayCmd) retune(g *gateway.Gateway, logger hclog.Logger, n *gatewayCmd) {
-	if refused(logger, n.problems()) {
+// applySettings applies those reloaded settings that can change at run time. It changes
+// nothing if a setting is invalid.
+func (c *gatewayCmd) applySettings(g *gateway.Gateway, logger hclog.Logger, reloaded *gatewayCmd) {
+	if logInvalidSettings(logger, reloaded.validate()) {
 		return
 	}
-	logger.SetLevel(hclog.LevelFromString(n.LogLevel))
-	t := n.config()
-	g.Retune(t)
-	logger.Info("settings read again", "log_level", n.LogLevel, "retry_share", t.RetryShare, "retry_extra", t.RetryExtra, "retry_window", t.RetryWindow, "cross_bytes", t.Fleet.CrossBytes, "loads_at_most", t.Fleet.Window.Most)
+	logger.SetLevel(hclog.LevelFromString(reloaded.LogLevel))
+	cfg := reloaded.config()
+	g.Retune(cfg)
+	logger.Info("settings read again", "log_level", reloaded.LogLevel, "retry_share", cfg.RetryShare, "retry_extra", cfg.RetryExtra, "retry_window", cfg.RetryWindow, "cross_bytes", cfg.Fleet.CrossBytes, "loads_at_most", cfg.Fleet.Window.Most)
 }
 
-// leaveMargin is the time reserved before SIGKILL to terminate the responses in progress
+// shutdownMargin is the time reserved before SIGKILL to terminate the responses in progress
 // with an error that the caller sees, and to write the last log lines, which takes a few
 // ms. It cuts streams that would have completed within the margin: in 24 shutdowns under
 // load, 67 streams were still running 300 ms before SIGKILL and 5 of them completed in the
 // next 200 ms. No gateway was killed.
-const leaveMargin = 100 * time.Millisecond
+const shutdownMargin = 100 * time.Millisecond
 
 // Run implements the gateway command.
 func (c *gatewayCmd) Run(ctx context.Context, out io.Writer, args commandLine) error {
-	if err := c.problems(); err != nil || c.Check {
+	if err := c.validate(); err != nil || c.Check {
 		return err
 	}
-	front, err := net.Listen("tcp", c.Listen)
+	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return errors.Wrap(err, "listen")
 	}
-	ready, err := net.Listen("tcp", c.Ready)
+	readyListener, err := net.Listen("tcp", c.Ready)
 	if err != nil {
 		return errors.Wrap(err, "ready")
 	}
@@ -157,24 +157,24 @@
 	err = process.Provide(d.Container,
 		func(scope tally.Scope) *platform.Store { return platform.NewStore(c.Store, scope) },
 		gateway.NewMetrics,
-		c.newGateway(front, ready),
+		c.newGateway(listener, readyListener),
 	)
 	if err != nil {
 		return err
 	}
 	return d.Invoke(func(g *gateway.Gateway, clock wardturn.Clock, logger hclog.Logger) {
 		watchSettings(ctx, args, logger, func(root *commands) {
-			c.retune(g, logger, &root.Gateway)
+			c.applySettings(g, logger, &root.Gateway)
 		})
-		limit, cancel := wardturn.WithLimit(context.Background(), clock, c.Grace-leaveMargin)
+		shutdownCtx, cancel := wardturn.WithLimit(context.Background(), clock, c.Grace-shutdownMargin)
 		defer cancel()
-		g.Leave(limit)
+		g.Leave(shutdownCtx)
 		g.Close()
 		d.logs.Close()
 	})
 }
 
-func (c *gatewayCmd) newGateway(front, ready net.Listener) any {
+func (c *gatewayCmd) newGateway(listener, readyListener net.Listener) any {
 	return func(clock wardturn.Clock, logger hclog.Logger, m *gateway.Metrics, s *platform.Store) *gateway.Gateway {
 		return gateway.New(gateway.Deps{
 			Config:    c.config(),
@@ -187,8 +187,8 @@
 			Members:   platform.NewMembers(s, clock, logger),
 			Memory:    s,
 			Crashes:   platform.NewCrashes(s, logger),
-			Front:     front,
-			Ready:     ready,
+			Front:     listener,
+			Ready:     readyListener,
 			ReadyPath: platform.ReadyPath,
 		})
 	}
--- a/cli/fleet/keeper.go
+++ b/cli/fleet/keeper.go
@@ -22,7 +22,7 @@
 	Engine string `required:"" help:"Address of the engine, IP:port."`
 }
 
-func (c *keeperCmd) problems() error {
+func (c *keeperCmd) validate() error {
 	var b badSettings
 	b.addr("store", c.Store)
 	b.addr("engine", c.Engine)
@@ -33,7 +33,7 @@
 
 // Run implements the keeper command.
 func (c *keeperCmd) Run(ctx context.Context, out io.Writer, args commandLine) error {
-	if err := c.problems(); err != nil || c.Check {
+	if err := c.validate(); err != nil || c.Check {
 		return err
 	}
 	ln, err := net.Listen("tcp", net.JoinHostPort(c.IP, c.Port))
@@ -56,7 +56,7 @@
 	}
 	return d.Invoke(func(k *keeper.Keeper, logger hclog.Logger) {
 		watchSettings(ctx, args, logger, func(root *commands) {
-			if refused(logger, root.Keeper.problems()) {
+			if logInvalidSettings(logger, root.Keeper.validate()) {
 				return
 			}
 			logger.SetLevel(hclog.LevelFromString(root.Keeper.LogLevel))
--- a/cli/fleet/settings.go
+++ b/cli/fleet/settings.go
@@ -19,9 +19,9 @@
 	// settingsFlag and settingsVariable set the path of the settings file.
 	settingsFlag     = "--settings"
 	settingsVariable = "WARDTURN_SETTINGS"
-	// settingsEvery is the interval at which the file's modification time is polled,
-	// since the file may change without a signal.
-	settingsEvery = time.Second
+	// settingsPollInterval is the interval at which the file's modification time is
+	// polled, since the file may change without a signal.
+	settingsPollInterval = time.Second
 )
 
 // settings has the values of a settings file by flag name.
@@ -44,9 +44,9 @@
 // readSettings reads a file of FLAG=VALUE lines. Unknown flags and empty values are
 // ignored, since the file may be written for an older or newer version of the program.
 func readSettings(path string) (settings, error) {
-	s := make(settings)
+	values := make(settings)
 	if path == "" {
-		return s, nil
+		return values, nil
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -55,10 +55,10 @@
 	for line := range strings.Lines(string(data)) {
 		name, value, ok := strings.Cut(strings.TrimSpace(line), "=")
 		if ok && value != "" {
-			s[name] = value
+			values[name] = value
 		}
 	}
-	return s, nil
+	return values, nil
 }
 
 // Validate implements kong.Resolver.
@@ -83,20 +83,20 @@
 // watchSettings reloads the settings at each SIGHUP and when their file has changed, and
 // passes them to apply, until ctx ends.
 func watchSettings(ctx context.Context, args []string, logger hclog.Logger, apply func(*commands)) {
-	hups := make(chan os.Signal, 1)
-	signal.Notify(hups, syscall.SIGHUP)
-	defer signal.Stop(hups)
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
+	defer signal.Stop(sighups)
 	path := settingsPath(args)
-	seen := changedAt(path)
+	lastModTime := modTime(path)
 	for {
-		limit, cancel := context.WithTimeout(ctx, settingsEvery)
+		pollCtx, cancel := context.WithTimeout(ctx, settingsPollInterval)
 		select {
-		case <-hups:
+		case <-sighups:
 			reload(args, logger, apply)
-			seen = changedAt(path)
-		case <-limit.Done():
-			if at := changedAt(path); !at.Equal(seen) {
-				seen = at
+			lastModTime = modTime(path)
+		case <-pollCtx.Done():
+			if current := modTime(path); !current.Equal(lastModTime) {
+				lastModTime = current
 				reload(args, logger, apply)
 			}
 		}
@@ -107,8 +107,8 @@
 	}
 }
 
-// changedAt returns the modification time of a file, or zero if it is unknown.
-func changedAt(path string) time.Time {
+// modTime returns the modification time of a file, or zero if it is unknown.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -131,9 +131,9 @@
 	apply(&root)
 }
 
-// refused reports whether err, the result of validating reloaded settings, is an error. It
-// logs each invalid setting.
-func refused(logger hclog.Logger, err error) bool {
+// logInvalidSettings logs each invalid setting in err, the result of validating reloaded
+// settings, and reports whether there is an error.
+func logInvalidSettings(logger hclog.Logger, err error) bool {
 	if err == nil {
 		return false
 	}
--- a/cli/helpers_test.go
+++ b/cli/helpers_test.go
@@ -20,9 +20,9 @@
 	"wardturn/standin"
 )
 
-func digest(key string) string { return control.KeyDigest(key) }
+func keyDigest(key string) string { return control.KeyDigest(key) }
 
-func hostAt(addr string) wardturn.Host {
+func testHost(addr string) wardturn.Host {
 	return wardturn.Host{
 		Upstream: "u",
 		Addr:     addr,
@@ -61,28 +61,28 @@
 	}
 }
 
-// logText collects the log of a daemon and can be read while the daemon runs.
-type logText struct {
+// logBuffer collects the log of a daemon and can be read while the daemon runs.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 // Write implements io.Writer.
-func (l *logText) Write(data []byte) (int, error) {
+func (l *logBuffer) Write(data []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(data)
 }
 
 // String returns the log so far.
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// startedAt matches the address in the line that a daemon logs when it starts to serve.
-var startedAt = regexp.MustCompile(` started: .*\baddr=(\S+) `)
+// startedPattern matches the address in the line that a daemon logs when it starts to serve.
+var startedPattern = regexp.MustCompile(` started: .*\baddr=(\S+) `)
 
 // start runs a daemon's main function until the test ends, and then expects it to exit
 // with ExitOK. The kernel chooses the port; start returns the address that the daemon
@@ -90,7 +90,7 @@
 func start(t *testing.T, main func(context.Context, []string, cli.Streams) int, args []string) string {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	logs := &logText{}
+	logs := &logBuffer{}
 	ended := make(chan struct{})
 	code := cli.ExitOK // read only after the daemon has ended
 	go func() {
@@ -114,7 +114,7 @@
 			t.Fatalf("daemon ended at its start with exit code %d:\n%s", code, logs)
 		default:
 		}
-		if m := startedAt.FindStringSubmatch(logs.String()); m != nil {
+		if m := startedPattern.FindStringSubmatch(logs.String()); m != nil {
 			addr = m[1]
 		}
 		return addr != ""
@@ -122,11 +122,11 @@
 	return addr
 }
 
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	end := time.Now().Add(30 * time.Second)
-	for !holds() {
-		if time.Now().After(end) {
+	deadline := time.Now().Add(30 * time.Second)
+	for !condition() {
+		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -22,161 +22,163 @@
 	if err != nil {
 		return err
 	}
-	return newLosses(lines).write(s.Out)
+	return newLossStats(lines).write(s.Out)
 }
 
-// losses has statistics of the log lines about adapter loads, late responses and refusals.
-type losses struct {
-	loads    map[string]*loadLosses // by cause
-	adapters map[string]bool
-	late     map[string]*lateLosses     // by the phase that took the most time
-	refused  map[string][]time.Duration // time before the refusal, by reason
-	tenths   *tenths
-	leftOut  int // lines dropped by the rate limits of the logs
+// lossStats has statistics of the log lines about adapter loads, late responses and
+// refusals. A response is late if it missed the objective of its route.
+type lossStats struct {
+	loads         map[string]*loadStats // by cause
+	adapters      map[string]bool
+	late          map[string]*lateStats      // by the phase that took the most time
+	refused       map[string][]time.Duration // time before the refusal, by reason
+	largestTenths *largestTenths
+	droppedLines  int // lines dropped by the rate limits of the logs
 }
 
-// loadLosses has the adapter loads of one cause.
-type loadLosses struct {
-	took  []time.Duration
-	pairs map[string]bool // adapter and upstream, separated by a space
+// loadStats has the adapter loads of one cause.
+type loadStats struct {
+	durations []time.Duration
+	pairs     map[string]bool // adapter and upstream, separated by a space
 }
 
-// lateLosses has the late responses for which one phase took the most time.
-type lateLosses struct {
-	first  []time.Duration // time from arrival to the first token
-	placed []time.Duration // part of first until an upstream was chosen
-	before []int           // tokens of earlier prompts that the upstream had yet to prefill
-	prompt []int           // tokens of the request's own prompt
-	pause  []time.Duration // longest pause between two events of the stream
+// lateStats has the late responses for which one phase took the most time.
+type lateStats struct {
+	firstToken    []time.Duration // time from arrival to the first token
+	placement     []time.Duration // part of firstToken until an upstream was chosen
+	earlierTokens []int           // tokens of earlier prompts that the upstream had yet to prefill
+	promptTokens  []int           // tokens of the request's own prompt
+	pause         []time.Duration // longest pause between two events of the stream
 }
 
-// The phases of a late response that may have taken the most time.
+// The phases of a late response that may have taken the most time. In phaseWait the request
+// waited for its adapter to load or for a free place at an upstream.
 const (
-	lateByLoad   = "adapter or place"
-	lateByBefore = "prompts before"
-	lateByPrompt = "own prompt"
-	lateByPause  = "pause"
+	phaseWait           = "adapter or place"
+	phaseEarlierPrompts = "prompts before"
+	phaseOwnPrompt      = "own prompt"
+	phasePause          = "pause"
 )
 
-func newLosses(lines []logLine) *losses {
-	l := &losses{
-		loads:    make(map[string]*loadLosses),
-		adapters: make(map[string]bool),
-		late:     make(map[string]*lateLosses),
-		refused:  make(map[string][]time.Duration),
-		tenths:   newTenths(),
+func newLossStats(lines []logLine) *lossStats {
+	l := &lossStats{
+		loads:         make(map[string]*loadStats),
+		adapters:      make(map[string]bool),
+		late:          make(map[string]*lateStats),
+		refused:       make(map[string][]time.Duration),
+		largestTenths: newLargestTenths(),
 	}
 	for _, line := range lines {
-		l.leftOut += line.number("left_out")
+		l.droppedLines += line.number("left_out")
 		switch {
 		case strings.Contains(line.text, ": adapter there:"):
 			l.addLoad(line)
 		case strings.Contains(line.text, ": late:"):
 			l.addLate(line)
-			l.tenths.add(line, false)
+			l.largestTenths.add(line, false)
 		case strings.Contains(line.text, ": refused:"):
 			reason := line.fields["reason"]
 			l.refused[reason] = append(l.refused[reason], line.duration("waited"))
-			l.tenths.add(line, true)
+			l.largestTenths.add(line, true)
 		case strings.Contains(line.text, ": prompts of a route:"):
-			l.tenths.addSizes(line)
+			l.largestTenths.addSizes(line)
 		}
 	}
 	return l
 }
 
-func (l *losses) addLoad(line logLine) {
+func (l *lossStats) addLoad(line logLine) {
 	c := l.loads[line.fields["cause"]]
 	if c == nil {
-		c = &loadLosses{
+		c = &loadStats{
 			pairs: make(map[string]bool),
 		}
 		l.loads[line.fields["cause"]] = c
 	}
 	adapter := line.fields["adapter"]
-	c.took = append(c.took, line.duration("took"))
+	c.durations = append(c.durations, line.duration("took"))
 	c.pairs[adapter+" "+line.fields["upstream"]] = true
 	l.adapters[adapter] = true
 }
 
-func (l *losses) addLate(line logLine) {
-	first, placed, pause := line.duration("first"), line.duration("placed"), line.duration("pause")
-	before, prompt := line.number("prefill"), line.number("prompt")
-	kind := lateKind(first, placed, pause, before, prompt)
-	k := l.late[kind]
+func (l *lossStats) addLate(line logLine) {
+	firstToken, placement, pause := line.duration("first"), line.duration("placed"), line.duration("pause")
+	earlierTokens, promptTokens := line.number("prefill"), line.number("prompt")
+	phase := longestPhase(firstToken, placement, pause, earlierTokens, promptTokens)
+	k := l.late[phase]
 	if k == nil {
-		k = &lateLosses{}
-		l.late[kind] = k
+		k = &lateStats{}
+		l.late[phase] = k
 	}
-	k.first = append(k.first, first)
-	k.placed = append(k.placed, placed)
+	k.firstToken = append(k.firstToken, firstToken)
+	k.placement = append(k.placement, placement)
 	k.pause = append(k.pause, pause)
-	k.before = append(k.before, before)
-	k.prompt = append(k.prompt, prompt)
+	k.earlierTokens = append(k.earlierTokens, earlierTokens)
+	k.promptTokens = append(k.promptTokens, promptTokens)
 }
 
-// lateKind returns the phase that took the most time of a late response. The time from the
-// choice of an upstream to the first token is divided between earlier prompts and the
+// longestPhase returns the phase that took the most time of a late response. The time from
+// the choice of an upstream to the first token is divided between earlier prompts and the
 // request's own in proportion to their tokens.
-func lateKind(first, placed, pause time.Duration, before, prompt int) string {
-	reading := max(first-placed, 0)
-	own := reading
-	if total := before + prompt; total > 0 {
-		own = time.Duration(float64(reading) * float64(prompt) / float64(total))
+func longestPhase(firstToken, placement, pause time.Duration, earlierTokens, promptTokens int) string {
+	prefill := max(firstToken-placement, 0)
+	ownPrefill := prefill
+	if total := earlierTokens + promptTokens; total > 0 {
+		ownPrefill = time.Duration(float64(prefill) * float64(promptTokens) / float64(total))
 	}
-	kind, most := lateByLoad, placed
+	longest, most := phaseWait, placement
 	for _, c := range []struct {
-		kind string
-		took time.Duration
+		phase string
+		took  time.Duration
 	}{
 		{
-			kind: lateByBefore,
-			took: reading - own,
+			phase: phaseEarlierPrompts,
+			took:  prefill - ownPrefill,
 		},
 		{
-			kind: lateByPrompt,
-			took: own,
+			phase: phaseOwnPrompt,
+			took:  ownPrefill,
 		},
 		{
-			kind: lateByPause,
-			took: pause,
+			phase: phasePause,
+			took:  pause,
 		},
 	} {
 		if c.took > most {
-			kind, most = c.kind, c.took
+			longest, most = c.phase, c.took
 		}
 	}
-	return kind
+	return longest
 }
 
 // write prints the statistics as tables.
-func (l *losses) write(w io.Writer) error {
+func (l *lossStats) write(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "loads by cause\tloads\tadapter at upstream\ttook p50\tp90")
-	for _, cause := range byCount(l.loads, func(c *loadLosses) int { return len(c.took) }) {
+	for _, cause := range keysByCount(l.loads, func(c *loadStats) int { return len(c.durations) }) {
 		c := l.loads[cause]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\n", cause, len(c.took), len(c.pairs), millis(quantile(c.took, 0.5)), millis(quantile(c.took, 0.9)))
+		fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\n", cause, len(c.durations), len(c.pairs), formatMillis(quantile(c.durations, 0.5)), formatMillis(quantile(c.durations, 0.9)))
 	}
 	fmt.Fprintf(t, "different adapters\t%d\n\n", len(l.adapters))
 	fmt.Fprintln(t, "late by\tanswers\tfirst p50\tplaced p50\ttokens before p50\tprompt p50\tpause p50")
-	for _, kind := range byCount(l.late, func(k *lateLosses) int { return len(k.first) }) {
-		k := l.late[kind]
-		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%d\t%d\t%s\n", kind, len(k.first), millis(quantile(k.first, 0.5)), millis(quantile(k.placed, 0.5)), quantile(k.before, 0.5), quantile(k.prompt, 0.5), millis(quantile(k.pause, 0.5)))
+	for _, phase := range keysByCount(l.late, func(k *lateStats) int { return len(k.firstToken) }) {
+		k := l.late[phase]
+		fmt.Fprintf(t, "%s\t%d\t%s\t%s\t%d\t%d\t%s\n", phase, len(k.firstToken), formatMillis(quantile(k.firstToken, 0.5)), formatMillis(quantile(k.placement, 0.5)), quantile(k.earlierTokens, 0.5), quantile(k.promptTokens, 0.5), formatMillis(quantile(k.pause, 0.5)))
 	}
 	fmt.Fprintln(t, "\nrefused for\trequests\twaited p50\tp90")
-	for _, reason := range byCount(l.refused, func(waits []time.Duration) int { return len(waits) }) {
+	for _, reason := range keysByCount(l.refused, func(waits []time.Duration) int { return len(waits) }) {
 		waits := l.refused[reason]
-		fmt.Fprintf(t, "%s\t%d\t%s\t%s\n", reason, len(waits), millis(quantile(waits, 0.5)), millis(quantile(waits, 0.9)))
+		fmt.Fprintf(t, "%s\t%d\t%s\t%s\n", reason, len(waits), formatMillis(quantile(waits, 0.5)), formatMillis(quantile(waits, 0.9)))
 	}
-	l.tenths.write(t)
-	if l.leftOut > 0 {
-		fmt.Fprintf(t, "\n%d lines were left out of the logs; the counts above are without them\n", l.leftOut)
+	l.largestTenths.write(t)
+	if l.droppedLines > 0 {
+		fmt.Fprintf(t, "\n%d lines were left out of the logs; the counts above are without them\n", l.droppedLines)
 	}
 	return t.Flush()
 }
 
-// byCount returns the keys in descending order of their counts, and by name if equal.
-func byCount[V any](m map[string]V, count func(V) int) []string {
+// keysByCount returns the keys in descending order of their counts, and by name if equal.
+func keysByCount[V any](m map[string]V, count func(V) int) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -191,15 +193,15 @@
 }
 
 // quantile returns a quantile of a list, such as 0.5 for the median; zero if it is empty.
-func quantile[T int | time.Duration](list []T, part float64) T {
+func quantile[T int | time.Duration](list []T, q float64) T {
 	if len(list) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(list))
-	return sorted[min(int(part*float64(len(sorted))), len(sorted)-1)]
+	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-func millis(d time.Duration) string {
+func formatMillis(d time.Duration) string {
 	return strconv.FormatInt(d.Milliseconds(), 10) + " ms"
 }
 
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -44,7 +44,7 @@
 			}
 			list = append(list, docFile{
 				path: path,
-				key:  keyOfPath(path),
+				key:  docKey(path),
 				body: body,
 			})
 			return nil
@@ -61,14 +61,14 @@
 	return ext == ".yaml" || ext == ".yml"
 }
 
-func keyOfPath(path string) control.Key {
+func docKey(path string) control.Key {
 	dir, file := filepath.Split(path)
 	name := strings.TrimSuffix(file, filepath.Ext(file))
 	return control.KeyOf(filepath.Base(dir), name)
 }
 
-// checkDocs returns the errors of all invalid documents.
-func checkDocs(files []docFile) []error {
+// validateDocs returns the errors of all invalid documents.
+func validateDocs(files []docFile) []error {
 	var list []error
 	for _, f := range files {
 		if err := control.CheckDoc(f.path, f.key, f.body); err != nil {
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	if problems := checkDocs(files); len(problems) > 0 {
+	if problems := validateDocs(files); len(problems) > 0 {
 		for _, p := range problems {
 			fmt.Fprintln(s.Err, p)
 		}
@@ -105,13 +105,13 @@
 		req.ID = control.PublicationID("cli-" + string(process.NewIncarnation()))
 	}
 	for _, f := range files {
-		have, _, err := cl.doc(f.key)
+		current, _, err := cl.doc(f.key)
 		if err != nil {
 			return err
 		}
 		req.Docs = append(req.Docs, entry.DocRequest{
 			Key:  f.key,
-			Base: have.Version,
+			Base: current.Version,
 			Body: string(f.body),
 		})
 	}
@@ -119,13 +119,13 @@
 	if err := cl.do(fasthttp.MethodPost, entry.PathChanges, req, &res); err != nil {
 		return err
 	}
-	return show(s.Out, c.Output, res, func(w io.Writer) {
+	return printOutput(s.Out, c.Output, res, func(w io.Writer) {
 		fmt.Fprintf(w, "published %d documents as version %d\n", len(req.Docs), res.Version)
 	})
 }
 
-// show prints a result as JSON, or as a table written by table.
-func show(w io.Writer, output string, v any, table func(io.Writer)) error {
+// printOutput prints a result as JSON, or as a table written by table.
+func printOutput(w io.Writer, output string, v any, table func(io.Writer)) error {
 	if output == "json" {
 		return json.NewEncoder(w).Encode(v)
 	}
@@ -157,19 +157,19 @@
 	cl := c.client()
 	list := []diffLine{}
 	for _, f := range files {
-		have, _, err := cl.doc(f.key)
+		current, _, err := cl.doc(f.key)
 		if err != nil {
 			return err
 		}
-		if have.Body != string(f.body) {
+		if current.Body != string(f.body) {
 			list = append(list, diffLine{
 				Key:     f.key,
-				Version: have.Version,
-				Lines:   lineDiff(have.Body, string(f.body)),
+				Version: current.Version,
+				Lines:   lineDiff(current.Body, string(f.body)),
 			})
 		}
 	}
-	err = show(s.Out, c.Output, list, func(w io.Writer) {
+	err = printOutput(s.Out, c.Output, list, func(w io.Writer) {
 		for _, d := range list {
 			fmt.Fprintf(w, "%s (version %d)\n", d.Key, d.Version)
 			for _, l := range d.Lines {
@@ -184,9 +184,9 @@
 }
 
 // lineDiff lists the lines that occur in only one of two texts.
-func lineDiff(old, now string) []string {
+func lineDiff(old, updated string) []string {
 	a := strings.Split(strings.TrimRight(old, "\n"), "\n")
-	b := strings.Split(strings.TrimRight(now, "\n"), "\n")
+	b := strings.Split(strings.TrimRight(updated, "\n"), "\n")
 	var list []string
 	for _, l := range a {
 		if l != "" && !slices.Contains(b, l) {
@@ -215,7 +215,7 @@
 		if err != nil {
 			return err
 		}
-		return show(s.Out, c.Output, docs, func(w io.Writer) {
+		return printOutput(s.Out, c.Output, docs, func(w io.Writer) {
 			fmt.Fprintln(w, "key\tversion\twho\tat")
 			for _, d := range docs {
 				fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", d.Key, d.Version, d.Who, d.At.UTC().Format(time.RFC3339))
@@ -229,7 +229,7 @@
 	if !ok {
 		return errors.Newf("no document %s", c.Key)
 	}
-	return show(s.Out, c.Output, d, func(w io.Writer) {
+	return printOutput(s.Out, c.Output, d, func(w io.Writer) {
 		fmt.Fprintf(w, "# %s, version %d, by %s at %s\n%s", d.Key, d.Version, d.Who, d.At.UTC().Format(time.RFC3339), d.Body)
 	})
 }
@@ -246,18 +246,18 @@
 	if err := c.client().do(fasthttp.MethodGet, entry.PathHistory+"?limit=1000&key="+c.Key, nil, &page); err != nil {
 		return err
 	}
-	return show(s.Out, c.Output, page.Entries, func(w io.Writer) {
+	return printOutput(s.Out, c.Output, page.Entries, func(w io.Writer) {
 		fmt.Fprintln(w, "version\tat\twho\taccepted\tdocuments\tdeleted")
 		for _, e := range page.Entries {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%s\t%s\n", e.Version, e.At.UTC().Format(time.RFC3339), e.Who, e.Accepted, shorten(e.Keys), shorten(e.Deleted))
+			fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%s\t%s\n", e.Version, e.At.UTC().Format(time.RFC3339), e.Who, e.Accepted, formatKeys(e.Keys), formatKeys(e.Deleted))
 		}
 	})
 }
 
-// shorten lists the keys, or only the first and a count if there are many.
-func shorten(keys []control.Key) string {
-	const most = 3
-	if len(keys) > most {
+// formatKeys lists the keys, or only the first and a count if there are many.
+func formatKeys(keys []control.Key) string {
+	const maxKeys = 3
+	if len(keys) > maxKeys {
 		return fmt.Sprintf("%s and %d more", keys[0], len(keys)-1)
 	}
 	list := make([]string, 0, len(keys))
@@ -280,7 +280,7 @@
 		if err := c.client().do(fasthttp.MethodGet, entry.PathStatus, nil, &st); err != nil {
 			return err
 		}
-		err := show(s.Out, c.Output, st, func(w io.Writer) {
+		err := printOutput(s.Out, c.Output, st, func(w io.Writer) {
 			printStatus(w, st)
 		})
 		if err != nil || c.Watch <= 0 {
@@ -328,7 +328,7 @@
 func (c *drainCmd) Run(s Streams) error {
 	cl := c.client()
 	key := control.DrainKey(wardturn.UpstreamID(c.Upstream))
-	have, ok, err := cl.doc(key)
+	current, ok, err := cl.doc(key)
 	if err != nil {
 		return err
 	}
@@ -340,7 +340,7 @@
 		ID: control.PublicationID("cli-" + string(process.NewIncarnation())),
 		Docs: []entry.DocRequest{{
 			Key:    key,
-			Base:   have.Version,
+			Base:   current.Version,
 			Delete: c.Undo,
 			Body:   "reason: " + string(body) + "\n",
 		}},
@@ -349,7 +349,7 @@
 	if err := cl.do(fasthttp.MethodPost, entry.PathChanges, req, &res); err != nil {
 		return err
 	}
-	return show(s.Out, c.Output, res, func(w io.Writer) {
+	return printOutput(s.Out, c.Output, res, func(w io.Writer) {
 		fmt.Fprintf(w, "%s: in force as version %d\n", key, res.Version)
 	})
 }
