--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -205,9 +205,9 @@
 		string(pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: keyDER}))
 }
 
-// TestProcessesOverTLS runs an agent and an entry by their main functions, with mutual TLS
-// between them and TLS for the caller, and sends a request through both. The agent must
-// reject a client certificate that its CA did not sign.
+// TestProcessesOverTLS runs an agent and an entry by their main functions, with mutual
+// TLS between them and TLS for the caller, and sends a request through both. The agent
+// must reject a client certificate that its CA did not sign.
 func TestProcessesOverTLS(t *testing.T) {
 	cert, key := certificate(t)
 	untrustedCert, untrustedKey := certificate(t)
--- a/cli/daemon.go
+++ b/cli/daemon.go
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// tlsConfig returns the configuration for mutual TLS between processes, or nil without TLS.
+// tlsConfig returns the configuration for mutual TLS between processes, or nil without
+// TLS.
 func (s *processSettings) tlsConfig() (*tls.Config, error) {
 	if s.Plain {
 		return nil, nil
@@ -155,8 +156,8 @@
 	return ExitOK, settings.checkOnly()
 }
 
-// parse parses a daemon's settings from its command line. If done is true, the daemon must
-// exit with the returned code.
+// parse parses a daemon's settings from its command line. If done is true, the daemon
+// must exit with the returned code.
 func parse(name, description string, settings any, args []string, s Streams) (code int, done bool) {
 	exit := -1
 	parser, err := kong.New(settings,
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -94,9 +94,9 @@
 	return lines, scanner.Err()
 }
 
-// explainRequest returns the lines about a request in order of time. It adds the lines about
-// the request's adapter, upstreams and team and about dependencies, from lookback before
-// the first line of the request to its last.
+// explainRequest returns the lines about a request in order of time. It adds the lines
+// about the request's adapter, upstreams and team and about dependencies, from lookback
+// before the first line of the request to its last.
 func explainRequest(lines []logLine, id string, lookback time.Duration) []logLine {
 	var result []logLine
 	subjects := make(map[string]bool)
@@ -128,8 +128,8 @@
 	return result
 }
 
-// aboutDependency reports whether a line is about the state of the store, a new configuration
-// or an instance that is shutting down.
+// aboutDependency reports whether a line is about the state of the store, a new
+// configuration or an instance that is shutting down.
 func aboutDependency(l logLine) bool {
 	return strings.Contains(l.text, "store ") || strings.Contains(l.text, "configuration in force") || strings.Contains(l.text, "leaving")
 }
--- a/cli/fleet/crashes.go
+++ b/cli/fleet/crashes.go
@@ -17,9 +17,10 @@
 	"wardturn/process"
 )
 
-// crashesCmd lists the contents of requests during which upstreams crashed, and removes the
-// crash records of contents so that they are served again. Without it, a content that was
-// in progress during three unrelated crashes would be refused until its records expire.
+// crashesCmd lists the contents of requests during which upstreams crashed, and removes
+// the crash records of contents so that they are served again. Without it, a content that
+// was in progress during three unrelated crashes would be refused until its records
+// expire.
 type crashesCmd struct {
 	Store string               `required:"" help:"Address of the platform's store, IP:port."`
 	Clear []wardturn.ContentID `placeholder:"CONTENT" help:"Contents whose records are taken back; gateways serve them again within some seconds."`
--- a/cli/fleet/fleet.go
+++ b/cli/fleet/fleet.go
@@ -184,8 +184,8 @@
 	return d, nil
 }
 
-// serveMetrics starts the metrics server if an address is set. It returns the scope of the
-// process's metrics and a function that stops the server.
+// serveMetrics starts the metrics server if an address is set. It returns the scope of
+// the process's metrics and a function that stops the server.
 func (c *common) serveMetrics() (tally.Scope, func(), error) {
 	if c.Metrics == "" {
 		return tally.NoopScope, func() {}, nil
--- a/cli/fleet/gateway.go
+++ b/cli/fleet/gateway.go
@@ -129,11 +129,11 @@
 	logger.Info("settings read again", "log_level", reloaded.LogLevel, "retry_share", cfg.RetryShare, "retry_extra", cfg.RetryExtra, "retry_window", cfg.RetryWindow, "cross_bytes", cfg.Fleet.CrossBytes, "loads_at_most", cfg.Fleet.Window.Most)
 }
 
-// shutdownMargin is the time reserved before SIGKILL to terminate the responses in progress
-// with an error that the caller sees, and to write the last log lines, which takes a few
-// ms. It cuts streams that would have completed within the margin: in 24 shutdowns under
-// load, 67 streams were still running 300 ms before SIGKILL and 5 of them completed in the
-// next 200 ms. No gateway was killed.
+// shutdownMargin is the time reserved before SIGKILL to terminate the responses in
+// progress with an error that the caller sees, and to write the last log lines, which
+// takes a few ms. It cuts streams that would have completed within the margin: in 24
+// shutdowns under load, 67 streams were still running 300 ms before SIGKILL and 5 of them
+// completed in the next 200 ms. No gateway was killed.
 const shutdownMargin = 100 * time.Millisecond
 
 // Run implements the gateway command.
--- a/cli/helpers_test.go
+++ b/cli/helpers_test.go
@@ -81,7 +81,8 @@
 	return l.text.String()
 }
 
-// startedPattern matches the address in the line that a daemon logs when it starts to serve.
+// startedPattern matches the address in the line that a daemon logs when it starts to
+// serve.
 var startedPattern = regexp.MustCompile(` started: .*\baddr=(\S+) `)
 
 // start runs a daemon's main function until the test ends, and then expects it to exit
--- a/cli/losses.go
+++ b/cli/losses.go
@@ -51,8 +51,8 @@
 	pause         []time.Duration // longest pause between two events of the stream
 }
 
-// The phases of a late response that may have taken the most time. In phaseWait the request
-// waited for its adapter to load or for a free place at an upstream.
+// The phases of a late response that may have taken the most time. In phaseWait the
+// request waited for its adapter to load or for a free place at an upstream.
 const (
 	phaseWait           = "adapter or place"
 	phaseEarlierPrompts = "prompts before"
@@ -117,9 +117,9 @@
 	k.promptTokens = append(k.promptTokens, promptTokens)
 }
 
-// longestPhase returns the phase that took the most time of a late response. The time from
-// the choice of an upstream to the first token is divided between earlier prompts and the
-// request's own in proportion to their tokens.
+// longestPhase returns the phase that took the most time of a late response. The time
+// from the choice of an upstream to the first token is divided between earlier prompts
+// and the request's own in proportion to their tokens.
 func longestPhase(firstToken, placement, pause time.Duration, earlierTokens, promptTokens int) string {
 	prefill := max(firstToken-placement, 0)
 	ownPrefill := prefill
--- a/cli/losses_tenth.go
+++ b/cli/losses_tenth.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// prefillRate is the prefill rate of current engines, in prompt tokens per millisecond. The
-// part of the prefill time that the prompts known at the choice of the engine do not explain
-// at this rate is attributed to the engine's other work.
+// prefillRate is the prefill rate of current engines, in prompt tokens per millisecond.
+// The part of the prefill time that the prompts known at the choice of the engine do not
+// explain at this rate is attributed to the engine's other work.
 const prefillRate = 40.0
 
-// phaseBusyEngine is a phase in addition to those of late responses in general: work of the
-// engine that was not known when it was chosen.
+// phaseBusyEngine is a phase in addition to those of late responses in general: work of
+// the engine that was not known when it was chosen.
 const phaseBusyEngine = "busy engine"
 
 // lostRequest is a request that was refused or whose response was late.
@@ -28,8 +28,8 @@
 	duration     time.Duration // time to the first token or to the refusal
 }
 
-// largestTenths has the lost requests of routes whose callers give the size of the prompt.
-// They are reported for the largest tenth of the prompts of each route.
+// largestTenths has the lost requests of routes whose callers give the size of the
+// prompt. They are reported for the largest tenth of the prompts of each route.
 type largestTenths struct {
 	lost           map[string][]lostRequest // by route
 	requestsBySize map[string]map[int]int   // requests by route and lower bound of a size bucket
@@ -76,10 +76,11 @@
 	t.lost[r.route] = append(t.lost[r.route], r)
 }
 
-// longestPhaseByRate returns the phase that took the most time of a late response. Prompts
-// that were known at the choice of the engine are assumed to be processed at prefillRate.
-// The rest of the time until the first token is attributed to the engine's other work:
-// running requests, and prompts that arrived later or that no gateway knew of.
+// longestPhaseByRate returns the phase that took the most time of a late response.
+// Prompts that were known at the choice of the engine are assumed to be processed at
+// prefillRate. The rest of the time until the first token is attributed to the engine's
+// other work: running requests, and prompts that arrived later or that no gateway knew
+// of.
 func longestPhaseByRate(firstToken, placement, pause time.Duration, earlierTokens, promptTokens int) string {
 	prefill := max(firstToken-placement, 0)
 	ownPrefill, earlierPrefill := prefillTime(promptTokens), prefillTime(earlierTokens)
@@ -151,9 +152,9 @@
 	}
 }
 
-// threshold returns the least prompt size of the largest tenth of a route and the number of
-// requests in it, or zero if the logs do not have the sizes. The result may cover less than
-// a tenth, since sizes are counted in buckets.
+// threshold returns the least prompt size of the largest tenth of a route and the number
+// of requests in it, or zero if the logs do not have the sizes. The result may cover less
+// than a tenth, since sizes are counted in buckets.
 func (t *largestTenths) threshold(route string) (minTokens, requests int) {
 	sizes := t.requestsBySize[route]
 	total := 0
--- a/cli/losses_test.go
+++ b/cli/losses_test.go
@@ -22,8 +22,8 @@
 a line without a time: refused: reason=other
 `
 
-// tenthLog has the lines of two gateways about three routes: one without prompt sizes, and
-// one that lost no request of its largest tenth. One line with sizes is truncated.
+// tenthLog has the lines of two gateways about three routes: one without prompt sizes,
+// and one that lost no request of its largest tenth. One line with sizes is truncated.
 const tenthLog = `10:00:00.900 [INFO]  gateway: prompts of a route: route=r sizes="320:40,640:21,7168:2,8192:2"
 10:00:00.900 [INFO]  gateway: prompts of a route: route=q sizes="320:40,1024:3"
 10:00:00.950 [INFO]  gateway: late: id=q1 route=q adapter=a6 upstream=i-1 placed="0s" first=900ms pause=100ms load=1 prefill=30000 prompt=330 sends=1
