--- a/cli/chaos.go
+++ b/cli/chaos.go
@@ -10,39 +10,40 @@
 	"wardturn/chaos"
 )
 
-// chaosCmd runs random histories of faults.
+// chaosCmd runs histories. A history is a run of a small system with traffic and two
+// faults drawn at random from a seed, after which the system's guarantees are checked.
 type chaosCmd struct {
 	Seed      uint64 `default:"1" help:"Seed of the first history; the next ones follow."`
 	Histories int    `default:"20" help:"Number of histories."`
 	Parallel  int    `default:"2" help:"Histories at once."`
 }
 
-// Run plays the histories and prints what they showed.
+// Run runs the histories and prints their outcomes.
 func (c *chaosCmd) Run(ctx context.Context, s Streams) error {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var failed int
 	var firstErr error
-	var sum chaos.Counts
+	var total chaos.Counts
 	seeds := make(chan uint64)
 	for range max(c.Parallel, 1) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for seed := range seeds {
-				out, err := chaos.Run(ctx, seed)
+				outcome, err := chaos.Run(ctx, seed)
 				mu.Lock()
 				if err != nil && firstErr == nil {
 					firstErr = err
 				}
-				if len(out.Violations) > 0 {
+				if len(outcome.Violations) > 0 {
 					failed++
 				}
-				sum.Done += out.Counts.Done
-				sum.NotRun += out.Counts.NotRun
-				sum.Unknown += out.Counts.Unknown
-				sum.Cut += out.Counts.Cut
-				printHistory(s, out)
+				total.Done += outcome.Counts.Done
+				total.NotRun += outcome.Counts.NotRun
+				total.Unknown += outcome.Counts.Unknown
+				total.Cut += outcome.Counts.Cut
+				printHistory(s, outcome)
 				mu.Unlock()
 			}
 		}()
@@ -56,23 +57,23 @@
 	close(seeds)
 	wg.Wait()
 	fmt.Fprintf(s.Out, "%d histories, %d broke a promise; answers: %d done, %d not run, %d unknown, %d streams cut visibly\n",
-		c.Histories, failed, sum.Done, sum.NotRun, sum.Unknown, sum.Cut)
+		c.Histories, failed, total.Done, total.NotRun, total.Unknown, total.Cut)
 	if firstErr != nil {
 		return firstErr
 	}
 	if failed > 0 {
-		return errors.Newf("%d histories broke a promise", failed)
+		return errors.Newf("%d histories had violations", failed)
 	}
 	return nil
 }
 
-func printHistory(s Streams, out chaos.Outcome) {
+func printHistory(s Streams, outcome chaos.Outcome) {
 	verdict := "ok"
-	if len(out.Violations) > 0 {
+	if len(outcome.Violations) > 0 {
 		verdict = "BROKEN"
 	}
-	fmt.Fprintf(s.Out, "seed %d: %s, %s: %s %+v\n", out.Seed, out.Faults[0], out.Faults[1], verdict, out.Counts)
-	for _, v := range out.Violations {
+	fmt.Fprintf(s.Out, "seed %d: %s, %s: %s %+v\n", outcome.Seed, outcome.Faults[0], outcome.Faults[1], verdict, outcome.Counts)
+	for _, v := range outcome.Violations {
 		fmt.Fprintln(s.Out, "   ", v)
 	}
 }
--- a/cli/client.go
+++ b/cli/client.go
@@ -14,7 +14,7 @@
 	"wardturn/entry"
 )
 
-// entryFlags say which entry host to talk to, and as whom.
+// entryFlags are the flags of commands that call the operators' API of an entry.
 type entryFlags struct {
 	Entry       []string `required:"" placeholder:"IP:PORT" help:"Address of an entry host; several are tried in turn."`
 	OperatorKey string   `required:"" help:"Key of the operator."`
@@ -22,12 +22,12 @@
 	Output      string   `default:"table" enum:"table,json" help:"Output for people or for programs: table or json."`
 }
 
-const clientLimit = 15 * time.Second
+const requestTimeout = 15 * time.Second
 
-// ErrRefused is wrapped by the error of a request that the entry refused.
+// ErrRefused matches errors of requests that the entry refused.
 var ErrRefused = errors.New("refused")
 
-// client talks to the operators' API.
+// client is a client of the operators' API.
 type client struct {
 	flags entryFlags
 	http  fasthttp.Client
@@ -39,8 +39,9 @@
 	}
 }
 
-// do sends a request to the first entry that answers and decodes the answer.
-func (c *client) do(method, path string, body, into any) error {
+// do sends a request to the entries in order until one responds, and decodes the response
+// into into. A refusal also counts as a response.
+func (c *client) do(method, path string, body, result any) error {
 	var data []byte
 	if body != nil {
 		var err error
@@ -50,14 +51,15 @@
 	}
 	var err error
 	for _, addr := range c.flags.Entry {
-		if err = c.doAt(addr, method, path, data, into); err == nil || errors.Is(err, ErrRefused) {
+		if err = c.doAddr(addr, method, path, data, result); err == nil || errors.Is(err, ErrRefused) {
 			return err
 		}
 	}
 	return err
 }
 
-func (c *client) doAt(addr, method, path string, body []byte, into any) error {
+// doAddr sends a request to the entry at addr.
+func (c *client) doAddr(addr, method, path string, body []byte, result any) error {
 	req := fasthttp.AcquireRequest()
 	res := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -70,16 +72,16 @@
 	req.Header.SetMethod(method)
 	req.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+c.flags.OperatorKey)
 	req.SetBody(body)
-	if err := c.http.DoTimeout(req, res, clientLimit); err != nil {
+	if err := c.http.DoTimeout(req, res, requestTimeout); err != nil {
 		return errors.Wrapf(err, "entry %s", addr)
 	}
 	if res.StatusCode() != fasthttp.StatusOK {
-		return refusal(res)
+		return decodeRefusal(res)
 	}
-	return errors.Wrap(json.Unmarshal(res.Body(), into), "answer")
+	return errors.Wrap(json.Unmarshal(res.Body(), result), "answer")
 }
 
-// refusedError is an entry's refusal with its code.
+// refusedError is the error of a request that an entry refused.
 type refusedError struct {
 	code    string
 	message string
@@ -90,12 +92,13 @@
 	return e.message + " (" + e.code + ")"
 }
 
-// Is makes every refusal an ErrRefused.
+// Is reports that every refusedError matches ErrRefused.
 func (e *refusedError) Is(target error) bool {
 	return target == ErrRefused
 }
 
-func refusal(res *fasthttp.Response) error {
+// decodeRefusal returns the error in a response whose status is not 200.
+func decodeRefusal(res *fasthttp.Response) error {
 	var body driver.ErrorBody
 	if json.Unmarshal(res.Body(), &body) != nil || body.Error.Code == "" {
 		return &refusedError{
@@ -109,7 +112,7 @@
 	}
 }
 
-// doc returns a document in force, or false.
+// doc returns the current version of a document, or false if there is none.
 func (c *client) doc(key control.Key) (entry.DocView, bool, error) {
 	var d entry.DocView
 	err := c.do(fasthttp.MethodGet, entry.PathDocs+"/"+string(key), nil, &d)
@@ -120,7 +123,7 @@
 	return d, err == nil, err
 }
 
-// docs returns all documents of a kind.
+// docs returns the current versions of all documents of a kind.
 func (c *client) docs(kind string) ([]entry.DocView, error) {
 	var all []entry.DocView
 	after := control.Key("")
--- a/cli/fleet/crashes.go
+++ b/cli/fleet/crashes.go
@@ -17,8 +17,10 @@
 	"wardturn/process"
 )
 
-// crashesCmd shows the requests under which upstreams ended, and has them served again: a
-// content that ended three by chance would else be refused for as long as crashes count.
+// crashesCmd lists the contents of requests during which upstreams crashed, and removes
+// the crash records of contents so that they are served again. Without it, a content that
+// was in progress during three unrelated crashes would be refused until its records
+// expire.
 type crashesCmd struct {
 	Store string               `required:"" help:"Address of the platform's store, IP:port."`
 	Clear []wardturn.ContentID `placeholder:"CONTENT" help:"Contents whose records are taken back; gateways serve them again within some seconds."`
@@ -31,8 +33,8 @@
 	if err := b.Err(); err != nil {
 		return err
 	}
-	record := platform.NewCrashes(platform.NewStore(c.Store, tally.NoopScope), hclog.NewNullLogger())
-	change, err := record.Next()
+	store := platform.NewCrashes(platform.NewStore(c.Store, tally.NoopScope), hclog.NewNullLogger())
+	change, err := store.Next()
 	if err != nil {
 		return err
 	}
@@ -41,7 +43,7 @@
 		byContent[r.Content] = append(byContent[r.Content], r)
 	}
 	if len(c.Clear) > 0 {
-		return c.clear(record, byContent)
+		return c.clearCrashes(store, byContent)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "content\tupstreams\tlatest")
@@ -55,19 +57,21 @@
 	return w.Flush()
 }
 
-// errNoSuchContent is returned for a content that has no record.
-var errNoSuchContent = errors.New("no upstream is recorded to have ended under it")
+// errNoRecordedCrash is returned for a content without crash records.
+var errNoRecordedCrash = errors.New("no crash is recorded for this content")
 
-func (c *crashesCmd) clear(record wardturn.CrashRecord, byContent map[wardturn.ContentID][]wardturn.RecordedCrash) error {
-	var takeBack []wardturn.Crash
+// clearCrashes removes the records of the contents in Clear. If one of them has none, it
+// returns an error and removes nothing.
+func (c *crashesCmd) clearCrashes(store wardturn.CrashRecord, byContent map[wardturn.ContentID][]wardturn.RecordedCrash) error {
+	var removed []wardturn.Crash
 	for _, content := range c.Clear {
 		list := byContent[content]
 		if len(list) == 0 {
-			return errors.Wrapf(errNoSuchContent, "%s", content)
+			return errors.Wrapf(errNoRecordedCrash, "%s", content)
 		}
 		for _, r := range list {
-			takeBack = append(takeBack, r.Crash)
+			removed = append(removed, r.Crash)
 		}
 	}
-	return record.Write(process.Clock{}.Now(), nil, takeBack)
+	return store.Write(process.Clock{}.Now(), nil, removed)
 }
--- a/cli/fleet/fleet.go
+++ b/cli/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet is the command line of the daemons on the users' platform: the
-// gateway on entry hosts and the keeper beside model engines. It is apart from
+// gateway on entry hosts and the keeper next to model engines. It is separate from
 // package cli so that the daemons link only what they need.
 package fleet
 
@@ -23,17 +23,17 @@
 // The exit codes of Main.
 const (
 	ExitOK      = 0
-	ExitFailure = 1 // it ran and failed
+	ExitFailure = 1 // the command ran and failed
 	ExitUsage   = 2 // the command line or a setting is wrong; nothing was started
 )
 
 const (
-	logLines = 4096 // that wait for a slow reader of the log
-	// The lines a second of one message. Refusals and failures go before what
-	// succeeded.
-	failureLines = 100
-	otherLines   = 20
-	// gcPercent trades memory for processor time; the heap is a few MB.
+	logQueueSize = 4096 // lines buffered for a slow reader of the log
+	// Limits on log lines per second for each message. Refusals and failures get a
+	// higher limit than successes.
+	failureLogRate = 100
+	defaultLogRate = 20
+	// gcPercent trades memory for CPU time; the heap is a few MB.
 	gcPercent = 100
 )
 
@@ -43,7 +43,7 @@
 	Crashes crashesCmd `cmd:"" help:"Shows the requests under which upstreams ended, or has them served again."`
 }
 
-// common are the settings of both daemons.
+// common has the settings of both daemons.
 type common struct {
 	Node     string `required:"" help:"Name of this host."`
 	Domain   string `required:"" help:"Failure domain of this host."`
@@ -55,28 +55,29 @@
 	Settings string `help:"File of settings, a line FLAG=VALUE each; the command line and variables go before it. Read again on SIGHUP and when it changes."`
 }
 
-// name is the program's.
-const name = "wardturn-fleet"
+// programName is the name of the program.
+const programName = "wardturn-fleet"
 
-// commandLine are the arguments of the process, to be read again with its
-// settings.
+// commandLine has the arguments of the process. They are parsed again when the settings
+// are reloaded.
 type commandLine []string
 
-// newParser returns the parser of a command line, with the settings of its file.
+// newParser returns a parser for a command line. It also takes values from the settings
+// file that the command line names.
 func newParser(args []string, root *commands, options ...kong.Option) (*kong.Kong, error) {
 	s, err := readSettings(settingsPath(args))
 	if err != nil {
 		return nil, err
 	}
 	return kong.New(root, append(options,
-		kong.Name(name),
+		kong.Name(programName),
 		kong.Description("The daemons of wardturn on the users' platform, and what their operators need."),
 		kong.DefaultEnvars("WARDTURN"),
 		kong.Resolvers(s),
 	)...)
 }
 
-// Main runs a daemon until ctx ends and returns the exit code.
+// Main runs a command, a daemon until ctx ends, and returns the exit code.
 func Main(ctx context.Context, args []string, out, errs io.Writer) int {
 	var root commands
 	exit := -1
@@ -88,7 +89,7 @@
 		kong.Bind(commandLine(args)),
 	)
 	if err != nil {
-		fmt.Fprintln(errs, name+":", err)
+		fmt.Fprintln(errs, programName+":", err)
 		return ExitFailure
 	}
 	k, err := parser.Parse(args)
@@ -96,7 +97,7 @@
 		return exit
 	}
 	if err != nil {
-		fmt.Fprintln(errs, name+":", err)
+		fmt.Fprintln(errs, programName+":", err)
 		return ExitUsage
 	}
 	err = k.Run()
@@ -104,17 +105,17 @@
 	switch {
 	case errors.As(err, &bad):
 		for _, p := range bad {
-			fmt.Fprintln(errs, name+": bad setting:", p.Error())
+			fmt.Fprintln(errs, programName+": bad setting:", p.Error())
 		}
 		return ExitUsage
 	case err != nil:
-		fmt.Fprintln(errs, name+":", err)
+		fmt.Fprintln(errs, programName+":", err)
 		return ExitFailure
 	}
 	return ExitOK
 }
 
-// badSettings collects the faults of a command line's settings.
+// badSettings collects the invalid settings of a command.
 type badSettings struct {
 	wardturn.SettingProblems
 }
@@ -139,17 +140,17 @@
 	})
 	return process.NewBudgetedLogger(l, process.Clock{}, process.LogRates{
 		Of: map[string]float64{
-			"refused":        failureLines,
-			"beyond the cap": failureLines,
-			"failed":         failureLines,
-			"answer cut":     failureLines,
-			"send failed":    failureLines,
+			"refused":        failureLogRate,
+			"beyond the cap": failureLogRate,
+			"failed":         failureLogRate,
+			"answer cut":     failureLogRate,
+			"send failed":    failureLogRate,
 		},
-		Others: otherLines,
+		Others: defaultLogRate,
 	})
 }
 
-// daemon has what gateway and keeper are both built from.
+// daemon has the dependencies that the gateway and the keeper share.
 type daemon struct {
 	*dig.Container
 
@@ -157,8 +158,9 @@
 	stopMetrics func()
 }
 
-// newDaemon starts the metrics and the log of a daemon and provides them, with the
-// clock. Whoever builds it stops the metrics and closes the log.
+// newDaemon starts the metrics server and the log queue of a daemon and provides its
+// clock, logger and metrics scope. The function that calls it has to stop the metrics and
+// close the log.
 func (c *common) newDaemon(name string, out io.Writer) (*daemon, error) {
 	debug.SetGCPercent(gcPercent)
 	scope, stopMetrics, err := c.serveMetrics()
@@ -167,7 +169,7 @@
 	}
 	d := &daemon{
 		Container:   dig.New(),
-		logs:        process.NewLogQueue(out, logLines),
+		logs:        process.NewLogQueue(out, logQueueSize),
 		stopMetrics: stopMetrics,
 	}
 	err = process.Provide(d.Container,
@@ -182,7 +184,8 @@
 	return d, nil
 }
 
-// serveMetrics returns the scope of the process's metrics.
+// serveMetrics starts the metrics server if an address is set. It returns the scope of
+// the process's metrics and a function that stops the server.
 func (c *common) serveMetrics() (tally.Scope, func(), error) {
 	if c.Metrics == "" {
 		return tally.NoopScope, func() {}, nil
--- a/cli/helpers_test.go
+++ b/cli/helpers_test.go
@@ -20,9 +20,9 @@
 	"wardturn/standin"
 )
 
-func digest(key string) string { return control.KeyDigest(key) }
+func keyDigest(key string) string { return control.KeyDigest(key) }
 
-func hostAt(addr string) wardturn.Host {
+func testHost(addr string) wardturn.Host {
 	return wardturn.Host{
 		Upstream: "u",
 		Addr:     addr,
@@ -61,38 +61,39 @@
 	}
 }
 
-// logText keeps what a daemon logs, to be read while it runs.
-type logText struct {
+// logBuffer collects the log of a daemon and can be read while the daemon runs.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
 // Write implements io.Writer.
-func (l *logText) Write(data []byte) (int, error) {
+func (l *logBuffer) Write(data []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(data)
 }
 
-// String returns what was logged so far.
-func (l *logText) String() string {
+// String returns the log so far.
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// startedAt finds the address in the line that a daemon logs once it serves.
-var startedAt = regexp.MustCompile(` started: .*\baddr=(\S+) `)
+// startedPattern matches the address in the line that a daemon logs when it starts to
+// serve.
+var startedPattern = regexp.MustCompile(` started: .*\baddr=(\S+) `)
 
-// start runs a daemon's main until the test ends, and then expects it to stop as
-// planned. The kernel chooses the port that the daemon listens on; start returns the
-// address.
+// start runs a daemon's main function until the test ends, and then expects it to exit
+// with ExitOK. The kernel chooses the port; start returns the address that the daemon
+// listens on.
 func start(t *testing.T, main func(context.Context, []string, cli.Streams) int, args []string) string {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	logs := &logText{}
+	logs := &logBuffer{}
 	ended := make(chan struct{})
-	code := cli.ExitOK // read once the daemon has ended
+	code := cli.ExitOK // read only after the daemon has ended
 	go func() {
 		defer close(ended)
 		code = main(ctx, append([]string{"--listen=127.0.0.1:0"}, args...), cli.Streams{
@@ -114,7 +115,7 @@
 			t.Fatalf("daemon ended at its start with exit code %d:\n%s", code, logs)
 		default:
 		}
-		if m := startedAt.FindStringSubmatch(logs.String()); m != nil {
+		if m := startedPattern.FindStringSubmatch(logs.String()); m != nil {
 			addr = m[1]
 		}
 		return addr != ""
@@ -122,12 +123,12 @@
 	return addr
 }
 
-func waitFor(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	end := time.Now().Add(30 * time.Second)
-	for !holds() {
-		if time.Now().After(end) {
-			t.Fatalf("did not come: %s", what)
+	deadline := time.Now().Add(30 * time.Second)
+	for !condition() {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -177,7 +178,7 @@
 	return res.StatusCode()
 }
 
-// dialTLS makes a connection to an agent and reads the first byte that it sends.
+// dialTLS connects to an agent with mutual TLS and reads the first byte that it sends.
 func dialTLS(addr, cert, key, ca string) error {
 	pair, err := tls.X509KeyPair([]byte(cert), []byte(key))
 	if err != nil {
