--- a/standin/clock.go
+++ b/standin/clock.go
@@ -8,11 +8,11 @@
 	"wardturn"
 )
 
-// Epoch is where virtual time starts.
+// Epoch is the start of virtual time.
 var Epoch = time.Date(2026, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// Clock is a clock in virtual time: it stands still until it is advanced, and
-// timers then fire in order, in the goroutine that advances it.
+// Clock is a virtual clock. Its time changes only when it is advanced; due timers then
+// fire in order, in the goroutine that advances it.
 type Clock struct {
 	mu     sync.Mutex
 	now    time.Time
@@ -20,7 +20,7 @@
 	seq    uint64
 }
 
-// NewClock returns a clock that stands at Epoch.
+// NewClock returns a clock that is set to Epoch.
 func NewClock() *Clock {
 	return &Clock{
 		now: Epoch,
@@ -49,7 +49,8 @@
 	return t
 }
 
-// Step fires the next timer and reports whether there was one.
+// Step advances the clock to the next timer and fires it. It reports whether there was
+// a timer.
 func (c *Clock) Step() bool {
 	c.mu.Lock()
 	if len(c.timers) == 0 {
@@ -63,8 +64,8 @@
 	return true
 }
 
-// Advance moves time on and fires the timers that are due, those that the
-// timers themselves start included.
+// Advance moves the clock forward by d and fires all timers that become due, including
+// those started by other timers.
 func (c *Clock) Advance(d time.Duration) {
 	end := c.Now().Add(d)
 	for c.due(end) {
@@ -75,6 +76,7 @@
 	c.mu.Unlock()
 }
 
+// due reports whether a timer is due at end.
 func (c *Clock) due(end time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,7 +102,7 @@
 	return true
 }
 
-// timerHeap implements heap.Interface in order of time, then of creation.
+// timerHeap implements heap.Interface, ordered by time and then by creation.
 type timerHeap []*timer
 
 // Len implements heap.Interface.
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,8 +1,8 @@
-// Package standin has small fakes of the systems that wardturn serves: model
-// engines, plain services, the weight store, the platform's log and its list of
-// hosts.
+// Package standin provides fakes of the systems that wardturn depends on: model
+// engines, plain services, the weight store, the platform's log, its host list and
+// its metadata store. It also has a TCP proxy that injects network faults.
 //
-// There is one implementation of each. Clock, random source and faults are
-// passed in, so the same code runs in virtual time for experiments and tests,
-// and in real time behind loopback ports for the demo.
+// There is one implementation of each. The clock and the faults are passed in, so
+// that the same code runs in virtual time for experiments and tests, and in real time
+// behind loopback ports for the demo.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -8,23 +8,23 @@
 	"wardturn"
 )
 
-// EngineConfig sizes a model engine.
+// EngineConfig configures a model engine.
 type EngineConfig struct {
 	Slots         int           // adapter slots
-	Batch         int           // sequences in a step at most
-	StepTokens    int           // tokens in a step at most
-	StepBase      time.Duration // time of an empty step
+	Batch         int           // maximum number of sequences in a step
+	StepTokens    int           // maximum number of tokens in a step
+	StepBase      time.Duration // duration of an empty step
 	StepSequence  time.Duration // added for each decoding sequence
 	StepPrompt    time.Duration // added for each prompt token
-	Unload        time.Duration // time of an unload
-	ReportLag     time.Duration // age of the reports
-	ChecksFences  bool
-	PrefixEntries int     // prompts in the prefix cache
-	PrefixShare   float64 // part of a cached prompt that need not run again
+	Unload        time.Duration // duration of an unload
+	ReportLag     time.Duration // age of reports
+	ChecksFences  bool          // orders with an old fence are refused, repeated ones ignored
+	PrefixEntries int           // entries of the prefix cache
+	PrefixShare   float64       // fraction of a cached prompt that needs no prefill
 }
 
-// DefaultEngine returns the engine that the demo and the experiments use: a
-// step of about 22 ms that slows by a quarter when it is full.
+// DefaultEngine returns the configuration that the demo and the experiments use. A step
+// takes about 22 ms, and a quarter longer when the batch is full.
 func DefaultEngine() EngineConfig {
 	return EngineConfig{
 		Slots:         8,
@@ -41,23 +41,22 @@
 	}
 }
 
-// Generation is a request as the engine sees it. The callbacks come without the
-// engine's lock held: Token for each output token, End
-// once.
+// Generation is a request to an engine. Token is called for each output token and End
+// once, both without the engine's lock held.
 type Generation struct {
 	Request wardturn.EngineRequest
 	Token   func(index int)
 	End     func(wardturn.EngineResult, error)
 }
 
-// EngineStats counts an engine's steps.
+// EngineStats are counters of an engine's steps.
 type EngineStats struct {
 	Steps     int
 	Sequences int // summed over the steps
 	Tokens    int // prompt and output, summed over the steps
 }
 
-// Engine is a continuous-batching model engine with adapter slots.
+// Engine is a fake of a model engine with continuous batching and adapter slots.
 type Engine struct {
 	clock wardturn.Clock
 	store wardturn.Store
@@ -66,7 +65,7 @@
 	mu       sync.Mutex
 	fence    wardturn.Fence
 	resident []residentAdapter
-	orders   map[wardturn.OrderID]bool // carried out, for the present fence
+	orders   map[wardturn.OrderID]bool // executed orders under the current fence
 	loading  []wardturn.AdapterRef
 	waiting  []*sequence
 	active   []*sequence
@@ -74,11 +73,11 @@
 	stats    EngineStats
 	reports  []wardturn.EngineReport
 	prefixes []prefixKey // most recent last
-	starts   int
+	starts   int         // number of restarts
 	seq      uint64
 
-	pending    []event // callbacks to make
-	delivering bool    // a goroutine is making them
+	pending    []event // undelivered callbacks
+	delivering bool    // a goroutine is delivering them
 }
 
 type residentAdapter struct {
@@ -89,9 +88,9 @@
 type sequence struct {
 	gen    Generation
 	seq    uint64
-	prompt int // tokens left
-	output int // tokens left
-	made   int
+	prompt int // remaining tokens
+	output int // remaining tokens
+	made   int // output tokens
 	cancel bool
 }
 
@@ -100,7 +99,7 @@
 	path string
 }
 
-// NewEngine returns an empty engine that reads weights from store.
+// NewEngine returns an engine without adapters that fetches weights from store.
 func NewEngine(clock wardturn.Clock, store wardturn.Store, cfg EngineConfig) *Engine {
 	return &Engine{
 		clock:  clock,
@@ -110,8 +109,8 @@
 	}
 }
 
-// Submit starts a generation. It returns ErrNotLoaded if the engine does not
-// hold the adapter version.
+// Submit starts a generation. It returns ErrNotLoaded if the adapter version is not
+// loaded.
 func (e *Engine) Submit(gen Generation) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -132,7 +131,7 @@
 	return nil
 }
 
-// Cancel ends a generation at the next step, without a call of End.
+// Cancel ends a generation by the end of the current step, without a call of End.
 func (e *Engine) Cancel(id wardturn.AttemptID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -150,19 +149,21 @@
 	}
 }
 
+// find returns the index of a resident adapter version, or -1.
 func (e *Engine) find(ref wardturn.AdapterRef) int {
 	return slices.IndexFunc(e.resident, func(r residentAdapter) bool {
 		return r.ref == ref
 	})
 }
 
+// unpin releases the reference of a sequence to its adapter.
 func (e *Engine) unpin(s *sequence) {
 	if i := e.find(s.gen.Request.Adapter); i >= 0 {
 		e.resident[i].running = max(0, e.resident[i].running-1)
 	}
 }
 
-// wake starts the step loop if it stands still.
+// wake starts the step loop if it is not running.
 func (e *Engine) wake() {
 	if e.stepping {
 		return
@@ -171,8 +172,8 @@
 	e.beginStep()
 }
 
-// Restart empties the engine as a crash does. Every generation under way ends
-// with ErrUnavailable.
+// Restart restarts the engine as after a crash. It holds no adapters then, and all
+// generations in progress end with ErrUnavailable.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	e.starts++
@@ -192,7 +193,7 @@
 	}
 }
 
-// Report returns the engine's view of itself as it was ReportLag ago.
+// Report returns the engine's state as it was ReportLag ago.
 func (e *Engine) Report() wardturn.EngineReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -207,6 +208,7 @@
 	return e.reports[0]
 }
 
+// view returns the current state.
 func (e *Engine) view(now time.Time) wardturn.EngineReport {
 	rep := wardturn.EngineReport{
 		At:      now,
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -9,8 +9,8 @@
 	"wardturn/standin"
 )
 
-// TestTokensComeInOrder holds up the delivery of one step until several more
-// have ended: the callbacks must still come in order.
+// TestTokensComeInOrder blocks the callbacks of one step until several later steps have
+// ended. It guards against the callbacks of later steps overtaking those of earlier ones.
 func TestTokensComeInOrder(t *testing.T) {
 	clock := standin.NewClock()
 	store := standin.NewStore(clock, standin.StoreConfig{
@@ -54,17 +54,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go clock.Advance(30 * time.Millisecond) // delivers token 0 and waits
+	go clock.Advance(30 * time.Millisecond) // blocks in the callback of token 0
 	<-holding
-	clock.Advance(time.Second) // the other steps end meanwhile
+	clock.Advance(time.Second) // the other steps end
 	close(held)
 	<-ended
 	for i := range got {
 		if got[i] != i {
-			t.Fatalf("tokens came as %v", got)
+			t.Fatalf("order of the tokens: %v", got)
 		}
 	}
 	if len(got) != tokens {
-		t.Fatalf("%d of %d tokens came", len(got), tokens)
+		t.Fatalf("got %d tokens, want %d", len(got), tokens)
 	}
 }
--- a/standin/engineorders.go
+++ b/standin/engineorders.go
@@ -26,7 +26,7 @@
 	})
 }
 
-// accept checks the fence and whether the order was carried out before.
+// accept checks the fence of an order. again reports whether the order was executed before.
 func (e *Engine) accept(order wardturn.SlotOrder) (again bool, err error) {
 	if !e.cfg.ChecksFences {
 		return false, nil
@@ -41,6 +41,7 @@
 	return e.orders[order.ID], nil
 }
 
+// reserve reserves a slot for the adapter of an order.
 func (e *Engine) reserve(order wardturn.SlotOrder) error {
 	if slices.Contains(e.loading, order.Adapter) {
 		return wardturn.ErrNoSlot
@@ -52,6 +53,7 @@
 	return nil
 }
 
+// loaded completes a load that began after the given number of restarts.
 func (e *Engine) loaded(start int, order wardturn.SlotOrder, err error) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/enginestep.go
+++ b/standin/enginestep.go
@@ -7,7 +7,8 @@
 	"wardturn"
 )
 
-// beginStep fills the step and sets the time of its end.
+// beginStep fills the batch and schedules the end of the step. Without sequences it stops
+// the step loop.
 func (e *Engine) beginStep() {
 	e.fill()
 	if len(e.active) == 0 {
@@ -27,7 +28,7 @@
 	})
 }
 
-// fill moves waiting sequences into the batch, by priority and then age.
+// fill moves waiting sequences into the batch, ordered by priority and then by age.
 func (e *Engine) fill() {
 	for len(e.active) < e.cfg.Batch && len(e.waiting) > 0 {
 		best := 0
@@ -43,7 +44,7 @@
 	}
 }
 
-// reusePrefix shortens a prompt whose prefix the engine still holds.
+// reusePrefix shortens a prompt whose prefix is in the prefix cache, and caches it.
 func (e *Engine) reusePrefix(s *sequence) {
 	key := prefixKey{
 		ref:  s.gen.Request.Adapter,
@@ -59,14 +60,15 @@
 	}
 }
 
+// stepWork is the work of one step.
 type stepWork struct {
-	decoding int
-	prompt   int
-	chunks   []int // prompt tokens by place in active
+	decoding int   // sequences
+	prompt   int   // tokens
+	chunks   []int // prompt tokens by index in active
 }
 
-// stepWork divides the step's tokens: one for each decoding sequence, the rest
-// to prompts in order of priority.
+// stepWork divides the token budget of a step: one token for each decoding sequence, the
+// rest for prompts, those with an urgent priority first.
 func (e *Engine) stepWork() stepWork {
 	w := stepWork{
 		chunks: make([]int, len(e.active)),
@@ -92,7 +94,7 @@
 	return w
 }
 
-// event is a callback to make after the lock is released.
+// event is a callback that is called after the lock is released.
 type event struct {
 	s    *sequence
 	made int // index of the token, or -1
@@ -124,8 +126,8 @@
 	e.deliverPending()
 }
 
-// deliverPending makes the callbacks in the order of the steps. The next step may
-// end while one goroutine is still at it; that one then delivers both.
+// deliverPending delivers pending callbacks in the order of the steps. If the next step
+// ends while a goroutine is delivering, that goroutine also delivers its callbacks.
 func (e *Engine) deliverPending() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -143,8 +145,7 @@
 	e.delivering = false
 }
 
-// advance lets one sequence take its part of a step and reports whether it goes
-// on.
+// advance applies a step to a sequence. It reports whether the sequence continues.
 func (e *Engine) advance(s *sequence, chunk int) (bool, []event) {
 	if s.cancel {
 		return false, nil
@@ -165,6 +166,7 @@
 	return !token.end, []event{token}
 }
 
+// deliver calls the callbacks of events.
 func (e *Engine) deliver(events []event) {
 	for _, ev := range events {
 		gen := ev.s.gen
--- a/standin/fastclock.go
+++ b/standin/fastclock.go
@@ -6,14 +6,14 @@
 	"wardturn"
 )
 
-// FastClock runs faster than real time, so that scenarios over real connections
-// need not wait for real timeouts.
+// FastClock is a clock that runs faster than real time, so that scenarios over real
+// connections need not wait for timeouts at full length.
 type FastClock struct {
 	start time.Time
 	speed int
 }
 
-// NewFastClock returns a clock that runs speed times as fast as the system's.
+// NewFastClock returns a clock that runs speed times as fast as the system clock.
 func NewFastClock(speed int) *FastClock {
 	return &FastClock{
 		start: time.Now(),
--- a/standin/heads.go
+++ b/standin/heads.go
@@ -1,6 +1,6 @@
 package standin
 
-// Headers of a worker's answers.
+// Headers of a worker's responses.
 const (
 	HeaderLimit   = "Server-Limit"
 	HeaderLeaving = "Server-Leaving"
--- a/standin/hosts.go
+++ b/standin/hosts.go
@@ -9,14 +9,15 @@
 	"wardturn"
 )
 
-// HostList is the platform's list of hosts. Readers see it as it was a lag ago.
+// HostList is a fake of the platform's host list. Readers see the list as it was one lag
+// ago.
 type HostList struct {
 	clock wardturn.Clock
 	lag   time.Duration
 
 	mu       sync.Mutex
 	down     bool
-	versions []hostVersion // ascending in time
+	versions []hostVersion // ascending by time
 }
 
 type hostVersion struct {
@@ -24,7 +25,7 @@
 	hosts []wardturn.Host
 }
 
-// NewHostList returns an empty list that lags.
+// NewHostList returns an empty list with the given lag.
 func NewHostList(clock wardturn.Clock, lag time.Duration) *HostList {
 	return &HostList{
 		clock: clock,
@@ -32,7 +33,7 @@
 	}
 }
 
-// SetDown makes the list fail, or work again.
+// SetDown sets whether reads of the list fail.
 func (l *HostList) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +65,7 @@
 	})
 }
 
-// Remove takes a host off the list.
+// Remove removes a host.
 func (l *HostList) Remove(id wardturn.UpstreamID) {
 	l.change(func(hosts []wardturn.Host) []wardturn.Host {
 		return slices.DeleteFunc(hosts, func(h wardturn.Host) bool {
@@ -73,6 +74,7 @@
 	})
 }
 
+// change appends a new version of the list.
 func (l *HostList) change(f func([]wardturn.Host) []wardturn.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/standin/log.go
+++ b/standin/log.go
@@ -11,21 +11,22 @@
 	"wardturn"
 )
 
-// LogFaults are the ways in which the log fails.
+// LogFaults are the faults of a Log.
 type LogFaults struct {
 	Down bool
-	// LoseReply, if set, is asked after each append; true loses the reply.
+	// LoseReply, if set, is called after each append. If it returns true, the record is
+	// kept and the append returns ErrReplyLost.
 	LoseReply func() bool
 }
 
-// LogConfig sizes the log.
+// LogConfig configures a Log.
 type LogConfig struct {
-	Retention time.Duration // zero: for ever
+	Retention time.Duration // of records; zero: unlimited
 	Latency   time.Duration // of an append
-	Rate      float64       // appends a second; zero: unlimited
+	Rate      float64       // appends per second; zero: unlimited
 }
 
-// Log is the platform's append-only log in memory.
+// Log is an in-memory fake of the platform's append-only log.
 type Log struct {
 	clock wardturn.Clock
 	cfg   LogConfig
@@ -36,8 +37,8 @@
 	first   wardturn.Offset
 	next    wardturn.Offset
 	grown   chan struct{} // closed and replaced when a record is added
-	tokens  float64
-	tokenAt time.Time
+	tokens  float64       // of the rate limit of appends
+	tokenAt time.Time     // last refill of tokens
 	appends int
 }
 
@@ -96,12 +97,13 @@
 	return offset, nil
 }
 
-// wake ends the waits of readers. The lock is held.
+// wake wakes waiting readers. The caller holds the lock.
 func (l *Log) wake() {
 	close(l.grown)
 	l.grown = make(chan struct{})
 }
 
+// takeToken reports whether the rate limit allows an append. The caller holds the lock.
 func (l *Log) takeToken() bool {
 	if l.cfg.Rate <= 0 {
 		return true
@@ -138,6 +140,8 @@
 	}
 }
 
+// read returns the records from an offset on, and the channel that is closed when the
+// log grows.
 func (l *Log) read(from wardturn.Offset, limit int) (wardturn.LogPage, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,7 +163,7 @@
 	return page, l.grown, nil
 }
 
-// drop removes the records that are out of retention.
+// drop removes the records that are out of retention. The caller holds the lock.
 func (l *Log) drop() {
 	if l.cfg.Retention <= 0 {
 		return
--- a/standin/metastore.go
+++ b/standin/metastore.go
@@ -15,37 +15,37 @@
 	"time"
 )
 
-// MetaStore is a stand-in of the users' metadata store: keyed topics with one
-// partition, plain appends, waiting reads, and its troubles. It speaks the
+// MetaStore is a fake of the platform's metadata store with injectable faults: keyed
+// topics with one partition, appends and long-polling reads. It implements the
 // published protocol over HTTP.
 type MetaStore struct {
 	mu      sync.Mutex
 	topics  map[string]*metaTopic
 	changed chan struct{} // closed and replaced at each append
 	faults  MetaFaults
-	reads   map[string]int // calls that read, by topic
-	page    int            // most records of an answer with the newest ones
-	era     int            // rises when it comes back from a copy
+	reads   map[string]int // number of read calls by topic
+	page    int            // maximum number of items in a response of log-newest
+	era     int            // incremented by each restore from a copy
 }
 
-// sizeBytes is the length of a record's length.
+// sizeBytes is the size of a record's length prefix.
 const sizeBytes = 4
 
-// newestPage is the most records of one answer of the users' store.
+// newestPage is the page size of log-newest in the platform's store.
 const newestPage = 500
 
-// MetaFaults are the troubles of a MetaStore.
+// MetaFaults are the faults of a MetaStore.
 type MetaFaults struct {
-	Away   bool          // every call gets 503
-	Silent bool          // no call gets an answer
-	Lost   bool          // calls are carried out and not answered
-	Delay  time.Duration // before each answer
+	Away   bool          // every call is answered with 503
+	Silent bool          // no call is answered
+	Lost   bool          // appends are executed and not answered
+	Delay  time.Duration // before each response
 }
 
 type metaTopic struct {
-	first   int64 // offset of the oldest record kept
+	first   int64 // offset of the oldest retained record
 	records [][]byte
-	newest  map[string]metaRecord
+	newest  map[string]metaRecord // by key
 }
 
 type metaRecord struct {
@@ -64,29 +64,29 @@
 	}
 }
 
-// SetFaults replaces the troubles.
+// SetFaults replaces the faults.
 func (s *MetaStore) SetFaults(f MetaFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Reads returns how often the operator's records and the list of upstreams were
-// read.
+// Reads returns the numbers of read calls for the operator's records and for the list
+// of upstreams.
 func (s *MetaStore) Reads() (operator, servers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads["keyed.op"], s.reads["keyed.servers"]
 }
 
-// ReadsOf returns how often a topic was read.
+// ReadsOf returns the number of read calls for a topic.
 func (s *MetaStore) ReadsOf(topic string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads[topic]
 }
 
-// topic returns a topic, a new one if there is none; the lock is held.
+// topic returns a topic and creates it if it does not exist. The caller holds the lock.
 func (s *MetaStore) topic(name string) *metaTopic {
 	t := s.topics[name]
 	if t == nil {
@@ -98,11 +98,12 @@
 	return t
 }
 
+// end returns the offset of the next record.
 func (t *metaTopic) end() int64 {
 	return t.first + int64(len(t.records))
 }
 
-// Put writes a record of a key. A nil value drops the key.
+// Put writes a record for a key. A nil value deletes the key.
 func (s *MetaStore) Put(topic, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,8 +121,8 @@
 	s.Put("keyed.op", "config", []byte(config))
 }
 
-// Evacuate writes the operator's word that a failure domain is to get no requests, or takes
-// it back.
+// Evacuate writes the operator's record that a failure domain must get no requests, or
+// deletes it.
 func (m *MetaStore) Evacuate(domain string, on bool) {
 	if !on {
 		m.Put("keyed.op", "evacuate/"+domain, nil)
@@ -130,13 +131,13 @@
 	m.Put("keyed.op", "evacuate/"+domain, []byte("{}"))
 }
 
-// PutVersion names the newest version of an adapter.
+// PutVersion writes the newest version of an adapter.
 func (s *MetaStore) PutVersion(model, adapter string, version int64) {
 	value := fmt.Appendf(nil, `{"model":%q,"adapter":%q,"version":%d}`, model, adapter, version)
 	s.Put("keyed.op", "version/"+model+"."+adapter, value)
 }
 
-// CompactConfig drops the history of the operator's records.
+// CompactConfig drops the history of the operator's topic.
 func (s *MetaStore) CompactConfig() {
 	s.Compact("keyed.op")
 }
@@ -146,12 +147,12 @@
 	s.Put("keyed.servers", id, []byte(entry))
 }
 
-// DropServer drops the entry of an upstream.
+// DropServer deletes the entry of an upstream.
 func (s *MetaStore) DropServer(id string) {
 	s.Put("keyed.servers", id, nil)
 }
 
-// DropAll drops every key of a topic.
+// DropAll deletes all keys of a topic.
 func (s *MetaStore) DropAll(topic string) {
 	s.mu.Lock()
 	keys := slices.Collect(maps.Keys(s.topic(topic).newest))
@@ -161,13 +162,14 @@
 	}
 }
 
+// add appends a record to a topic and wakes waiting readers. The caller holds the lock.
 func (s *MetaStore) add(t *metaTopic, record []byte) {
 	t.records = append(t.records, record)
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Compact drops all records; the newest of each key stays known.
+// Compact drops all records of a topic but keeps the newest value of each key.
 func (s *MetaStore) Compact(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,7 +178,7 @@
 	t.records = nil
 }
 
-// MetaCopy is a copy of a store's records.
+// MetaCopy is a copy of the records of a MetaStore by topic.
 type MetaCopy map[string]*metaTopic
 
 // Copy returns a copy of all records.
@@ -186,7 +188,7 @@
 	return MetaCopy(s.topics).deep()
 }
 
-// deep returns a copy that shares nothing that changes.
+// deep returns a deep copy. Records are shared, since they do not change.
 func (c MetaCopy) deep() MetaCopy {
 	out := make(MetaCopy, len(c))
 	for name, t := range c {
@@ -199,8 +201,8 @@
 	return out
 }
 
-// ComeBack has the store go on from a copy: what came after it is gone, and its offsets are
-// given out again.
+// ComeBack restores the store from a copy, as after a recovery from a backup. Later
+// records are lost, and their offsets are assigned again.
 func (s *MetaStore) ComeBack(c MetaCopy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,12 +245,12 @@
 	}
 }
 
-// stamp names the era in an answer; the lock is held.
+// stamp sets the era in the header of a response. The caller holds the lock.
 func (s *MetaStore) stamp(w http.ResponseWriter) {
 	w.Header().Set("Store-Era", strconv.Itoa(s.era))
 }
 
-// SetPage sets the most records of one answer with the newest ones.
+// SetPage sets the maximum number of items in a response of log-newest.
 func (s *MetaStore) SetPage(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,7 +327,7 @@
 	}
 }
 
-// page encodes the records from an offset on.
+// page encodes the records starting at an offset.
 func (t *metaTopic) page(from int64) []byte {
 	b := binary.BigEndian.AppendUint64(nil, uint64(t.end()))
 	b = binary.BigEndian.AppendUint64(b, uint64(t.first))
@@ -367,7 +369,7 @@
 	})
 }
 
-// append adds a record of the system to a topic; the lock is held.
+// append adds a record that a client appended. The caller holds the lock.
 func (s *MetaStore) append(t *metaTopic, topic string, record []byte) {
 	if strings.HasPrefix(topic, "keyed.") {
 		key := 1 + int(record[0])
--- a/standin/modelrun.go
+++ b/standin/modelrun.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// holdUp keeps a request from beginning for a while, and reports whether its caller
-// is still there then.
+// holdUp delays the start of a request by the fault HoldUp. It reports whether the caller
+// is still connected after that.
 func (m *ModelWorker) holdUp(r *http.Request) bool {
 	m.mu.Lock()
 	wait := m.faults.HoldUp
@@ -32,8 +32,7 @@
 	}
 }
 
-// admit decides whether a request runs. It returns zero if it does, and the
-// status of the refusal if not.
+// admit decides whether a request runs. It returns zero, or the status of the refusal.
 func (m *ModelWorker) admit(r *http.Request) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,7 +124,7 @@
 	}
 }
 
-// ended takes a run of an attempt out; the lock is held.
+// ended removes a run of an attempt from those in progress. The caller holds the lock.
 func (m *ModelWorker) ended(attempt string) {
 	m.running[attempt]--
 	if m.running[attempt] == 0 {
@@ -133,7 +132,7 @@
 	}
 }
 
-// answerTwice writes an answer to another request before the right one.
+// answerTwice writes the response to another request before the right one.
 func (m *ModelWorker) answerTwice(w http.ResponseWriter, attempt string, body []byte) {
 	nc, buf, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -146,8 +145,8 @@
 	_ = buf.Flush()
 }
 
-// longest returns the longest of some texts that are plain numbers of seconds; zero: none
-// is.
+// longest returns the longest duration among the texts that are numbers of seconds, or
+// zero if there is none.
 func longest(texts []string) (d time.Duration) {
 	for _, text := range texts {
 		if n, err := strconv.ParseFloat(text, 64); err == nil {
--- a/standin/modelstream.go
+++ b/standin/modelstream.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// StreamShape is how a worker in trouble writes a stream.
+// StreamShape describes how the format of a stream deviates from the protocol. The zero
+// value is a correct stream.
 type StreamShape struct {
-	Shift  int    // events by which it begins later than it should, or sooner
-	IDLine string // format of the line with the number of an event; empty: the usual one
-	Word   string // in the data of each event; empty: piece
+	Shift  int    // offset of the first event from the right one
+	IDLine string // format of the id line of events; empty: the correct format
+	Word   string // text in the data of events; empty: piece
 }
 
-// Event returns an event of a stream.
+// Event returns event i of a stream.
 func (s StreamShape) Event(i int) []byte {
 	b := fmt.Appendf(nil, cmp.Or(s.IDLine, "id: %d\n"), i)
 	return fmt.Appendf(b, "data: %s %d\n\n", cmp.Or(s.Word, "piece"), i)
 }
 
-// whole returns the whole answer to a request; of a stream, from the event after
-// Last-Event-Id on.
+// whole returns the complete response to a request. A stream starts after the event
+// Last-Event-Id.
 func (m *ModelWorker) whole(r *http.Request, body []byte) []byte {
 	if m.cfg.Pieces == 0 {
 		return append([]byte("echo:"), body...)
@@ -34,7 +35,7 @@
 	return b
 }
 
-// stream writes events with rising ids, from the one after Last-Event-Id on.
+// stream writes events with ascending ids, starting after the event Last-Event-Id.
 func (m *ModelWorker) stream(w http.ResponseWriter, r *http.Request, f WorkerFaults) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -44,7 +45,7 @@
 	}
 	for i := max(lastEvent(r)+1+shape.Shift, 1); i <= m.cfg.Pieces; i++ {
 		if last > 0 && i > last {
-			fmt.Fprintf(w, "id: %d\ndata: ha", i) // a worker may stop partway through an event
+			fmt.Fprintf(w, "id: %d\ndata: ha", i) // the cut is within an event
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
 		}
@@ -58,8 +59,7 @@
 	}
 }
 
-// lastEvent returns the id of the last event that a request has; zero if it names
-// none.
+// lastEvent returns the Last-Event-Id of a request, or zero if there is none.
 func lastEvent(r *http.Request) int {
 	last, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if err != nil {
--- a/standin/modelworker.go
+++ b/standin/modelworker.go
@@ -10,68 +10,71 @@
 	"time"
 )
 
-// ModelWorker is a stand-in of the users' model workers and application workers:
-// requests with their receipts, reports, orders, and its troubles. It speaks
-// the published protocol over HTTP.
+// ModelWorker is a fake of the platform's model workers and application workers with
+// injectable faults: it serves requests, reports and orders. It implements the published
+// protocol over HTTP.
+//
+// A worker's lifetime lasts from its start to its end. A new lifetime has either a new
+// id or, under the same id, a later start time.
 type ModelWorker struct {
 	cfg ModelWorkerConfig
 
 	mu       sync.Mutex
 	id       string
-	born     int64 // Unix ms of its start; zero: it does not tell
+	born     int64 // start of the lifetime in Unix ms; zero: not reported
 	seq      uint64
 	fence    int64
-	model    bool
+	model    bool                 // the base model is loaded
 	adapters map[string]int64     // version by name
-	coming   map[string]time.Time // when it is there
-	runs     map[string]int       // runs by attempt id
-	held     int                  // requests that have arrived and not begun
-	running  map[string]int       // requests being worked on, by attempt id
+	coming   map[string]time.Time // ends of loads in progress, by name
+	runs     map[string]int       // number of runs by attempt id
+	held     int                  // requests delayed by HoldUp before they start
+	running  map[string]int       // requests in progress by attempt id
 	faults   WorkerFaults
-	fell     bool
-	newest   map[string]int64
-	headers  map[string]http.Header // of the latest run, by attempt id
+	fell     bool                   // an order exceeded the adapter slots
+	newest   map[string]int64       // newest version by adapter
+	headers  map[string]http.Header // headers of the latest run by attempt id
 	arrivals []Arrival
-	coldTo   time.Time
+	coldTo   time.Time // end of the cold period
 }
 
-// ModelWorkerConfig says what a worker is.
+// ModelWorkerConfig configures a ModelWorker.
 type ModelWorkerConfig struct {
 	ID       string
-	Model    string // empty: an application worker
-	Slots    int    // of adapters
+	Model    string // base model; empty: an application worker
+	Slots    int    // adapter slots
 	LoadTime time.Duration
-	Pieces   int           // events of a stream
+	Pieces   int           // events of a stream; zero: responses are not streams
 	Pause    time.Duration // between events
-	// Crash ends the worker's connections, and takes its address away or starts it again;
-	// called with the path of a request that crashes it. With nil only the connection of
-	// that request ends.
+	// Crash is called with the path of a request that crashes the worker. It closes the
+	// worker's connections and stops or restarts it. If it is nil, only the connection of
+	// that request is closed.
 	Crash func(path string)
 }
 
-// WorkerFaults are the troubles of a worker.
+// WorkerFaults are the faults of a ModelWorker.
 type WorkerFaults struct {
-	LoseOrders  bool          // orders are neither carried out nor answered
-	LateOrders  bool          // orders are not answered and carried out later, if they still fit then
-	LoseAnswers bool          // requests are run and not answered
-	Stranger    bool          // an answer to another request comes first
-	CutAfter    int           // events after which streams break off; zero: never
-	CutFresh    int           // the same, of streams that are not resumed
+	LoseOrders  bool          // orders are neither executed nor answered
+	LateOrders  bool          // orders are not answered, and executed after a delay if they are still valid
+	LoseAnswers bool          // requests run and are not answered
+	Stranger    bool          // the response to another request is sent first
+	CutAfter    int           // number of events after which streams are cut; zero: never
+	CutFresh    int           // the same for streams that are not resumed
 	Full        bool          // requests are rejected
 	Error       bool          // requests run and fail
-	HoldUp      time.Duration // between the arrival of a request and its begin
-	Think       time.Duration // before the first byte of an answer
-	Linger      time.Duration // between two events of a stream, beside the usual pause
-	HideRuns    bool          // reports do not name the runs
-	CrashOn     string        // a request with this body crashes the worker as it begins; empty: none does
-	Fresh       StreamShape   // of streams that are not resumed
-	Resumed     StreamShape   // of those that are
-	Limit       string        // requests a second that answers name; empty: none
-	Leaving     string        // header of all answers that says, as 1, that it leaves; empty: none
-	RetryAfter  []string      // headers of that name in refusals
+	HoldUp      time.Duration // between the arrival of a request and its start
+	Think       time.Duration // between the start of a request and its response
+	Linger      time.Duration // added to the pause between events
+	HideRuns    bool          // reports do not list the runs
+	CrashOn     string        // a request with this body crashes the worker; empty: none
+	Fresh       StreamShape   // format of streams that are not resumed
+	Resumed     StreamShape   // format of resumed streams
+	Limit       string        // value of the header Server-Limit, in requests per second; empty: no header
+	Leaving     string        // value of the header Server-Leaving; 1: the worker is leaving; empty: no header
+	RetryAfter  []string      // values of the header Retry-After of refusals
 }
 
-// NewModelWorker returns a worker that holds its base model and no adapters.
+// NewModelWorker returns a worker with its base model loaded and no adapters.
 func NewModelWorker(cfg ModelWorkerConfig) *ModelWorker {
 	return &ModelWorker{
 		cfg:      cfg,
@@ -86,21 +89,22 @@
 	}
 }
 
-// SetFaults replaces the troubles.
+// SetFaults replaces the faults.
 func (m *ModelWorker) SetFaults(f WorkerFaults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.faults = f
 }
 
-// Name names a new version of an adapter.
+// Name sets the newest version of an adapter. Later loads load this version.
 func (m *ModelWorker) Name(adapter string, version int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.newest[adapter] = version
 }
 
-// Restart begins a new lifetime: the worker is empty and has forgotten orders.
+// Restart starts a new lifetime with the given id. The models, the adapters and the
+// fence and sequence number of orders are lost.
 func (m *ModelWorker) Restart(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -112,8 +116,8 @@
 	clear(m.coming)
 }
 
-// StartAgain begins a new lifetime under the id that the worker has. From then on it
-// tells its start, in Unix milliseconds.
+// StartAgain starts a new lifetime with the same id. From then on the worker reports the
+// start of its lifetime, in Unix milliseconds.
 func (m *ModelWorker) StartAgain(born int64) {
 	m.mu.Lock()
 	id := m.id
@@ -122,7 +126,7 @@
 	m.Restart(id)
 }
 
-// ID returns the id with which the worker first started.
+// ID returns the id of the first lifetime.
 func (m *ModelWorker) ID() string {
 	return m.cfg.ID
 }
@@ -134,30 +138,30 @@
 	return m.runs[attempt]
 }
 
-// Headers returns the headers of an attempt's latest run; nil if it did not run.
+// Headers returns the request headers of an attempt's latest run, or nil if it did not run.
 func (m *ModelWorker) Headers(attempt string) http.Header {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.headers[attempt]
 }
 
-// Arrival is a request that reached a worker, also one that it refused.
+// Arrival describes a request that reached a worker, including refused ones.
 type Arrival struct {
 	At       time.Time
 	Attempt  string
-	Lifetime string        // of the worker
-	Leaving  bool          // the answer says that the worker leaves
-	Rest     time.Duration // that the refusal asked for; zero: none
+	Lifetime string        // of the worker, as id@start
+	Leaving  bool          // the response announces that the worker is leaving
+	Rest     time.Duration // from the Retry-After header of the refusal; zero: none
 }
 
-// Arrivals returns the requests that arrived, in order.
+// Arrivals returns the requests in order of their arrival.
 func (m *ModelWorker) Arrivals() []Arrival {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.arrivals)
 }
 
-// Total returns how many requests ran.
+// Total returns the number of runs.
 func (m *ModelWorker) Total() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -168,21 +172,21 @@
 	return n
 }
 
-// Held returns how many requests have arrived and not begun.
+// Held returns the number of requests that HoldUp delays at present.
 func (m *ModelWorker) Held() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.held
 }
 
-// Active returns how many requests are being worked on.
+// Active returns the number of requests in progress.
 func (m *ModelWorker) Active() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.active()
 }
 
-// active is Active; the lock is held.
+// active implements Active. The caller holds the lock.
 func (m *ModelWorker) active() int {
 	n := 0
 	for _, k := range m.running {
@@ -191,14 +195,14 @@
 	return n
 }
 
-// Fell reports whether an order asked for more than the worker can hold.
+// Fell reports whether an order asked for more adapters than the worker has slots.
 func (m *ModelWorker) Fell() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.fell
 }
 
-// Adapters returns the adapters that it holds.
+// Adapters returns the number of loaded adapters.
 func (m *ModelWorker) Adapters() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -206,7 +210,7 @@
 	return len(m.adapters)
 }
 
-// Entry returns the worker's entry in the store.
+// Entry returns the worker's entry for the list of upstreams in the metadata store.
 func (m *ModelWorker) Entry(service, addr, zone, state string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -221,19 +225,20 @@
 	return fmt.Sprintf(`{"service":%q,"address":%q,"zone":%q,"slots":8,"state":%q%s,"seq":1%s}`, service, addr, zone, state, cold, born)
 }
 
-// TurnCold has the worker say for a while that it is cold.
+// TurnCold makes the worker report for the duration d that it is cold.
 func (m *ModelWorker) TurnCold(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.coldTo = time.Now().Add(d)
 }
 
-// coldMS returns how much longer the worker is cold; the lock is held.
+// coldMS returns the remaining time in which the worker is cold, in ms. The caller holds
+// the lock.
 func (m *ModelWorker) coldMS() int64 {
 	return max(0, time.Until(m.coldTo).Milliseconds())
 }
 
-// settle completes the loads that are due; the lock is held.
+// settle completes the loads that have ended. The caller holds the lock.
 func (m *ModelWorker) settle() {
 	for name, at := range m.coming {
 		if !time.Now().Before(at) {
@@ -311,8 +316,9 @@
 	writeBody(w, report)
 }
 
-// runRows returns the runs as a report names them: id, tokens in memory, events made
-// and priority. Only the id is told truly. The lock is held.
+// runRows returns the runs in the format of a report: id, tokens in the KV cache, events
+// produced and priority. Only the id is real; the other values are fixed. The caller
+// holds the lock.
 func (m *ModelWorker) runRows() [][]any {
 	rows := [][]any{}
 	for id := range m.running {
@@ -321,10 +327,11 @@
 	return rows
 }
 
-// lateOrder is how much later a late order is carried out: after the keeper has
-// given up on its answer.
+// lateOrder is the delay of a late order. It ends after the keeper's timeout for the
+// response.
 const lateOrder = 200 * time.Millisecond
 
+// workerOrder is the body of an order.
 type workerOrder struct {
 	Op       string  `json:"op"`
 	Model    string  `json:"model"`
@@ -356,7 +363,7 @@
 	w.WriteHeader(m.take(o, instance))
 }
 
-// take carries an order out and returns the status of the answer.
+// take executes an order and returns the status of the response.
 func (m *ModelWorker) take(o workerOrder, instance string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Way is a direction through a relay.
+// Way is a direction of the traffic through a Relay.
 type Way int
 
 // The directions.
@@ -18,15 +18,15 @@
 	FromTarget
 )
 
-// Relay is a stretch of network between two processes: it passes connections on
-// to a target and can cut, reset, refuse, delay, silence or freeze them.
+// Relay is a TCP proxy that injects network faults between two processes. It forwards
+// connections to a target and can close, reset, refuse, delay or stall them.
 type Relay struct {
 	ln     net.Listener
 	target string
 
 	mu      sync.Mutex
 	thawed  *sync.Cond
-	frozen  [2]bool // by way
+	frozen  [2]bool // by direction
 	delay   time.Duration
 	blocked bool
 	closed  bool
@@ -34,12 +34,12 @@
 	wg      sync.WaitGroup
 }
 
-// NewRelay starts a relay on a loopback port that the kernel chooses.
+// NewRelay starts a proxy on a free loopback port.
 func NewRelay(target string) (*Relay, error) {
 	return NewRelayAt("127.0.0.1:0", target)
 }
 
-// NewRelayAt starts a relay at an address.
+// NewRelayAt starts a proxy that listens on addr.
 func NewRelayAt(addr, target string) (*Relay, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -64,21 +64,21 @@
 	return r.ln.Addr().String()
 }
 
-// Target returns the address that connections are passed on to.
+// Target returns the address to which connections are forwarded.
 func (r *Relay) Target() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.target
 }
 
-// SetTarget directs new connections to another address.
+// SetTarget changes the target of new connections.
 func (r *Relay) SetTarget(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = addr
 }
 
-// Cut ends the present connections. New ones are passed on.
+// Cut closes the open connections. New ones are forwarded.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,8 +92,8 @@
 	clear(r.conns)
 }
 
-// Block ends the present connections and refuses new ones, or allows them
-// again.
+// Block with on set closes the open connections and makes the proxy close new ones at
+// once; otherwise new connections are forwarded again.
 func (r *Relay) Block(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,7 +103,7 @@
 	}
 }
 
-// Freeze holds every byte back, as a paused host does, or lets them go.
+// Freeze stalls or resumes the traffic in both directions, as a paused host does.
 func (r *Relay) Freeze(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +111,7 @@
 	r.thawed.Broadcast()
 }
 
-// Silence holds the bytes of one way back, or lets them go.
+// Silence stalls or resumes the traffic in one direction.
 func (r *Relay) Silence(w Way, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,14 +119,14 @@
 	r.thawed.Broadcast()
 }
 
-// Delay holds every piece back for a time.
+// Delay sets the time by which each chunk of data is delayed.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Reset resets the present connections: what was not yet read is lost.
+// Reset resets the open connections with a TCP RST. Data that was not yet read is lost.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,7 +138,7 @@
 	r.cut()
 }
 
-// Close ends the relay.
+// Close closes the listener and all connections, and waits for the goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
@@ -164,7 +164,7 @@
 	}
 }
 
-// pass joins a connection with one to the target until either ends.
+// pass forwards a connection to the target until either side is closed.
 func (r *Relay) pass(c net.Conn) {
 	r.mu.Lock()
 	target := r.target
@@ -201,6 +201,7 @@
 	r.mu.Unlock()
 }
 
+// add registers connections. It returns false if the proxy is blocked or closed.
 func (r *Relay) add(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -229,6 +230,7 @@
 	}
 }
 
+// waitThawed waits while the direction is stalled, and then for the delay.
 func (r *Relay) waitThawed(w Way) {
 	r.mu.Lock()
 	for r.frozen[w] {
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -16,8 +16,8 @@
 	"wardturn/driver"
 )
 
-// Serve runs a handler on a listener until the listener is closed. The result
-// stops the server.
+// Serve serves a handler on a listener until the listener is closed or stop is called.
+// stop waits until the server has stopped.
 func Serve(ln net.Listener, h fasthttp.RequestHandler) (stop func()) {
 	s := &fasthttp.Server{
 		Handler:               h,
@@ -52,7 +52,7 @@
 	})
 }
 
-// LogHandler serves a log over HTTP.
+// LogHandler returns a handler that serves a log over HTTP.
 func LogHandler(l *Log) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		switch {
@@ -111,7 +111,7 @@
 	writeJSON(ctx, status, wire)
 }
 
-// HostsHandler serves a list of hosts over HTTP.
+// HostsHandler returns a handler that serves a host list over HTTP.
 func HostsHandler(l *HostList) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		hosts, err := l.Hosts(ctx)
@@ -139,7 +139,7 @@
 	}
 }
 
-// EngineHandler serves an engine over HTTP.
+// EngineHandler returns a handler that serves an engine over HTTP.
 func EngineHandler(e *Engine) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		switch string(ctx.Path()) {
@@ -157,6 +157,7 @@
 	}
 }
 
+// orderSlot executes an order to load or unload an adapter and waits for its result.
 func orderSlot(ctx *fasthttp.RequestCtx, do func(wardturn.SlotOrder, func(error))) {
 	var body driver.AdapterOrder
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
@@ -201,7 +202,7 @@
 	return driver.CodeUnavailable
 }
 
-// generateBody is the part of a completion request that the stand-in heeds.
+// generateBody contains the fields of a completion request that the engine uses.
 type generateBody struct {
 	Model     string `json:"model"`
 	MaxTokens int    `json:"max_tokens"`
@@ -214,13 +215,14 @@
 	bytesPerToken    = 4
 )
 
-// streamEvent is what the engine's callbacks pass to the HTTP stream.
+// streamEvent is an event that the engine's callbacks send to the HTTP response.
 type streamEvent struct {
 	token int
 	end   bool
 	err   error
 }
 
+// generate serves a completion request.
 func generate(ctx *fasthttp.RequestCtx, e *Engine) {
 	var body generateBody
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
@@ -280,14 +282,14 @@
 	a.whole(ctx, events)
 }
 
-// answer formats an answer in the shape of the OpenAI API.
+// answer formats a response as in the OpenAI API.
 type answer struct {
 	model string
 	id    string
 	chat  bool
 }
 
-// choice is one choice of a completion, streamed or whole.
+// choice is a choice of a completion or of a chunk of a streamed one.
 type choice struct {
 	Index   int      `json:"index"`
 	Text    string   `json:"text,omitempty"`
@@ -317,12 +319,11 @@
 	return " w" + strconv.Itoa(i)
 }
 
-// stream writes the events as server-sent events and reports whether the other
-// side took them all.
+// stream writes the events as server-sent events. It returns false if a write failed.
 func (a answer) stream(w *bufio.Writer, events <-chan streamEvent) bool {
 	for ev := range events {
 		if ev.err != nil {
-			return true // cut short: the end marker is missing
+			return true // the stream ends without the end marker
 		}
 		if ev.end {
 			_, _ = w.WriteString("data: [DONE]\n\n")
@@ -339,6 +340,7 @@
 	return true
 }
 
+// piece returns a chunk of a streamed completion.
 func (a answer) piece(text string) completion {
 	c := choice{
 		Text: text,
@@ -359,6 +361,7 @@
 	}
 }
 
+// whole writes the complete response after the last event.
 func (a answer) whole(ctx *fasthttp.RequestCtx, events <-chan streamEvent) {
 	text := ""
 	n := 0
--- a/standin/service.go
+++ b/standin/service.go
@@ -9,18 +9,18 @@
 	"wardturn"
 )
 
-// Service is a plain service that counts what it runs: lookups that may be
-// repeated, and actions that may not.
+// Service is a fake of a plain service. It counts the calls that it runs: lookups, which
+// may be repeated, and actions, which may not.
 type Service struct {
 	clock wardturn.Clock
 	work  time.Duration
 
 	mu   sync.Mutex
 	runs map[string]int // by body
-	hold chan struct{}  // if set, calls wait for it to close
+	hold chan struct{}  // if set, calls block until it is closed
 }
 
-// NewService returns a service whose calls take a time.
+// NewService returns a service whose calls take the duration work.
 func NewService(clock wardturn.Clock, work time.Duration) *Service {
 	return &Service{
 		clock: clock,
@@ -29,15 +29,15 @@
 	}
 }
 
-// Runs returns how often a call with this body has run.
+// Runs returns how often calls with this body ran.
 func (s *Service) Runs(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[body]
 }
 
-// Hold makes calls wait, after they have taken effect, until the result is
-// called.
+// Hold blocks calls after they have taken effect, before their response, until release
+// is called.
 func (s *Service) Hold() (release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// receipt is the answer to a call.
+// receipt is the response to a call.
 type receipt struct {
 	Path  string `json:"path"`
 	Body  string `json:"body"`
--- a/standin/store.go
+++ b/standin/store.go
@@ -7,24 +7,24 @@
 	"wardturn"
 )
 
-// StoreConfig sizes a weight store.
+// StoreConfig configures a weight store.
 type StoreConfig struct {
-	Rate     float64       // fetches a second
-	Parallel int           // fetches at full speed
-	Fetch    time.Duration // time of one fetch at full speed
-	Burst    float64       // fetches that may start at once; zero: Parallel
+	Rate     float64       // fetches per second
+	Parallel int           // concurrent fetches at full speed
+	Fetch    time.Duration // duration of a fetch at full speed
+	Burst    float64       // burst of the rate limit; zero: Parallel
 }
 
-// StoreFaults are the ways in which a store fails.
+// StoreFaults are the faults of a Store.
 type StoreFaults struct {
 	Down bool
-	Slow float64 // factor on the time of a fetch; zero: 1
-	// Fail, if set, is asked at the end of each fetch.
+	Slow float64 // factor by which fetches take longer; zero: 1
+	// Fail, if set, is called at the end of each fetch and returns its result.
 	Fail func(ref wardturn.AdapterRef) error
 }
 
-// Store is a rate-limited weight store. Fetches beyond its rate are refused at
-// once; beyond Parallel they share its speed.
+// Store is a fake of the rate-limited weight store. Fetches above its rate are refused
+// at once. More than Parallel concurrent fetches share its bandwidth.
 type Store struct {
 	clock wardturn.Clock
 	cfg   StoreConfig
@@ -32,7 +32,7 @@
 	mu      sync.Mutex
 	faults  StoreFaults
 	tokens  float64
-	at      time.Time // of tokens and of the fetches' remaining work
+	at      time.Time // time of the last update of tokens and fetches
 	fetches []*fetch
 	timer   wardturn.Timer
 	served  int
@@ -41,11 +41,11 @@
 
 type fetch struct {
 	ref  wardturn.AdapterRef
-	left float64 // seconds of work at full speed
+	left float64 // remaining seconds at full speed
 	done func(error)
 }
 
-// NewStore returns an idle store with a full burst.
+// NewStore returns an idle store with its full burst available.
 func NewStore(clock wardturn.Clock, cfg StoreConfig) *Store {
 	if cfg.Burst == 0 {
 		cfg.Burst = float64(cfg.Parallel)
@@ -58,8 +58,8 @@
 	}
 }
 
-// SetFaults replaces the store's faults. Fetches under way end with
-// ErrUnavailable when the store goes down.
+// SetFaults replaces the store's faults. When the store goes down, fetches in progress
+// end with ErrUnavailable.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	s.progress()
@@ -76,7 +76,7 @@
 	}
 }
 
-// Counts returns how many fetches were served and refused.
+// Counts returns the numbers of fetches that were served and refused.
 func (s *Store) Counts() (served, refused int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,6 +90,7 @@
 	}
 }
 
+// begin starts a fetch, or returns why it is refused.
 func (s *Store) begin(ref wardturn.AdapterRef, done func(error)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// speed is the share of full speed that each fetch has.
+// speed returns the fraction of full speed at which each fetch runs.
 func (s *Store) speed() float64 {
 	v := 1.0
 	if n := len(s.fetches); n > s.cfg.Parallel {
@@ -123,7 +124,7 @@
 	return v
 }
 
-// progress brings tokens and fetches up to the present.
+// progress updates tokens and fetches to the current time.
 func (s *Store) progress() {
 	now := s.clock.Now()
 	gap := now.Sub(s.at).Seconds()
@@ -135,7 +136,7 @@
 	}
 }
 
-// schedule sets the timer to the end of the next fetch.
+// schedule sets the timer to the end of the fetch that ends next.
 func (s *Store) schedule() {
 	if s.timer != nil {
 		s.timer.Stop()
@@ -152,6 +153,7 @@
 	s.timer = s.clock.AfterFunc(wait+time.Microsecond, s.finish)
 }
 
+// finish ends the fetches that are complete.
 func (s *Store) finish() {
 	s.mu.Lock()
 	s.progress()
