--- a/experiment/clairvoyant.go
+++ b/experiment/clairvoyant.go
@@ -9,16 +9,17 @@
 	"wardturn/standin"
 )
 
-// clairvoyant is the bound: it sees the trace ahead. It keeps the adapters that
-// are asked for soonest, and loads for whoever clears the most waiting and
-// coming requests. Like every policy it loads only for requests that have
-// arrived.
+// clairvoyant is a policy that knows the future requests of the trace. It serves as a
+// reference for the other policies. It keeps the adapters that are requested soonest and
+// loads the one that serves the most waiting and upcoming requests. Like every policy it
+// loads only for requests that have arrived.
 type clairvoyant struct {
 	policy.Default
 	clock wardturn.Clock
-	times map[wardturn.AdapterID][]time.Duration // of future requests
+	times map[wardturn.AdapterID][]time.Duration // ascending arrival times of all requests
 }
 
+// newClairvoyant returns a function that creates the policy with the clock of its run.
 func newClairvoyant(trace []Request) func(clock wardturn.Clock) wardturn.Policy {
 	times := make(map[wardturn.AdapterID][]time.Duration)
 	for _, r := range trace {
@@ -50,12 +51,14 @@
 	return v + min(clairvoyantBatch*float64(in.BatchWait), clairvoyantBatchLimit)
 }
 
+// Weights of the policy's score of a slot.
 const (
 	clairvoyantAge        = 0.05
 	clairvoyantBatch      = 0.01
 	clairvoyantBatchLimit = 0.1
 )
 
+// nextUse returns the time from now until the next request for an adapter.
 func (p *clairvoyant) nextUse(id wardturn.AdapterID, now time.Duration) (time.Duration, bool) {
 	times := p.times[id]
 	i, _ := slices.BinarySearch(times, now)
--- a/experiment/compare.go
+++ b/experiment/compare.go
@@ -14,21 +14,21 @@
 	"wardturn/policy"
 )
 
-// Candidate is one policy to compare.
+// Candidate is a policy to compare.
 type Candidate struct {
 	Name   string
-	Source string // Starlark text; empty for a built-in policy
+	Source string // Starlark program; empty for a built-in policy
 }
 
-// Quantiles summarizes times in milliseconds.
+// Quantiles are quantiles of times in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 }
 
-// StallSummary summarizes the load stalls of interactive requests in
-// milliseconds. A request that was refused counts as stalled up to its
-// deadline.
+// StallSummary summarizes the load stalls of interactive requests in milliseconds. A load
+// stall is the time that a request waits for its adapter to be loaded. A refused request
+// counts as stalled until its deadline.
 type StallSummary struct {
 	Mean  float64 `json:"mean"`
 	P50   float64 `json:"p50"`
@@ -36,13 +36,13 @@
 	Total float64 `json:"total"`
 }
 
-// ClassQuantiles holds quantiles by class.
+// ClassQuantiles contains quantiles by class.
 type ClassQuantiles struct {
 	Interactive Quantiles `json:"interactive"`
 	Batch       Quantiles `json:"batch"`
 }
 
-// Result is what one policy did with the trace.
+// Result is the result of one policy.
 type Result struct {
 	Name            string         `json:"name"`
 	LoadStall       StallSummary   `json:"load_stall_ms"`
@@ -53,7 +53,7 @@
 	Done            int            `json:"done"`
 	NotRun          int            `json:"not_run"`
 
-	// What follows is for tables and plots, not for the JSON document.
+	// The following fields are for tables and plots and not part of the JSON document.
 	Unknown     int             `json:"-"`
 	LongestWait time.Duration   `json:"-"`
 	Stalls      []time.Duration `json:"-"` // ascending
@@ -61,28 +61,29 @@
 	StallAt     []StallPoint    `json:"-"`
 }
 
-// FillPoint is the mean fill of the engines' steps during one interval.
+// FillPoint is the batch efficiency during one interval.
 type FillPoint struct {
 	At   time.Duration
 	Fill float64
 }
 
-// StallPoint is the stall of one request, by its arrival.
+// StallPoint is the stall of one request at its arrival time.
 type StallPoint struct {
 	At    time.Duration
 	Stall time.Duration
 }
 
-// Report is the document that compare prints.
+// Report is the JSON document of the command compare.
 type Report struct {
 	Policies []Result `json:"policies"`
 }
 
-// Progress is told how far a run is. It is called from several goroutines.
+// Progress is called with the progress of a run, in time of the trace. Calls come from
+// several goroutines.
 type Progress func(name string, at, of time.Duration)
 
-// Compare runs the trace once for each candidate. The runs do not influence
-// each other and may run at the same time.
+// Compare simulates the trace once for each candidate. The runs are independent and may
+// be concurrent.
 func Compare(ctx context.Context, trace []Request, setup Setup, candidates []Candidate, seed uint64, progress Progress) (Report, error) {
 	rep := Report{
 		Policies: make([]Result, len(candidates)),
@@ -102,7 +103,7 @@
 	return rep, nil
 }
 
-// Run plays the trace for one candidate.
+// Run simulates the trace for one candidate.
 func Run(trace []Request, setup Setup, c Candidate, seed uint64, progress Progress) (Result, error) {
 	mode := decide.RouteSticky
 	switch c.Name {
@@ -131,9 +132,10 @@
 	return res, nil
 }
 
+// prepare returns the simulation of a candidate.
 func prepare(trace []Request, setup Setup, mode decide.RouteMode, c Candidate, seed uint64) (*sim, error) {
 	if c.Name == policy.NameClairvoyant {
-		setup.Entries = 1 // one view of everything
+		setup.Entries = 1 // a single view of all upstreams
 		return prepareClairvoyant(trace, setup, seed), nil
 	}
 	make1 := func() (wardturn.Policy, error) {
@@ -146,13 +148,14 @@
 		return nil, errors.Wrapf(err, "policy %s", c.Name)
 	}
 	each := func() wardturn.Policy {
-		p, _ := make1() // checked above
+		p, _ := make1() // the error is checked above
 		return p
 	}
 	return newSim(trace, setup, mode, each, seed), nil
 }
 
-// prepareClairvoyant gives the bound the clock of its own run.
+// prepareClairvoyant returns a simulation of the clairvoyant policy, which needs the clock
+// of the simulation.
 func prepareClairvoyant(trace []Request, setup Setup, seed uint64) *sim {
 	bound := newClairvoyant(trace)
 	clock := &lateClock{}
@@ -163,7 +166,7 @@
 	return s
 }
 
-// lateClock is a clock that is set after its users were made.
+// lateClock is a clock that is set after the policies that use it were created.
 type lateClock struct {
 	wardturn.Clock
 }
@@ -211,7 +214,7 @@
 	return res
 }
 
-// efficiency is the mean share of an engine step's places that was used.
+// efficiency returns the mean fraction of the batch that engine steps used.
 func (s *sim) efficiency(steps, sequences int) float64 {
 	batch := s.setup.Engine.Batch
 	if s.setup.Batch > 0 {
@@ -265,12 +268,12 @@
 	return math.Round(x*scale) / scale
 }
 
-// fillMeter samples the engines' steps.
+// fillMeter samples the batch efficiency over time.
 type fillMeter struct {
 	sim       *sim
 	points    []FillPoint
-	steps     int
-	sequences int
+	steps     int // at the previous sample
+	sequences int // at the previous sample
 }
 
 func newFillMeter(s *sim) *fillMeter {
@@ -279,7 +282,7 @@
 	}
 }
 
-// fillEvery is the interval of the points of the fill plot.
+// fillEvery is the interval between samples.
 const fillEvery = 5 * time.Second
 
 func (m *fillMeter) sample(at time.Duration) {
--- a/experiment/compare_test.go
+++ b/experiment/compare_test.go
@@ -35,7 +35,7 @@
 }
 
 var _ = Describe("Compare", func() {
-	It("gives the same bytes for the same inputs", func() {
+	It("is deterministic", func() {
 		trace := zurich(15)
 		var docs [2][]byte
 		for i := range docs {
@@ -47,14 +47,14 @@
 		Expect(docs[0]).To(Equal(docs[1]))
 	})
 
-	It("ends every request of the trace once", func() {
+	It("counts exactly one outcome per request", func() {
 		trace := zurich(15)
 		for _, res := range compare(trace, experiment.DefaultSetup(), policy.NameLRU, policy.NameAffinity, policy.NameDefault, policy.NameClairvoyant).Policies {
 			Expect(res.Done+res.NotRun+res.Unknown).To(Equal(len(trace)), res.Name)
 		}
 	})
 
-	It("stalls less than the baselines", func() {
+	It("has shorter load stalls with the default policy than with the baselines", func() {
 		res := compare(zurich(12), experiment.DefaultSetup(), policy.NameDefault, policy.NameAffinity, policy.NameLRU).Policies
 		Expect(res[0].LoadStall.Mean).To(BeNumerically("<", res[1].LoadStall.Mean))
 		Expect(res[0].LoadStall.Mean).To(BeNumerically("<", res[2].LoadStall.Mean/10))
@@ -62,7 +62,7 @@
 })
 
 var _ = Describe("ReadTrace", func() {
-	It("reads what WriteTrace wrote", func() {
+	It("reads the output of WriteTrace", func() {
 		trace := zurich(5)
 		var buf bytes.Buffer
 		Expect(experiment.WriteTrace(&buf, trace)).To(Succeed())
@@ -72,7 +72,7 @@
 	})
 
 	const good = `{"at_ms":5,"caller":"c","adapter":"a","version":1,"class":"batch","prompt_tokens":1,"output_tokens":1}` + "\n"
-	DescribeTable("refuses bad lines by file and line",
+	DescribeTable("rejects invalid lines with file and line",
 		func(line, reason string) {
 			_, err := experiment.ReadTrace("t.jsonl", strings.NewReader(good+line))
 			Expect(err).To(MatchError(ContainSubstring("t.jsonl:2: ")))
--- a/experiment/node.go
+++ b/experiment/node.go
@@ -8,6 +8,7 @@
 	"wardturn/standin"
 )
 
+// admit passes a request to the agent core.
 func (n *node) admit(c *call) {
 	req := n.sim.trace[c.index]
 	w := decide.Work{
@@ -25,7 +26,7 @@
 	n.carryOut()
 }
 
-// carryOut does what the agent core ordered, and what it orders in turn.
+// carryOut executes the orders of the agent core, including those that follow from them.
 func (n *node) carryOut() {
 	out := n.orders
 	n.orders = decide.Orders{}
@@ -48,12 +49,13 @@
 	}
 }
 
+// event passes an event to the agent core and executes the resulting orders.
 func (n *node) event(f func(now time.Time, out *decide.Orders)) {
 	f(n.sim.clock.Now(), &n.orders)
 	n.carryOut()
 }
 
-// order returns an order of the agent core as the engine takes it.
+// order converts an order of the agent core to an order for the engine.
 func order(o decide.SlotOrder) wardturn.SlotOrder {
 	return wardturn.SlotOrder{
 		ID:      o.ID,
@@ -88,6 +90,7 @@
 	return decide.OrderRefused
 }
 
+// start submits a request to the engine.
 func (n *node) start(st decide.Start) {
 	c := n.calls[st.Attempt]
 	req := n.sim.trace[c.index]
@@ -131,11 +134,13 @@
 	n.sim.reply(c, outcome)
 }
 
+// tick calls the agent core periodically.
 func (n *node) tick() {
 	n.event(n.agent.Tick)
 	n.sim.clock.AfterFunc(tickEvery, n.tick)
 }
 
+// report passes the engine's report to the agent core, periodically.
 func (n *node) report() {
 	rep := n.engine.Report()
 	n.event(func(now time.Time, out *decide.Orders) {
@@ -144,6 +149,7 @@
 	n.sim.clock.AfterFunc(reportEvery, n.report)
 }
 
+// wish sends a permit request to the allocator.
 func (n *node) wish(w decide.Wish) {
 	if n.alloc == nil {
 		return
--- a/experiment/plot.go
+++ b/experiment/plot.go
@@ -21,14 +21,14 @@
 	plotWidth  = 26 * vg.Centimeter
 	plotHeight = 30 * vg.Centimeter
 	plotRows   = 3
-	// floorMS is where the logarithmic axis of stalls starts.
+	// floorMS is the minimum of the logarithmic axis of stalls.
 	floorMS = 1.0
-	// stallBucket is the interval over which the stalls in time are averaged.
+	// stallBucket is the interval over which stalls are averaged.
 	stallBucket = 10 * time.Second
 )
 
-// Plot draws the stall distribution, the stalls over time and the batch fill
-// over time of each policy into an .svg or .png file.
+// Plot draws the distribution of stalls, the mean stall over time and the batch
+// efficiency over time of each policy to an .svg or .png file.
 func Plot(file string, rep Report) error {
 	plots, err := drawAll(rep)
 	if err != nil {
@@ -120,6 +120,7 @@
 	return pts
 }
 
+// stallsOverTime returns the mean stall per stallBucket.
 func stallsOverTime(list []StallPoint) plotter.XYs {
 	sums := make(map[time.Duration]time.Duration)
 	counts := make(map[time.Duration]int)
@@ -160,6 +161,7 @@
 	return pts
 }
 
+// tile draws the plots below each other.
 func tile(plots []*plot.Plot, c draw.Canvas) {
 	t := draw.Tiles{
 		Rows:      plotRows,
--- a/experiment/profile.go
+++ b/experiment/profile.go
@@ -12,23 +12,23 @@
 	"wardturn"
 )
 
-// Profile describes the traffic of one user.
+// Profile describes the traffic of a deployment.
 type Profile struct {
 	Name       string
 	Adapters   int
-	Exponent   float64 // of the popularity: weight of rank k is k^-Exponent
-	Rate       float64 // requests a second, on average
-	BatchShare float64 // part of the requests that is batch work
+	Exponent   float64 // of the Zipf popularity of adapters: the weight of rank k is k^-Exponent
+	Rate       float64 // mean requests per second
+	BatchShare float64 // fraction of batch requests
 	Duration   time.Duration
-	ShiftAt    time.Duration // when popularity is dealt anew; zero: never
-	Day        time.Duration // length of the daily shape
-	DayDepth   float64       // how far the rate swings, as a part of it
-	Deadline   time.Duration // of interactive work; zero: none
-	Lengths    [2]Lengths    // by class
-	Callers    [2][]wardturn.CallerID
+	ShiftAt    time.Duration          // time at which the popularity ranks are reassigned; zero: never
+	Day        time.Duration          // period of the daily variation of the rate
+	DayDepth   float64                // amplitude of the daily variation, as a fraction of Rate
+	Deadline   time.Duration          // of interactive requests; zero: none
+	Lengths    [2]Lengths             // by class
+	Callers    [2][]wardturn.CallerID // by class
 }
 
-// Lengths are the medians of log-normal token counts.
+// Lengths are the medians of the log-normal distributions of token counts.
 type Lengths struct {
 	Prompt float64
 	Output float64
@@ -43,10 +43,10 @@
 	ProfileTampere = "tampere"
 )
 
-// ErrUnknownProfile is returned by NewProfile.
+// ErrUnknownProfile is wrapped by the errors of NewProfile.
 var ErrUnknownProfile = errors.New("experiment: unknown profile")
 
-// NewProfile returns the traffic of a user with its sizes of today.
+// NewProfile returns the profile with the given name, in its present size.
 func NewProfile(name string) (Profile, error) {
 	p := Profile{
 		Name:     name,
@@ -72,7 +72,7 @@
 	return p, nil
 }
 
-// Generate makes a trace. The same profile and seed give the same trace.
+// Generate generates a trace. The same profile and seed give the same trace.
 func (p Profile) Generate(seed uint64) []Request {
 	g := generator{
 		profile: p,
@@ -83,12 +83,13 @@
 	return g.run()
 }
 
+// generator generates one trace.
 type generator struct {
 	profile Profile
 	rng     *rand.Rand
 	weights []float64 // cumulative, by rank
 	byRank  []int     // adapter of each rank
-	shifted bool
+	shifted bool      // the ranks were reassigned at ShiftAt
 }
 
 // zipf returns the cumulative weights of ranks 1 to n.
@@ -102,10 +103,12 @@
 	return sums
 }
 
+// deal assigns the popularity ranks to adapters at random.
 func (g *generator) deal() {
 	g.byRank = g.rng.Perm(g.profile.Adapters)
 }
 
+// run generates the arrivals as a Poisson process of varying rate, by thinning.
 func (g *generator) run() []Request {
 	p := g.profile
 	peak := p.Rate * (1 + p.DayDepth)
@@ -127,7 +130,7 @@
 	}
 }
 
-// rateAt is the rate at a time of the trace, which starts at the day's average.
+// rateAt returns the rate at a time of the trace, which starts at the mean rate.
 func (p Profile) rateAt(at time.Duration) float64 {
 	phase := 2 * math.Pi * float64(at) / float64(p.Day)
 	return p.Rate * (1 + p.DayDepth*math.Sin(phase))
@@ -159,12 +162,14 @@
 	return wardturn.AdapterID(fmt.Sprintf("a%04d", i))
 }
 
+// pick draws an adapter by popularity.
 func (g *generator) pick() int {
 	x := g.rng.Float64() * g.weights[len(g.weights)-1]
 	rank, _ := slices.BinarySearch(g.weights, x)
 	return g.byRank[min(rank, len(g.byRank)-1)]
 }
 
+// length draws a token count.
 func (g *generator) length(median float64) wardturn.Tokens {
 	n := median * math.Exp(lengthSpread*g.rng.NormFloat64())
 	return wardturn.Tokens(max(1, math.Round(n)))
--- a/experiment/setup.go
+++ b/experiment/setup.go
@@ -7,20 +7,20 @@
 	"wardturn/standin"
 )
 
-// StoreShare names a way to share the weight store's rate between agents.
+// StoreShare is a method of sharing the rate limit of the weight store among agents.
 type StoreShare string
 
-// The ways of sharing.
+// The methods of sharing.
 const (
 	ShareStatic    StoreShare = "static"
 	ShareAdaptive  StoreShare = "adaptive"
 	ShareAllocator StoreShare = "allocator"
-	// ShareTwoAllocators has half of the agents follow another allocator, as
-	// happens while views of the hosts differ.
+	// ShareTwoAllocators lets half of the agents use a second allocator, as happens while
+	// the agents' copies of the host list differ.
 	ShareTwoAllocators StoreShare = "two-allocators"
 )
 
-// Setup is the system that a trace runs through.
+// Setup configures the simulated system.
 type Setup struct {
 	Upstreams     int
 	Slots         int
@@ -29,19 +29,19 @@
 	StoreRate     float64
 	StoreParallel int
 	LoadTime      time.Duration
-	Hop           time.Duration // of a message between two hosts
+	Hop           time.Duration // delay of a message between two hosts
 	Share         StoreShare
 	Faults        []Fault
-	NoBatch       bool // leave the trace's batch requests out
+	NoBatch       bool // omit batch requests
 	Engine        standin.EngineConfig
 	Router        decide.RouterConfig
 	Agent         decide.AgentConfig
 }
 
-// FaultKind names what goes wrong during an experiment.
+// FaultKind is the kind of a fault that is injected.
 type FaultKind string
 
-// The faults.
+// The kinds of faults.
 const (
 	FaultStoreDown FaultKind = "store-down"
 	FaultStoreSlow FaultKind = "store-slow"
@@ -49,17 +49,17 @@
 	FaultRestart   FaultKind = "engine-restart"
 )
 
-// Fault happens at a time and, but for a restart, ends after another.
+// Fault is a fault that starts at a time and lasts for another. A restart has no end.
 type Fault struct {
 	Kind FaultKind
 	At   time.Duration
 	For  time.Duration
-	// Factor is how much slower a slow store is, the part of loads that fail,
-	// or the part of the engines that restart.
+	// Factor is the slowdown of a slow store, the fraction of loads that fail, or the
+	// fraction of engines that restart.
 	Factor float64
 }
 
-// DefaultSetup returns Zurich's system of today.
+// DefaultSetup returns a system of the size of the present deployment in Zurich.
 func DefaultSetup() Setup {
 	return Setup{
 		Upstreams:     18,
--- a/experiment/sim.go
+++ b/experiment/sim.go
@@ -13,13 +13,13 @@
 const (
 	tickEvery   = 50 * time.Millisecond
 	reportEvery = 500 * time.Millisecond
-	// drainLimit bounds the virtual time after the last arrival.
+	// drainLimit bounds the virtual time that is simulated after the last arrival.
 	drainLimit = 4 * time.Hour
-	// entryTries bounds the upstreams that an entry tries for one request.
+	// entryTries bounds the number of upstreams that an entry tries per request.
 	entryTries = 3
 )
 
-// sim runs one trace through one system with one policy.
+// sim simulates one system that serves one trace with one policy.
 type sim struct {
 	setup      Setup
 	clock      *standin.Clock
@@ -29,29 +29,29 @@
 	entries    []*entry
 	allocators []*allocator
 	trace      []Request
-	next       int
-	open       int
+	next       int // index of the next arrival in trace
+	open       int // requests that have not ended
 	samples    []sample
 	onSecond   func(now time.Duration)
 }
 
-// sample is what became of one request.
+// sample is the result of one request.
 type sample struct {
 	class   wardturn.Class
-	at      time.Duration
-	stall   time.Duration
-	ttft    time.Duration
-	wait    time.Duration // until it started to run
+	at      time.Duration // arrival
+	stall   time.Duration // wait for the adapter's load
+	ttft    time.Duration // time to first token
+	wait    time.Duration // from arrival until the start of the run
 	outcome wardturn.Outcome
 	ended   bool
 }
 
-// entry is one entry host: a router with its own view.
+// entry is an entry host: a router with its own view of the upstreams.
 type entry struct {
 	router *decide.Router
 }
 
-// node is one upstream with its agent.
+// node is an upstream with its agent.
 type node struct {
 	sim    *sim
 	host   wardturn.Host
@@ -62,7 +62,7 @@
 	calls  map[wardturn.AttemptID]*call
 }
 
-// call is one attempt under way.
+// call is a request in progress.
 type call struct {
 	id     wardturn.AttemptID
 	index  int // in the trace
@@ -72,7 +72,7 @@
 	sentAt time.Duration
 }
 
-// allocator is an allocator with the timer that its next permit needs.
+// allocator is an allocator core with the timer for its next permit.
 type allocator struct {
 	sim   *sim
 	core  *decide.Allocator
@@ -185,7 +185,7 @@
 	}
 }
 
-// run plays the trace to its end.
+// run simulates the whole trace. It stops when all requests have ended or after drainLimit.
 func (s *sim) run() {
 	s.open = len(s.trace)
 	s.scheduleArrival()
@@ -199,6 +199,7 @@
 	}
 }
 
+// elapsed returns the time since the start of the trace.
 func (s *sim) elapsed() time.Duration {
 	return s.clock.Now().Sub(standin.Epoch)
 }
@@ -215,6 +216,7 @@
 	})
 }
 
+// arrive processes the arrival of request i of the trace.
 func (s *sim) arrive(i int) {
 	req := s.trace[i]
 	class, _ := wardturn.ParseClass(req.Class)
@@ -238,6 +240,7 @@
 	s.send(c)
 }
 
+// send routes a request and sends it to the upstream.
 func (s *sim) send(c *call) {
 	req := s.trace[c.index]
 	id, ok := c.entry.router.Pick(s.clock.Now(), decide.Ask{
@@ -265,7 +268,7 @@
 	panic("experiment: router chose an unknown upstream")
 }
 
-// reply brings an outcome and a hint back to the entry.
+// reply sends an outcome and a hint back to the entry, which may retry the request.
 func (s *sim) reply(c *call, outcome wardturn.Outcome) {
 	hint := c.node.agent.Hint()
 	s.clock.AfterFunc(s.setup.Hop, func() {
@@ -286,12 +289,12 @@
 	sm.ended = true
 	s.open--
 	if outcome.Kind == wardturn.NotRun {
-		// A refusal counts as a stall up to the deadline.
+		// A refused request counts as stalled until its deadline.
 		sm.stall = time.Duration(s.trace[c.index].DeadlineMS) * time.Millisecond
 	}
 }
 
-// send passes grants to their agents and sets the timer for the next permit.
+// send sends grants to their agents and sets the timer for the next permit.
 func (l *allocator) send(grants []decide.Grant) {
 	for _, g := range grants {
 		n := l.sim.node(g.Upstream)
@@ -326,6 +329,7 @@
 	}
 }
 
+// begin injects a fault.
 func (s *sim) begin(f Fault) {
 	switch f.Kind {
 	case FaultStoreDown:
--- a/experiment/trace.go
+++ b/experiment/trace.go
@@ -13,7 +13,7 @@
 	"wardturn"
 )
 
-// Request is one line of a trace.
+// Request is a request of a trace, encoded as one line of JSON.
 type Request struct {
 	AtMS         int64              `json:"at_ms"` // since the start of the trace
 	Caller       wardturn.CallerID  `json:"caller"`
@@ -22,15 +22,15 @@
 	Class        string             `json:"class"` // interactive or batch
 	PromptTokens wardturn.Tokens    `json:"prompt_tokens"`
 	OutputTokens wardturn.Tokens    `json:"output_tokens"`
-	DeadlineMS   int64              `json:"deadline_ms,omitempty"` // after its arrival
+	DeadlineMS   int64              `json:"deadline_ms,omitempty"` // after the arrival; zero: none
 }
 
-// At returns the request's arrival, measured from the start of the trace.
+// At returns the arrival time, since the start of the trace.
 func (r Request) At() time.Duration {
 	return time.Duration(r.AtMS) * time.Millisecond
 }
 
-// Ref returns the adapter version that the request asks for.
+// Ref returns the requested adapter version.
 func (r Request) Ref() wardturn.AdapterRef {
 	return wardturn.AdapterRef{
 		Adapter: r.Adapter,
@@ -38,17 +38,17 @@
 	}
 }
 
-// Limits of a trace's values: beyond them a line is taken to be an error.
+// Limits of the values of a trace. ReadTrace rejects lines that exceed them.
 const (
 	maxTraceLine   = 64 << 10
 	maxTraceTokens = 1 << 20
 )
 
-// ErrBadTrace is wrapped by the errors of ReadTrace; their text names the file
-// and the line.
+// ErrBadTrace is wrapped by the errors of ReadTrace, whose messages contain the file and
+// the line.
 var ErrBadTrace = errors.New("experiment: bad trace")
 
-// ReadTrace reads a trace and checks each line.
+// ReadTrace reads a trace and validates it. file is the name for error messages.
 func ReadTrace(file string, r io.Reader) ([]Request, error) {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(make([]byte, 0, maxTraceLine), maxTraceLine)
@@ -78,6 +78,7 @@
 	return trace, nil
 }
 
+// parseLine decodes a line. reason is empty if the line is valid.
 func parseLine(text []byte) (req Request, reason string) {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.DisallowUnknownFields()
@@ -90,6 +91,7 @@
 	return req, req.problem()
 }
 
+// problem returns why a request is invalid, or an empty string.
 func (r Request) problem() string {
 	switch {
 	case r.AtMS < 0:
--- a/scenario/doc.go
+++ b/scenario/doc.go
@@ -1,7 +1,7 @@
-// Package scenario holds scripted scenarios: a system is started, faults happen,
-// callers call, and what became of their requests is checked.
+// Package scenario contains scripted end-to-end tests. Each one starts a system, injects
+// faults, sends requests and checks their results.
 //
-// Each file below testdata is one scenario in the script language of testscript
-// with the commands that its test adds. They can be read as documentation of
-// what wardturn does when things fail.
+// Each file in testdata is one scenario in the script language of testscript, extended
+// by the commands of the test. The scenarios also document the behaviour of wardturn
+// under faults.
 package scenario
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -23,17 +23,17 @@
 )
 
 const (
-	speed = 10 // of the scenarios' clock, unless a scenario names another
-	// patience bounds how long a scenario waits for something that must come.
-	// It decides nothing but when a broken run is given up.
+	speed = 10 // of the clock, unless a scenario sets another
+	// patience bounds the wait for a condition that must become true. It only determines
+	// when a failed scenario is aborted.
 	patience = 30 * time.Second
 	poll     = 2 * time.Millisecond
-	// connectLimit is in the machine's time. The entry's default is 0.05 s at the
-	// scenarios' speed, which the first connection does not always keep beside load. It
-	// is under the deadline of requests, for scenario blocked.
+	// connectLimit is in real time. The entry's default is 0.05 s of real time at the
+	// scenarios' speed, and the first connection may take longer on a loaded machine. It
+	// has to be less than the deadline of requests, for the scenario blocked.
 	connectLimit = 2 * time.Second
-	// grace is in the machine's time, in which an agent's word on a request past its
-	// deadline arrives. The entry's default is 0.05 s at the scenarios' speed.
+	// grace is the real time that an agent's result may take after the deadline of a
+	// request. The entry's default is 0.05 s of real time at the scenarios' speed.
 	grace = 500 * time.Millisecond
 )
 
@@ -84,7 +84,7 @@
 	wg      sync.WaitGroup
 }
 
-// reply is what a caller got.
+// reply is the response to a call, as far as it was received.
 type reply struct {
 	mu     sync.Mutex
 	body   strings.Builder
@@ -94,6 +94,7 @@
 	done   chan struct{}
 }
 
+// command adapts a command that has no negation.
 func command(f func(*testscript.TestScript, *world, []string)) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		if neg {
@@ -113,7 +114,7 @@
 	w.wg.Wait()
 }
 
-// options reads key=value arguments.
+// options splits arguments into key=value options and the rest.
 func options(args []string) (map[string]string, []string) {
 	opts := make(map[string]string)
 	var rest []string
@@ -127,6 +128,7 @@
 	return opts, rest
 }
 
+// number returns an option as a number, or def if it is missing.
 func number(opts map[string]string, name string, def int) int {
 	n, err := strconv.Atoi(opts[name])
 	if err != nil {
@@ -135,21 +137,21 @@
 	return n
 }
 
-// until polls until a condition holds.
+// until polls until a condition is true, for patience at most.
 func until(ts *testscript.TestScript, what string, holds func() bool) {
 	end := time.Now().Add(patience)
 	for !holds() {
 		if time.Now().After(end) {
-			ts.Fatalf("did not come: %s", what)
+			ts.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(poll)
 	}
 }
 
-// system engines=N services=N entries=N adapters=N slots=N speed=N
+// system engines=N services=N entries=N adapters=N slots=N speed=N: starts a system.
 //
-// A speed below that of the other scenarios gives the daemons' own limits, as the one
-// on a claim's way to the log, more of the machine's time.
+// With a lower speed than the default, the timeouts of the daemons, such as that of
+// appending a claim to the log, are longer in real time.
 func startSystem(ts *testscript.TestScript, w *world, args []string) {
 	opts, _ := options(args)
 	pace := number(opts, "speed", speed)
@@ -208,7 +210,7 @@
 	w.start(rest[0], req)
 }
 
-// vanish ADAPTER tokens=N: a caller asks for a stream, reads its start and goes away.
+// vanish ADAPTER tokens=N: requests a stream, reads its first byte and disconnects.
 func vanish(ts *testscript.TestScript, w *world, args []string) {
 	opts, rest := options(args)
 	c, err := net.Dial("tcp", w.sys.Addrs()[0])
@@ -310,7 +312,7 @@
 	}
 }
 
-// running NAME: waits for the first bytes of an answer, which must not be a refusal.
+// running NAME: waits for the first bytes of a response, which must not be a refusal.
 func waitRunning(ts *testscript.TestScript, w *world, args []string) {
 	r := w.reply(ts, args[0])
 	until(ts, "first bytes of "+args[0], func() bool { return r.text() != "" })
@@ -329,7 +331,7 @@
 	}
 	check := func(name, got string) {
 		if want, ok := opts[name]; ok && want != got {
-			ts.Fatalf("%s: %s is %q, want %q; answer: %s", rest[0], name, got, want, r.text())
+			ts.Fatalf("%s: %s is %q, want %q; response: %s", rest[0], name, got, want, r.text())
 		}
 	}
 	check("status", strconv.Itoa(r.status))
@@ -341,13 +343,13 @@
 		re, err := url.QueryUnescape(re)
 		ts.Check(err)
 		if !regexp.MustCompile(re).MatchString(r.text()) {
-			ts.Fatalf("%s: answer %q does not match %q", rest[0], r.text(), re)
+			ts.Fatalf("%s: response %q does not match %q", rest[0], r.text(), re)
 		}
 	}
 }
 
-// wholeTokens counts the tokens of a stream, and is -1 unless they come once, in
-// order, and with the end marker.
+// wholeTokens returns the number of tokens of a stream, or -1 unless each token occurs
+// once, in order, and the end marker follows.
 func wholeTokens(body string) int {
 	n := 0
 	for _, m := range regexp.MustCompile(`"text":" w(\d+)"`).FindAllStringSubmatch(body, -1) {
@@ -362,7 +364,7 @@
 	return n
 }
 
-// runs BODY N: how often the services ran a call with this body.
+// runs BODY N: checks how often the services ran a call with this body.
 func expectRuns(ts *testscript.TestScript, w *world, args []string) {
 	n := 0
 	for _, u := range w.sys.Upstreams {
@@ -375,7 +377,7 @@
 	}
 }
 
-// charged BODY: waits until some service has run a call with this body.
+// charged BODY: waits until any service has run a call with this body.
 func waitRuns(ts *testscript.TestScript, w *world, args []string) {
 	until(ts, "run of "+args[0], func() bool {
 		for _, u := range w.sys.Upstreams {
@@ -460,7 +462,7 @@
 	}
 }
 
-// publish KEY FILE [entry=N]: an operator publishes a document.
+// publish KEY FILE [entry=N]: publishes a document as an operator.
 func publishDoc(ts *testscript.TestScript, w *world, args []string) {
 	opts, rest := options(args)
 	base := "http://" + w.sys.Addrs()[number(opts, "entry", 0)] + entry.PathDocs + "/" + rest[0]
@@ -483,14 +485,14 @@
 	}
 }
 
-// policy UPSTREAM NAME: waits until a policy is in force at an agent.
+// policy UPSTREAM NAME: waits until an agent uses a policy.
 func waitPolicy(ts *testscript.TestScript, w *world, args []string) {
 	until(ts, "policy "+args[1], func() bool {
 		return w.upstream(ts, args[0]).Agent.Status().Policy == args[1]
 	})
 }
 
-// knows UPSTREAM: waits until an agent has the configuration of the first entry.
+// knows UPSTREAM: waits until an agent has applied the configuration of the first entry.
 func waitConfig(ts *testscript.TestScript, w *world, args []string) {
 	newest := w.sys.Entries[0].Replica().Applied()
 	until(ts, "configuration at "+args[0], func() bool {
@@ -518,7 +520,7 @@
 	}
 }
 
-// hold on|off: services keep their answers back, after they ran.
+// hold on|off: blocks the responses of the services after their calls have run.
 func holdService(ts *testscript.TestScript, w *world, args []string) {
 	if args[0] == "off" {
 		w.release()
@@ -538,7 +540,8 @@
 	}
 }
 
-// ready UPSTREAM running=N | queued=N | leaving=true
+// ready UPSTREAM running=N | queued=N | leaving=true: waits until the status of an agent
+// has the given values.
 func waitSlots(ts *testscript.TestScript, w *world, args []string) {
 	opts, rest := options(args)
 	a := func() agent.Status { return w.upstream(ts, rest[0]).Agent.Status() }
@@ -552,6 +555,7 @@
 	})
 }
 
+// matches reports whether an option is missing or equal to got.
 func matches(opts map[string]string, name string, got int) bool {
 	want, ok := opts[name]
 	return !ok || want == strconv.Itoa(got)
