--- a/experiment/clairvoyant.go
+++ b/experiment/clairvoyant.go
@@ -15,20 +15,20 @@
 // loads only for requests that have arrived.
 type clairvoyant struct {
 	policy.Default
-	clock wardturn.Clock
-	times map[wardturn.AdapterID][]time.Duration // ascending arrival times of all requests
+	clock    wardturn.Clock
+	arrivals map[wardturn.AdapterID][]time.Duration // ascending arrival times of all requests
 }
 
 // newClairvoyant returns a function that creates the policy with the clock of its run.
 func newClairvoyant(trace []Request) func(clock wardturn.Clock) wardturn.Policy {
-	times := make(map[wardturn.AdapterID][]time.Duration)
+	arrivals := make(map[wardturn.AdapterID][]time.Duration)
 	for _, r := range trace {
-		times[r.Adapter] = append(times[r.Adapter], r.At())
+		arrivals[r.Adapter] = append(arrivals[r.Adapter], r.At())
 	}
 	return func(clock wardturn.Clock) wardturn.Policy {
 		return &clairvoyant{
-			clock: clock,
-			times: times,
+			clock:    clock,
+			arrivals: arrivals,
 		}
 	}
 }
@@ -42,28 +42,28 @@
 func (p *clairvoyant) Slot(in wardturn.SlotInput) float64 {
 	now := p.clock.Now().Sub(standin.Epoch)
 	v := 0.0
-	if gap, ok := p.nextUse(in.Adapter, now); ok {
-		v = 1 / (1 + gap.Seconds())
+	if wait, ok := p.nextUse(in.Adapter, now); ok {
+		v = 1 / (1 + wait.Seconds())
 	}
 	if in.Waiting > 0 {
-		v += float64(in.Waiting) + clairvoyantAge*in.WaitingLong.Seconds()
+		v += float64(in.Waiting) + clairvoyantAgeWeight*in.WaitingLong.Seconds()
 	}
-	return v + min(clairvoyantBatch*float64(in.BatchWait), clairvoyantBatchLimit)
+	return v + min(clairvoyantBatchWeight*float64(in.BatchWait), clairvoyantBatchLimit)
 }
 
 // Weights of the policy's score of a slot.
 const (
-	clairvoyantAge        = 0.05
-	clairvoyantBatch      = 0.01
-	clairvoyantBatchLimit = 0.1
+	clairvoyantAgeWeight   = 0.05
+	clairvoyantBatchWeight = 0.01
+	clairvoyantBatchLimit  = 0.1
 )
 
 // nextUse returns the time from now until the next request for an adapter.
 func (p *clairvoyant) nextUse(id wardturn.AdapterID, now time.Duration) (time.Duration, bool) {
-	times := p.times[id]
-	i, _ := slices.BinarySearch(times, now)
-	if i == len(times) {
+	arrivals := p.arrivals[id]
+	i, _ := slices.BinarySearch(arrivals, now)
+	if i == len(arrivals) {
 		return 0, false
 	}
-	return times[i] - now, true
+	return arrivals[i] - now, true
 }
--- a/experiment/compare.go
+++ b/experiment/compare.go
@@ -114,11 +114,11 @@
 		mode = decide.RouteAffinity
 		setup.Agent.AdmitAll = true
 	}
-	s, err := prepare(trace, setup, mode, c, seed)
+	s, err := newCandidateSim(trace, setup, mode, c, seed)
 	if err != nil {
 		return Result{}, err
 	}
-	meter := newFillMeter(s)
+	meter := newEfficiencyMeter(s)
 	last := trace[len(trace)-1].At()
 	s.onSecond = func(at time.Duration) {
 		meter.sample(at)
@@ -132,42 +132,42 @@
 	return res, nil
 }
 
-// prepare returns the simulation of a candidate.
-func prepare(trace []Request, setup Setup, mode decide.RouteMode, c Candidate, seed uint64) (*sim, error) {
+// newCandidateSim returns the simulation of a candidate.
+func newCandidateSim(trace []Request, setup Setup, mode decide.RouteMode, c Candidate, seed uint64) (*sim, error) {
 	if c.Name == policy.NameClairvoyant {
 		setup.Entries = 1 // a single view of all upstreams
-		return prepareClairvoyant(trace, setup, seed), nil
+		return newClairvoyantSim(trace, setup, seed), nil
 	}
-	make1 := func() (wardturn.Policy, error) {
+	newPolicy := func() (wardturn.Policy, error) {
 		if c.Source != "" {
 			return policy.Compile(c.Name, c.Source)
 		}
 		return policy.Builtin(c.Name)
 	}
-	if _, err := make1(); err != nil {
+	if _, err := newPolicy(); err != nil {
 		return nil, errors.Wrapf(err, "policy %s", c.Name)
 	}
-	each := func() wardturn.Policy {
-		p, _ := make1() // the error is checked above
+	mustNewPolicy := func() wardturn.Policy {
+		p, _ := newPolicy() // the error is checked above
 		return p
 	}
-	return newSim(trace, setup, mode, each, seed), nil
+	return newSim(trace, setup, mode, mustNewPolicy, seed), nil
 }
 
-// prepareClairvoyant returns a simulation of the clairvoyant policy, which needs the clock
+// newClairvoyantSim returns a simulation of the clairvoyant policy, which needs the clock
 // of the simulation.
-func prepareClairvoyant(trace []Request, setup Setup, seed uint64) *sim {
-	bound := newClairvoyant(trace)
-	clock := &lateClock{}
+func newClairvoyantSim(trace []Request, setup Setup, seed uint64) *sim {
+	newPolicy := newClairvoyant(trace)
+	clock := &deferredClock{}
 	s := newSim(trace, setup, decide.RouteSticky, func() wardturn.Policy {
-		return bound(clock)
+		return newPolicy(clock)
 	}, seed)
 	clock.Clock = s.clock
 	return s
 }
 
-// lateClock is a clock that is set after the policies that use it were created.
-type lateClock struct {
+// deferredClock is a clock that is set after the policies that use it were created.
+type deferredClock struct {
 	wardturn.Clock
 }
 
@@ -190,7 +190,7 @@
 		if sm.class == wardturn.Interactive && sm.ended {
 			res.Stalls = append(res.Stalls, sm.stall)
 			res.StallAt = append(res.StallAt, StallPoint{
-				At:    sm.at,
+				At:    sm.arrival,
 				Stall: sm.stall,
 			})
 		}
@@ -268,25 +268,25 @@
 	return math.Round(x*scale) / scale
 }
 
-// fillMeter samples the batch efficiency over time.
-type fillMeter struct {
+// efficiencyMeter samples the batch efficiency over time.
+type efficiencyMeter struct {
 	sim       *sim
 	points    []FillPoint
 	steps     int // at the previous sample
 	sequences int // at the previous sample
 }
 
-func newFillMeter(s *sim) *fillMeter {
-	return &fillMeter{
+func newEfficiencyMeter(s *sim) *efficiencyMeter {
+	return &efficiencyMeter{
 		sim: s,
 	}
 }
 
-// fillEvery is the interval between samples.
-const fillEvery = 5 * time.Second
+// efficiencyInterval is the interval between samples.
+const efficiencyInterval = 5 * time.Second
 
-func (m *fillMeter) sample(at time.Duration) {
-	if at%fillEvery != 0 {
+func (m *efficiencyMeter) sample(at time.Duration) {
+	if at%efficiencyInterval != 0 {
 		return
 	}
 	steps, sequences := 0, 0
--- a/experiment/node.go
+++ b/experiment/node.go
@@ -23,11 +23,12 @@
 	}
 	n.calls[c.id] = c
 	n.agent.Admit(n.sim.clock.Now(), w, &n.orders)
-	n.carryOut()
+	n.executeOrders()
 }
 
-// carryOut executes the orders of the agent core, including those that follow from them.
-func (n *node) carryOut() {
+// executeOrders executes the orders of the agent core, including those that follow from
+// them.
+func (n *node) executeOrders() {
 	out := n.orders
 	n.orders = decide.Orders{}
 	for _, r := range out.Refuse {
@@ -45,18 +46,18 @@
 		n.start(st)
 	}
 	for _, w := range out.Wish {
-		n.wish(w)
+		n.requestPermit(w)
 	}
 }
 
-// event passes an event to the agent core and executes the resulting orders.
-func (n *node) event(f func(now time.Time, out *decide.Orders)) {
+// handleEvent passes an event to the agent core and executes the resulting orders.
+func (n *node) handleEvent(f func(now time.Time, out *decide.Orders)) {
 	f(n.sim.clock.Now(), &n.orders)
-	n.carryOut()
+	n.executeOrders()
 }
 
-// order converts an order of the agent core to an order for the engine.
-func order(o decide.SlotOrder) wardturn.SlotOrder {
+// engineOrder converts an order of the agent core to an order for the engine.
+func engineOrder(o decide.SlotOrder) wardturn.SlotOrder {
 	return wardturn.SlotOrder{
 		ID:      o.ID,
 		Fence:   1,
@@ -65,16 +66,16 @@
 }
 
 func (n *node) load(o decide.SlotOrder) {
-	n.engine.Load(order(o), func(err error) {
-		n.event(func(now time.Time, out *decide.Orders) {
+	n.engine.Load(engineOrder(o), func(err error) {
+		n.handleEvent(func(now time.Time, out *decide.Orders) {
 			n.agent.Loaded(now, o.ID, orderResult(err), out)
 		})
 	})
 }
 
 func (n *node) unload(o decide.SlotOrder) {
-	n.engine.Unload(order(o), func(err error) {
-		n.event(func(now time.Time, out *decide.Orders) {
+	n.engine.Unload(engineOrder(o), func(err error) {
+		n.handleEvent(func(now time.Time, out *decide.Orders) {
 			n.agent.Unloaded(now, o.ID, orderResult(err), out)
 		})
 	})
@@ -116,7 +117,7 @@
 		},
 	}
 	if err := n.engine.Submit(gen); err != nil {
-		n.event(func(now time.Time, out *decide.Orders) {
+		n.handleEvent(func(now time.Time, out *decide.Orders) {
 			n.agent.NotLoaded(now, c.id, out)
 		})
 	}
@@ -124,7 +125,7 @@
 
 func (n *node) finish(c *call, err error) {
 	delete(n.calls, c.id)
-	n.event(func(now time.Time, out *decide.Orders) {
+	n.handleEvent(func(now time.Time, out *decide.Orders) {
 		n.agent.Finished(now, c.id, out)
 	})
 	outcome := wardturn.Finished()
@@ -136,21 +137,21 @@
 
 // tick calls the agent core periodically.
 func (n *node) tick() {
-	n.event(n.agent.Tick)
-	n.sim.clock.AfterFunc(tickEvery, n.tick)
+	n.handleEvent(n.agent.Tick)
+	n.sim.clock.AfterFunc(tickInterval, n.tick)
 }
 
 // report passes the engine's report to the agent core, periodically.
 func (n *node) report() {
 	rep := n.engine.Report()
-	n.event(func(now time.Time, out *decide.Orders) {
+	n.handleEvent(func(now time.Time, out *decide.Orders) {
 		n.agent.Report(now, rep, out)
 	})
-	n.sim.clock.AfterFunc(reportEvery, n.report)
+	n.sim.clock.AfterFunc(reportInterval, n.report)
 }
 
-// wish sends a permit request to the allocator.
-func (n *node) wish(w decide.Wish) {
+// requestPermit sends a permit request to the allocator.
+func (n *node) requestPermit(w decide.Wish) {
 	if n.alloc == nil {
 		return
 	}
--- a/experiment/plot.go
+++ b/experiment/plot.go
@@ -21,8 +21,8 @@
 	plotWidth  = 26 * vg.Centimeter
 	plotHeight = 30 * vg.Centimeter
 	plotRows   = 3
-	// floorMS is the minimum of the logarithmic axis of stalls.
-	floorMS = 1.0
+	// minStallMS is the minimum of the logarithmic axis of stalls.
+	minStallMS = 1.0
 	// stallBucket is the interval over which stalls are averaged.
 	stallBucket = 10 * time.Second
 )
@@ -42,11 +42,11 @@
 	switch filepath.Ext(file) {
 	case ".svg":
 		c := vgsvg.New(plotWidth, plotHeight)
-		tile(plots, draw.New(c))
+		drawTiles(plots, draw.New(c))
 		_, err = c.WriteTo(f)
 	case ".png":
 		c := vgimg.New(plotWidth, plotHeight)
-		tile(plots, draw.New(c))
+		drawTiles(plots, draw.New(c))
 		_, err = vgimg.PngCanvas{Canvas: c}.WriteTo(f)
 	default:
 		return errors.Newf("plot: %s is neither .svg nor .png", file)
@@ -58,26 +58,26 @@
 	stalls := newPlot("Interactive load stalls: part of requests at or below", "stall, ms", "part of requests")
 	stalls.X.Scale = plot.LogScale{}
 	stalls.X.Tick.Marker = plot.LogTicks{Prec: -1}
-	over := newPlot("Mean interactive load stall", "time, s", "stall, s")
-	fill := newPlot("Batch efficiency", "time, s", "part of step used")
+	meanStalls := newPlot("Mean interactive load stall", "time, s", "stall, s")
+	efficiency := newPlot("Batch efficiency", "time, s", "part of step used")
 	for i, r := range rep.Policies {
 		col := plotutil.Color(i)
 		if err := addLine(stalls, r.Name, col, distribution(r.Stalls)); err != nil {
 			return nil, err
 		}
-		if err := addLine(over, r.Name, col, stallsOverTime(r.StallAt)); err != nil {
+		if err := addLine(meanStalls, r.Name, col, stallsOverTime(r.StallAt)); err != nil {
 			return nil, err
 		}
-		if err := addLine(fill, r.Name, col, fillOverTime(r.Fill)); err != nil {
+		if err := addLine(efficiency, r.Name, col, efficiencyOverTime(r.Fill)); err != nil {
 			return nil, err
 		}
 	}
-	fill.Y.Min = 0
-	over.Y.Min = 0
+	efficiency.Y.Min = 0
+	meanStalls.Y.Min = 0
 	stalls.Y.Min = 0
 	stalls.Legend.Left = false
 	stalls.Legend.Top = false
-	return []*plot.Plot{stalls, over, fill}, nil
+	return []*plot.Plot{stalls, meanStalls, efficiency}, nil
 }
 
 func newPlot(title, x, y string) *plot.Plot {
@@ -113,7 +113,7 @@
 	for i := 1; i <= points && len(sorted) > 0; i++ {
 		q := float64(i) / points
 		pts = append(pts, plotter.XY{
-			X: max(floorMS, millis(quantile(sorted, q))),
+			X: max(minStallMS, millis(quantile(sorted, q))),
 			Y: q,
 		})
 	}
@@ -136,11 +136,11 @@
 			Y: sum.Seconds() / float64(counts[at]),
 		})
 	}
-	slices.SortFunc(pts, byX)
+	slices.SortFunc(pts, compareX)
 	return pts
 }
 
-func byX(a, b plotter.XY) int {
+func compareX(a, b plotter.XY) int {
 	switch {
 	case a.X < b.X:
 		return -1
@@ -150,7 +150,7 @@
 	return 0
 }
 
-func fillOverTime(list []FillPoint) plotter.XYs {
+func efficiencyOverTime(list []FillPoint) plotter.XYs {
 	pts := make(plotter.XYs, 0, len(list))
 	for _, p := range list {
 		pts = append(pts, plotter.XY{
@@ -161,8 +161,8 @@
 	return pts
 }
 
-// tile draws the plots below each other.
-func tile(plots []*plot.Plot, c draw.Canvas) {
+// drawTiles draws the plots below each other.
+func drawTiles(plots []*plot.Plot, c draw.Canvas) {
 	t := draw.Tiles{
 		Rows:      plotRows,
 		Cols:      1,
--- a/experiment/profile.go
+++ b/experiment/profile.go
@@ -34,8 +34,8 @@
 	Output float64
 }
 
-// lengthSpread is the standard deviation of the logarithm of token counts.
-const lengthSpread = 0.5
+// tokenCountSigma is the standard deviation of the logarithm of token counts.
+const tokenCountSigma = 0.5
 
 // The names of the profiles.
 const (
@@ -79,7 +79,7 @@
 		rng:     rand.New(rand.NewPCG(seed, 0x77617264)),
 		weights: zipf(p.Adapters, p.Exponent),
 	}
-	g.deal()
+	g.assignRanks()
 	return g.run()
 }
 
@@ -103,8 +103,8 @@
 	return sums
 }
 
-// deal assigns the popularity ranks to adapters at random.
-func (g *generator) deal() {
+// assignRanks assigns the popularity ranks to adapters at random.
+func (g *generator) assignRanks() {
 	g.byRank = g.rng.Perm(g.profile.Adapters)
 }
 
@@ -124,7 +124,7 @@
 		}
 		if p.ShiftAt > 0 && at >= p.ShiftAt && !g.shifted {
 			g.shifted = true
-			g.deal()
+			g.assignRanks()
 		}
 		trace = append(trace, g.request(at))
 	}
@@ -146,11 +146,11 @@
 	r := Request{
 		AtMS:         at.Milliseconds(),
 		Caller:       callers[g.rng.IntN(len(callers))],
-		Adapter:      adapterName(g.pick()),
+		Adapter:      adapterName(g.pickAdapter()),
 		Version:      1,
 		Class:        class.String(),
-		PromptTokens: g.length(lengths.Prompt),
-		OutputTokens: g.length(lengths.Output),
+		PromptTokens: g.tokenCount(lengths.Prompt),
+		OutputTokens: g.tokenCount(lengths.Output),
 	}
 	if class == wardturn.Interactive {
 		r.DeadlineMS = g.profile.Deadline.Milliseconds()
@@ -162,15 +162,15 @@
 	return wardturn.AdapterID(fmt.Sprintf("a%04d", i))
 }
 
-// pick draws an adapter by popularity.
-func (g *generator) pick() int {
+// pickAdapter draws an adapter by popularity.
+func (g *generator) pickAdapter() int {
 	x := g.rng.Float64() * g.weights[len(g.weights)-1]
 	rank, _ := slices.BinarySearch(g.weights, x)
 	return g.byRank[min(rank, len(g.byRank)-1)]
 }
 
-// length draws a token count.
-func (g *generator) length(median float64) wardturn.Tokens {
-	n := median * math.Exp(lengthSpread*g.rng.NormFloat64())
+// tokenCount draws a token count from a log-normal distribution.
+func (g *generator) tokenCount(median float64) wardturn.Tokens {
+	n := median * math.Exp(tokenCountSigma*g.rng.NormFloat64())
 	return wardturn.Tokens(max(1, math.Round(n)))
 }
--- a/experiment/sim.go
+++ b/experiment/sim.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	tickEvery   = 50 * time.Millisecond
-	reportEvery = 500 * time.Millisecond
+	tickInterval   = 50 * time.Millisecond
+	reportInterval = 500 * time.Millisecond
 	// drainLimit bounds the virtual time that is simulated after the last arrival.
 	drainLimit = 4 * time.Hour
-	// entryTries bounds the number of upstreams that an entry tries per request.
-	entryTries = 3
+	// maxEntryTries bounds the number of upstreams that an entry tries per request.
+	maxEntryTries = 3
 )
 
 // sim simulates one system that serves one trace with one policy.
 type sim struct {
-	setup      Setup
-	clock      *standin.Clock
-	store      *standin.Store
-	rng        *rand.Rand
-	nodes      []*node
-	entries    []*entry
-	allocators []*allocator
-	trace      []Request
-	next       int // index of the next arrival in trace
-	open       int // requests that have not ended
-	samples    []sample
-	onSecond   func(now time.Duration)
+	setup        Setup
+	clock        *standin.Clock
+	store        *standin.Store
+	rng          *rand.Rand
+	nodes        []*node
+	entries      []*entry
+	allocators   []*allocator
+	trace        []Request
+	nextArrival  int // index of the next arrival in trace
+	openRequests int // requests that have not ended
+	samples      []sample
+	onSecond     func(now time.Duration)
 }
 
 // sample is the result of one request.
 type sample struct {
 	class   wardturn.Class
-	at      time.Duration // arrival
+	arrival time.Duration
 	stall   time.Duration // wait for the adapter's load
 	ttft    time.Duration // time to first token
 	wait    time.Duration // from arrival until the start of the run
@@ -187,11 +187,11 @@
 
 // run simulates the whole trace. It stops when all requests have ended or after drainLimit.
 func (s *sim) run() {
-	s.open = len(s.trace)
+	s.openRequests = len(s.trace)
 	s.scheduleArrival()
 	end := s.trace[len(s.trace)-1].At() + drainLimit
 	second := time.Duration(0)
-	for s.open > 0 && s.elapsed() < end && s.clock.Step() {
+	for s.openRequests > 0 && s.elapsed() < end && s.clock.Step() {
 		if s.onSecond != nil && s.elapsed() >= second {
 			s.onSecond(second)
 			second += time.Second
@@ -205,12 +205,12 @@
 }
 
 func (s *sim) scheduleArrival() {
-	if s.next == len(s.trace) {
+	if s.nextArrival == len(s.trace) {
 		return
 	}
-	s.clock.AfterFunc(s.trace[s.next].At()-s.elapsed(), func() {
-		i := s.next
-		s.next++
+	s.clock.AfterFunc(s.trace[s.nextArrival].At()-s.elapsed(), func() {
+		i := s.nextArrival
+		s.nextArrival++
 		s.arrive(i)
 		s.scheduleArrival()
 	})
@@ -221,11 +221,11 @@
 	req := s.trace[i]
 	class, _ := wardturn.ParseClass(req.Class)
 	s.samples[i] = sample{
-		class: class,
-		at:    req.At(),
+		class:   class,
+		arrival: req.At(),
 	}
 	if s.setup.NoBatch && class == wardturn.Batch {
-		s.open--
+		s.openRequests--
 		return
 	}
 	c := &call{
@@ -275,7 +275,7 @@
 		c.entry.router.Ended(s.clock.Now(), c.node.host.Upstream, true)
 		c.entry.router.Hint(s.clock.Now(), c.node.host.Upstream, hint)
 		retry := outcome.Reason == wardturn.ReasonQueueFull || outcome.Reason == wardturn.ReasonLeaving
-		if retry && len(c.tried) < entryTries {
+		if retry && len(c.tried) < maxEntryTries {
 			s.send(c)
 			return
 		}
@@ -287,7 +287,7 @@
 	sm := &s.samples[c.index]
 	sm.outcome = outcome
 	sm.ended = true
-	s.open--
+	s.openRequests--
 	if outcome.Kind == wardturn.NotRun {
 		// A refused request counts as stalled until its deadline.
 		sm.stall = time.Duration(s.trace[c.index].DeadlineMS) * time.Millisecond
@@ -295,23 +295,23 @@
 }
 
 // send sends grants to their agents and sets the timer for the next permit.
-func (l *allocator) send(grants []decide.Grant) {
+func (a *allocator) send(grants []decide.Grant) {
 	for _, g := range grants {
-		n := l.sim.node(g.Upstream)
-		l.sim.clock.AfterFunc(l.sim.setup.Hop, func() {
-			n.event(func(now time.Time, out *decide.Orders) {
+		n := a.sim.node(g.Upstream)
+		a.sim.clock.AfterFunc(a.sim.setup.Hop, func() {
+			n.handleEvent(func(now time.Time, out *decide.Orders) {
 				n.agent.Granted(now, g, out)
 			})
 		})
 	}
-	if l.timer != nil {
-		l.timer.Stop()
-		l.timer = nil
+	if a.timer != nil {
+		a.timer.Stop()
+		a.timer = nil
 	}
-	now := l.sim.clock.Now()
-	if wait, ok := l.core.Next(now); ok {
-		l.timer = l.sim.clock.AfterFunc(wait+time.Microsecond, func() {
-			l.send(l.core.Tick(l.sim.clock.Now(), nil))
+	now := a.sim.clock.Now()
+	if wait, ok := a.core.Next(now); ok {
+		a.timer = a.sim.clock.AfterFunc(wait+time.Microsecond, func() {
+			a.send(a.core.Tick(a.sim.clock.Now(), nil))
 		})
 	}
 }
@@ -319,7 +319,7 @@
 func (s *sim) scheduleFaults() {
 	for _, f := range s.setup.Faults {
 		s.clock.AfterFunc(f.At, func() {
-			s.begin(f)
+			s.injectFault(f)
 		})
 		if f.For > 0 {
 			s.clock.AfterFunc(f.At+f.For, func() {
@@ -329,8 +329,7 @@
 	}
 }
 
-// begin injects a fault.
-func (s *sim) begin(f Fault) {
+func (s *sim) injectFault(f Fault) {
 	switch f.Kind {
 	case FaultStoreDown:
 		s.store.SetFaults(standin.StoreFaults{
--- a/experiment/trace.go
+++ b/experiment/trace.go
@@ -88,11 +88,11 @@
 	if dec.More() {
 		return req, "more than one object"
 	}
-	return req, req.problem()
+	return req, req.invalidReason()
 }
 
-// problem returns why a request is invalid, or an empty string.
-func (r Request) problem() string {
+// invalidReason returns why a request is invalid, or an empty string.
+func (r Request) invalidReason() string {
 	switch {
 	case r.AtMS < 0:
 		return "at_ms is negative"
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -23,28 +23,28 @@
 )
 
 const (
-	speed = 10 // of the clock, unless a scenario sets another
-	// patience bounds the wait for a condition that must become true. It only determines
+	defaultSpeed = 10 // of the clock, unless a scenario sets another
+	// waitTimeout bounds the wait for a condition that must become true. It only determines
 	// when a failed scenario is aborted.
-	patience = 30 * time.Second
-	poll     = 2 * time.Millisecond
-	// connectLimit is in real time. The entry's default is 0.05 s of real time at the
+	waitTimeout  = 30 * time.Second
+	pollInterval = 2 * time.Millisecond
+	// connectTimeout is in real time. The entry's default is 0.05 s of real time at the
 	// scenarios' speed, and the first connection may take longer on a loaded machine. It
 	// has to be less than the deadline of requests, for the scenario blocked.
-	connectLimit = 2 * time.Second
-	// grace is the real time that an agent's result may take after the deadline of a
+	connectTimeout = 2 * time.Second
+	// deadlineGrace is the real time that an agent's result may take after the deadline of a
 	// request. The entry's default is 0.05 s of real time at the scenarios' speed.
-	grace = 500 * time.Millisecond
+	deadlineGrace = 500 * time.Millisecond
 )
 
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(env *testscript.Env) error {
-			w := &world{
-				calls: make(map[string]*reply),
+			w := &scenario{
+				calls: make(map[string]*callResult),
 			}
-			env.Values[worldKey{}] = w
+			env.Values[scenarioKey{}] = w
 			env.Defer(w.close)
 			return nil
 		},
@@ -52,7 +52,7 @@
 			"system":  command(startSystem),
 			"call":    command(startCall),
 			"service": command(startService),
-			"vanish":  command(vanish),
+			"vanish":  command(disconnect),
 			"ended":   command(waitCall),
 			"running": command(waitRunning),
 			"expect":  command(expectReply),
@@ -67,25 +67,25 @@
 			"entry":   command(entryFault),
 			"publish": command(publishDoc),
 			"policy":  command(waitPolicy),
-			"ready":   command(waitSlots),
+			"ready":   command(waitStatus),
 			"knows":   command(waitConfig),
 		},
 	})
 }
 
-type worldKey struct{}
+type scenarioKey struct{}
 
-// world is the state of one scenario.
-type world struct {
-	clock   *standin.FastClock
-	sys     *demo.System
-	calls   map[string]*reply
-	release func()
-	wg      sync.WaitGroup
+// scenario is the state of one scenario.
+type scenario struct {
+	clock           *standin.FastClock
+	sys             *demo.System
+	calls           map[string]*callResult
+	releaseServices func()
+	wg              sync.WaitGroup
 }
 
-// reply is the response to a call, as far as it was received.
-type reply struct {
+// callResult is the response to a call, as far as it was received.
+type callResult struct {
 	mu     sync.Mutex
 	body   strings.Builder
 	status int
@@ -95,18 +95,18 @@
 }
 
 // command adapts a command that has no negation.
-func command(f func(*testscript.TestScript, *world, []string)) func(*testscript.TestScript, bool, []string) {
+func command(f func(*testscript.TestScript, *scenario, []string)) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		if neg {
 			ts.Fatalf("this command has no negation")
 		}
-		f(ts, ts.Value(worldKey{}).(*world), args)
+		f(ts, ts.Value(scenarioKey{}).(*scenario), args)
 	}
 }
 
-func (w *world) close() {
-	if w.release != nil {
-		w.release()
+func (w *scenario) close() {
+	if w.releaseServices != nil {
+		w.releaseServices()
 	}
 	if w.sys != nil {
 		w.sys.Close()
@@ -114,8 +114,8 @@
 	w.wg.Wait()
 }
 
-// options splits arguments into key=value options and the rest.
-func options(args []string) (map[string]string, []string) {
+// parseOptions splits arguments into key=value options and the rest.
+func parseOptions(args []string) (map[string]string, []string) {
 	opts := make(map[string]string)
 	var rest []string
 	for _, a := range args {
@@ -128,8 +128,8 @@
 	return opts, rest
 }
 
-// number returns an option as a number, or def if it is missing.
-func number(opts map[string]string, name string, def int) int {
+// intOption returns an option as a number, or def if it is missing.
+func intOption(opts map[string]string, name string, def int) int {
 	n, err := strconv.Atoi(opts[name])
 	if err != nil {
 		return def
@@ -137,14 +137,14 @@
 	return n
 }
 
-// until polls until a condition is true, for patience at most.
-func until(ts *testscript.TestScript, what string, holds func() bool) {
-	end := time.Now().Add(patience)
+// waitUntil polls until a condition is true, for waitTimeout at most.
+func waitUntil(ts *testscript.TestScript, what string, holds func() bool) {
+	end := time.Now().Add(waitTimeout)
 	for !holds() {
 		if time.Now().After(end) {
 			ts.Fatalf("timed out waiting for %s", what)
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -152,38 +152,38 @@
 //
 // With a lower speed than the default, the timeouts of the daemons, such as that of
 // appending a claim to the log, are longer in real time.
-func startSystem(ts *testscript.TestScript, w *world, args []string) {
-	opts, _ := options(args)
-	pace := number(opts, "speed", speed)
-	w.clock = standin.NewFastClock(pace)
+func startSystem(ts *testscript.TestScript, w *scenario, args []string) {
+	opts, _ := parseOptions(args)
+	speed := intOption(opts, "speed", defaultSpeed)
+	w.clock = standin.NewFastClock(speed)
 	cfg := demo.Zurich()
 	cfg.Clock = w.clock
 	cfg.Relays = true
 	cfg.Logger = hclog.NewNullLogger()
 	cfg.HostLag = 0
 	cfg.Work = 0
-	cfg.Engines = number(opts, "engines", 1)
-	cfg.Services = number(opts, "services", 0)
-	cfg.Entries = number(opts, "entries", 1)
-	cfg.Adapters = number(opts, "adapters", 5)
-	cfg.Slots = number(opts, "slots", 2)
-	cfg.Log.Retention = time.Duration(number(opts, "retention", 0)) * time.Second
-	cfg.Deadline = time.Duration(number(opts, "deadline", 0)) * time.Second
+	cfg.Engines = intOption(opts, "engines", 1)
+	cfg.Services = intOption(opts, "services", 0)
+	cfg.Entries = intOption(opts, "entries", 1)
+	cfg.Adapters = intOption(opts, "adapters", 5)
+	cfg.Slots = intOption(opts, "slots", 2)
+	cfg.Log.Retention = time.Duration(intOption(opts, "retention", 0)) * time.Second
+	cfg.Deadline = time.Duration(intOption(opts, "deadline", 0)) * time.Second
 	cfg.Store.Rate = 100
-	cfg.ConnectLimit = connectLimit * time.Duration(pace)
-	cfg.Grace = grace * time.Duration(pace)
+	cfg.ConnectLimit = connectTimeout * time.Duration(speed)
+	cfg.Grace = deadlineGrace * time.Duration(speed)
 	sys, err := demo.Start(context.Background(), cfg)
 	ts.Check(err)
 	w.sys = sys
 	for _, u := range sys.Upstreams {
 		waitConfig(ts, w, []string{string(u.ID)})
 		if u.Engine != nil {
-			until(ts, "fence of "+string(u.ID), func() bool { return u.Agent.Status().Fence > 0 })
+			waitUntil(ts, "fence of "+string(u.ID), func() bool { return u.Agent.Status().Fence > 0 })
 		}
 	}
 }
 
-func (w *world) upstream(ts *testscript.TestScript, id string) *demo.Upstream {
+func (w *scenario) upstream(ts *testscript.TestScript, id string) *demo.Upstream {
 	for _, u := range w.sys.Upstreams {
 		if string(u.ID) == id {
 			return u
@@ -194,10 +194,10 @@
 }
 
 // call NAME ADAPTER [entry=N] [tokens=N] [whole=1] [class=C] [deadline=MS]
-func startCall(ts *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
+func startCall(ts *testscript.TestScript, w *scenario, args []string) {
+	opts, rest := parseOptions(args)
 	req := fasthttp.AcquireRequest()
-	req.SetRequestURI("http://" + w.sys.Addrs()[number(opts, "entry", 0)] + "/v1/completions")
+	req.SetRequestURI("http://" + w.sys.Addrs()[intOption(opts, "entry", 0)] + "/v1/completions")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	if c := opts["class"]; c != "" {
 		req.Header.Set(entry.HeaderClass, c)
@@ -206,17 +206,17 @@
 		req.Header.Set(entry.HeaderDeadline, d)
 	}
 	stream := opts["whole"] == ""
-	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":%v}`, rest[1], number(opts, "tokens", 3), stream))
+	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":%v}`, rest[1], intOption(opts, "tokens", 3), stream))
 	w.start(rest[0], req)
 }
 
 // vanish ADAPTER tokens=N: requests a stream, reads its first byte and disconnects.
-func vanish(ts *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
+func disconnect(ts *testscript.TestScript, w *scenario, args []string) {
+	opts, rest := parseOptions(args)
 	c, err := net.Dial("tcp", w.sys.Addrs()[0])
 	ts.Check(err)
 	defer c.Close()
-	body := fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, rest[0], number(opts, "tokens", 3))
+	body := fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, rest[0], intOption(opts, "tokens", 3))
 	_, err = fmt.Fprintf(c, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	ts.Check(err)
 	_, err = c.Read(make([]byte, 1))
@@ -224,13 +224,13 @@
 }
 
 // service NAME METHOD PATH BODY [entry=N] [key=K] [age=SECONDS] [deadline=MS]
-func startService(_ *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
+func startService(_ *testscript.TestScript, w *scenario, args []string) {
+	opts, rest := parseOptions(args)
 	req := fasthttp.AcquireRequest()
-	req.SetRequestURI("http://" + w.sys.Addrs()[number(opts, "entry", 0)] + "/v1/services/" + string(demo.Service) + rest[2])
+	req.SetRequestURI("http://" + w.sys.Addrs()[intOption(opts, "entry", 0)] + "/v1/services/" + string(demo.Service) + rest[2])
 	req.Header.SetMethod(rest[1])
 	if k := opts["key"]; k != "" {
-		created := w.clock.Now().Add(-time.Duration(number(opts, "age", 0)) * time.Second)
+		created := w.clock.Now().Add(-time.Duration(intOption(opts, "age", 0)) * time.Second)
 		req.Header.Set(entry.HeaderKey, k)
 		req.Header.Set(entry.HeaderKeyCreated, created.UTC().Format(time.RFC3339))
 	}
@@ -243,8 +243,8 @@
 	w.start(rest[0], req)
 }
 
-func (w *world) start(name string, req *fasthttp.Request) {
-	r := &reply{
+func (w *scenario) start(name string, req *fasthttp.Request) {
+	r := &callResult{
 		header: make(map[string]string),
 		done:   make(chan struct{}),
 	}
@@ -257,7 +257,7 @@
 	}()
 }
 
-func (r *reply) run(req *fasthttp.Request) {
+func (r *callResult) run(req *fasthttp.Request) {
 	client := fasthttp.Client{
 		StreamResponseBody:        true,
 		MaxIdemponentCallAttempts: 1,
@@ -287,13 +287,13 @@
 	}
 }
 
-func (r *reply) text() string {
+func (r *callResult) text() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.body.String()
 }
 
-func (w *world) reply(ts *testscript.TestScript, name string) *reply {
+func (w *scenario) result(ts *testscript.TestScript, name string) *callResult {
 	r := w.calls[name]
 	if r == nil {
 		ts.Fatalf("no call %s", name)
@@ -302,43 +302,43 @@
 }
 
 // ended NAME...
-func waitCall(ts *testscript.TestScript, w *world, args []string) {
+func waitCall(ts *testscript.TestScript, w *scenario, args []string) {
 	for _, name := range args {
 		select {
-		case <-w.reply(ts, name).done:
-		case <-time.After(patience):
+		case <-w.result(ts, name).done:
+		case <-time.After(waitTimeout):
 			ts.Fatalf("call %s did not end", name)
 		}
 	}
 }
 
 // running NAME: waits for the first bytes of a response, which must not be a refusal.
-func waitRunning(ts *testscript.TestScript, w *world, args []string) {
-	r := w.reply(ts, args[0])
-	until(ts, "first bytes of "+args[0], func() bool { return r.text() != "" })
+func waitRunning(ts *testscript.TestScript, w *scenario, args []string) {
+	r := w.result(ts, args[0])
+	waitUntil(ts, "first bytes of "+args[0], func() bool { return r.text() != "" })
 	if r.status != fasthttp.StatusOK {
 		ts.Fatalf("%s does not run: %s", args[0], r.text())
 	}
 }
 
 // expect NAME status=N [outcome=O] [reason=R] [body=REGEXP] [tokens=N]
-func expectReply(ts *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
+func expectReply(ts *testscript.TestScript, w *scenario, args []string) {
+	opts, rest := parseOptions(args)
 	waitCall(ts, w, rest[:1])
-	r := w.reply(ts, rest[0])
+	r := w.result(ts, rest[0])
 	if r.err != nil {
 		ts.Fatalf("%s: %v", rest[0], r.err)
 	}
-	check := func(name, got string) {
+	checkOption := func(name, got string) {
 		if want, ok := opts[name]; ok && want != got {
 			ts.Fatalf("%s: %s is %q, want %q; response: %s", rest[0], name, got, want, r.text())
 		}
 	}
-	check("status", strconv.Itoa(r.status))
-	check("outcome", r.header[entry.HeaderOutcome])
-	check("reason", r.header[entry.HeaderReason])
-	check("version", r.header[entry.HeaderVersion])
-	check("tokens", strconv.Itoa(wholeTokens(r.text())))
+	checkOption("status", strconv.Itoa(r.status))
+	checkOption("outcome", r.header[entry.HeaderOutcome])
+	checkOption("reason", r.header[entry.HeaderReason])
+	checkOption("version", r.header[entry.HeaderVersion])
+	checkOption("tokens", strconv.Itoa(countTokens(r.text())))
 	if re, ok := opts["body"]; ok {
 		re, err := url.QueryUnescape(re)
 		ts.Check(err)
@@ -348,9 +348,9 @@
 	}
 }
 
-// wholeTokens returns the number of tokens of a stream, or -1 unless each token occurs
+// countTokens returns the number of tokens of a stream, or -1 unless each token occurs
 // once, in order, and the end marker follows.
-func wholeTokens(body string) int {
+func countTokens(body string) int {
 	n := 0
 	for _, m := range regexp.MustCompile(`"text":" w(\d+)"`).FindAllStringSubmatch(body, -1) {
 		if m[1] != strconv.Itoa(n) {
@@ -365,7 +365,7 @@
 }
 
 // runs BODY N: checks how often the services ran a call with this body.
-func expectRuns(ts *testscript.TestScript, w *world, args []string) {
+func expectRuns(ts *testscript.TestScript, w *scenario, args []string) {
 	n := 0
 	for _, u := range w.sys.Upstreams {
 		if u.Service != nil {
@@ -378,8 +378,8 @@
 }
 
 // charged BODY: waits until any service has run a call with this body.
-func waitRuns(ts *testscript.TestScript, w *world, args []string) {
-	until(ts, "run of "+args[0], func() bool {
+func waitRuns(ts *testscript.TestScript, w *scenario, args []string) {
+	waitUntil(ts, "run of "+args[0], func() bool {
 		for _, u := range w.sys.Upstreams {
 			if u.Service != nil && u.Service.Runs(args[0]) > 0 {
 				return true
@@ -390,7 +390,7 @@
 }
 
 // log down|up|lose
-func logFault(ts *testscript.TestScript, w *world, args []string) {
+func logFault(ts *testscript.TestScript, w *scenario, args []string) {
 	var f standin.LogFaults
 	switch args[0] {
 	case "down":
@@ -405,7 +405,7 @@
 }
 
 // store down|up|slow
-func storeFault(ts *testscript.TestScript, w *world, args []string) {
+func storeFault(ts *testscript.TestScript, w *scenario, args []string) {
 	var f standin.StoreFaults
 	switch args[0] {
 	case "down":
@@ -420,7 +420,7 @@
 }
 
 // net cut|block|freeze|heal UPSTREAM
-func netFault(ts *testscript.TestScript, w *world, args []string) {
+func netFault(ts *testscript.TestScript, w *scenario, args []string) {
 	r := w.upstream(ts, args[1]).Relay
 	switch args[0] {
 	case "cut":
@@ -438,7 +438,7 @@
 }
 
 // agent kill|restart|leave|list-leaving|gone UPSTREAM
-func agentFault(ts *testscript.TestScript, w *world, args []string) {
+func agentFault(ts *testscript.TestScript, w *scenario, args []string) {
 	u := w.upstream(ts, args[1])
 	switch args[0] {
 	case "kill":
@@ -450,11 +450,11 @@
 		u.Agent.Leave()
 	case "list-leaving":
 		w.sys.Hosts.Leave(u.ID)
-		until(ts, "leaving of "+args[1], func() bool { return u.Agent.Status().Leaving })
+		waitUntil(ts, "leaving of "+args[1], func() bool { return u.Agent.Status().Leaving })
 	case "gone":
 		select {
 		case <-u.Agent.Leave():
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			ts.Fatalf("%s did not finish", args[1])
 		}
 	default:
@@ -463,9 +463,9 @@
 }
 
 // publish KEY FILE [entry=N]: publishes a document as an operator.
-func publishDoc(ts *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
-	base := "http://" + w.sys.Addrs()[number(opts, "entry", 0)] + entry.PathDocs + "/" + rest[0]
+func publishDoc(ts *testscript.TestScript, w *scenario, args []string) {
+	opts, rest := parseOptions(args)
+	base := "http://" + w.sys.Addrs()[intOption(opts, "entry", 0)] + entry.PathDocs + "/" + rest[0]
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
 	req.SetRequestURI(base)
@@ -486,32 +486,32 @@
 }
 
 // policy UPSTREAM NAME: waits until an agent uses a policy.
-func waitPolicy(ts *testscript.TestScript, w *world, args []string) {
-	until(ts, "policy "+args[1], func() bool {
+func waitPolicy(ts *testscript.TestScript, w *scenario, args []string) {
+	waitUntil(ts, "policy "+args[1], func() bool {
 		return w.upstream(ts, args[0]).Agent.Status().Policy == args[1]
 	})
 }
 
 // knows UPSTREAM: waits until an agent has applied the configuration of the first entry.
-func waitConfig(ts *testscript.TestScript, w *world, args []string) {
-	newest := w.sys.Entries[0].Replica().Applied()
-	until(ts, "configuration at "+args[0], func() bool {
-		return w.upstream(ts, args[0]).Agent.Status().Config >= newest
+func waitConfig(ts *testscript.TestScript, w *scenario, args []string) {
+	want := w.sys.Entries[0].Replica().Applied()
+	waitUntil(ts, "configuration at "+args[0], func() bool {
+		return w.upstream(ts, args[0]).Agent.Status().Config >= want
 	})
 }
 
 // entry start: adds an entry and waits until it is ready.
-func entryFault(ts *testscript.TestScript, w *world, args []string) {
+func entryFault(ts *testscript.TestScript, w *scenario, args []string) {
 	if args[0] != "start" {
 		ts.Fatalf("entry %s", args[0])
 	}
 	ts.Check(w.sys.StartEntry())
 	e := w.sys.Entries[len(w.sys.Entries)-1]
-	until(ts, "new entry to be ready", e.Ready)
+	waitUntil(ts, "new entry to be ready", e.Ready)
 }
 
 // engine restart UPSTREAM
-func engineFault(ts *testscript.TestScript, w *world, args []string) {
+func engineFault(ts *testscript.TestScript, w *scenario, args []string) {
 	switch args[0] {
 	case "restart":
 		w.upstream(ts, args[1]).Engine.Restart()
@@ -521,20 +521,20 @@
 }
 
 // hold on|off: blocks the responses of the services after their calls have run.
-func holdService(ts *testscript.TestScript, w *world, args []string) {
+func holdService(ts *testscript.TestScript, w *scenario, args []string) {
 	if args[0] == "off" {
-		w.release()
-		w.release = nil
+		w.releaseServices()
+		w.releaseServices = nil
 		return
 	}
-	var all []func()
+	var releases []func()
 	for _, u := range w.sys.Upstreams {
 		if u.Service != nil {
-			all = append(all, u.Service.Hold())
+			releases = append(releases, u.Service.Hold())
 		}
 	}
-	w.release = func() {
-		for _, f := range all {
+	w.releaseServices = func() {
+		for _, f := range releases {
 			f()
 		}
 	}
@@ -542,21 +542,21 @@
 
 // ready UPSTREAM running=N | queued=N | leaving=true: waits until the status of an agent
 // has the given values.
-func waitSlots(ts *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
-	a := func() agent.Status { return w.upstream(ts, rest[0]).Agent.Status() }
-	until(ts, strings.Join(args, " "), func() bool {
-		st := a()
+func waitStatus(ts *testscript.TestScript, w *scenario, args []string) {
+	opts, rest := parseOptions(args)
+	status := func() agent.Status { return w.upstream(ts, rest[0]).Agent.Status() }
+	waitUntil(ts, strings.Join(args, " "), func() bool {
+		st := status()
 		leaving, ok := opts["leaving"]
 		if ok && leaving != strconv.FormatBool(st.Leaving) {
 			return false
 		}
-		return matches(opts, "running", st.Hint.Running) && matches(opts, "queued", st.Hint.Queued)
+		return optionMatches(opts, "running", st.Hint.Running) && optionMatches(opts, "queued", st.Hint.Queued)
 	})
 }
 
-// matches reports whether an option is missing or equal to got.
-func matches(opts map[string]string, name string, got int) bool {
+// optionMatches reports whether an option is missing or equal to got.
+func optionMatches(opts map[string]string, name string, got int) bool {
 	want, ok := opts[name]
 	return !ok || want == strconv.Itoa(got)
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -73,11 +73,11 @@
 	stats    EngineStats
 	reports  []wardturn.EngineReport
 	prefixes []prefixKey // most recent last
-	starts   int         // number of restarts
+	restarts int
 	seq      uint64
 
-	pending    []event // undelivered callbacks
-	delivering bool    // a goroutine is delivering them
+	pendingEvents []event // undelivered callbacks
+	delivering    bool    // a goroutine is delivering them
 }
 
 type residentAdapter struct {
@@ -86,12 +86,12 @@
 }
 
 type sequence struct {
-	gen    Generation
-	seq    uint64
-	prompt int // remaining tokens
-	output int // remaining tokens
-	made   int // output tokens
-	cancel bool
+	gen      Generation
+	seq      uint64
+	prompt   int // remaining tokens
+	output   int // remaining tokens
+	produced int // output tokens
+	cancel   bool
 }
 
 type prefixKey struct {
@@ -114,7 +114,7 @@
 func (e *Engine) Submit(gen Generation) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	i := e.find(gen.Request.Adapter)
+	i := e.residentIndex(gen.Request.Adapter)
 	if i < 0 {
 		return wardturn.ErrNotLoaded
 	}
@@ -127,7 +127,7 @@
 		output: max(1, int(gen.Request.Output)),
 	}
 	e.waiting = append(e.waiting, s)
-	e.wake()
+	e.startStepping()
 	return nil
 }
 
@@ -143,28 +143,28 @@
 	for i, s := range e.waiting {
 		if s.gen.Request.Attempt == id {
 			e.waiting = slices.Delete(e.waiting, i, i+1)
-			e.unpin(s)
+			e.releaseAdapter(s)
 			return
 		}
 	}
 }
 
-// find returns the index of a resident adapter version, or -1.
-func (e *Engine) find(ref wardturn.AdapterRef) int {
+// residentIndex returns the index of a resident adapter version, or -1.
+func (e *Engine) residentIndex(ref wardturn.AdapterRef) int {
 	return slices.IndexFunc(e.resident, func(r residentAdapter) bool {
 		return r.ref == ref
 	})
 }
 
-// unpin releases the reference of a sequence to its adapter.
-func (e *Engine) unpin(s *sequence) {
-	if i := e.find(s.gen.Request.Adapter); i >= 0 {
+// releaseAdapter releases the reference of a sequence to its adapter.
+func (e *Engine) releaseAdapter(s *sequence) {
+	if i := e.residentIndex(s.gen.Request.Adapter); i >= 0 {
 		e.resident[i].running = max(0, e.resident[i].running-1)
 	}
 }
 
-// wake starts the step loop if it is not running.
-func (e *Engine) wake() {
+// startStepping starts the step loop if it is not running.
+func (e *Engine) startStepping() {
 	if e.stepping {
 		return
 	}
@@ -176,7 +176,7 @@
 // generations in progress end with ErrUnavailable.
 func (e *Engine) Restart() {
 	e.mu.Lock()
-	e.starts++
+	e.restarts++
 	lost := append(e.active, e.waiting...)
 	e.active = nil
 	e.waiting = nil
@@ -198,18 +198,18 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
-	e.reports = append(e.reports, e.view(now))
+	e.reports = append(e.reports, e.currentReport(now))
 	limit := now.Add(-e.cfg.ReportLag)
-	old := 0
-	for old+1 < len(e.reports) && !e.reports[old+1].At.After(limit) {
-		old++
+	expired := 0
+	for expired+1 < len(e.reports) && !e.reports[expired+1].At.After(limit) {
+		expired++
 	}
-	e.reports = slices.Delete(e.reports, 0, old)
+	e.reports = slices.Delete(e.reports, 0, expired)
 	return e.reports[0]
 }
 
-// view returns the current state.
-func (e *Engine) view(now time.Time) wardturn.EngineReport {
+// currentReport returns the current state.
+func (e *Engine) currentReport(now time.Time) wardturn.EngineReport {
 	rep := wardturn.EngineReport{
 		At:      now,
 		Fence:   e.fence,
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -30,8 +30,8 @@
 	const tokens = 8
 	var mu sync.Mutex
 	var got []int
-	held := make(chan struct{})
-	holding := make(chan struct{})
+	release := make(chan struct{})
+	blocked := make(chan struct{})
 	ended := make(chan struct{})
 	err := engine.Submit(standin.Generation{
 		Request: wardturn.EngineRequest{
@@ -40,8 +40,8 @@
 		},
 		Token: func(i int) {
 			if i == 0 {
-				close(holding)
-				<-held
+				close(blocked)
+				<-release
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -55,9 +55,9 @@
 		t.Fatal(err)
 	}
 	go clock.Advance(30 * time.Millisecond) // blocks in the callback of token 0
-	<-holding
+	<-blocked
 	clock.Advance(time.Second) // the other steps end
-	close(held)
+	close(release)
 	<-ended
 	for i := range got {
 		if got[i] != i {
--- a/standin/engineorders.go
+++ b/standin/engineorders.go
@@ -9,25 +9,25 @@
 // Load fetches an adapter version into a free slot and calls done once.
 func (e *Engine) Load(order wardturn.SlotOrder, done func(error)) {
 	e.mu.Lock()
-	again, err := e.accept(order)
-	if err == nil && !again && e.find(order.Adapter) < 0 {
+	executed, err := e.accept(order)
+	if err == nil && !executed && e.residentIndex(order.Adapter) < 0 {
 		err = e.reserve(order)
 	} else if err == nil {
-		again = true
+		executed = true
 	}
-	start := e.starts
+	restarts := e.restarts
 	e.mu.Unlock()
-	if err != nil || again {
+	if err != nil || executed {
 		done(err)
 		return
 	}
 	e.store.Fetch(order.Adapter, func(err error) {
-		done(e.loaded(start, order, err))
+		done(e.finishLoad(restarts, order, err))
 	})
 }
 
 // accept checks the fence of an order. again reports whether the order was executed before.
-func (e *Engine) accept(order wardturn.SlotOrder) (again bool, err error) {
+func (e *Engine) accept(order wardturn.SlotOrder) (executed bool, err error) {
 	if !e.cfg.ChecksFences {
 		return false, nil
 	}
@@ -53,11 +53,11 @@
 	return nil
 }
 
-// loaded completes a load that began after the given number of restarts.
-func (e *Engine) loaded(start int, order wardturn.SlotOrder, err error) error {
+// finishLoad completes a load that began after the given number of restarts.
+func (e *Engine) finishLoad(restarts int, order wardturn.SlotOrder, err error) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if start != e.starts {
+	if restarts != e.restarts {
 		return wardturn.ErrUnavailable
 	}
 	if i := slices.Index(e.loading, order.Adapter); i >= 0 {
@@ -88,11 +88,11 @@
 func (e *Engine) unload(order wardturn.SlotOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	again, err := e.accept(order)
-	if err != nil || again {
+	executed, err := e.accept(order)
+	if err != nil || executed {
 		return err
 	}
-	i := e.find(order.Adapter)
+	i := e.residentIndex(order.Adapter)
 	if i < 0 {
 		return nil
 	}
--- a/standin/enginestep.go
+++ b/standin/enginestep.go
@@ -10,7 +10,7 @@
 // beginStep fills the batch and schedules the end of the step. Without sequences it stops
 // the step loop.
 func (e *Engine) beginStep() {
-	e.fill()
+	e.fillBatch()
 	if len(e.active) == 0 {
 		e.stepping = false
 		return
@@ -19,17 +19,17 @@
 	e.stats.Steps++
 	e.stats.Sequences += len(e.active)
 	e.stats.Tokens += work.decoding + work.prompt
-	took := e.cfg.StepBase +
+	duration := e.cfg.StepBase +
 		time.Duration(work.decoding)*e.cfg.StepSequence +
 		time.Duration(work.prompt)*e.cfg.StepPrompt
-	start := e.starts
-	e.clock.AfterFunc(took, func() {
-		e.endStep(start, work)
+	restarts := e.restarts
+	e.clock.AfterFunc(duration, func() {
+		e.endStep(restarts, work)
 	})
 }
 
-// fill moves waiting sequences into the batch, ordered by priority and then by age.
-func (e *Engine) fill() {
+// fillBatch moves waiting sequences into the batch, ordered by priority and then by age.
+func (e *Engine) fillBatch() {
 	for len(e.active) < e.cfg.Batch && len(e.waiting) > 0 {
 		best := 0
 		for i, s := range e.waiting {
@@ -39,13 +39,13 @@
 		}
 		s := e.waiting[best]
 		e.waiting = slices.Delete(e.waiting, best, best+1)
-		e.reusePrefix(s)
+		e.applyPrefixCache(s)
 		e.active = append(e.active, s)
 	}
 }
 
-// reusePrefix shortens a prompt whose prefix is in the prefix cache, and caches it.
-func (e *Engine) reusePrefix(s *sequence) {
+// applyPrefixCache shortens a prompt whose prefix is in the prefix cache, and caches it.
+func (e *Engine) applyPrefixCache(s *sequence) {
 	key := prefixKey{
 		ref:  s.gen.Request.Adapter,
 		path: s.gen.Request.Path,
@@ -78,17 +78,17 @@
 			w.decoding++
 		}
 	}
-	left := e.cfg.StepTokens - w.decoding
-	for _, class := range []bool{true, false} {
+	budget := e.cfg.StepTokens - w.decoding
+	for _, wantUrgent := range []bool{true, false} {
 		for i, s := range e.active {
 			urgent := s.gen.Request.Priority <= 0
-			if s.prompt == 0 || urgent != class {
+			if s.prompt == 0 || urgent != wantUrgent {
 				continue
 			}
-			n := min(s.prompt, max(left, 0))
+			n := min(s.prompt, max(budget, 0))
 			w.chunks[i] = n
 			w.prompt += n
-			left -= n
+			budget -= n
 		}
 	}
 	return w
@@ -96,15 +96,15 @@
 
 // event is a callback that is called after the lock is released.
 type event struct {
-	s    *sequence
-	made int // index of the token, or -1
-	end  bool
-	err  error
+	s     *sequence
+	token int // index of the token, or -1
+	end   bool
+	err   error
 }
 
-func (e *Engine) endStep(start int, work stepWork) {
+func (e *Engine) endStep(restarts int, work stepWork) {
 	e.mu.Lock()
-	if start != e.starts {
+	if restarts != e.restarts {
 		e.mu.Unlock()
 		return
 	}
@@ -117,10 +117,10 @@
 			kept = append(kept, s)
 			continue
 		}
-		e.unpin(s)
+		e.releaseAdapter(s)
 	}
 	e.active = kept
-	e.pending = append(e.pending, events...)
+	e.pendingEvents = append(e.pendingEvents, events...)
 	e.beginStep()
 	e.mu.Unlock()
 	e.deliverPending()
@@ -135,9 +135,9 @@
 		return
 	}
 	e.delivering = true
-	for len(e.pending) > 0 {
-		events := e.pending
-		e.pending = nil
+	for len(e.pendingEvents) > 0 {
+		events := e.pendingEvents
+		e.pendingEvents = nil
 		e.mu.Unlock()
 		e.deliver(events)
 		e.mu.Lock()
@@ -158,11 +158,11 @@
 	}
 	s.output--
 	token := event{
-		s:    s,
-		made: s.made,
-		end:  s.output == 0,
+		s:     s,
+		token: s.produced,
+		end:   s.output == 0,
 	}
-	s.made++
+	s.produced++
 	return !token.end, []event{token}
 }
 
@@ -170,15 +170,15 @@
 func (e *Engine) deliver(events []event) {
 	for _, ev := range events {
 		gen := ev.s.gen
-		if ev.made >= 0 && gen.Token != nil {
-			gen.Token(ev.made)
+		if ev.token >= 0 && gen.Token != nil {
+			gen.Token(ev.token)
 		}
 		if !ev.end {
 			continue
 		}
 		res := wardturn.EngineResult{
 			Adapter: gen.Request.Adapter,
-			Output:  wardturn.Tokens(ev.s.made),
+			Output:  wardturn.Tokens(ev.s.produced),
 		}
 		gen.End(res, ev.err)
 	}
--- a/standin/log.go
+++ b/standin/log.go
@@ -31,27 +31,27 @@
 	clock wardturn.Clock
 	cfg   LogConfig
 
-	mu      sync.Mutex
-	faults  LogFaults
-	records []wardturn.LogRecord
-	first   wardturn.Offset
-	next    wardturn.Offset
-	grown   chan struct{} // closed and replaced when a record is added
-	tokens  float64       // of the rate limit of appends
-	tokenAt time.Time     // last refill of tokens
-	appends int
+	mu         sync.Mutex
+	faults     LogFaults
+	records    []wardturn.LogRecord
+	first      wardturn.Offset
+	next       wardturn.Offset
+	changed    chan struct{} // closed and replaced when a record is added
+	tokens     float64       // of the rate limit of appends
+	refilledAt time.Time     // last refill of tokens
+	appends    int
 }
 
 // NewLog returns an empty log.
 func NewLog(clock wardturn.Clock, cfg LogConfig) *Log {
 	return &Log{
-		clock:   clock,
-		cfg:     cfg,
-		first:   1,
-		next:    1,
-		grown:   make(chan struct{}),
-		tokens:  cfg.Rate,
-		tokenAt: clock.Now(),
+		clock:      clock,
+		cfg:        cfg,
+		first:      1,
+		next:       1,
+		changed:    make(chan struct{}),
+		tokens:     cfg.Rate,
+		refilledAt: clock.Now(),
 	}
 }
 
@@ -99,8 +99,8 @@
 
 // wake wakes waiting readers. The caller holds the lock.
 func (l *Log) wake() {
-	close(l.grown)
-	l.grown = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
 // takeToken reports whether the rate limit allows an append. The caller holds the lock.
@@ -109,8 +109,8 @@
 		return true
 	}
 	now := l.clock.Now()
-	l.tokens = min(l.cfg.Rate, l.tokens+l.cfg.Rate*now.Sub(l.tokenAt).Seconds())
-	l.tokenAt = now
+	l.tokens = min(l.cfg.Rate, l.tokens+l.cfg.Rate*now.Sub(l.refilledAt).Seconds())
+	l.refilledAt = now
 	if l.tokens < 1 {
 		return false
 	}
@@ -120,19 +120,19 @@
 
 // Read implements wardturn.Log.
 func (l *Log) Read(ctx context.Context, from wardturn.Offset, limit int, wait time.Duration) (wardturn.LogPage, error) {
-	woken := make(chan struct{})
+	expired := make(chan struct{})
 	timer := l.clock.AfterFunc(wait, func() {
-		close(woken)
+		close(expired)
 	})
 	defer timer.Stop()
 	for {
-		page, grown, err := l.read(from, limit)
+		page, changed, err := l.read(from, limit)
 		if err != nil || len(page.Records) > 0 {
 			return page, err
 		}
 		select {
-		case <-grown:
-		case <-woken:
+		case <-changed:
+		case <-expired:
 			return page, nil
 		case <-ctx.Done():
 			return page, errors.Wrap(wardturn.ErrUnavailable, "standin log: read canceled")
@@ -145,26 +145,26 @@
 func (l *Log) read(from wardturn.Offset, limit int) (wardturn.LogPage, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.drop()
+	l.dropExpired()
 	page := wardturn.LogPage{
 		First: l.first,
 		Next:  l.next,
 	}
 	if l.faults.Down {
-		return page, l.grown, wardturn.ErrUnavailable
+		return page, l.changed, wardturn.ErrUnavailable
 	}
 	if from < l.first {
-		return page, l.grown, wardturn.ErrOutOfRetention
+		return page, l.changed, wardturn.ErrOutOfRetention
 	}
-	at := int(from - l.first)
-	if at < len(l.records) {
-		page.Records = slices.Clone(l.records[at:min(at+limit, len(l.records))])
+	start := int(from - l.first)
+	if start < len(l.records) {
+		page.Records = slices.Clone(l.records[start:min(start+limit, len(l.records))])
 	}
-	return page, l.grown, nil
+	return page, l.changed, nil
 }
 
-// drop removes the records that are out of retention. The caller holds the lock.
-func (l *Log) drop() {
+// dropExpired removes the records that are out of retention. The caller holds the lock.
+func (l *Log) dropExpired() {
 	if l.cfg.Retention <= 0 {
 		return
 	}
--- a/standin/metastore.go
+++ b/standin/metastore.go
@@ -19,20 +19,20 @@
 // topics with one partition, appends and long-polling reads. It implements the
 // published protocol over HTTP.
 type MetaStore struct {
-	mu      sync.Mutex
-	topics  map[string]*metaTopic
-	changed chan struct{} // closed and replaced at each append
-	faults  MetaFaults
-	reads   map[string]int // number of read calls by topic
-	page    int            // maximum number of items in a response of log-newest
-	era     int            // incremented by each restore from a copy
+	mu       sync.Mutex
+	topics   map[string]*metaTopic
+	changed  chan struct{} // closed and replaced at each append
+	faults   MetaFaults
+	reads    map[string]int // number of read calls by topic
+	pageSize int            // maximum number of items in a response of log-newest
+	era      int            // incremented by each restore from a copy
 }
 
-// sizeBytes is the size of a record's length prefix.
-const sizeBytes = 4
+// lengthPrefixBytes is the size of a record's length prefix.
+const lengthPrefixBytes = 4
 
-// newestPage is the page size of log-newest in the platform's store.
-const newestPage = 500
+// newestPageSize is the page size of log-newest in the platform's store.
+const newestPageSize = 500
 
 // MetaFaults are the faults of a MetaStore.
 type MetaFaults struct {
@@ -56,11 +56,11 @@
 // NewMetaStore returns an empty store.
 func NewMetaStore() *MetaStore {
 	return &MetaStore{
-		topics:  make(map[string]*metaTopic),
-		changed: make(chan struct{}),
-		reads:   make(map[string]int),
-		page:    newestPage,
-		era:     1,
+		topics:   make(map[string]*metaTopic),
+		changed:  make(chan struct{}),
+		reads:    make(map[string]int),
+		pageSize: newestPageSize,
+		era:      1,
 	}
 }
 
@@ -113,7 +113,7 @@
 		offset: t.end(),
 	}
 	body := append([]byte{byte(len(key))}, key...)
-	s.add(t, append(body, value...))
+	s.appendRecord(t, append(body, value...))
 }
 
 // PutConfig writes the operator's configuration.
@@ -123,12 +123,12 @@
 
 // Evacuate writes the operator's record that a failure domain must get no requests, or
 // deletes it.
-func (m *MetaStore) Evacuate(domain string, on bool) {
+func (s *MetaStore) Evacuate(domain string, on bool) {
 	if !on {
-		m.Put("keyed.op", "evacuate/"+domain, nil)
+		s.Put("keyed.op", "evacuate/"+domain, nil)
 		return
 	}
-	m.Put("keyed.op", "evacuate/"+domain, []byte("{}"))
+	s.Put("keyed.op", "evacuate/"+domain, []byte("{}"))
 }
 
 // PutVersion writes the newest version of an adapter.
@@ -162,8 +162,9 @@
 	}
 }
 
-// add appends a record to a topic and wakes waiting readers. The caller holds the lock.
-func (s *MetaStore) add(t *metaTopic, record []byte) {
+// appendRecord appends a record to a topic and wakes waiting readers. The caller holds
+// the lock.
+func (s *MetaStore) appendRecord(t *metaTopic, record []byte) {
 	t.records = append(t.records, record)
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -185,11 +186,11 @@
 func (s *MetaStore) Copy() MetaCopy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return MetaCopy(s.topics).deep()
+	return MetaCopy(s.topics).clone()
 }
 
-// deep returns a deep copy. Records are shared, since they do not change.
-func (c MetaCopy) deep() MetaCopy {
+// clone returns a deep copy. Records are shared, since they do not change.
+func (c MetaCopy) clone() MetaCopy {
 	out := make(MetaCopy, len(c))
 	for name, t := range c {
 		out[name] = &metaTopic{
@@ -206,7 +207,7 @@
 func (s *MetaStore) ComeBack(c MetaCopy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.topics = c.deep()
+	s.topics = c.clone()
 	s.era++
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -216,7 +217,7 @@
 func (s *MetaStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	f := s.faults
-	s.stamp(w)
+	s.setEraHeader(w)
 	s.mu.Unlock()
 	if f.Away {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -245,8 +246,8 @@
 	}
 }
 
-// stamp sets the era in the header of a response. The caller holds the lock.
-func (s *MetaStore) stamp(w http.ResponseWriter) {
+// setEraHeader sets the era in the header of a response. The caller holds the lock.
+func (s *MetaStore) setEraHeader(w http.ResponseWriter) {
 	w.Header().Set("Store-Era", strconv.Itoa(s.era))
 }
 
@@ -254,7 +255,7 @@
 func (s *MetaStore) SetPage(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.page = n
+	s.pageSize = n
 }
 
 func (s *MetaStore) serveNewest(w http.ResponseWriter, topic, after string) {
@@ -265,7 +266,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stamp(w)
+	s.setEraHeader(w)
 	t := s.topic(topic)
 	items := []item{}
 	more := false
@@ -274,7 +275,7 @@
 		if rec.value == nil || key <= after {
 			continue
 		}
-		if len(items) == s.page {
+		if len(items) == s.pageSize {
 			more = true
 			break
 		}
@@ -299,10 +300,10 @@
 func (s *MetaStore) serveRead(w http.ResponseWriter, r *http.Request, topic string) {
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	late := time.After(time.Duration(wait) * time.Millisecond)
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		s.stamp(w)
+		s.setEraHeader(w)
 		t := s.topic(topic)
 		changed := s.changed
 		if from < t.first || from > t.end() {
@@ -311,7 +312,7 @@
 			return
 		}
 		if from < t.end() || wait == 0 {
-			body := t.page(from)
+			body := t.encodeFrom(from)
 			s.mu.Unlock()
 			_, _ = w.Write(body)
 			return
@@ -319,7 +320,7 @@
 		s.mu.Unlock()
 		select {
 		case <-changed:
-		case <-late:
+		case <-timeout:
 			wait = 0
 		case <-r.Context().Done():
 			return
@@ -327,8 +328,8 @@
 	}
 }
 
-// page encodes the records starting at an offset.
-func (t *metaTopic) page(from int64) []byte {
+// encodeFrom encodes the records starting at an offset.
+func (t *metaTopic) encodeFrom(from int64) []byte {
 	b := binary.BigEndian.AppendUint64(nil, uint64(t.end()))
 	b = binary.BigEndian.AppendUint64(b, uint64(t.first))
 	for _, rec := range t.records[from-t.first:] {
@@ -338,28 +339,28 @@
 	return b
 }
 
-func (s *MetaStore) serveAppend(w http.ResponseWriter, r *http.Request, topic string, lost bool) {
+func (s *MetaStore) serveAppend(w http.ResponseWriter, r *http.Request, topic string, loseReply bool) {
 	if topic == "keyed.op" || topic == "keyed.servers" {
 		w.WriteHeader(http.StatusForbidden)
 		return
 	}
 	records, err := io.ReadAll(r.Body)
-	if err != nil || len(records) < sizeBytes {
+	if err != nil || len(records) < lengthPrefixBytes {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
-	s.stamp(w)
+	s.setEraHeader(w)
 	t := s.topic(topic)
 	offset := t.end()
-	for len(records) >= sizeBytes {
-		size := sizeBytes + int(binary.BigEndian.Uint32(records))
-		s.append(t, topic, records[sizeBytes:size])
+	for len(records) >= lengthPrefixBytes {
+		size := lengthPrefixBytes + int(binary.BigEndian.Uint32(records))
+		s.append(t, topic, records[lengthPrefixBytes:size])
 		records = records[size:]
 	}
 	end := t.end()
 	s.mu.Unlock()
-	if lost {
+	if loseReply {
 		<-r.Context().Done()
 		return
 	}
@@ -372,14 +373,14 @@
 // append adds a record that a client appended. The caller holds the lock.
 func (s *MetaStore) append(t *metaTopic, topic string, record []byte) {
 	if strings.HasPrefix(topic, "keyed.") {
-		key := 1 + int(record[0])
+		valueStart := 1 + int(record[0])
 		newest := metaRecord{
 			offset: t.end(),
 		}
-		if key < len(record) {
-			newest.value = record[key:]
+		if valueStart < len(record) {
+			newest.value = record[valueStart:]
 		}
-		t.newest[string(record[1:key])] = newest
+		t.newest[string(record[1:valueStart])] = newest
 	}
-	s.add(t, record)
+	s.appendRecord(t, record)
 }
--- a/standin/modelrun.go
+++ b/standin/modelrun.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// holdUp delays the start of a request by the fault HoldUp. It reports whether the caller
-// is still connected after that.
-func (m *ModelWorker) holdUp(r *http.Request) bool {
+// delayStart delays the start of a request by the fault HoldUp. It reports whether the
+// caller is still connected after that.
+func (m *ModelWorker) delayStart(r *http.Request) bool {
 	m.mu.Lock()
 	wait := m.faults.HoldUp
-	m.held++
+	m.delayed++
 	m.mu.Unlock()
 	defer func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.held--
+		m.delayed--
 	}()
 	if wait == 0 {
 		return true
@@ -36,7 +36,7 @@
 func (m *ModelWorker) admit(r *http.Request) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.settle()
+	m.completeLoads()
 	if want := r.Header.Get("X-Wardturn-Expect-Instance"); want != "" && want != m.id {
 		return http.StatusMisdirectedRequest
 	}
@@ -44,8 +44,8 @@
 		return http.StatusServiceUnavailable
 	}
 	_, adapter, _ := strings.Cut(r.Header.Get("X-Wardturn-Model"), "/")
-	version, held := m.adapters[adapter]
-	if adapter != "" && !held {
+	version, loaded := m.adapters[adapter]
+	if adapter != "" && !loaded {
 		return http.StatusMisdirectedRequest
 	}
 	if want := r.Header.Get("Expect-Version"); want != "" && want != strconv.FormatInt(version, 10) {
@@ -64,7 +64,7 @@
 	m.arrivals = append(m.arrivals, Arrival{
 		At:       time.Now(),
 		Attempt:  r.Header.Get("X-Wardturn-Attempt-Id"),
-		Lifetime: fmt.Sprintf("%s@%d", m.id, m.born),
+		Lifetime: fmt.Sprintf("%s@%d", m.id, m.startMS),
 		Leaving:  m.faults.Leaving == "1",
 	})
 	m.mu.Unlock()
@@ -72,7 +72,7 @@
 	if err != nil {
 		return
 	}
-	if !m.holdUp(r) {
+	if !m.delayStart(r) {
 		return
 	}
 	attempt := r.Header.Get("X-Wardturn-Attempt-Id")
@@ -83,7 +83,7 @@
 		h.Set("X-Wardturn-Instance-Id", m.id)
 		if status == http.StatusServiceUnavailable {
 			h["Retry-After"] = m.faults.RetryAfter
-			m.arrivals[arrival].Rest = longest(m.faults.RetryAfter)
+			m.arrivals[arrival].Rest = longestDelay(m.faults.RetryAfter)
 		}
 		m.mu.Unlock()
 		h.Set("X-Wardturn-Not-Executed", "1")
@@ -96,7 +96,7 @@
 	defer func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.ended(attempt)
+		m.runEnded(attempt)
 	}()
 	select {
 	case <-time.After(f.Think):
@@ -114,26 +114,26 @@
 	case f.LoseAnswers:
 		panic(http.ErrAbortHandler)
 	case f.Stranger:
-		m.answerTwice(w, attempt, m.whole(r, body))
+		m.respondTwice(w, attempt, m.completeResponse(r, body))
 	case f.Error:
 		w.WriteHeader(http.StatusInternalServerError)
 	case m.cfg.Pieces > 0:
-		m.stream(w, r, f)
+		m.writeStream(w, r, f)
 	default:
-		_, _ = w.Write(m.whole(r, body))
+		_, _ = w.Write(m.completeResponse(r, body))
 	}
 }
 
-// ended removes a run of an attempt from those in progress. The caller holds the lock.
-func (m *ModelWorker) ended(attempt string) {
+// runEnded removes a run of an attempt from those in progress. The caller holds the lock.
+func (m *ModelWorker) runEnded(attempt string) {
 	m.running[attempt]--
 	if m.running[attempt] == 0 {
 		delete(m.running, attempt)
 	}
 }
 
-// answerTwice writes the response to another request before the right one.
-func (m *ModelWorker) answerTwice(w http.ResponseWriter, attempt string, body []byte) {
+// respondTwice writes the response to another request before the right one.
+func (m *ModelWorker) respondTwice(w http.ResponseWriter, attempt string, body []byte) {
 	nc, buf, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -145,9 +145,9 @@
 	_ = buf.Flush()
 }
 
-// longest returns the longest duration among the texts that are numbers of seconds, or
-// zero if there is none.
-func longest(texts []string) (d time.Duration) {
+// longestDelay returns the longest duration among the texts that are numbers of seconds,
+// or zero if there is none.
+func longestDelay(texts []string) (d time.Duration) {
 	for _, text := range texts {
 		if n, err := strconv.ParseFloat(text, 64); err == nil {
 			d = max(d, time.Duration(n*float64(time.Second)))
--- a/standin/modelstream.go
+++ b/standin/modelstream.go
@@ -22,28 +22,28 @@
 	return fmt.Appendf(b, "data: %s %d\n\n", cmp.Or(s.Word, "piece"), i)
 }
 
-// whole returns the complete response to a request. A stream starts after the event
-// Last-Event-Id.
-func (m *ModelWorker) whole(r *http.Request, body []byte) []byte {
+// completeResponse returns the complete response to a request. A stream starts after the
+// event Last-Event-Id.
+func (m *ModelWorker) completeResponse(r *http.Request, body []byte) []byte {
 	if m.cfg.Pieces == 0 {
 		return append([]byte("echo:"), body...)
 	}
 	var b []byte
-	for i := lastEvent(r) + 1; i <= m.cfg.Pieces; i++ {
+	for i := lastEventID(r) + 1; i <= m.cfg.Pieces; i++ {
 		b = append(b, StreamShape{}.Event(i)...)
 	}
 	return b
 }
 
-// stream writes events with ascending ids, starting after the event Last-Event-Id.
-func (m *ModelWorker) stream(w http.ResponseWriter, r *http.Request, f WorkerFaults) {
+// writeStream writes events with ascending ids, starting after the event Last-Event-Id.
+func (m *ModelWorker) writeStream(w http.ResponseWriter, r *http.Request, f WorkerFaults) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	shape, last := f.Resumed, f.CutAfter
 	if r.Header.Get("Last-Event-Id") == "" {
 		shape, last = f.Fresh, max(f.CutAfter, f.CutFresh)
 	}
-	for i := max(lastEvent(r)+1+shape.Shift, 1); i <= m.cfg.Pieces; i++ {
+	for i := max(lastEventID(r)+1+shape.Shift, 1); i <= m.cfg.Pieces; i++ {
 		if last > 0 && i > last {
 			fmt.Fprintf(w, "id: %d\ndata: ha", i) // the cut is within an event
 			w.(http.Flusher).Flush()
@@ -59,8 +59,8 @@
 	}
 }
 
-// lastEvent returns the Last-Event-Id of a request, or zero if there is none.
-func lastEvent(r *http.Request) int {
+// lastEventID returns the Last-Event-Id of a request, or zero if there is none.
+func lastEventID(r *http.Request) int {
 	last, err := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	if err != nil {
 		return 0
--- a/standin/modelworker.go
+++ b/standin/modelworker.go
@@ -19,23 +19,23 @@
 type ModelWorker struct {
 	cfg ModelWorkerConfig
 
-	mu       sync.Mutex
-	id       string
-	born     int64 // start of the lifetime in Unix ms; zero: not reported
-	seq      uint64
-	fence    int64
-	model    bool                 // the base model is loaded
-	adapters map[string]int64     // version by name
-	coming   map[string]time.Time // ends of loads in progress, by name
-	runs     map[string]int       // number of runs by attempt id
-	held     int                  // requests delayed by HoldUp before they start
-	running  map[string]int       // requests in progress by attempt id
-	faults   WorkerFaults
-	fell     bool                   // an order exceeded the adapter slots
-	newest   map[string]int64       // newest version by adapter
-	headers  map[string]http.Header // headers of the latest run by attempt id
-	arrivals []Arrival
-	coldTo   time.Time // end of the cold period
+	mu            sync.Mutex
+	id            string
+	startMS       int64 // start of the lifetime in Unix ms; zero: not reported
+	seq           uint64
+	fence         int64
+	model         bool                 // the base model is loaded
+	adapters      map[string]int64     // version by name
+	loading       map[string]time.Time // ends of loads in progress, by name
+	runs          map[string]int       // number of runs by attempt id
+	delayed       int                  // requests delayed by HoldUp before they start
+	running       map[string]int       // requests in progress by attempt id
+	faults        WorkerFaults
+	slotsExceeded bool                   // an order exceeded the adapter slots
+	newest        map[string]int64       // newest version by adapter
+	headers       map[string]http.Header // headers of the latest run by attempt id
+	arrivals      []Arrival
+	coldUntil     time.Time // end of the cold period
 }
 
 // ModelWorkerConfig configures a ModelWorker.
@@ -81,7 +81,7 @@
 		id:       cfg.ID,
 		model:    cfg.Model != "",
 		adapters: make(map[string]int64),
-		coming:   make(map[string]time.Time),
+		loading:  make(map[string]time.Time),
 		runs:     make(map[string]int),
 		running:  make(map[string]int),
 		newest:   make(map[string]int64),
@@ -113,15 +113,15 @@
 	m.fence = 0
 	m.model = false
 	clear(m.adapters)
-	clear(m.coming)
+	clear(m.loading)
 }
 
 // StartAgain starts a new lifetime with the same id. From then on the worker reports the
 // start of its lifetime, in Unix milliseconds.
-func (m *ModelWorker) StartAgain(born int64) {
+func (m *ModelWorker) StartAgain(startMS int64) {
 	m.mu.Lock()
 	id := m.id
-	m.born = born
+	m.startMS = startMS
 	m.mu.Unlock()
 	m.Restart(id)
 }
@@ -176,7 +176,7 @@
 func (m *ModelWorker) Held() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.held
+	return m.delayed
 }
 
 // Active returns the number of requests in progress.
@@ -199,14 +199,14 @@
 func (m *ModelWorker) Fell() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.fell
+	return m.slotsExceeded
 }
 
 // Adapters returns the number of loaded adapters.
 func (m *ModelWorker) Adapters() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.settle()
+	m.completeLoads()
 	return len(m.adapters)
 }
 
@@ -214,35 +214,35 @@
 func (m *ModelWorker) Entry(service, addr, zone, state string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	born := ""
-	if m.born > 0 {
-		born = fmt.Sprintf(`,"born":%d`, m.born)
+	start := ""
+	if m.startMS > 0 {
+		start = fmt.Sprintf(`,"born":%d`, m.startMS)
 	}
 	cold := ""
-	if left := m.coldMS(); left > 0 {
-		cold = fmt.Sprintf(`,"cold_left_ms":%d`, left)
+	if remaining := m.coldRemainingMS(); remaining > 0 {
+		cold = fmt.Sprintf(`,"cold_left_ms":%d`, remaining)
 	}
-	return fmt.Sprintf(`{"service":%q,"address":%q,"zone":%q,"slots":8,"state":%q%s,"seq":1%s}`, service, addr, zone, state, cold, born)
+	return fmt.Sprintf(`{"service":%q,"address":%q,"zone":%q,"slots":8,"state":%q%s,"seq":1%s}`, service, addr, zone, state, cold, start)
 }
 
 // TurnCold makes the worker report for the duration d that it is cold.
 func (m *ModelWorker) TurnCold(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.coldTo = time.Now().Add(d)
+	m.coldUntil = time.Now().Add(d)
 }
 
-// coldMS returns the remaining time in which the worker is cold, in ms. The caller holds
-// the lock.
-func (m *ModelWorker) coldMS() int64 {
-	return max(0, time.Until(m.coldTo).Milliseconds())
+// coldRemainingMS returns the remaining time in which the worker is cold, in ms. The
+// caller holds the lock.
+func (m *ModelWorker) coldRemainingMS() int64 {
+	return max(0, time.Until(m.coldUntil).Milliseconds())
 }
 
-// settle completes the loads that have ended. The caller holds the lock.
-func (m *ModelWorker) settle() {
-	for name, at := range m.coming {
-		if !time.Now().Before(at) {
-			delete(m.coming, name)
+// completeLoads completes the loads that have ended. The caller holds the lock.
+func (m *ModelWorker) completeLoads() {
+	for name, end := range m.loading {
+		if !time.Now().Before(end) {
+			delete(m.loading, name)
 			m.adapters[name] = max(m.newest[name], 1)
 		}
 	}
@@ -254,8 +254,8 @@
 	if m.faults.Limit != "" {
 		w.Header().Set(HeaderLimit, m.faults.Limit)
 	}
-	if left := m.coldMS(); left > 0 {
-		w.Header().Set("X-Wardturn-Cold-Ms", strconv.FormatInt(left, 10))
+	if remaining := m.coldRemainingMS(); remaining > 0 {
+		w.Header().Set("X-Wardturn-Cold-Ms", strconv.FormatInt(remaining, 10))
 	}
 	if m.faults.Leaving != "" {
 		w.Header().Set(HeaderLeaving, m.faults.Leaving)
@@ -279,7 +279,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.settle()
+	m.completeLoads()
 	models := []model{}
 	if m.model {
 		adapters := []string{}
@@ -292,11 +292,11 @@
 			Adapters: adapters,
 		})
 	}
-	coming := []string{}
-	for name := range m.coming {
-		coming = append(coming, m.cfg.Model+"/"+name+"@1")
+	loading := []string{}
+	for name := range m.loading {
+		loading = append(loading, m.cfg.Model+"/"+name+"@1")
 	}
-	if m.born == 0 {
+	if m.startMS == 0 {
 		w.Header().Set("X-Wardturn-Instance-Id", m.id)
 	}
 	report := map[string]any{
@@ -305,10 +305,10 @@
 		"seq":      m.seq,
 		"active":   m.active(),
 		"kv_total": 1000,
-		"coming":   coming,
+		"coming":   loading,
 	}
-	if m.born > 0 {
-		report["born"] = m.born
+	if m.startMS > 0 {
+		report["born"] = m.startMS
 	}
 	if !m.faults.HideRuns {
 		report["runs"] = m.runRows()
@@ -327,9 +327,9 @@
 	return rows
 }
 
-// lateOrder is the delay of a late order. It ends after the keeper's timeout for the
+// lateOrderDelay is the delay of a late order. It ends after the keeper's timeout for the
 // response.
-const lateOrder = 200 * time.Millisecond
+const lateOrderDelay = 200 * time.Millisecond
 
 // workerOrder is the body of an order.
 type workerOrder struct {
@@ -352,22 +352,22 @@
 	m.mu.Unlock()
 	instance := r.Header.Get("X-Wardturn-Expect-Instance")
 	if f.LateOrders {
-		time.AfterFunc(lateOrder, func() {
-			m.take(o, instance)
+		time.AfterFunc(lateOrderDelay, func() {
+			m.executeOrder(o, instance)
 		})
 	}
 	if f.LateOrders || f.LoseOrders {
 		<-r.Context().Done()
 		return
 	}
-	w.WriteHeader(m.take(o, instance))
+	w.WriteHeader(m.executeOrder(o, instance))
 }
 
-// take executes an order and returns the status of the response.
-func (m *ModelWorker) take(o workerOrder, instance string) int {
+// executeOrder executes an order and returns the status of the response.
+func (m *ModelWorker) executeOrder(o workerOrder, instance string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.settle()
+	m.completeLoads()
 	switch {
 	case instance != m.id:
 		return http.StatusMisdirectedRequest
@@ -386,9 +386,9 @@
 		m.model = true
 		return http.StatusAccepted
 	}
-	if _, held := m.adapters[o.Adapter]; !held && len(m.adapters)+len(m.coming) >= m.cfg.Slots {
-		m.fell = true
+	if _, loaded := m.adapters[o.Adapter]; !loaded && len(m.adapters)+len(m.loading) >= m.cfg.Slots {
+		m.slotsExceeded = true
 	}
-	m.coming[o.Adapter] = time.Now().Add(m.cfg.LoadTime)
+	m.loading[o.Adapter] = time.Now().Add(m.cfg.LoadTime)
 	return http.StatusAccepted
 }
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -25,8 +25,8 @@
 	target string
 
 	mu      sync.Mutex
-	thawed  *sync.Cond
-	frozen  [2]bool // by direction
+	resumed *sync.Cond
+	stalled [2]bool // by direction
 	delay   time.Duration
 	blocked bool
 	closed  bool
@@ -50,7 +50,7 @@
 		target: target,
 		conns:  make(map[net.Conn]bool),
 	}
-	r.thawed = sync.NewCond(&r.mu)
+	r.resumed = sync.NewCond(&r.mu)
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
@@ -82,10 +82,10 @@
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut()
+	r.closeConns()
 }
 
-func (r *Relay) cut() {
+func (r *Relay) closeConns() {
 	for c := range r.conns {
 		c.Close()
 	}
@@ -99,7 +99,7 @@
 	defer r.mu.Unlock()
 	r.blocked = on
 	if on {
-		r.cut()
+		r.closeConns()
 	}
 }
 
@@ -107,16 +107,16 @@
 func (r *Relay) Freeze(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.frozen = [2]bool{on, on}
-	r.thawed.Broadcast()
+	r.stalled = [2]bool{on, on}
+	r.resumed.Broadcast()
 }
 
 // Silence stalls or resumes the traffic in one direction.
-func (r *Relay) Silence(w Way, on bool) {
+func (r *Relay) Silence(dir Way, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.frozen[w] = on
-	r.thawed.Broadcast()
+	r.stalled[dir] = on
+	r.resumed.Broadcast()
 }
 
 // Delay sets the time by which each chunk of data is delayed.
@@ -135,16 +135,16 @@
 			_ = tc.SetLinger(0)
 		}
 	}
-	r.cut()
+	r.closeConns()
 }
 
 // Close closes the listener and all connections, and waits for the goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
-	r.frozen = [2]bool{}
-	r.thawed.Broadcast()
-	r.cut()
+	r.stalled = [2]bool{}
+	r.resumed.Broadcast()
+	r.closeConns()
 	r.mu.Unlock()
 	r.ln.Close()
 	r.wg.Wait()
@@ -159,13 +159,13 @@
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
-			r.pass(c)
+			r.forward(c)
 		}()
 	}
 }
 
-// pass forwards a connection to the target until either side is closed.
-func (r *Relay) pass(c net.Conn) {
+// forward forwards a connection to the target until either side is closed.
+func (r *Relay) forward(c net.Conn) {
 	r.mu.Lock()
 	target := r.target
 	refused := r.blocked || r.closed
@@ -179,30 +179,30 @@
 		c.Close()
 		return
 	}
-	if !r.add(c, t) {
+	if !r.addConns(c, t) {
 		c.Close()
 		t.Close()
 		return
 	}
-	var both sync.WaitGroup
-	both.Add(2)
-	for way, ends := range [][2]net.Conn{{c, t}, {t, c}} {
+	var wg sync.WaitGroup
+	wg.Add(2)
+	for dir, pair := range [][2]net.Conn{{c, t}, {t, c}} {
 		go func() {
-			defer both.Done()
-			r.copy(Way(way), ends[1], ends[0])
+			defer wg.Done()
+			r.copy(Way(dir), pair[1], pair[0])
 			c.Close()
 			t.Close()
 		}()
 	}
-	both.Wait()
+	wg.Wait()
 	r.mu.Lock()
 	delete(r.conns, c)
 	delete(r.conns, t)
 	r.mu.Unlock()
 }
 
-// add registers connections. It returns false if the proxy is blocked or closed.
-func (r *Relay) add(conns ...net.Conn) bool {
+// addConns registers connections. It returns false if the proxy is blocked or closed.
+func (r *Relay) addConns(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.blocked || r.closed {
@@ -214,11 +214,11 @@
 	return true
 }
 
-func (r *Relay) copy(w Way, dst io.Writer, src io.Reader) {
+func (r *Relay) copy(dir Way, dst io.Writer, src io.Reader) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
-		r.waitThawed(w)
+		r.waitResumed(dir)
 		if n > 0 {
 			if _, err := dst.Write(buf[:n]); err != nil {
 				return
@@ -230,11 +230,11 @@
 	}
 }
 
-// waitThawed waits while the direction is stalled, and then for the delay.
-func (r *Relay) waitThawed(w Way) {
+// waitResumed waits while the direction is stalled, and then for the delay.
+func (r *Relay) waitResumed(dir Way) {
 	r.mu.Lock()
-	for r.frozen[w] {
-		r.thawed.Wait()
+	for r.stalled[dir] {
+		r.resumed.Wait()
 	}
 	d := r.delay
 	r.mu.Unlock()
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -97,18 +97,18 @@
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	wire := driver.WirePage{
+	body := driver.WirePage{
 		First: page.First,
 		Next:  page.Next,
 	}
 	for _, r := range page.Records {
-		wire.Records = append(wire.Records, driver.WireRecord{
+		body.Records = append(body.Records, driver.WireRecord{
 			Offset: r.Offset,
 			Time:   r.Time,
 			Data:   r.Data,
 		})
 	}
-	writeJSON(ctx, status, wire)
+	writeJSON(ctx, status, body)
 }
 
 // HostsHandler returns a handler that serves a host list over HTTP.
@@ -144,11 +144,11 @@
 	return func(ctx *fasthttp.RequestCtx) {
 		switch string(ctx.Path()) {
 		case driver.PathCompletions, driver.PathChatCompletions:
-			generate(ctx, e)
+			serveCompletion(ctx, e)
 		case driver.PathLoadAdapter:
-			orderSlot(ctx, e.Load)
+			serveSlotOrder(ctx, e.Load)
 		case driver.PathUnloadAdapter:
-			orderSlot(ctx, e.Unload)
+			serveSlotOrder(ctx, e.Unload)
 		case driver.PathReport:
 			writeJSON(ctx, fasthttp.StatusOK, e.Report())
 		default:
@@ -157,8 +157,8 @@
 	}
 }
 
-// orderSlot executes an order to load or unload an adapter and waits for its result.
-func orderSlot(ctx *fasthttp.RequestCtx, do func(wardturn.SlotOrder, func(error))) {
+// serveSlotOrder executes an order to load or unload an adapter and waits for its result.
+func serveSlotOrder(ctx *fasthttp.RequestCtx, do func(wardturn.SlotOrder, func(error))) {
 	var body driver.AdapterOrder
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
 		writeError(ctx, fasthttp.StatusBadRequest, "bad_request", err.Error())
@@ -171,15 +171,15 @@
 	}
 	fence, _ := strconv.ParseInt(string(ctx.Request.Header.Peek(driver.HeaderFence)), 10, 64)
 	id, _ := strconv.ParseUint(string(ctx.Request.Header.Peek(driver.HeaderOrder)), 10, 64)
-	ended := make(chan error, 1)
+	result := make(chan error, 1)
 	do(wardturn.SlotOrder{
 		ID:      wardturn.OrderID(id),
 		Fence:   wardturn.Fence(fence),
 		Adapter: ref,
 	}, func(err error) {
-		ended <- err
+		result <- err
 	})
-	if err := <-ended; err != nil {
+	if err := <-result; err != nil {
 		writeError(ctx, fasthttp.StatusConflict, errorCode(err), err.Error())
 		return
 	}
@@ -202,8 +202,8 @@
 	return driver.CodeUnavailable
 }
 
-// generateBody contains the fields of a completion request that the engine uses.
-type generateBody struct {
+// completionRequest contains the fields of a completion request that the engine uses.
+type completionRequest struct {
 	Model     string `json:"model"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
@@ -222,9 +222,9 @@
 	err   error
 }
 
-// generate serves a completion request.
-func generate(ctx *fasthttp.RequestCtx, e *Engine) {
-	var body generateBody
+// serveCompletion serves a completion request.
+func serveCompletion(ctx *fasthttp.RequestCtx, e *Engine) {
+	var body completionRequest
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
 		writeError(ctx, fasthttp.StatusBadRequest, "bad_request", err.Error())
 		return
@@ -237,7 +237,7 @@
 	if body.MaxTokens <= 0 {
 		body.MaxTokens = defaultMaxTokens
 	}
-	a := answer{
+	a := responseFormatter{
 		model: body.Model,
 		id:    string(ctx.Request.Header.Peek(driver.HeaderAttempt)),
 		chat:  string(ctx.Path()) == driver.PathChatCompletions,
@@ -273,17 +273,17 @@
 	if body.Stream {
 		ctx.SetContentType("text/event-stream")
 		ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-			if !a.stream(w, events) {
+			if !a.writeStream(w, events) {
 				e.Cancel(attempt)
 			}
 		})
 		return
 	}
-	a.whole(ctx, events)
+	a.writeComplete(ctx, events)
 }
 
-// answer formats a response as in the OpenAI API.
-type answer struct {
+// responseFormatter formats a response as in the OpenAI API.
+type responseFormatter struct {
 	model string
 	id    string
 	chat  bool
@@ -319,8 +319,8 @@
 	return " w" + strconv.Itoa(i)
 }
 
-// stream writes the events as server-sent events. It returns false if a write failed.
-func (a answer) stream(w *bufio.Writer, events <-chan streamEvent) bool {
+// writeStream writes the events as server-sent events. It returns false if a write failed.
+func (a responseFormatter) writeStream(w *bufio.Writer, events <-chan streamEvent) bool {
 	for ev := range events {
 		if ev.err != nil {
 			return true // the stream ends without the end marker
@@ -329,7 +329,7 @@
 			_, _ = w.WriteString("data: [DONE]\n\n")
 			return w.Flush() == nil
 		}
-		data, _ := json.Marshal(a.piece(tokenText(ev.token)))
+		data, _ := json.Marshal(a.chunk(tokenText(ev.token)))
 		_, _ = w.WriteString("data: ")
 		_, _ = w.Write(data)
 		_, _ = w.WriteString("\n\n")
@@ -340,8 +340,8 @@
 	return true
 }
 
-// piece returns a chunk of a streamed completion.
-func (a answer) piece(text string) completion {
+// chunk returns a chunk of a streamed completion.
+func (a responseFormatter) chunk(text string) completion {
 	c := choice{
 		Text: text,
 	}
@@ -361,8 +361,8 @@
 	}
 }
 
-// whole writes the complete response after the last event.
-func (a answer) whole(ctx *fasthttp.RequestCtx, events <-chan streamEvent) {
+// writeComplete writes the complete response after the last event.
+func (a responseFormatter) writeComplete(ctx *fasthttp.RequestCtx, events <-chan streamEvent) {
 	text := ""
 	n := 0
 	for ev := range events {
--- a/standin/service.go
+++ b/standin/service.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// receipt is the response to a call.
-type receipt struct {
+// callResponse is the response to a call.
+type callResponse struct {
 	Path  string `json:"path"`
 	Body  string `json:"body"`
 	Count int    `json:"count"`
@@ -68,7 +68,7 @@
 		hold := s.hold
 		s.mu.Unlock()
 		s.wait(hold)
-		writeJSON(ctx, fasthttp.StatusOK, receipt{
+		writeJSON(ctx, fasthttp.StatusOK, callResponse{
 			Path:  string(ctx.Path()),
 			Body:  body,
 			Count: n,
--- a/standin/store.go
+++ b/standin/store.go
@@ -29,20 +29,20 @@
 	clock wardturn.Clock
 	cfg   StoreConfig
 
-	mu      sync.Mutex
-	faults  StoreFaults
-	tokens  float64
-	at      time.Time // time of the last update of tokens and fetches
-	fetches []*fetch
-	timer   wardturn.Timer
-	served  int
-	refused int
+	mu        sync.Mutex
+	faults    StoreFaults
+	tokens    float64
+	updatedAt time.Time // last update of tokens and fetches
+	fetches   []*fetch
+	timer     wardturn.Timer
+	served    int
+	refused   int
 }
 
 type fetch struct {
-	ref  wardturn.AdapterRef
-	left float64 // remaining seconds at full speed
-	done func(error)
+	ref       wardturn.AdapterRef
+	remaining float64 // seconds at full speed
+	done      func(error)
 }
 
 // NewStore returns an idle store with its full burst available.
@@ -51,10 +51,10 @@
 		cfg.Burst = float64(cfg.Parallel)
 	}
 	return &Store{
-		clock:  clock,
-		cfg:    cfg,
-		tokens: cfg.Burst,
-		at:     clock.Now(),
+		clock:     clock,
+		cfg:       cfg,
+		tokens:    cfg.Burst,
+		updatedAt: clock.Now(),
 	}
 }
 
@@ -62,7 +62,7 @@
 // end with ErrUnavailable.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
-	s.progress()
+	s.update()
 	s.faults = f
 	var lost []*fetch
 	if f.Down {
@@ -85,16 +85,16 @@
 
 // Fetch implements wardturn.Store.
 func (s *Store) Fetch(ref wardturn.AdapterRef, done func(error)) {
-	if err := s.begin(ref, done); err != nil {
+	if err := s.startFetch(ref, done); err != nil {
 		done(err)
 	}
 }
 
-// begin starts a fetch, or returns why it is refused.
-func (s *Store) begin(ref wardturn.AdapterRef, done func(error)) error {
+// startFetch starts a fetch, or returns why it is refused.
+func (s *Store) startFetch(ref wardturn.AdapterRef, done func(error)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.progress()
+	s.update()
 	if s.faults.Down {
 		return wardturn.ErrUnavailable
 	}
@@ -104,9 +104,9 @@
 	}
 	s.tokens--
 	s.fetches = append(s.fetches, &fetch{
-		ref:  ref,
-		left: s.cfg.Fetch.Seconds(),
-		done: done,
+		ref:       ref,
+		remaining: s.cfg.Fetch.Seconds(),
+		done:      done,
 	})
 	s.schedule()
 	return nil
@@ -124,15 +124,15 @@
 	return v
 }
 
-// progress updates tokens and fetches to the current time.
-func (s *Store) progress() {
+// update updates tokens and fetches to the current time.
+func (s *Store) update() {
 	now := s.clock.Now()
-	gap := now.Sub(s.at).Seconds()
-	s.at = now
-	s.tokens = min(s.cfg.Burst, s.tokens+gap*s.cfg.Rate)
+	elapsed := now.Sub(s.updatedAt).Seconds()
+	s.updatedAt = now
+	s.tokens = min(s.cfg.Burst, s.tokens+elapsed*s.cfg.Rate)
 	v := s.speed()
 	for _, f := range s.fetches {
-		f.left -= gap * v
+		f.remaining -= elapsed * v
 	}
 }
 
@@ -145,33 +145,33 @@
 	if len(s.fetches) == 0 {
 		return
 	}
-	left := s.fetches[0].left
+	remaining := s.fetches[0].remaining
 	for _, f := range s.fetches[1:] {
-		left = min(left, f.left)
+		remaining = min(remaining, f.remaining)
 	}
-	wait := time.Duration(max(left, 0) / s.speed() * float64(time.Second))
-	s.timer = s.clock.AfterFunc(wait+time.Microsecond, s.finish)
+	wait := time.Duration(max(remaining, 0) / s.speed() * float64(time.Second))
+	s.timer = s.clock.AfterFunc(wait+time.Microsecond, s.completeFetches)
 }
 
-// finish ends the fetches that are complete.
-func (s *Store) finish() {
+// completeFetches ends the fetches that are complete.
+func (s *Store) completeFetches() {
 	s.mu.Lock()
-	s.progress()
-	var ended []*fetch
-	kept := s.fetches[:0]
+	s.update()
+	var completed []*fetch
+	inProgress := s.fetches[:0]
 	for _, f := range s.fetches {
-		if f.left <= 0 {
-			ended = append(ended, f)
+		if f.remaining <= 0 {
+			completed = append(completed, f)
 			continue
 		}
-		kept = append(kept, f)
+		inProgress = append(inProgress, f)
 	}
-	s.fetches = kept
-	s.served += len(ended)
+	s.fetches = inProgress
+	s.served += len(completed)
 	fail := s.faults.Fail
 	s.schedule()
 	s.mu.Unlock()
-	for _, f := range ended {
+	for _, f := range completed {
 		var err error
 		if fail != nil {
 			err = fail(f.ref)
