--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -41,11 +41,11 @@
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(env *testscript.Env) error {
-			w := &scenario{
+			s := &scenario{
 				calls: make(map[string]*callResult),
 			}
-			env.Values[scenarioKey{}] = w
-			env.Defer(w.close)
+			env.Values[scenarioKey{}] = s
+			env.Defer(s.close)
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
@@ -104,14 +104,14 @@
 	}
 }
 
-func (w *scenario) close() {
-	if w.releaseServices != nil {
-		w.releaseServices()
+func (s *scenario) close() {
+	if s.releaseServices != nil {
+		s.releaseServices()
 	}
-	if w.sys != nil {
-		w.sys.Close()
+	if s.sys != nil {
+		s.sys.Close()
 	}
-	w.wg.Wait()
+	s.wg.Wait()
 }
 
 // parseOptions splits arguments into key=value options and the rest.
@@ -152,12 +152,12 @@
 //
 // With a lower speed than the default, the timeouts of the daemons, such as that of
 // appending a claim to the log, are longer in real time.
-func startSystem(ts *testscript.TestScript, w *scenario, args []string) {
+func startSystem(ts *testscript.TestScript, s *scenario, args []string) {
 	opts, _ := parseOptions(args)
 	speed := intOption(opts, "speed", defaultSpeed)
-	w.clock = standin.NewFastClock(speed)
+	s.clock = standin.NewFastClock(speed)
 	cfg := demo.Zurich()
-	cfg.Clock = w.clock
+	cfg.Clock = s.clock
 	cfg.Relays = true
 	cfg.Logger = hclog.NewNullLogger()
 	cfg.HostLag = 0
@@ -174,17 +174,17 @@
 	cfg.Grace = deadlineGrace * time.Duration(speed)
 	sys, err := demo.Start(context.Background(), cfg)
 	ts.Check(err)
-	w.sys = sys
+	s.sys = sys
 	for _, u := range sys.Upstreams {
-		waitConfig(ts, w, []string{string(u.ID)})
+		waitConfig(ts, s, []string{string(u.ID)})
 		if u.Engine != nil {
 			waitUntil(ts, "fence of "+string(u.ID), func() bool { return u.Agent.Status().Fence > 0 })
 		}
 	}
 }
 
-func (w *scenario) upstream(ts *testscript.TestScript, id string) *demo.Upstream {
-	for _, u := range w.sys.Upstreams {
+func (s *scenario) upstream(ts *testscript.TestScript, id string) *demo.Upstream {
+	for _, u := range s.sys.Upstreams {
 		if string(u.ID) == id {
 			return u
 		}
@@ -194,10 +194,10 @@
 }
 
 // call NAME ADAPTER [entry=N] [tokens=N] [whole=1] [class=C] [deadline=MS]
-func startCall(ts *testscript.TestScript, w *scenario, args []string) {
+func startCall(ts *testscript.TestScript, s *scenario, args []string) {
 	opts, rest := parseOptions(args)
 	req := fasthttp.AcquireRequest()
-	req.SetRequestURI("http://" + w.sys.Addrs()[intOption(opts, "entry", 0)] + "/v1/completions")
+	req.SetRequestURI("http://" + s.sys.Addrs()[intOption(opts, "entry", 0)] + "/v1/completions")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	if c := opts["class"]; c != "" {
 		req.Header.Set(entry.HeaderClass, c)
@@ -207,13 +207,13 @@
 	}
 	stream := opts["whole"] == ""
 	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":%v}`, rest[1], intOption(opts, "tokens", 3), stream))
-	w.start(rest[0], req)
+	s.start(rest[0], req)
 }
 
 // vanish ADAPTER tokens=N: requests a stream, reads its first byte and disconnects.
-func disconnect(ts *testscript.TestScript, w *scenario, args []string) {
+func disconnect(ts *testscript.TestScript, s *scenario, args []string) {
 	opts, rest := parseOptions(args)
-	c, err := net.Dial("tcp", w.sys.Addrs()[0])
+	c, err := net.Dial("tcp", s.sys.Addrs()[0])
 	ts.Check(err)
 	defer c.Close()
 	body := fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, rest[0], intOption(opts, "tokens", 3))
@@ -224,13 +224,13 @@
 }
 
 // service NAME METHOD PATH BODY [entry=N] [key=K] [age=SECONDS] [deadline=MS]
-func startService(_ *testscript.TestScript, w *scenario, args []string) {
+func startService(_ *testscript.TestScript, s *scenario, args []string) {
 	opts, rest := parseOptions(args)
 	req := fasthttp.AcquireRequest()
-	req.SetRequestURI("http://" + w.sys.Addrs()[intOption(opts, "entry", 0)] + "/v1/services/" + string(demo.Service) + rest[2])
+	req.SetRequestURI("http://" + s.sys.Addrs()[intOption(opts, "entry", 0)] + "/v1/services/" + string(demo.Service) + rest[2])
 	req.Header.SetMethod(rest[1])
 	if k := opts["key"]; k != "" {
-		created := w.clock.Now().Add(-time.Duration(intOption(opts, "age", 0)) * time.Second)
+		created := s.clock.Now().Add(-time.Duration(intOption(opts, "age", 0)) * time.Second)
 		req.Header.Set(entry.HeaderKey, k)
 		req.Header.Set(entry.HeaderKeyCreated, created.UTC().Format(time.RFC3339))
 	}
@@ -240,18 +240,18 @@
 	if len(rest) > 3 {
 		req.SetBodyString(rest[3])
 	}
-	w.start(rest[0], req)
+	s.start(rest[0], req)
 }
 
-func (w *scenario) start(name string, req *fasthttp.Request) {
+func (s *scenario) start(name string, req *fasthttp.Request) {
 	r := &callResult{
 		header: make(map[string]string),
 		done:   make(chan struct{}),
 	}
-	w.calls[name] = r
-	w.wg.Add(1)
+	s.calls[name] = r
+	s.wg.Add(1)
 	go func() {
-		defer w.wg.Done()
+		defer s.wg.Done()
 		defer close(r.done)
 		r.run(req)
 	}()
@@ -293,8 +293,8 @@
 	return r.body.String()
 }
 
-func (w *scenario) result(ts *testscript.TestScript, name string) *callResult {
-	r := w.calls[name]
+func (s *scenario) result(ts *testscript.TestScript, name string) *callResult {
+	r := s.calls[name]
 	if r == nil {
 		ts.Fatalf("no call %s", name)
 	}
@@ -302,10 +302,10 @@
 }
 
 // ended NAME...
-func waitCall(ts *testscript.TestScript, w *scenario, args []string) {
+func waitCall(ts *testscript.TestScript, s *scenario, args []string) {
 	for _, name := range args {
 		select {
-		case <-w.result(ts, name).done:
+		case <-s.result(ts, name).done:
 		case <-time.After(waitTimeout):
 			ts.Fatalf("call %s did not end", name)
 		}
@@ -313,8 +313,8 @@
 }
 
 // running NAME: waits for the first bytes of a response, which must not be a refusal.
-func waitRunning(ts *testscript.TestScript, w *scenario, args []string) {
-	r := w.result(ts, args[0])
+func waitRunning(ts *testscript.TestScript, s *scenario, args []string) {
+	r := s.result(ts, args[0])
 	waitUntil(ts, "first bytes of "+args[0], func() bool { return r.text() != "" })
 	if r.status != fasthttp.StatusOK {
 		ts.Fatalf("%s does not run: %s", args[0], r.text())
@@ -322,10 +322,10 @@
 }
 
 // expect NAME status=N [outcome=O] [reason=R] [body=REGEXP] [tokens=N]
-func expectReply(ts *testscript.TestScript, w *scenario, args []string) {
+func expectReply(ts *testscript.TestScript, s *scenario, args []string) {
 	opts, rest := parseOptions(args)
-	waitCall(ts, w, rest[:1])
-	r := w.result(ts, rest[0])
+	waitCall(ts, s, rest[:1])
+	r := s.result(ts, rest[0])
 	if r.err != nil {
 		ts.Fatalf("%s: %v", rest[0], r.err)
 	}
@@ -365,9 +365,9 @@
 }
 
 // runs BODY N: checks how often the services ran a call with this body.
-func expectRuns(ts *testscript.TestScript, w *scenario, args []string) {
+func expectRuns(ts *testscript.TestScript, s *scenario, args []string) {
 	n := 0
-	for _, u := range w.sys.Upstreams {
+	for _, u := range s.sys.Upstreams {
 		if u.Service != nil {
 			n += u.Service.Runs(args[0])
 		}
@@ -378,9 +378,9 @@
 }
 
 // charged BODY: waits until any service has run a call with this body.
-func waitRuns(ts *testscript.TestScript, w *scenario, args []string) {
+func waitRuns(ts *testscript.TestScript, s *scenario, args []string) {
 	waitUntil(ts, "run of "+args[0], func() bool {
-		for _, u := range w.sys.Upstreams {
+		for _, u := range s.sys.Upstreams {
 			if u.Service != nil && u.Service.Runs(args[0]) > 0 {
 				return true
 			}
@@ -390,7 +390,7 @@
 }
 
 // log down|up|lose
-func logFault(ts *testscript.TestScript, w *scenario, args []string) {
+func logFault(ts *testscript.TestScript, s *scenario, args []string) {
 	var f standin.LogFaults
 	switch args[0] {
 	case "down":
@@ -401,11 +401,11 @@
 	default:
 		ts.Fatalf("log %s", args[0])
 	}
-	w.sys.Log.SetFaults(f)
+	s.sys.Log.SetFaults(f)
 }
 
 // store down|up|slow
-func storeFault(ts *testscript.TestScript, w *scenario, args []string) {
+func storeFault(ts *testscript.TestScript, s *scenario, args []string) {
 	var f standin.StoreFaults
 	switch args[0] {
 	case "down":
@@ -416,12 +416,12 @@
 	default:
 		ts.Fatalf("store %s", args[0])
 	}
-	w.sys.Store.SetFaults(f)
+	s.sys.Store.SetFaults(f)
 }
 
 // net cut|block|freeze|heal UPSTREAM
-func netFault(ts *testscript.TestScript, w *scenario, args []string) {
-	r := w.upstream(ts, args[1]).Relay
+func netFault(ts *testscript.TestScript, s *scenario, args []string) {
+	r := s.upstream(ts, args[1]).Relay
 	switch args[0] {
 	case "cut":
 		r.Cut()
@@ -438,18 +438,18 @@
 }
 
 // agent kill|restart|leave|list-leaving|gone UPSTREAM
-func agentFault(ts *testscript.TestScript, w *scenario, args []string) {
-	u := w.upstream(ts, args[1])
+func agentFault(ts *testscript.TestScript, s *scenario, args []string) {
+	u := s.upstream(ts, args[1])
 	switch args[0] {
 	case "kill":
 		u.Agent.Close()
 	case "restart":
 		u.Agent.Close()
-		ts.Check(w.sys.StartAgent(u, "127.0.0.1:0"))
+		ts.Check(s.sys.StartAgent(u, "127.0.0.1:0"))
 	case "leave":
 		u.Agent.Leave()
 	case "list-leaving":
-		w.sys.Hosts.Leave(u.ID)
+		s.sys.Hosts.Leave(u.ID)
 		waitUntil(ts, "leaving of "+args[1], func() bool { return u.Agent.Status().Leaving })
 	case "gone":
 		select {
@@ -463,9 +463,9 @@
 }
 
 // publish KEY FILE [entry=N]: publishes a document as an operator.
-func publishDoc(ts *testscript.TestScript, w *scenario, args []string) {
+func publishDoc(ts *testscript.TestScript, s *scenario, args []string) {
 	opts, rest := parseOptions(args)
-	base := "http://" + w.sys.Addrs()[intOption(opts, "entry", 0)] + entry.PathDocs + "/" + rest[0]
+	base := "http://" + s.sys.Addrs()[intOption(opts, "entry", 0)] + entry.PathDocs + "/" + rest[0]
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
 	req.SetRequestURI(base)
@@ -486,54 +486,54 @@
 }
 
 // policy UPSTREAM NAME: waits until an agent uses a policy.
-func waitPolicy(ts *testscript.TestScript, w *scenario, args []string) {
+func waitPolicy(ts *testscript.TestScript, s *scenario, args []string) {
 	waitUntil(ts, "policy "+args[1], func() bool {
-		return w.upstream(ts, args[0]).Agent.Status().Policy == args[1]
+		return s.upstream(ts, args[0]).Agent.Status().Policy == args[1]
 	})
 }
 
 // knows UPSTREAM: waits until an agent has applied the configuration of the first entry.
-func waitConfig(ts *testscript.TestScript, w *scenario, args []string) {
-	want := w.sys.Entries[0].Replica().Applied()
+func waitConfig(ts *testscript.TestScript, s *scenario, args []string) {
+	want := s.sys.Entries[0].Replica().Applied()
 	waitUntil(ts, "configuration at "+args[0], func() bool {
-		return w.upstream(ts, args[0]).Agent.Status().Config >= want
+		return s.upstream(ts, args[0]).Agent.Status().Config >= want
 	})
 }
 
 // entry start: adds an entry and waits until it is ready.
-func entryFault(ts *testscript.TestScript, w *scenario, args []string) {
+func entryFault(ts *testscript.TestScript, s *scenario, args []string) {
 	if args[0] != "start" {
 		ts.Fatalf("entry %s", args[0])
 	}
-	ts.Check(w.sys.StartEntry())
-	e := w.sys.Entries[len(w.sys.Entries)-1]
+	ts.Check(s.sys.StartEntry())
+	e := s.sys.Entries[len(s.sys.Entries)-1]
 	waitUntil(ts, "new entry to be ready", e.Ready)
 }
 
 // engine restart UPSTREAM
-func engineFault(ts *testscript.TestScript, w *scenario, args []string) {
+func engineFault(ts *testscript.TestScript, s *scenario, args []string) {
 	switch args[0] {
 	case "restart":
-		w.upstream(ts, args[1]).Engine.Restart()
+		s.upstream(ts, args[1]).Engine.Restart()
 	default:
 		ts.Fatalf("engine %s", args[0])
 	}
 }
 
 // hold on|off: blocks the responses of the services after their calls have run.
-func holdService(ts *testscript.TestScript, w *scenario, args []string) {
+func holdService(ts *testscript.TestScript, s *scenario, args []string) {
 	if args[0] == "off" {
-		w.releaseServices()
-		w.releaseServices = nil
+		s.releaseServices()
+		s.releaseServices = nil
 		return
 	}
 	var releases []func()
-	for _, u := range w.sys.Upstreams {
+	for _, u := range s.sys.Upstreams {
 		if u.Service != nil {
 			releases = append(releases, u.Service.Hold())
 		}
 	}
-	w.releaseServices = func() {
+	s.releaseServices = func() {
 		for _, f := range releases {
 			f()
 		}
@@ -542,9 +542,9 @@
 
 // ready UPSTREAM running=N | queued=N | leaving=true: waits until the status of an agent
 // has the given values.
-func waitStatus(ts *testscript.TestScript, w *scenario, args []string) {
+func waitStatus(ts *testscript.TestScript, s *scenario, args []string) {
 	opts, rest := parseOptions(args)
-	status := func() agent.Status { return w.upstream(ts, rest[0]).Agent.Status() }
+	status := func() agent.Status { return s.upstream(ts, rest[0]).Agent.Status() }
 	waitUntil(ts, strings.Join(args, " "), func() bool {
 		st := status()
 		leaving, ok := opts["leaving"]
--- a/standin/metastore.go
+++ b/standin/metastore.go
@@ -355,7 +355,7 @@
 	offset := t.end()
 	for len(records) >= lengthPrefixBytes {
 		size := lengthPrefixBytes + int(binary.BigEndian.Uint32(records))
-		s.append(t, topic, records[lengthPrefixBytes:size])
+		s.appendClientRecord(t, topic, records[lengthPrefixBytes:size])
 		records = records[size:]
 	}
 	end := t.end()
@@ -370,8 +370,8 @@
 	})
 }
 
-// append adds a record that a client appended. The caller holds the lock.
-func (s *MetaStore) append(t *metaTopic, topic string, record []byte) {
+// appendClientRecord adds a record that a client appended. The caller holds the lock.
+func (s *MetaStore) appendClientRecord(t *metaTopic, topic string, record []byte) {
 	if strings.HasPrefix(topic, "keyed.") {
 		valueStart := 1 + int(record[0])
 		newest := metaRecord{
