--- a/experiment/compare.go
+++ b/experiment/compare.go
@@ -14,21 +14,21 @@
 	"wardturn/policy"
 )
 
-// Candidate is one policy to compare.
+// Candidate is a policy to compare.
 type Candidate struct {
 	Name   string
-	Source string // Starlark text; empty for a built-in policy
+	Source string // Starlark program; empty for a built-in policy
 }
 
-// Quantiles summarizes times in milliseconds.
+// Quantiles are quantiles of times in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 }
 
-// StallSummary summarizes the load stalls of interactive requests in
-// milliseconds. A request that was refused counts as stalled up to its
-// deadline.
+// StallSummary summarizes the load stalls of interactive requests in milliseconds. A load
+// stall is the time that a request waits for its adapter to be loaded. A refused request
+// counts as stalled until its deadline.
 type StallSummary struct {
 	Mean  float64 `json:"mean"`
 	P50   float64 `json:"p50"`
@@ -36,13 +36,13 @@
 	Total float64 `json:"total"`
 }
 
-// ClassQuantiles holds quantiles by class.
+// ClassQuantiles contains quantiles by class.
 type ClassQuantiles struct {
 	Interactive Quantiles `json:"interactive"`
 	Batch       Quantiles `json:"batch"`
 }
 
-// Result is what one policy did with the trace.
+// Result is the result of one policy.
 type Result struct {
 	Name            string         `json:"name"`
 	LoadStall       StallSummary   `json:"load_stall_ms"`
@@ -53,7 +53,7 @@
 	Done            int            `json:"done"`
 	NotRun          int            `json:"not_run"`
 
-	// What follows is for tables and plots, not for the JSON document.
+	// The following fields are for tables and plots and not part of the JSON document.
 	Unknown     int             `json:"-"`
 	LongestWait time.Duration   `json:"-"`
 	Stalls      []time.Duration `json:"-"` // ascending
@@ -61,28 +61,29 @@
 	StallAt     []StallPoint    `json:"-"`
 }
 
-// FillPoint is the mean fill of the engines' steps during one interval.
+// FillPoint is the batch efficiency during one interval.
 type FillPoint struct {
 	At   time.Duration
 	Fill float64
 }
 
-// StallPoint is the stall of one request, by its arrival.
+// StallPoint is the stall of one request at its arrival time.
 type StallPoint struct {
 	At    time.Duration
 	Stall time.Duration
 }
 
-// Report is the document that compare prints.
+// Report is the JSON document of the command compare.
 type Report struct {
 	Policies []Result `json:"policies"`
 }
 
-// Progress is told how far a run is. It is called from several goroutines.
+// Progress is called with the progress of a run, in time of the trace. Calls come from
+// several goroutines.
 type Progress func(name string, at, of time.Duration)
 
-// Compare runs the trace once for each candidate. The runs do not influence
-// each other and may run at the same time.
+// Compare simulates the trace once for each candidate. The runs are independent and may
+// be concurrent.
 func Compare(ctx context.Context, trace []Request, setup Setup, candidates []Candidate, seed uint64, progress Progress) (Report, error) {
 	rep := Report{
 		Policies: make([]Result, len(candidates)),
@@ -102,7 +103,7 @@
 	return rep, nil
 }
 
-// Run plays the trace for one candidate.
+// Run simulates the trace for one candidate.
 func Run(trace []Request, setup Setup, c Candidate, seed uint64, progress Progress) (Result, error) {
 	mode := decide.RouteSticky
 	switch c.Name {
@@ -113,11 +114,11 @@
 		mode = decide.RouteAffinity
 		setup.Agent.AdmitAll = true
 	}
-	s, err := prepare(trace, setup, mode, c, seed)
+	s, err := newCandidateSim(trace, setup, mode, c, seed)
 	if err != nil {
 		return Result{}, err
 	}
-	meter := newFillMeter(s)
+	meter := newEfficiencyMeter(s)
 	last := trace[len(trace)-1].At()
 	s.onSecond = func(at time.Duration) {
 		meter.sample(at)
@@ -131,40 +132,42 @@
 	return res, nil
 }
 
-func prepare(trace []Request, setup Setup, mode decide.RouteMode, c Candidate, seed uint64) (*sim, error) {
+// newCandidateSim returns the simulation of a candidate.
+func newCandidateSim(trace []Request, setup Setup, mode decide.RouteMode, c Candidate, seed uint64) (*sim, error) {
 	if c.Name == policy.NameClairvoyant {
-		setup.Entries = 1 // one view of everything
-		return prepareClairvoyant(trace, setup, seed), nil
+		setup.Entries = 1 // a single view of all upstreams
+		return newClairvoyantSim(trace, setup, seed), nil
 	}
-	make1 := func() (wardturn.Policy, error) {
+	newPolicy := func() (wardturn.Policy, error) {
 		if c.Source != "" {
 			return policy.Compile(c.Name, c.Source)
 		}
 		return policy.Builtin(c.Name)
 	}
-	if _, err := make1(); err != nil {
+	if _, err := newPolicy(); err != nil {
 		return nil, errors.Wrapf(err, "policy %s", c.Name)
 	}
-	each := func() wardturn.Policy {
-		p, _ := make1() // checked above
+	mustNewPolicy := func() wardturn.Policy {
+		p, _ := newPolicy() // the error is checked above
 		return p
 	}
-	return newSim(trace, setup, mode, each, seed), nil
+	return newSim(trace, setup, mode, mustNewPolicy, seed), nil
 }
 
-// prepareClairvoyant gives the bound the clock of its own run.
-func prepareClairvoyant(trace []Request, setup Setup, seed uint64) *sim {
-	bound := newClairvoyant(trace)
-	clock := &lateClock{}
+// newClairvoyantSim returns a simulation of the clairvoyant policy, which needs the clock
+// of the simulation.
+func newClairvoyantSim(trace []Request, setup Setup, seed uint64) *sim {
+	newPolicy := newClairvoyant(trace)
+	clock := &deferredClock{}
 	s := newSim(trace, setup, decide.RouteSticky, func() wardturn.Policy {
-		return bound(clock)
+		return newPolicy(clock)
 	}, seed)
 	clock.Clock = s.clock
 	return s
 }
 
-// lateClock is a clock that is set after its users were made.
-type lateClock struct {
+// deferredClock is a clock that is set after the policies that use it were created.
+type deferredClock struct {
 	wardturn.Clock
 }
 
@@ -187,7 +190,7 @@
 		if sm.class == wardturn.Interactive && sm.ended {
 			res.Stalls = append(res.Stalls, sm.stall)
 			res.StallAt = append(res.StallAt, StallPoint{
-				At:    sm.at,
+				At:    sm.arrival,
 				Stall: sm.stall,
 			})
 		}
@@ -211,7 +214,7 @@
 	return res
 }
 
-// efficiency is the mean share of an engine step's places that was used.
+// efficiency returns the mean fraction of the batch that engine steps used.
 func (s *sim) efficiency(steps, sequences int) float64 {
 	batch := s.setup.Engine.Batch
 	if s.setup.Batch > 0 {
@@ -265,25 +268,25 @@
 	return math.Round(x*scale) / scale
 }
 
-// fillMeter samples the engines' steps.
-type fillMeter struct {
+// efficiencyMeter samples the batch efficiency over time.
+type efficiencyMeter struct {
 	sim       *sim
 	points    []FillPoint
-	steps     int
-	sequences int
+	steps     int // at the previous sample
+	sequences int // at the previous sample
 }
 
-func newFillMeter(s *sim) *fillMeter {
-	return &fillMeter{
+func newEfficiencyMeter(s *sim) *efficiencyMeter {
+	return &efficiencyMeter{
 		sim: s,
 	}
 }
 
-// fillEvery is the interval of the points of the fill plot.
-const fillEvery = 5 * time.Second
+// efficiencyInterval is the interval between samples.
+const efficiencyInterval = 5 * time.Second
 
-func (m *fillMeter) sample(at time.Duration) {
-	if at%fillEvery != 0 {
+func (m *efficiencyMeter) sample(at time.Duration) {
+	if at%efficiencyInterval != 0 {
 		return
 	}
 	steps, sequences := 0, 0
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -23,36 +23,36 @@
 )
 
 const (
-	speed = 10 // of the scenarios' clock, unless a scenario names another
-	// patience bounds how long a scenario waits for something that must come.
-	// It decides nothing but when a broken run is given up.
-	patience = 30 * time.Second
-	poll     = 2 * time.Millisecond
-	// connectLimit is in the machine's time. The entry's default is 0.05 s at the
-	// scenarios' speed, which the first connection does not always keep beside load. It
-	// is under the deadline of requests, for scenario blocked.
-	connectLimit = 2 * time.Second
-	// grace is in the machine's time, in which an agent's word on a request past its
-	// deadline arrives. The entry's default is 0.05 s at the scenarios' speed.
-	grace = 500 * time.Millisecond
+	defaultSpeed = 10 // of the clock, unless a scenario sets another
+	// waitTimeout bounds the wait for a condition that must become true. It only determines
+	// when a failed scenario is aborted.
+	waitTimeout  = 30 * time.Second
+	pollInterval = 2 * time.Millisecond
+	// connectTimeout is in real time. The entry's default is 0.05 s of real time at the
+	// scenarios' speed, and the first connection may take longer on a loaded machine. It
+	// has to be less than the deadline of requests, for the scenario blocked.
+	connectTimeout = 2 * time.Second
+	// deadlineGrace is the real time that an agent's result may take after the deadline of a
+	// request. The entry's default is 0.05 s of real time at the scenarios' speed.
+	deadlineGrace = 500 * time.Millisecond
 )
 
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(env *testscript.Env) error {
-			w := &world{
-				calls: make(map[string]*reply),
+			s := &scenario{
+				calls: make(map[string]*callResult),
 			}
-			env.Values[worldKey{}] = w
-			env.Defer(w.close)
+			env.Values[scenarioKey{}] = s
+			env.Defer(s.close)
 			return nil
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
 			"system":  command(startSystem),
 			"call":    command(startCall),
 			"service": command(startService),
-			"vanish":  command(vanish),
+			"vanish":  command(disconnect),
 			"ended":   command(waitCall),
 			"running": command(waitRunning),
 			"expect":  command(expectReply),
@@ -67,25 +67,25 @@
 			"entry":   command(entryFault),
 			"publish": command(publishDoc),
 			"policy":  command(waitPolicy),
-			"ready":   command(waitSlots),
+			"ready":   command(waitStatus),
 			"knows":   command(waitConfig),
 		},
 	})
 }
 
-type worldKey struct{}
+type scenarioKey struct{}
 
-// world is the state of one scenario.
-type world struct {
-	clock   *standin.FastClock
-	sys     *demo.System
-	calls   map[string]*reply
-	release func()
-	wg      sync.WaitGroup
+// scenario is the state of one scenario.
+type scenario struct {
+	clock           *standin.FastClock
+	sys             *demo.System
+	calls           map[string]*callResult
+	releaseServices func()
+	wg              sync.WaitGroup
 }
 
-// reply is what a caller got.
-type reply struct {
+// callResult is the response to a call, as far as it was received.
+type callResult struct {
 	mu     sync.Mutex
 	body   strings.Builder
 	status int
@@ -94,27 +94,28 @@
 	done   chan struct{}
 }
 
-func command(f func(*testscript.TestScript, *world, []string)) func(*testscript.TestScript, bool, []string) {
+// command adapts a command that has no negation.
+func command(f func(*testscript.TestScript, *scenario, []string)) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		if neg {
 			ts.Fatalf("this command has no negation")
 		}
-		f(ts, ts.Value(worldKey{}).(*world), args)
+		f(ts, ts.Value(scenarioKey{}).(*scenario), args)
 	}
 }
 
-func (w *world) close() {
-	if w.release != nil {
-		w.release()
+func (s *scenario) close() {
+	if s.releaseServices != nil {
+		s.releaseServices()
 	}
-	if w.sys != nil {
-		w.sys.Close()
+	if s.sys != nil {
+		s.sys.Close()
 	}
-	w.wg.Wait()
+	s.wg.Wait()
 }
 
-// options reads key=value arguments.
-func options(args []string) (map[string]string, []string) {
+// parseOptions splits arguments into key=value options and the rest.
+func parseOptions(args []string) (map[string]string, []string) {
 	opts := make(map[string]string)
 	var rest []string
 	for _, a := range args {
@@ -127,7 +128,8 @@
 	return opts, rest
 }
 
-func number(opts map[string]string, name string, def int) int {
+// intOption returns an option as a number, or def if it is missing.
+func intOption(opts map[string]string, name string, def int) int {
 	n, err := strconv.Atoi(opts[name])
 	if err != nil {
 		return def
@@ -135,54 +137,54 @@
 	return n
 }
 
-// until polls until a condition holds.
-func until(ts *testscript.TestScript, what string, holds func() bool) {
-	end := time.Now().Add(patience)
+// waitUntil polls until a condition is true, for waitTimeout at most.
+func waitUntil(ts *testscript.TestScript, what string, holds func() bool) {
+	end := time.Now().Add(waitTimeout)
 	for !holds() {
 		if time.Now().After(end) {
-			ts.Fatalf("did not come: %s", what)
+			ts.Fatalf("timed out waiting for %s", what)
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
 
-// system engines=N services=N entries=N adapters=N slots=N speed=N
+// system engines=N services=N entries=N adapters=N slots=N speed=N: starts a system.
 //
-// A speed below that of the other scenarios gives the daemons' own limits, as the one
-// on a claim's way to the log, more of the machine's time.
-func startSystem(ts *testscript.TestScript, w *world, args []string) {
-	opts, _ := options(args)
-	pace := number(opts, "speed", speed)
-	w.clock = standin.NewFastClock(pace)
+// With a lower speed than the default, the timeouts of the daemons, such as that of
+// appending a claim to the log, are longer in real time.
+func startSystem(ts *testscript.TestScript, s *scenario, args []string) {
+	opts, _ := parseOptions(args)
+	speed := intOption(opts, "speed", defaultSpeed)
+	s.clock = standin.NewFastClock(speed)
 	cfg := demo.Zurich()
-	cfg.Clock = w.clock
+	cfg.Clock = s.clock
 	cfg.Relays = true
 	cfg.Logger = hclog.NewNullLogger()
 	cfg.HostLag = 0
 	cfg.Work = 0
-	cfg.Engines = number(opts, "engines", 1)
-	cfg.Services = number(opts, "services", 0)
-	cfg.Entries = number(opts, "entries", 1)
-	cfg.Adapters = number(opts, "adapters", 5)
-	cfg.Slots = number(opts, "slots", 2)
-	cfg.Log.Retention = time.Duration(number(opts, "retention", 0)) * time.Second
-	cfg.Deadline = time.Duration(number(opts, "deadline", 0)) * time.Second
+	cfg.Engines = intOption(opts, "engines", 1)
+	cfg.Services = intOption(opts, "services", 0)
+	cfg.Entries = intOption(opts, "entries", 1)
+	cfg.Adapters = intOption(opts, "adapters", 5)
+	cfg.Slots = intOption(opts, "slots", 2)
+	cfg.Log.Retention = time.Duration(intOption(opts, "retention", 0)) * time.Second
+	cfg.Deadline = time.Duration(intOption(opts, "deadline", 0)) * time.Second
 	cfg.Store.Rate = 100
-	cfg.ConnectLimit = connectLimit * time.Duration(pace)
-	cfg.Grace = grace * time.Duration(pace)
+	cfg.ConnectLimit = connectTimeout * time.Duration(speed)
+	cfg.Grace = deadlineGrace * time.Duration(speed)
 	sys, err := demo.Start(context.Background(), cfg)
 	ts.Check(err)
-	w.sys = sys
+	s.sys = sys
 	for _, u := range sys.Upstreams {
-		waitConfig(ts, w, []string{string(u.ID)})
+		waitConfig(ts, s, []string{string(u.ID)})
 		if u.Engine != nil {
-			until(ts, "fence of "+string(u.ID), func() bool { return u.Agent.Status().Fence > 0 })
+			waitUntil(ts, "fence of "+string(u.ID), func() bool { return u.Agent.Status().Fence > 0 })
 		}
 	}
 }
 
-func (w *world) upstream(ts *testscript.TestScript, id string) *demo.Upstream {
-	for _, u := range w.sys.Upstreams {
+func (s *scenario) upstream(ts *testscript.TestScript, id string) *demo.Upstream {
+	for _, u := range s.sys.Upstreams {
 		if string(u.ID) == id {
 			return u
 		}
@@ -192,10 +194,10 @@
 }
 
 // call NAME ADAPTER [entry=N] [tokens=N] [whole=1] [class=C] [deadline=MS]
-func startCall(ts *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
+func startCall(ts *testscript.TestScript, s *scenario, args []string) {
+	opts, rest := parseOptions(args)
 	req := fasthttp.AcquireRequest()
-	req.SetRequestURI("http://" + w.sys.Addrs()[number(opts, "entry", 0)] + "/v1/completions")
+	req.SetRequestURI("http://" + s.sys.Addrs()[intOption(opts, "entry", 0)] + "/v1/completions")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	if c := opts["class"]; c != "" {
 		req.Header.Set(entry.HeaderClass, c)
@@ -204,17 +206,17 @@
 		req.Header.Set(entry.HeaderDeadline, d)
 	}
 	stream := opts["whole"] == ""
-	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":%v}`, rest[1], number(opts, "tokens", 3), stream))
-	w.start(rest[0], req)
+	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":%v}`, rest[1], intOption(opts, "tokens", 3), stream))
+	s.start(rest[0], req)
 }
 
-// vanish ADAPTER tokens=N: a caller asks for a stream, reads its start and goes away.
-func vanish(ts *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
-	c, err := net.Dial("tcp", w.sys.Addrs()[0])
+// vanish ADAPTER tokens=N: requests a stream, reads its first byte and disconnects.
+func disconnect(ts *testscript.TestScript, s *scenario, args []string) {
+	opts, rest := parseOptions(args)
+	c, err := net.Dial("tcp", s.sys.Addrs()[0])
 	ts.Check(err)
 	defer c.Close()
-	body := fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, rest[0], number(opts, "tokens", 3))
+	body := fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, rest[0], intOption(opts, "tokens", 3))
 	_, err = fmt.Fprintf(c, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	ts.Check(err)
 	_, err = c.Read(make([]byte, 1))
@@ -222,13 +224,13 @@
 }
 
 // service NAME METHOD PATH BODY [entry=N] [key=K] [age=SECONDS] [deadline=MS]
-func startService(_ *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
+func startService(_ *testscript.TestScript, s *scenario, args []string) {
+	opts, rest := parseOptions(args)
 	req := fasthttp.AcquireRequest()
-	req.SetRequestURI("http://" + w.sys.Addrs()[number(opts, "entry", 0)] + "/v1/services/" + string(demo.Service) + rest[2])
+	req.SetRequestURI("http://" + s.sys.Addrs()[intOption(opts, "entry", 0)] + "/v1/services/" + string(demo.Service) + rest[2])
 	req.Header.SetMethod(rest[1])
 	if k := opts["key"]; k != "" {
-		created := w.clock.Now().Add(-time.Duration(number(opts, "age", 0)) * time.Second)
+		created := s.clock.Now().Add(-time.Duration(intOption(opts, "age", 0)) * time.Second)
 		req.Header.Set(entry.HeaderKey, k)
 		req.Header.Set(entry.HeaderKeyCreated, created.UTC().Format(time.RFC3339))
 	}
@@ -238,24 +240,24 @@
 	if len(rest) > 3 {
 		req.SetBodyString(rest[3])
 	}
-	w.start(rest[0], req)
+	s.start(rest[0], req)
 }
 
-func (w *world) start(name string, req *fasthttp.Request) {
-	r := &reply{
+func (s *scenario) start(name string, req *fasthttp.Request) {
+	r := &callResult{
 		header: make(map[string]string),
 		done:   make(chan struct{}),
 	}
-	w.calls[name] = r
-	w.wg.Add(1)
+	s.calls[name] = r
+	s.wg.Add(1)
 	go func() {
-		defer w.wg.Done()
+		defer s.wg.Done()
 		defer close(r.done)
 		r.run(req)
 	}()
 }
 
-func (r *reply) run(req *fasthttp.Request) {
+func (r *callResult) run(req *fasthttp.Request) {
 	client := fasthttp.Client{
 		StreamResponseBody:        true,
 		MaxIdemponentCallAttempts: 1,
@@ -285,14 +287,14 @@
 	}
 }
 
-func (r *reply) text() string {
+func (r *callResult) text() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.body.String()
 }
 
-func (w *world) reply(ts *testscript.TestScript, name string) *reply {
-	r := w.calls[name]
+func (s *scenario) result(ts *testscript.TestScript, name string) *callResult {
+	r := s.calls[name]
 	if r == nil {
 		ts.Fatalf("no call %s", name)
 	}
@@ -300,55 +302,55 @@
 }
 
 // ended NAME...
-func waitCall(ts *testscript.TestScript, w *world, args []string) {
+func waitCall(ts *testscript.TestScript, s *scenario, args []string) {
 	for _, name := range args {
 		select {
-		case <-w.reply(ts, name).done:
-		case <-time.After(patience):
+		case <-s.result(ts, name).done:
+		case <-time.After(waitTimeout):
 			ts.Fatalf("call %s did not end", name)
 		}
 	}
 }
 
-// running NAME: waits for the first bytes of an answer, which must not be a refusal.
-func waitRunning(ts *testscript.TestScript, w *world, args []string) {
-	r := w.reply(ts, args[0])
-	until(ts, "first bytes of "+args[0], func() bool { return r.text() != "" })
+// running NAME: waits for the first bytes of a response, which must not be a refusal.
+func waitRunning(ts *testscript.TestScript, s *scenario, args []string) {
+	r := s.result(ts, args[0])
+	waitUntil(ts, "first bytes of "+args[0], func() bool { return r.text() != "" })
 	if r.status != fasthttp.StatusOK {
 		ts.Fatalf("%s does not run: %s", args[0], r.text())
 	}
 }
 
 // expect NAME status=N [outcome=O] [reason=R] [body=REGEXP] [tokens=N]
-func expectReply(ts *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
-	waitCall(ts, w, rest[:1])
-	r := w.reply(ts, rest[0])
+func expectReply(ts *testscript.TestScript, s *scenario, args []string) {
+	opts, rest := parseOptions(args)
+	waitCall(ts, s, rest[:1])
+	r := s.result(ts, rest[0])
 	if r.err != nil {
 		ts.Fatalf("%s: %v", rest[0], r.err)
 	}
-	check := func(name, got string) {
+	checkOption := func(name, got string) {
 		if want, ok := opts[name]; ok && want != got {
-			ts.Fatalf("%s: %s is %q, want %q; answer: %s", rest[0], name, got, want, r.text())
+			ts.Fatalf("%s: %s is %q, want %q; response: %s", rest[0], name, got, want, r.text())
 		}
 	}
-	check("status", strconv.Itoa(r.status))
-	check("outcome", r.header[entry.HeaderOutcome])
-	check("reason", r.header[entry.HeaderReason])
-	check("version", r.header[entry.HeaderVersion])
-	check("tokens", strconv.Itoa(wholeTokens(r.text())))
+	checkOption("status", strconv.Itoa(r.status))
+	checkOption("outcome", r.header[entry.HeaderOutcome])
+	checkOption("reason", r.header[entry.HeaderReason])
+	checkOption("version", r.header[entry.HeaderVersion])
+	checkOption("tokens", strconv.Itoa(countTokens(r.text())))
 	if re, ok := opts["body"]; ok {
 		re, err := url.QueryUnescape(re)
 		ts.Check(err)
 		if !regexp.MustCompile(re).MatchString(r.text()) {
-			ts.Fatalf("%s: answer %q does not match %q", rest[0], r.text(), re)
+			ts.Fatalf("%s: response %q does not match %q", rest[0], r.text(), re)
 		}
 	}
 }
 
-// wholeTokens counts the tokens of a stream, and is -1 unless they come once, in
-// order, and with the end marker.
-func wholeTokens(body string) int {
+// countTokens returns the number of tokens of a stream, or -1 unless each token occurs
+// once, in order, and the end marker follows.
+func countTokens(body string) int {
 	n := 0
 	for _, m := range regexp.MustCompile(`"text":" w(\d+)"`).FindAllStringSubmatch(body, -1) {
 		if m[1] != strconv.Itoa(n) {
@@ -362,10 +364,10 @@
 	return n
 }
 
-// runs BODY N: how often the services ran a call with this body.
-func expectRuns(ts *testscript.TestScript, w *world, args []string) {
+// runs BODY N: checks how often the services ran a call with this body.
+func expectRuns(ts *testscript.TestScript, s *scenario, args []string) {
 	n := 0
-	for _, u := range w.sys.Upstreams {
+	for _, u := range s.sys.Upstreams {
 		if u.Service != nil {
 			n += u.Service.Runs(args[0])
 		}
@@ -375,10 +377,10 @@
 	}
 }
 
-// charged BODY: waits until some service has run a call with this body.
-func waitRuns(ts *testscript.TestScript, w *world, args []string) {
-	until(ts, "run of "+args[0], func() bool {
-		for _, u := range w.sys.Upstreams {
+// charged BODY: waits until any service has run a call with this body.
+func waitRuns(ts *testscript.TestScript, s *scenario, args []string) {
+	waitUntil(ts, "run of "+args[0], func() bool {
+		for _, u := range s.sys.Upstreams {
 			if u.Service != nil && u.Service.Runs(args[0]) > 0 {
 				return true
 			}
@@ -388,7 +390,7 @@
 }
 
 // log down|up|lose
-func logFault(ts *testscript.TestScript, w *world, args []string) {
+func logFault(ts *testscript.TestScript, s *scenario, args []string) {
 	var f standin.LogFaults
 	switch args[0] {
 	case "down":
@@ -399,11 +401,11 @@
 	default:
 		ts.Fatalf("log %s", args[0])
 	}
-	w.sys.Log.SetFaults(f)
+	s.sys.Log.SetFaults(f)
 }
 
 // store down|up|slow
-func storeFault(ts *testscript.TestScript, w *world, args []string) {
+func storeFault(ts *testscript.TestScript, s *scenario, args []string) {
 	var f standin.StoreFaults
 	switch args[0] {
 	case "down":
@@ -414,12 +416,12 @@
 	default:
 		ts.Fatalf("store %s", args[0])
 	}
-	w.sys.Store.SetFaults(f)
+	s.sys.Store.SetFaults(f)
 }
 
 // net cut|block|freeze|heal UPSTREAM
-func netFault(ts *testscript.TestScript, w *world, args []string) {
-	r := w.upstream(ts, args[1]).Relay
+func netFault(ts *testscript.TestScript, s *scenario, args []string) {
+	r := s.upstream(ts, args[1]).Relay
 	switch args[0] {
 	case "cut":
 		r.Cut()
@@ -436,23 +438,23 @@
 }
 
 // agent kill|restart|leave|list-leaving|gone UPSTREAM
-func agentFault(ts *testscript.TestScript, w *world, args []string) {
-	u := w.upstream(ts, args[1])
+func agentFault(ts *testscript.TestScript, s *scenario, args []string) {
+	u := s.upstream(ts, args[1])
 	switch args[0] {
 	case "kill":
 		u.Agent.Close()
 	case "restart":
 		u.Agent.Close()
-		ts.Check(w.sys.StartAgent(u, "127.0.0.1:0"))
+		ts.Check(s.sys.StartAgent(u, "127.0.0.1:0"))
 	case "leave":
 		u.Agent.Leave()
 	case "list-leaving":
-		w.sys.Hosts.Leave(u.ID)
-		until(ts, "leaving of "+args[1], func() bool { return u.Agent.Status().Leaving })
+		s.sys.Hosts.Leave(u.ID)
+		waitUntil(ts, "leaving of "+args[1], func() bool { return u.Agent.Status().Leaving })
 	case "gone":
 		select {
 		case <-u.Agent.Leave():
-		case <-time.After(patience):
+		case <-time.After(waitTimeout):
 			ts.Fatalf("%s did not finish", args[1])
 		}
 	default:
@@ -460,10 +462,10 @@
 	}
 }
 
-// publish KEY FILE [entry=N]: an operator publishes a document.
-func publishDoc(ts *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
-	base := "http://" + w.sys.Addrs()[number(opts, "entry", 0)] + entry.PathDocs + "/" + rest[0]
+// publish KEY FILE [entry=N]: publishes a document as an operator.
+func publishDoc(ts *testscript.TestScript, s *scenario, args []string) {
+	opts, rest := parseOptions(args)
+	base := "http://" + s.sys.Addrs()[intOption(opts, "entry", 0)] + entry.PathDocs + "/" + rest[0]
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
 	req.SetRequestURI(base)
@@ -483,76 +485,78 @@
 	}
 }
 
-// policy UPSTREAM NAME: waits until a policy is in force at an agent.
-func waitPolicy(ts *testscript.TestScript, w *world, args []string) {
-	until(ts, "policy "+args[1], func() bool {
-		return w.upstream(ts, args[0]).Agent.Status().Policy == args[1]
+// policy UPSTREAM NAME: waits until an agent uses a policy.
+func waitPolicy(ts *testscript.TestScript, s *scenario, args []string) {
+	waitUntil(ts, "policy "+args[1], func() bool {
+		return s.upstream(ts, args[0]).Agent.Status().Policy == args[1]
 	})
 }
 
-// knows UPSTREAM: waits until an agent has the configuration of the first entry.
-func waitConfig(ts *testscript.TestScript, w *world, args []string) {
-	newest := w.sys.Entries[0].Replica().Applied()
-	until(ts, "configuration at "+args[0], func() bool {
-		return w.upstream(ts, args[0]).Agent.Status().Config >= newest
+// knows UPSTREAM: waits until an agent has applied the configuration of the first entry.
+func waitConfig(ts *testscript.TestScript, s *scenario, args []string) {
+	want := s.sys.Entries[0].Replica().Applied()
+	waitUntil(ts, "configuration at "+args[0], func() bool {
+		return s.upstream(ts, args[0]).Agent.Status().Config >= want
 	})
 }
 
 // entry start: adds an entry and waits until it is ready.
-func entryFault(ts *testscript.TestScript, w *world, args []string) {
+func entryFault(ts *testscript.TestScript, s *scenario, args []string) {
 	if args[0] != "start" {
 		ts.Fatalf("entry %s", args[0])
 	}
-	ts.Check(w.sys.StartEntry())
-	e := w.sys.Entries[len(w.sys.Entries)-1]
-	until(ts, "new entry to be ready", e.Ready)
+	ts.Check(s.sys.StartEntry())
+	e := s.sys.Entries[len(s.sys.Entries)-1]
+	waitUntil(ts, "new entry to be ready", e.Ready)
 }
 
 // engine restart UPSTREAM
-func engineFault(ts *testscript.TestScript, w *world, args []string) {
+func engineFault(ts *testscript.TestScript, s *scenario, args []string) {
 	switch args[0] {
 	case "restart":
-		w.upstream(ts, args[1]).Engine.Restart()
+		s.upstream(ts, args[1]).Engine.Restart()
 	default:
 		ts.Fatalf("engine %s", args[0])
 	}
 }
 
-// hold on|off: services keep their answers back, after they ran.
-func holdService(ts *testscript.TestScript, w *world, args []string) {
+// hold on|off: blocks the responses of the services after their calls have run.
+func holdService(ts *testscript.TestScript, s *scenario, args []string) {
 	if args[0] == "off" {
-		w.release()
-		w.release = nil
+		s.releaseServices()
+		s.releaseServices = nil
 		return
 	}
-	var all []func()
-	for _, u := range w.sys.Upstreams {
+	var releases []func()
+	for _, u := range s.sys.Upstreams {
 		if u.Service != nil {
-			all = append(all, u.Service.Hold())
+			releases = append(releases, u.Service.Hold())
 		}
 	}
-	w.release = func() {
-		for _, f := range all {
+	s.releaseServices = func() {
+		for _, f := range releases {
 			f()
 		}
 	}
 }
 
-// ready UPSTREAM running=N | queued=N | leaving=true
-func waitSlots(ts *testscript.TestScript, w *world, args []string) {
-	opts, rest := options(args)
-	a := func() agent.Status { return w.upstream(ts, rest[0]).Agent.Status() }
-	until(ts, strings.Join(args, " "), func() bool {
-		st := a()
+// ready UPSTREAM running=N | queued=N | leaving=true: waits until the status of an agent
+// has the given values.
+func waitStatus(ts *testscript.TestScript, s *scenario, args []string) {
+	opts, rest := parseOptions(args)
+	status := func() agent.Status { return s.upstream(ts, rest[0]).Agent.Status() }
+	waitUntil(ts, strings.Join(args, " "), func() bool {
+		st := status()
 		leaving, ok := opts["leaving"]
 		if ok && leaving != strconv.FormatBool(st.Leaving) {
 			return false
 		}
-		return matches(opts, "running", st.Hint.Running) && matches(opts, "queued", st.Hint.Queued)
+		return optionMatches(opts, "running", st.Hint.Running) && optionMatches(opts, "queued", st.Hint.Queued)
 	})
 }
 
-func matches(opts map[string]string, name string, got int) bool {
+// optionMatches reports whether an option is missing or equal to got.
+func optionMatches(opts map[string]string, name string, got int) bool {
 	want, ok := opts[name]
 	return !ok || want == strconv.Itoa(got)
 }
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Way is a direction through a relay.
+// Way is a direction of the traffic through a Relay.
 type Way int
 
 // The directions.
@@ -18,15 +18,15 @@
 	FromTarget
 )
 
-// Relay is a stretch of network between two processes: it passes connections on
-// to a target and can cut, reset, refuse, delay, silence or freeze them.
+// Relay is a TCP proxy that injects network faults between two processes. It forwards
+// connections to a target and can close, reset, refuse, delay or stall them.
 type Relay struct {
 	ln     net.Listener
 	target string
 
 	mu      sync.Mutex
-	thawed  *sync.Cond
-	frozen  [2]bool // by way
+	resumed *sync.Cond
+	stalled [2]bool // by direction
 	delay   time.Duration
 	blocked bool
 	closed  bool
@@ -34,12 +34,12 @@
 	wg      sync.WaitGroup
 }
 
-// NewRelay starts a relay on a loopback port that the kernel chooses.
+// NewRelay starts a proxy on a free loopback port.
 func NewRelay(target string) (*Relay, error) {
 	return NewRelayAt("127.0.0.1:0", target)
 }
 
-// NewRelayAt starts a relay at an address.
+// NewRelayAt starts a proxy that listens on addr.
 func NewRelayAt(addr, target string) (*Relay, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -50,7 +50,7 @@
 		target: target,
 		conns:  make(map[net.Conn]bool),
 	}
-	r.thawed = sync.NewCond(&r.mu)
+	r.resumed = sync.NewCond(&r.mu)
 	r.wg.Add(1)
 	go func() {
 		defer r.wg.Done()
@@ -64,69 +64,69 @@
 	return r.ln.Addr().String()
 }
 
-// Target returns the address that connections are passed on to.
+// Target returns the address to which connections are forwarded.
 func (r *Relay) Target() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.target
 }
 
-// SetTarget directs new connections to another address.
+// SetTarget changes the target of new connections.
 func (r *Relay) SetTarget(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = addr
 }
 
-// Cut ends the present connections. New ones are passed on.
+// Cut closes the open connections. New ones are forwarded.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut()
+	r.closeConns()
 }
 
-func (r *Relay) cut() {
+func (r *Relay) closeConns() {
 	for c := range r.conns {
 		c.Close()
 	}
 	clear(r.conns)
 }
 
-// Block ends the present connections and refuses new ones, or allows them
-// again.
+// Block with on set closes the open connections and makes the proxy close new ones at
+// once; otherwise new connections are forwarded again.
 func (r *Relay) Block(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.blocked = on
 	if on {
-		r.cut()
+		r.closeConns()
 	}
 }
 
-// Freeze holds every byte back, as a paused host does, or lets them go.
+// Freeze stalls or resumes the traffic in both directions, as a paused host does.
 func (r *Relay) Freeze(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.frozen = [2]bool{on, on}
-	r.thawed.Broadcast()
+	r.stalled = [2]bool{on, on}
+	r.resumed.Broadcast()
 }
 
-// Silence holds the bytes of one way back, or lets them go.
-func (r *Relay) Silence(w Way, on bool) {
+// Silence stalls or resumes the traffic in one direction.
+func (r *Relay) Silence(dir Way, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.frozen[w] = on
-	r.thawed.Broadcast()
+	r.stalled[dir] = on
+	r.resumed.Broadcast()
 }
 
-// Delay holds every piece back for a time.
+// Delay sets the time by which each chunk of data is delayed.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Reset resets the present connections: what was not yet read is lost.
+// Reset resets the open connections with a TCP RST. Data that was not yet read is lost.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -135,16 +135,16 @@
 			_ = tc.SetLinger(0)
 		}
 	}
-	r.cut()
+	r.closeConns()
 }
 
-// Close ends the relay.
+// Close closes the listener and all connections, and waits for the goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
-	r.frozen = [2]bool{}
-	r.thawed.Broadcast()
-	r.cut()
+	r.stalled = [2]bool{}
+	r.resumed.Broadcast()
+	r.closeConns()
 	r.mu.Unlock()
 	r.ln.Close()
 	r.wg.Wait()
@@ -159,13 +159,13 @@
 		r.wg.Add(1)
 		go func() {
 			defer r.wg.Done()
-			r.pass(c)
+			r.forward(c)
 		}()
 	}
 }
 
-// pass joins a connection with one to the target until either ends.
-func (r *Relay) pass(c net.Conn) {
+// forward forwards a connection to the target until either side is closed.
+func (r *Relay) forward(c net.Conn) {
 	r.mu.Lock()
 	target := r.target
 	refused := r.blocked || r.closed
@@ -179,29 +179,30 @@
 		c.Close()
 		return
 	}
-	if !r.add(c, t) {
+	if !r.addConns(c, t) {
 		c.Close()
 		t.Close()
 		return
 	}
-	var both sync.WaitGroup
-	both.Add(2)
-	for way, ends := range [][2]net.Conn{{c, t}, {t, c}} {
+	var wg sync.WaitGroup
+	wg.Add(2)
+	for dir, pair := range [][2]net.Conn{{c, t}, {t, c}} {
 		go func() {
-			defer both.Done()
-			r.copy(Way(way), ends[1], ends[0])
+			defer wg.Done()
+			r.copy(Way(dir), pair[1], pair[0])
 			c.Close()
 			t.Close()
 		}()
 	}
-	both.Wait()
+	wg.Wait()
 	r.mu.Lock()
 	delete(r.conns, c)
 	delete(r.conns, t)
 	r.mu.Unlock()
 }
 
-func (r *Relay) add(conns ...net.Conn) bool {
+// addConns registers connections. It returns false if the proxy is blocked or closed.
+func (r *Relay) addConns(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.blocked || r.closed {
@@ -213,11 +214,11 @@
 	return true
 }
 
-func (r *Relay) copy(w Way, dst io.Writer, src io.Reader) {
+func (r *Relay) copy(dir Way, dst io.Writer, src io.Reader) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
-		r.waitThawed(w)
+		r.waitResumed(dir)
 		if n > 0 {
 			if _, err := dst.Write(buf[:n]); err != nil {
 				return
@@ -229,10 +230,11 @@
 	}
 }
 
-func (r *Relay) waitThawed(w Way) {
+// waitResumed waits while the direction is stalled, and then for the delay.
+func (r *Relay) waitResumed(dir Way) {
 	r.mu.Lock()
-	for r.frozen[w] {
-		r.thawed.Wait()
+	for r.stalled[dir] {
+		r.resumed.Wait()
 	}
 	d := r.delay
 	r.mu.Unlock()
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -16,8 +16,8 @@
 	"wardturn/driver"
 )
 
-// Serve runs a handler on a listener until the listener is closed. The result
-// stops the server.
+// Serve serves a handler on a listener until the listener is closed or stop is called.
+// stop waits until the server has stopped.
 func Serve(ln net.Listener, h fasthttp.RequestHandler) (stop func()) {
 	s := &fasthttp.Server{
 		Handler:               h,
@@ -52,7 +52,7 @@
 	})
 }
 
-// LogHandler serves a log over HTTP.
+// LogHandler returns a handler that serves a log over HTTP.
 func LogHandler(l *Log) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		switch {
@@ -97,21 +97,21 @@
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	wire := driver.WirePage{
+	body := driver.WirePage{
 		First: page.First,
 		Next:  page.Next,
 	}
 	for _, r := range page.Records {
-		wire.Records = append(wire.Records, driver.WireRecord{
+		body.Records = append(body.Records, driver.WireRecord{
 			Offset: r.Offset,
 			Time:   r.Time,
 			Data:   r.Data,
 		})
 	}
-	writeJSON(ctx, status, wire)
+	writeJSON(ctx, status, body)
 }
 
-// HostsHandler serves a list of hosts over HTTP.
+// HostsHandler returns a handler that serves a host list over HTTP.
 func HostsHandler(l *HostList) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		hosts, err := l.Hosts(ctx)
@@ -139,16 +139,16 @@
 	}
 }
 
-// EngineHandler serves an engine over HTTP.
+// EngineHandler returns a handler that serves an engine over HTTP.
 func EngineHandler(e *Engine) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		switch string(ctx.Path()) {
 		case driver.PathCompletions, driver.PathChatCompletions:
-			generate(ctx, e)
+			serveCompletion(ctx, e)
 		case driver.PathLoadAdapter:
-			orderSlot(ctx, e.Load)
+			serveSlotOrder(ctx, e.Load)
 		case driver.PathUnloadAdapter:
-			orderSlot(ctx, e.Unload)
+			serveSlotOrder(ctx, e.Unload)
 		case driver.PathReport:
 			writeJSON(ctx, fasthttp.StatusOK, e.Report())
 		default:
@@ -157,7 +157,8 @@
 	}
 }
 
-func orderSlot(ctx *fasthttp.RequestCtx, do func(wardturn.SlotOrder, func(error))) {
+// serveSlotOrder executes an order to load or unload an adapter and waits for its result.
+func serveSlotOrder(ctx *fasthttp.RequestCtx, do func(wardturn.SlotOrder, func(error))) {
 	var body driver.AdapterOrder
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
 		writeError(ctx, fasthttp.StatusBadRequest, "bad_request", err.Error())
@@ -170,15 +171,15 @@
 	}
 	fence, _ := strconv.ParseInt(string(ctx.Request.Header.Peek(driver.HeaderFence)), 10, 64)
 	id, _ := strconv.ParseUint(string(ctx.Request.Header.Peek(driver.HeaderOrder)), 10, 64)
-	ended := make(chan error, 1)
+	result := make(chan error, 1)
 	do(wardturn.SlotOrder{
 		ID:      wardturn.OrderID(id),
 		Fence:   wardturn.Fence(fence),
 		Adapter: ref,
 	}, func(err error) {
-		ended <- err
+		result <- err
 	})
-	if err := <-ended; err != nil {
+	if err := <-result; err != nil {
 		writeError(ctx, fasthttp.StatusConflict, errorCode(err), err.Error())
 		return
 	}
@@ -201,8 +202,8 @@
 	return driver.CodeUnavailable
 }
 
-// generateBody is the part of a completion request that the stand-in heeds.
-type generateBody struct {
+// completionRequest contains the fields of a completion request that the engine uses.
+type completionRequest struct {
 	Model     string `json:"model"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
@@ -214,15 +215,16 @@
 	bytesPerToken    = 4
 )
 
-// streamEvent is what the engine's callbacks pass to the HTTP stream.
+// streamEvent is an event that the engine's callbacks send to the HTTP response.
 type streamEvent struct {
 	token int
 	end   bool
 	err   error
 }
 
-func generate(ctx *fasthttp.RequestCtx, e *Engine) {
-	var body generateBody
+// serveCompletion serves a completion request.
+func serveCompletion(ctx *fasthttp.RequestCtx, e *Engine) {
+	var body completionRequest
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
 		writeError(ctx, fasthttp.StatusBadRequest, "bad_request", err.Error())
 		return
@@ -235,7 +237,7 @@
 	if body.MaxTokens <= 0 {
 		body.MaxTokens = defaultMaxTokens
 	}
-	a := answer{
+	a := responseFormatter{
 		model: body.Model,
 		id:    string(ctx.Request.Header.Peek(driver.HeaderAttempt)),
 		chat:  string(ctx.Path()) == driver.PathChatCompletions,
@@ -271,23 +273,23 @@
 	if body.Stream {
 		ctx.SetContentType("text/event-stream")
 		ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-			if !a.stream(w, events) {
+			if !a.writeStream(w, events) {
 				e.Cancel(attempt)
 			}
 		})
 		return
 	}
-	a.whole(ctx, events)
+	a.writeComplete(ctx, events)
 }
 
-// answer formats an answer in the shape of the OpenAI API.
-type answer struct {
+// responseFormatter formats a response as in the OpenAI API.
+type responseFormatter struct {
 	model string
 	id    string
 	chat  bool
 }
 
-// choice is one choice of a completion, streamed or whole.
+// choice is a choice of a completion or of a chunk of a streamed one.
 type choice struct {
 	Index   int      `json:"index"`
 	Text    string   `json:"text,omitempty"`
@@ -317,18 +319,17 @@
 	return " w" + strconv.Itoa(i)
 }
 
-// stream writes the events as server-sent events and reports whether the other
-// side took them all.
-func (a answer) stream(w *bufio.Writer, events <-chan streamEvent) bool {
+// writeStream writes the events as server-sent events. It returns false if a write failed.
+func (a responseFormatter) writeStream(w *bufio.Writer, events <-chan streamEvent) bool {
 	for ev := range events {
 		if ev.err != nil {
-			return true // cut short: the end marker is missing
+			return true // the stream ends without the end marker
 		}
 		if ev.end {
 			_, _ = w.WriteString("data: [DONE]\n\n")
 			return w.Flush() == nil
 		}
-		data, _ := json.Marshal(a.piece(tokenText(ev.token)))
+		data, _ := json.Marshal(a.chunk(tokenText(ev.token)))
 		_, _ = w.WriteString("data: ")
 		_, _ = w.Write(data)
 		_, _ = w.WriteString("\n\n")
@@ -339,7 +340,8 @@
 	return true
 }
 
-func (a answer) piece(text string) completion {
+// chunk returns a chunk of a streamed completion.
+func (a responseFormatter) chunk(text string) completion {
 	c := choice{
 		Text: text,
 	}
@@ -359,7 +361,8 @@
 	}
 }
 
-func (a answer) whole(ctx *fasthttp.RequestCtx, events <-chan streamEvent) {
+// writeComplete writes the complete response after the last event.
+func (a responseFormatter) writeComplete(ctx *fasthttp.RequestCtx, events <-chan streamEvent) {
 	text := ""
 	n := 0
 	for ev := range events {
--- a/standin/store.go
+++ b/standin/store.go
@@ -7,62 +7,62 @@
 	"wardturn"
 )
 
-// StoreConfig sizes a weight store.
+// StoreConfig configures a weight store.
 type StoreConfig struct {
-	Rate     float64       // fetches a second
-	Parallel int           // fetches at full speed
-	Fetch    time.Duration // time of one fetch at full speed
-	Burst    float64       // fetches that may start at once; zero: Parallel
+	Rate     float64       // fetches per second
+	Parallel int           // concurrent fetches at full speed
+	Fetch    time.Duration // duration of a fetch at full speed
+	Burst    float64       // burst of the rate limit; zero: Parallel
 }
 
-// StoreFaults are the ways in which a store fails.
+// StoreFaults are the faults of a Store.
 type StoreFaults struct {
 	Down bool
-	Slow float64 // factor on the time of a fetch; zero: 1
-	// Fail, if set, is asked at the end of each fetch.
+	Slow float64 // factor by which fetches take longer; zero: 1
+	// Fail, if set, is called at the end of each fetch and returns its result.
 	Fail func(ref wardturn.AdapterRef) error
 }
 
-// Store is a rate-limited weight store. Fetches beyond its rate are refused at
-// once; beyond Parallel they share its speed.
+// Store is a fake of the rate-limited weight store. Fetches above its rate are refused
+// at once. More than Parallel concurrent fetches share its bandwidth.
 type Store struct {
 	clock wardturn.Clock
 	cfg   StoreConfig
 
-	mu      sync.Mutex
-	faults  StoreFaults
-	tokens  float64
-	at      time.Time // of tokens and of the fetches' remaining work
-	fetches []*fetch
-	timer   wardturn.Timer
-	served  int
-	refused int
+	mu        sync.Mutex
+	faults    StoreFaults
+	tokens    float64
+	updatedAt time.Time // last update of tokens and fetches
+	fetches   []*fetch
+	timer     wardturn.Timer
+	served    int
+	refused   int
 }
 
 type fetch struct {
-	ref  wardturn.AdapterRef
-	left float64 // seconds of work at full speed
-	done func(error)
+	ref       wardturn.AdapterRef
+	remaining float64 // seconds at full speed
+	done      func(error)
 }
 
-// NewStore returns an idle store with a full burst.
+// NewStore returns an idle store with its full burst available.
 func NewStore(clock wardturn.Clock, cfg StoreConfig) *Store {
 	if cfg.Burst == 0 {
 		cfg.Burst = float64(cfg.Parallel)
 	}
 	return &Store{
-		clock:  clock,
-		cfg:    cfg,
-		tokens: cfg.Burst,
-		at:     clock.Now(),
+		clock:     clock,
+		cfg:       cfg,
+		tokens:    cfg.Burst,
+		updatedAt: clock.Now(),
 	}
 }
 
-// SetFaults replaces the store's faults. Fetches under way end with
-// ErrUnavailable when the store goes down.
+// SetFaults replaces the store's faults. When the store goes down, fetches in progress
+// end with ErrUnavailable.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
-	s.progress()
+	s.update()
 	s.faults = f
 	var lost []*fetch
 	if f.Down {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Counts returns how many fetches were served and refused.
+// Counts returns the numbers of fetches that were served and refused.
 func (s *Store) Counts() (served, refused int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,15 +85,16 @@
 
 // Fetch implements wardturn.Store.
 func (s *Store) Fetch(ref wardturn.AdapterRef, done func(error)) {
-	if err := s.begin(ref, done); err != nil {
+	if err := s.startFetch(ref, done); err != nil {
 		done(err)
 	}
 }
 
-func (s *Store) begin(ref wardturn.AdapterRef, done func(error)) error {
+// startFetch starts a fetch, or returns why it is refused.
+func (s *Store) startFetch(ref wardturn.AdapterRef, done func(error)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.progress()
+	s.update()
 	if s.faults.Down {
 		return wardturn.ErrUnavailable
 	}
@@ -103,15 +104,15 @@
 	}
 	s.tokens--
 	s.fetches = append(s.fetches, &fetch{
-		ref:  ref,
-		left: s.cfg.Fetch.Seconds(),
-		done: done,
+		ref:       ref,
+		remaining: s.cfg.Fetch.Seconds(),
+		done:      done,
 	})
 	s.schedule()
 	return nil
 }
 
-// speed is the share of full speed that each fetch has.
+// speed returns the fraction of full speed at which each fetch runs.
 func (s *Store) speed() float64 {
 	v := 1.0
 	if n := len(s.fetches); n > s.cfg.Parallel {
@@ -123,19 +124,19 @@
 	return v
 }
 
-// progress brings tokens and fetches up to the present.
-func (s *Store) progress() {
+// update updates tokens and fetches to the current time.
+func (s *Store) update() {
 	now := s.clock.Now()
-	gap := now.Sub(s.at).Seconds()
-	s.at = now
-	s.tokens = min(s.cfg.Burst, s.tokens+gap*s.cfg.Rate)
+	elapsed := now.Sub(s.updatedAt).Seconds()
+	s.updatedAt = now
+	s.tokens = min(s.cfg.Burst, s.tokens+elapsed*s.cfg.Rate)
 	v := s.speed()
 	for _, f := range s.fetches {
-		f.left -= gap * v
+		f.remaining -= elapsed * v
 	}
 }
 
-// schedule sets the timer to the end of the next fetch.
+// schedule sets the timer to the end of the fetch that ends next.
 func (s *Store) schedule() {
 	if s.timer != nil {
 		s.timer.Stop()
@@ -144,32 +145,33 @@
 	if len(s.fetches) == 0 {
 		return
 	}
-	left := s.fetches[0].left
+	remaining := s.fetches[0].remaining
 	for _, f := range s.fetches[1:] {
-		left = min(left, f.left)
+		remaining = min(remaining, f.remaining)
 	}
-	wait := time.Duration(max(left, 0) / s.speed() * float64(time.Second))
-	s.timer = s.clock.AfterFunc(wait+time.Microsecond, s.finish)
+	wait := time.Duration(max(remaining, 0) / s.speed() * float64(time.Second))
+	s.timer = s.clock.AfterFunc(wait+time.Microsecond, s.completeFetches)
 }
 
-func (s *Store) finish() {
+// completeFetches ends the fetches that are complete.
+func (s *Store) completeFetches() {
 	s.mu.Lock()
-	s.progress()
-	var ended []*fetch
-	kept := s.fetches[:0]
+	s.update()
+	var completed []*fetch
+	inProgress := s.fetches[:0]
 	for _, f := range s.fetches {
-		if f.left <= 0 {
-			ended = append(ended, f)
+		if f.remaining <= 0 {
+			completed = append(completed, f)
 			continue
 		}
-		kept = append(kept, f)
+		inProgress = append(inProgress, f)
 	}
-	s.fetches = kept
-	s.served += len(ended)
+	s.fetches = inProgress
+	s.served += len(completed)
 	fail := s.faults.Fail
 	s.schedule()
 	s.mu.Unlock()
-	for _, f := range ended {
+	for _, f := range completed {
 		var err error
 		if fail != nil {
 			err = fail(f.ref)
