--- a/agent/agent.go
+++ b/agent/agent.go
@@ -90,7 +90,7 @@
 		service:  d.Service,
 		hosts:    d.Hosts,
 		tls:      d.TLS,
-		ledger:   decide.NewLedger(cfg.RememberCount, cfg.Remember),
+		ledger:   decide.NewLedger(cfg.MaxEndedAttempts, cfg.AttemptTTL),
 		attempts: make(map[wardturn.AttemptID]*attempt),
 		builtin:  d.Policy,
 		idle:     make(chan struct{}),
@@ -236,7 +236,7 @@
 	for _, st := range o.Run {
 		a.startRun(st)
 	}
-	for _, w := range o.Wish {
+	for _, w := range o.PermitRequests {
 		a.allocator.requestPermit(w)
 	}
 }
@@ -254,15 +254,15 @@
 	defer a.mu.Unlock()
 	now := a.clock.Now()
 	for id, t := range a.attempts {
-		if t.ended && now.Sub(t.endedAt) > a.cfg.Remember {
+		if t.ended && now.Sub(t.endedAt) > a.cfg.AttemptTTL {
 			delete(a.attempts, id)
 		}
 	}
-	for len(a.retained) > 0 && now.Sub(a.retained[0].endedAt) > a.cfg.Remember {
+	for len(a.retained) > 0 && now.Sub(a.retained[0].endedAt) > a.cfg.AttemptTTL {
 		a.dropOldest()
 	}
 	a.ledger.Sweep(now)
-	a.ledger.SweepMarks(now)
+	a.ledger.SweepHighWaterMarks(now)
 	a.metrics.observe(a.core, len(a.attempts))
 }
 
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -230,15 +230,15 @@
 
 func TestDuplicateSubmitRunsOnce(t *testing.T) {
 	x := newTestEntry(t, agent.Config{})
-	x.submit(1, peer.Window)
+	x.submit(1, peer.CreditWindow)
 	run := <-x.engine.runs
-	x.submit(1, peer.Window)
+	x.submit(1, peer.CreditWindow)
 	run.answer <- []byte("answer")
 	close(run.answer)
 	if e, data := x.end(); e.Outcome.Kind != wardturn.Done || data != "answer" {
 		t.Fatalf("%+v %q", e.Outcome, data)
 	}
-	x.submit(1, peer.Window) // duplicate after the end
+	x.submit(1, peer.CreditWindow) // duplicate after the end
 	x.expectNothing(99)
 	if len(x.engine.runs) != 0 {
 		t.Fatal("a duplicate ran")
@@ -254,7 +254,7 @@
 	if e, _ := x.end(); e.Outcome.Kind != wardturn.NotRun {
 		t.Fatalf("%+v", e.Outcome)
 	}
-	x.submit(7, peer.Window) // delayed in the network
+	x.submit(7, peer.CreditWindow) // delayed in the network
 	if e, _ := x.end(); e.Outcome.Kind != wardturn.NotRun {
 		t.Fatalf("delayed submit: %+v", e.Outcome)
 	}
@@ -298,7 +298,7 @@
 
 func TestResumeFromOffset(t *testing.T) {
 	x := newTestEntry(t, agent.Config{})
-	x.submit(1, peer.Window)
+	x.submit(1, peer.CreditWindow)
 	run := <-x.engine.runs
 	run.answer <- []byte("0123456789")
 	x.next() // head
@@ -309,7 +309,7 @@
 		Attempt: attempt(1),
 		Process: agentProcess,
 		From:    6,
-		Credit:  peer.Window,
+		Credit:  peer.CreditWindow,
 	})
 	run.answer <- []byte("ab")
 	close(run.answer)
@@ -320,14 +320,14 @@
 
 func TestSlowCallerHoldsUpOnlyItself(t *testing.T) {
 	x := newTestEntry(t, agent.Config{
-		AnswerBuffer: 8,
+		ResponseBuffer: 8,
 	})
 	x.submit(1, 0)
 	run := <-x.engine.runs
 	run.answer <- []byte("01234567")
 	run.answer <- []byte("89") // blocks: the buffer is full
 	x.next()                   // head
-	x.submit(2, peer.Window)
+	x.submit(2, peer.CreditWindow)
 	<-x.engine.runs // the other request runs meanwhile
 	x.send(&peer.Cancel{
 		Attempt: attempt(1),
@@ -344,7 +344,7 @@
 		KeepBytes: 15,
 	})
 	for seq := uint64(1); seq <= 2; seq++ {
-		x.submit(seq, peer.Window)
+		x.submit(seq, peer.CreditWindow)
 		run := <-x.engine.runs
 		run.answer <- []byte("0123456789")
 		close(run.answer)
@@ -354,7 +354,7 @@
 		x.send(&peer.Attach{
 			Attempt: attempt(seq),
 			Process: agentProcess,
-			Credit:  peer.Window,
+			Credit:  peer.CreditWindow,
 		})
 		if e, _ := x.end(); e.Outcome.Kind != want {
 			t.Fatalf("attempt %d: %+v, want %v", seq, e.Outcome, want)
@@ -376,9 +376,9 @@
 			Version: 1,
 		},
 		Repeatable: true,
-		Credit:     peer.Window,
+		Credit:     peer.CreditWindow,
 	})
-	x.submit(2, peer.Window)
+	x.submit(2, peer.CreditWindow)
 	run := <-x.engine.runs // the loaded adapter is served
 	close(run.answer)
 	if e, _ := x.end(); e.Attempt != attempt(2) || e.Outcome.Kind != wardturn.Done {
--- a/agent/allocator.go
+++ b/agent/allocator.go
@@ -68,18 +68,18 @@
 
 // requestPermit sends the agent's permit request to the allocator. The agent's mutex is
 // held.
-func (r *allocatorRole) requestPermit(w decide.Wish) {
+func (r *allocatorRole) requestPermit(w decide.PermitRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case r.allocatorID == r.agent.cfg.Upstream:
 		r.apply(func(now time.Time, out []decide.Grant) []decide.Grant {
-			return r.allocator().Wish(now, w, out)
+			return r.allocator().Request(now, w, out)
 		})
 	case r.client != nil:
 		if c := r.client.Conn(); c != nil {
-			_ = c.Send(&peer.Wish{
-				Wish: w,
+			_ = c.Send(&peer.PermitRequest{
+				Request: w,
 			})
 		}
 	}
@@ -87,7 +87,7 @@
 
 // onPermitRequest handles another agent's permit request. An agent acts as the allocator
 // as soon as it receives one, whatever its own host list says.
-func (r *allocatorRole) onPermitRequest(c *peer.Conn, w decide.Wish) {
+func (r *allocatorRole) onPermitRequest(c *peer.Conn, w decide.PermitRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed || r.agent.cfg.Model == "" {
@@ -95,7 +95,7 @@
 	}
 	r.conns[w.Upstream] = c
 	r.apply(func(now time.Time, out []decide.Grant) []decide.Grant {
-		return r.allocator().Wish(now, w, out)
+		return r.allocator().Request(now, w, out)
 	})
 }
 
--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -100,7 +100,7 @@
 		Length:        t.end(),
 		Hint:          a.core.Hint(),
 		Config:        t.replacedBy,
-		First:         t.earlierClaim.Claim.Attempt,
+		FirstAttempt:  t.earlierClaim.Claim.Attempt,
 		FirstUpstream: t.earlierClaim.Upstream,
 		FirstProcess:  t.earlierClaim.Process,
 	})
@@ -131,10 +131,10 @@
 	if t.ended {
 		return nil // canceled in the meantime
 	}
-	if len(t.buf) > 0 && len(t.buf)+len(data) > a.cfg.AnswerBuffer {
+	if len(t.buf) > 0 && len(t.buf)+len(data) > a.cfg.ResponseBuffer {
 		a.trim(t)
 	}
-	if len(t.buf) > 0 && len(t.buf)+len(data) > a.cfg.AnswerBuffer {
+	if len(t.buf) > 0 && len(t.buf)+len(data) > a.cfg.ResponseBuffer {
 		t.spaceFreed = make(chan struct{})
 		return t.spaceFreed
 	}
@@ -168,7 +168,7 @@
 // trim drops the bytes that the entry has forwarded, which are all those more than one
 // credit window before its credit.
 func (a *Agent) trim(t *attempt) {
-	forwarded := min(t.credit-peer.Window, t.sent)
+	forwarded := min(t.credit-peer.CreditWindow, t.sent)
 	if n := forwarded - t.base; n > 0 {
 		t.buf = append(t.buf[:0], t.buf[n:]...)
 		t.base = forwarded
--- a/agent/claim_internal_test.go
+++ b/agent/claim_internal_test.go
@@ -73,7 +73,7 @@
 		Method:     "POST",
 		Key:        "k",
 		KeyCreated: clock.Now(),
-		Left:       left,
+		TimeLeft:   left,
 	}, clock.Now(), true)
 	gomega.NewWithT(t).Eventually(func() int {
 		clock.Advance(time.Millisecond) // claims are batched for a short time
--- a/agent/config.go
+++ b/agent/config.go
@@ -10,47 +10,47 @@
 
 // Config holds an agent's settings. Exactly one of Model and Service is set.
 type Config struct {
-	Upstream      wardturn.UpstreamID
-	Process       wardturn.Incarnation
-	Region        wardturn.Region
-	Domain        wardturn.FailureDomain
-	Model         wardturn.BaseModel
-	Service       wardturn.ServiceName
-	Slots         int // adapter slots of the engine
-	MaxRunning    int // maximum number of running requests
-	MaxQueue      int // maximum number of waiting requests
-	Store         decide.StoreLimit
-	StoreAgents   int           // initial estimate of the agents that share the store
-	ReportEvery   time.Duration // interval between reads of the engine's report
-	HostsEvery    time.Duration // interval between reads of the host list
-	RequireFence  bool          // send no orders before the log has assigned a fence
-	AnswerBuffer  int           // bytes of a response buffered for a slow entry
-	KeepBytes     int           // total bytes retained of the responses of ended attempts
-	Remember      time.Duration // how long ended attempts are remembered
-	RememberCount int           // maximum number of ended attempts remembered
-	OrphanGrace   time.Duration // how long an attempt runs on without an entry
+	Upstream         wardturn.UpstreamID
+	Process          wardturn.Incarnation
+	Region           wardturn.Region
+	Domain           wardturn.FailureDomain
+	Model            wardturn.BaseModel
+	Service          wardturn.ServiceName
+	Slots            int // adapter slots of the engine
+	MaxRunning       int // maximum number of running requests
+	MaxQueue         int // maximum number of waiting requests
+	Store            decide.StoreLimit
+	StoreAgents      int           // initial estimate of the agents that share the store
+	ReportEvery      time.Duration // interval between reads of the engine's report
+	HostsEvery       time.Duration // interval between reads of the host list
+	RequireFence     bool          // send no orders before the log has assigned a fence
+	ResponseBuffer   int           // bytes of a response buffered for a slow entry
+	KeepBytes        int           // total bytes retained of the responses of ended attempts
+	AttemptTTL       time.Duration // how long ended attempts are remembered
+	MaxEndedAttempts int           // maximum number of ended attempts remembered
+	OrphanGrace      time.Duration // how long an attempt runs on without an entry
 }
 
 // Default values of Config.
 const (
-	DefaultReportEvery   = 500 * time.Millisecond
-	DefaultHostsEvery    = time.Second
-	DefaultAnswerBuffer  = 1 << 20
-	DefaultKeepBytes     = 16 << 20
-	DefaultRemember      = time.Minute
-	DefaultRememberCount = 20_000
-	DefaultOrphanGrace   = 10 * time.Second
-	DefaultMaxRunning    = 16
+	DefaultReportEvery      = 500 * time.Millisecond
+	DefaultHostsEvery       = time.Second
+	DefaultResponseBuffer   = 1 << 20
+	DefaultKeepBytes        = 16 << 20
+	DefaultAttemptTTL       = time.Minute
+	DefaultMaxEndedAttempts = 20_000
+	DefaultOrphanGrace      = 10 * time.Second
+	DefaultMaxRunning       = 16
 )
 
 // WithDefaults returns a copy of c with zero values replaced by their defaults.
 func (c Config) WithDefaults() Config {
 	c.ReportEvery = cmp.Or(c.ReportEvery, DefaultReportEvery)
 	c.HostsEvery = cmp.Or(c.HostsEvery, DefaultHostsEvery)
-	c.AnswerBuffer = cmp.Or(c.AnswerBuffer, DefaultAnswerBuffer)
+	c.ResponseBuffer = cmp.Or(c.ResponseBuffer, DefaultResponseBuffer)
 	c.KeepBytes = cmp.Or(c.KeepBytes, DefaultKeepBytes)
-	c.Remember = cmp.Or(c.Remember, DefaultRemember)
-	c.RememberCount = cmp.Or(c.RememberCount, DefaultRememberCount)
+	c.AttemptTTL = cmp.Or(c.AttemptTTL, DefaultAttemptTTL)
+	c.MaxEndedAttempts = cmp.Or(c.MaxEndedAttempts, DefaultMaxEndedAttempts)
 	c.OrphanGrace = cmp.Or(c.OrphanGrace, DefaultOrphanGrace)
 	c.MaxRunning = cmp.Or(c.MaxRunning, DefaultMaxRunning)
 	c.StoreAgents = cmp.Or(c.StoreAgents, 1)
--- a/agent/inbound.go
+++ b/agent/inbound.go
@@ -22,8 +22,8 @@
 	switch m := m.(type) {
 	case *peer.Submit:
 		a.onSubmit(c, m)
-	case *peer.Wish:
-		a.allocator.onPermitRequest(c, m.Wish)
+	case *peer.PermitRequest:
+		a.allocator.onPermitRequest(c, m.Request)
 	case *peer.ConfigPull:
 		a.onConfigPull(c, m)
 	case *peer.Ping:
@@ -160,8 +160,8 @@
 		Header:     m.Header,
 		Body:       m.Body,
 	}
-	if m.Left > 0 {
-		r.Deadline = arrived.Add(m.Left)
+	if m.TimeLeft > 0 {
+		r.Deadline = arrived.Add(m.TimeLeft)
 	}
 	return r
 }
@@ -185,7 +185,7 @@
 		a.replyEnd(c, m.Attempt, wardturn.Uncertain(wardturn.ReasonAgentRestarted))
 		return
 	}
-	_, outcome := a.ledger.Attach(a.clock.Now(), m.Attempt)
+	_, outcome := a.ledger.Lookup(a.clock.Now(), m.Attempt)
 	t := a.attempts[m.Attempt]
 	switch {
 	case t != nil && m.Follow:
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -76,13 +76,13 @@
 	h := core.Hint()
 	m.running.Update(float64(h.Running))
 	m.queued.Update(float64(h.Queued))
-	m.waitingAdapters.Update(float64(h.Wants))
+	m.waitingAdapters.Update(float64(h.WaitingAdapters))
 	m.attempts.Update(float64(attempts))
 	if sh, ok := core.Shadow(); ok {
 		m.shadowLoads.Update(float64(sh.Loads))
-		m.shadowOtherAdapters.Update(float64(sh.Wants))
-		m.shadowOtherVictims.Update(float64(sh.Victims))
+		m.shadowOtherAdapters.Update(float64(sh.OtherAdapters))
+		m.shadowOtherVictims.Update(float64(sh.OtherVictims))
 		m.shadowHolds.Update(float64(sh.Holds))
-		m.shadowOtherHolds.Update(float64(sh.Held))
+		m.shadowOtherHolds.Update(float64(sh.OtherHolds))
 	}
 }
--- a/agent/run.go
+++ b/agent/run.go
@@ -19,7 +19,7 @@
 	if t == nil || t.ended {
 		panic("agent: core started an unknown or ended attempt")
 	}
-	t.adapterWait = st.Stalled
+	t.adapterWait = st.AdapterWait
 	ctx, cancel := context.WithCancel(a.tasks.Context())
 	t.cancel = cancel
 	a.tasks.Go(func() {
@@ -86,11 +86,11 @@
 // sendHead sends the status and headers of the response. a.mu is held.
 func (a *Agent) sendHead(t *attempt, status int, header []wardturn.HeaderField) {
 	t.head = &peer.Head{
-		Attempt: t.id,
-		Status:  status,
-		Header:  header,
-		Stalled: t.adapterWait,
-		Queued:  a.clock.Now().Sub(t.arrived),
+		Attempt:     t.id,
+		Status:      status,
+		Header:      header,
+		AdapterWait: t.adapterWait,
+		TotalWait:   a.clock.Now().Sub(t.arrived),
 	}
 	a.flush(t)
 }
@@ -153,7 +153,7 @@
 	if len(t.buf) > 0 || a.leaving {
 		return false
 	}
-	a.ledger.Unsend(t.id)
+	a.ledger.Requeue(t.id)
 	t.head = nil
 	t.headSent = false
 	a.applyLocked(func(now time.Time, out *decide.Orders) {
--- a/cli/entryd.go
+++ b/cli/entryd.go
@@ -166,7 +166,7 @@
 	}
 	return c.Invoke(func(e *entry.Entry, clock wardturn.Clock) {
 		<-ctx.Done()
-		shutdownCtx, cancel := wardturn.WithLimit(context.Background(), clock, settings.ShutdownLimit)
+		shutdownCtx, cancel := wardturn.WithTimeout(context.Background(), clock, settings.ShutdownLimit)
 		defer cancel()
 		e.Leave(shutdownCtx)
 		e.Close()
--- a/cli/fleet/crashes.go
+++ b/cli/fleet/crashes.go
@@ -33,7 +33,7 @@
 	if err := b.Err(); err != nil {
 		return err
 	}
-	store := platform.NewCrashes(platform.NewStore(c.Store, tally.NoopScope), hclog.NewNullLogger())
+	store := platform.NewCrashStore(platform.NewStore(c.Store, tally.NoopScope), hclog.NewNullLogger())
 	change, err := store.Next()
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 
 // clearCrashes removes the records of the contents in Clear. If one of them has none, it
 // returns an error and removes nothing.
-func (c *crashesCmd) clearCrashes(store wardturn.CrashRecord, byContent map[wardturn.ContentID][]wardturn.RecordedCrash) error {
+func (c *crashesCmd) clearCrashes(store wardturn.CrashStore, byContent map[wardturn.ContentID][]wardturn.RecordedCrash) error {
 	var removed []wardturn.Crash
 	for _, content := range c.Clear {
 		list := byContent[content]
--- a/cli/fleet/gateway.go
+++ b/cli/fleet/gateway.go
@@ -80,19 +80,19 @@
 
 func (c *gatewayCmd) config() gateway.Config {
 	return gateway.Config{
-		Process:     process.NewIncarnation(),
-		Host:        c.Node,
-		Domain:      wardturn.FailureDomain(c.Domain),
-		KeeperPort:  c.Port,
-		Drain:       c.Drain,
-		LapseGrace:  c.LapseGrace,
-		MaxBody:     c.MaxBody,
-		MaxHeld:     c.MemoryMB << 20 / bodyMemoryDivisor,
-		RetryShare:  c.RetryShare,
-		RetryExtra:  c.RetryExtra,
-		RetryWindow: c.RetryWindow,
-		LeaveAfter:  c.LeaveAfter,
-		KeyBound:    c.KeyBound,
+		Process:          process.NewIncarnation(),
+		Host:             c.Node,
+		Domain:           wardturn.FailureDomain(c.Domain),
+		KeeperPort:       c.Port,
+		Drain:            c.Drain,
+		ExpiryGrace:      c.LapseGrace,
+		MaxBody:          c.MaxBody,
+		MaxBufferedBytes: c.MemoryMB << 20 / bodyMemoryDivisor,
+		RetryShare:       c.RetryShare,
+		RetryExtra:       c.RetryExtra,
+		RetryWindow:      c.RetryWindow,
+		ShutdownDelay:    c.LeaveAfter,
+		KeyBound:         c.KeyBound,
 
 		EqualCapShares: c.EqualCaps,
 		Crashes: decide.CrashConfig{
@@ -100,18 +100,18 @@
 			Memory: c.CrashMemory,
 		},
 		Fleet: decide.FleetConfig{
-			Domain:       wardturn.FailureDomain(c.Domain),
-			Regions:      c.Regions,
-			CrossBytes:   c.CrossBytes,
-			MostBodies:   c.UpstreamMB << 20,
-			VersionBound: c.VersionBound,
+			Domain:              wardturn.FailureDomain(c.Domain),
+			Regions:             c.Regions,
+			MaxCrossDomainBytes: c.CrossBytes,
+			MaxBodyBytes:        c.UpstreamMB << 20,
+			VersionBound:        c.VersionBound,
 			Cold: decide.ColdConfig{
 				Overage: c.ColdOverage,
 				Slack:   c.ColdSlack,
 			},
 			Window: decide.WindowConfig{
 				Start: c.LoadsAtStart,
-				Most:  c.LoadsAtMost,
+				Max:   c.LoadsAtMost,
 			},
 		},
 	}
@@ -125,8 +125,8 @@
 	}
 	logger.SetLevel(hclog.LevelFromString(reloaded.LogLevel))
 	cfg := reloaded.config()
-	g.Retune(cfg)
-	logger.Info("settings read again", "log_level", reloaded.LogLevel, "retry_share", cfg.RetryShare, "retry_extra", cfg.RetryExtra, "retry_window", cfg.RetryWindow, "cross_bytes", cfg.Fleet.CrossBytes, "loads_at_most", cfg.Fleet.Window.Most)
+	g.ApplySettings(cfg)
+	logger.Info("settings read again", "log_level", reloaded.LogLevel, "retry_share", cfg.RetryShare, "retry_extra", cfg.RetryExtra, "retry_window", cfg.RetryWindow, "cross_bytes", cfg.Fleet.MaxCrossDomainBytes, "loads_at_most", cfg.Fleet.Window.Max)
 }
 
 // shutdownMargin is the time reserved before SIGKILL to terminate the responses in
@@ -166,9 +166,9 @@
 		watchSettings(ctx, args, logger, func(root *commands) {
 			c.applySettings(g, logger, &root.Gateway)
 		})
-		shutdownCtx, cancel := wardturn.WithLimit(context.Background(), clock, c.Grace-shutdownMargin)
+		shutdownCtx, cancel := wardturn.WithTimeout(context.Background(), clock, c.Grace-shutdownMargin)
 		defer cancel()
-		g.Leave(shutdownCtx)
+		g.Shutdown(shutdownCtx)
 		g.Close()
 		d.logs.Close()
 	})
@@ -177,19 +177,19 @@
 func (c *gatewayCmd) newGateway(listener, readyListener net.Listener) any {
 	return func(clock wardturn.Clock, logger hclog.Logger, m *gateway.Metrics, s *platform.Store) *gateway.Gateway {
 		return gateway.New(gateway.Deps{
-			Config:    c.config(),
-			Clock:     clock,
-			Logger:    logger,
-			Metrics:   m,
-			Names:     platform.Headers(),
-			Heads:     platform.Answers{},
-			Source:    platform.NewConfiguration(s, logger),
-			Members:   platform.NewMembers(s, clock, logger),
-			Memory:    s,
-			Crashes:   platform.NewCrashes(s, logger),
-			Front:     listener,
-			Ready:     readyListener,
-			ReadyPath: platform.ReadyPath,
+			Config:         c.config(),
+			Clock:          clock,
+			Logger:         logger,
+			Metrics:        m,
+			Names:          platform.Headers(),
+			ResponseReader: platform.Responses{},
+			Source:         platform.NewConfigReader(s, logger),
+			Members:        platform.NewMemberReader(s, clock, logger),
+			FactStore:      s,
+			Crashes:        platform.NewCrashStore(s, logger),
+			Listener:       listener,
+			ReadyListener:  readyListener,
+			ReadyPath:      platform.ReadyPath,
 		})
 	}
 }
--- a/control/claims.go
+++ b/control/claims.go
@@ -62,7 +62,7 @@
 		claim: claim,
 		done:  make(chan struct{}),
 	}
-	ctx, cancel := wardturn.WithLimit(ctx, c.clock, claimTimeout)
+	ctx, cancel := wardturn.WithTimeout(ctx, c.clock, claimTimeout)
 	defer cancel()
 	c.enqueue(p)
 	select {
@@ -157,7 +157,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := wardturn.WithLimit(context.Background(), c.clock, claimTimeout)
+	ctx, cancel := wardturn.WithTimeout(context.Background(), c.clock, claimTimeout)
 	defer cancel()
 	return c.replica.log.Append(ctx, data)
 }
--- a/decide/agent.go
+++ b/decide/agent.go
@@ -16,7 +16,7 @@
 	DefaultLoadTime     = 400 * time.Millisecond
 	DefaultReserveSlots = 2
 	DefaultServiceTime  = 2 * time.Second
-	DefaultForgetAfter  = 10 * time.Minute
+	DefaultHistoryTTL   = 10 * time.Minute
 	DefaultStarveAfter  = 20 * time.Second
 	DefaultDrainAfter   = 2 * time.Second
 )
@@ -37,7 +37,7 @@
 	ReserveSlots int           // slots that batch requests may not occupy
 	LoadTime     time.Duration // initial estimate
 	ServiceTime  time.Duration // initial estimate
-	ForgetAfter  time.Duration // idle time after which the history of an adapter is dropped
+	HistoryTTL   time.Duration // idle time after which the history of an adapter is dropped
 	StarveAfter  time.Duration // waiting time after which requests are served by age alone
 	DrainAfter   time.Duration // waiting time after which a busy slot is drained
 	AdmitAll     bool          // refuse nothing before its deadline, like a system without admission control
@@ -48,7 +48,7 @@
 	c.LoadTime = cmp.Or(c.LoadTime, DefaultLoadTime)
 	c.ReserveSlots = cmp.Or(c.ReserveSlots, DefaultReserveSlots)
 	c.ServiceTime = cmp.Or(c.ServiceTime, DefaultServiceTime)
-	c.ForgetAfter = cmp.Or(c.ForgetAfter, DefaultForgetAfter)
+	c.HistoryTTL = cmp.Or(c.HistoryTTL, DefaultHistoryTTL)
 	c.StarveAfter = cmp.Or(c.StarveAfter, DefaultStarveAfter)
 	c.DrainAfter = cmp.Or(c.DrainAfter, DefaultDrainAfter)
 	return c
@@ -73,8 +73,8 @@
 
 // Start asks the driver to run an attempt now.
 type Start struct {
-	Attempt wardturn.AttemptID
-	Stalled time.Duration // time the attempt waited for its adapter
+	Attempt     wardturn.AttemptID
+	AdapterWait time.Duration // time the attempt waited for its adapter
 }
 
 // Refusal tells the driver that an attempt will not run.
@@ -86,11 +86,11 @@
 // Orders collects what the driver has to do after an event. Reset it between events to
 // reuse its memory.
 type Orders struct {
-	Run    []Start
-	Load   []SlotOrder
-	Unload []SlotOrder
-	Refuse []Refusal
-	Wish   []Wish // request to the allocator of the store's rate; at most one
+	Run            []Start
+	Load           []SlotOrder
+	Unload         []SlotOrder
+	Refuse         []Refusal
+	PermitRequests []PermitRequest // request to the allocator of the store's rate; at most one
 }
 
 // Reset empties the orders and keeps their memory.
@@ -99,14 +99,14 @@
 	o.Load = o.Load[:0]
 	o.Unload = o.Unload[:0]
 	o.Refuse = o.Refuse[:0]
-	o.Wish = o.Wish[:0]
+	o.PermitRequests = o.PermitRequests[:0]
 }
 
 // AgentStats counts the actions of an Agent since its start.
 type AgentStats struct {
 	Loads     int
 	Evictions int
-	Lost      int // adapters that the engine dropped without an order
+	Dropped   int // adapters that the engine dropped without an order
 }
 
 // Agent is the scheduler of one upstream: it queues requests, starts them, and assigns
@@ -120,18 +120,18 @@
 	adapters    map[wardturn.AdapterRef]*adapter
 	work        map[wardturn.AttemptID]*item
 	plain       queue      // requests to a plain service
-	wanted      []*adapter // adapters with waiting requests and no slot
+	missing     []*adapter // adapters with waiting requests and no slot
 	scratch     []*item
 	lastSeq     uint64
 	misses      uint64
-	shares      shares
+	teamUse     teamUse
 	missRate    meter
 	running     int
 	runBatch    int
 	queued      int
 	queuedBatch int
 	leaving     bool
-	informed    bool // an engine report made after the start has arrived
+	reported    bool // an engine report made after the start has arrived
 	lastOrder   wardturn.OrderID
 	loadTime    time.Duration
 	serveTime   time.Duration
@@ -154,7 +154,7 @@
 		work:      make(map[wardturn.AttemptID]*item),
 		loadTime:  cfg.LoadTime,
 		serveTime: cfg.ServiceTime,
-		shares:    newShares(),
+		teamUse:   newTeamUse(),
 		started:   now,
 		lastSweep: now,
 	}
@@ -235,7 +235,7 @@
 	}
 	a.unpin(it)
 	a.observeService(now.Sub(it.startedAt))
-	a.shares.add(now, it.work.Team, now.Sub(it.startedAt))
+	a.teamUse.add(now, it.work.Team, now.Sub(it.startedAt))
 	delete(a.work, id)
 	a.plan(now, out)
 }
@@ -252,11 +252,11 @@
 	if ad := it.adapter; ad != nil {
 		ad.missingAt = now
 		if ad.slot != noSlot && a.slots[ad.slot].state == SlotReady {
-			a.lose(&a.slots[ad.slot], now)
+			a.slotLost(&a.slots[ad.slot], now)
 		}
 	}
 	it.running = false
-	a.enqueueAgain(it)
+	a.requeue(it)
 	a.plan(now, out)
 }
 
@@ -310,7 +310,7 @@
 	if now.Sub(a.lastSweep) >= sweepEvery {
 		a.lastSweep = now
 		a.sweep(now)
-		a.shares.sweep(now)
+		a.teamUse.sweep(now)
 	}
 	a.plan(now, out)
 }
@@ -320,7 +320,7 @@
 		return
 	}
 	late := func(it *item) bool {
-		return it.late(now)
+		return it.pastDeadline(now)
 	}
 	a.refuseWaiting(late, wardturn.ReasonDeadline, a.queueDelay(), out)
 }
@@ -337,7 +337,7 @@
 func (a *Agent) sweep(now time.Time) {
 	for ref, ad := range a.adapters {
 		idle := now.Sub(ad.demand.Last())
-		if ad.slot == noSlot && ad.waiting() == 0 && ad.running == 0 && idle > a.cfg.ForgetAfter {
+		if ad.slot == noSlot && ad.waiting() == 0 && ad.running == 0 && idle > a.cfg.HistoryTTL {
 			delete(a.adapters, ref)
 		}
 	}
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -13,86 +13,86 @@
 // available engine holds. Its state comes from the platform's list of upstreams, from the
 // keepers beside the engines and from responses to requests. It is not persisted.
 type Fleet struct {
-	cfg           FleetConfig
-	table         *wardturn.RouteTable
-	announcements map[wardturn.ModelAdapter][]announcement // announced versions of each adapter, oldest first
-	rollouts      map[wardturn.ModelAdapter]*rollout
-	members       map[wardturn.UpstreamID]*Member
-	services      map[wardturn.ServiceName][]*Member // sorted by ID
-	near          map[wardturn.ServiceName][]*Member // those of services in this gateway's failure domain
-	leaving       map[wardturn.UpstreamID]time.Time  // upstreams that announced that they are leaving, and when the list last had them
-	holders       engineIndex                        // engines that hold an adapter ready
-	loaders       engineIndex                        // engines that are loading it
-	heldBefore    engineIndex                        // engines that have held it since they started
-	wants         wants
-	gateways      int       // as reported by keepers
-	gatewaysAt    time.Time // when gateways was last updated
-	window        LoadWindow
-	refilled      map[wardturn.ServiceName]time.Time // when services whose engines were all empty are expected to hold adapters again
-	reportsDue    []*Member                          // members whose keepers have to be sent changed prefill counts
-	coming        int                                // loads under way from the weight store, of all gateways
-	drawnAt       time.Time                          // latest random draw for a share of the window below one
-	crossed       map[wardturn.ModelAdapter]int      // bytes sent to other failure domains
-	limits        *Limits
-	prefillRates  map[wardturn.ServiceName]*prefillRate // prefill rates of engines
-	evacuated     wardturn.Evacuations
-	rests         map[string]*rest // pauses requested by upstreams, by instance
+	cfg              FleetConfig
+	table            *wardturn.RouteTable
+	announcements    map[wardturn.ModelAdapter][]announcement // announced versions of each adapter, oldest first
+	rollouts         map[wardturn.ModelAdapter]*rollout
+	members          map[wardturn.UpstreamID]*Member
+	services         map[wardturn.ServiceName][]*Member // sorted by ID
+	local            map[wardturn.ServiceName][]*Member // those of services in this gateway's failure domain
+	leaving          map[wardturn.UpstreamID]time.Time  // upstreams that announced that they are leaving, and when the list last had them
+	holders          engineIndex                        // engines that hold an adapter ready
+	loaders          engineIndex                        // engines that are loading it
+	heldBefore       engineIndex                        // engines that have held it since they started
+	missing          missingAdapters
+	gateways         int       // as reported by keepers
+	gatewaysAt       time.Time // when gateways was last updated
+	window           LoadWindow
+	refilledBy       map[wardturn.ServiceName]time.Time // when services whose engines were all empty are expected to hold adapters again
+	reportsDue       []*Member                          // members whose keepers have to be sent changed prefill counts
+	loadsInFlight    int                                // loads under way from the weight store, of all gateways
+	lastDrawAt       time.Time                          // latest random draw for a share of the window below one
+	crossDomainBytes map[wardturn.ModelAdapter]int      // bytes sent to other failure domains
+	limits           *Limits
+	prefillRates     map[wardturn.ServiceName]*prefillRate // prefill rates of engines
+	evacuated        wardturn.Evacuations
+	backoffs         map[string]*upstreamBackoff // pauses requested by upstreams, by instance
 }
 
 // FleetConfig holds the limits of a Fleet.
 type FleetConfig struct {
 	Domain  wardturn.FailureDomain
 	Regions map[wardturn.FailureDomain]wardturn.Region
-	// CrossBytes is how many bytes may be sent for an adapter to other failure domains
+	// MaxCrossDomainBytes is how many bytes may be sent for an adapter to other failure domains
 	// before it is also loaded in this one.
-	CrossBytes int
-	// MostBodies bounds the total size in bytes of the request bodies that all gateways
+	MaxCrossDomainBytes int
+	// MaxBodyBytes bounds the total size in bytes of the request bodies that all gateways
 	// together may have at one upstream, which crashes when they outgrow its memory. Zero
 	// means no bound.
-	MostBodies int
-	Window     WindowConfig
+	MaxBodyBytes int
+	Window       WindowConfig
 	// VersionBound is how long requests may start on an older version of an adapter after
 	// the store announced a newer one.
 	VersionBound time.Duration
 	Limits       *Limits // request rate limits stated by upstreams; nil if none
 	Cold         ColdConfig
-	Draw         func() float64 // returns a random number in [0, 1); nil means the function Draw
+	Random       func() float64 // returns a random number in [0, 1); nil means the function Draw
 }
 
 // NewFleet returns a Fleet without upstreams.
 func NewFleet(cfg FleetConfig) *Fleet {
-	if cfg.Draw == nil {
-		cfg.Draw = Draw
+	if cfg.Random == nil {
+		cfg.Random = RandomFloat
 	}
 	if cfg.Limits == nil {
 		cfg.Limits = NewLimits(time.Time{}, "")
 	}
 	cfg.Limits.SetColdConfig(cfg.Cold)
 	return &Fleet{
-		cfg:           cfg,
-		announcements: make(map[wardturn.ModelAdapter][]announcement),
-		rollouts:      make(map[wardturn.ModelAdapter]*rollout),
-		members:       make(map[wardturn.UpstreamID]*Member),
-		services:      make(map[wardturn.ServiceName][]*Member),
-		leaving:       make(map[wardturn.UpstreamID]time.Time),
-		holders:       make(engineIndex),
-		loaders:       make(engineIndex),
-		heldBefore:    make(engineIndex),
-		wants:         make(wants),
-		window:        NewLoadWindow(cfg.Window),
-		refilled:      make(map[wardturn.ServiceName]time.Time),
-		crossed:       make(map[wardturn.ModelAdapter]int),
-		limits:        cfg.Limits,
-		prefillRates:  make(map[wardturn.ServiceName]*prefillRate),
-		rests:         make(map[string]*rest),
+		cfg:              cfg,
+		announcements:    make(map[wardturn.ModelAdapter][]announcement),
+		rollouts:         make(map[wardturn.ModelAdapter]*rollout),
+		members:          make(map[wardturn.UpstreamID]*Member),
+		services:         make(map[wardturn.ServiceName][]*Member),
+		leaving:          make(map[wardturn.UpstreamID]time.Time),
+		holders:          make(engineIndex),
+		loaders:          make(engineIndex),
+		heldBefore:       make(engineIndex),
+		missing:          make(missingAdapters),
+		window:           NewLoadWindow(cfg.Window),
+		refilledBy:       make(map[wardturn.ServiceName]time.Time),
+		crossDomainBytes: make(map[wardturn.ModelAdapter]int),
+		limits:           cfg.Limits,
+		prefillRates:     make(map[wardturn.ServiceName]*prefillRate),
+		backoffs:         make(map[string]*upstreamBackoff),
 	}
 }
 
-// Retune changes the limits. The failure domain stays the same.
-func (f *Fleet) Retune(cfg FleetConfig) {
-	f.cfg.CrossBytes = cfg.CrossBytes
-	f.cfg.MostBodies = cfg.MostBodies
-	f.window.Retune(cfg.Window)
+// ApplySettings changes the limits. The failure domain stays the same.
+func (f *Fleet) ApplySettings(cfg FleetConfig) {
+	f.cfg.MaxCrossDomainBytes = cfg.MaxCrossDomainBytes
+	f.cfg.MaxBodyBytes = cfg.MaxBodyBytes
+	f.window.ApplySettings(cfg.Window)
 	f.cfg.Cold = cfg.Cold
 	f.limits.SetColdConfig(cfg.Cold)
 }
@@ -117,10 +117,10 @@
 func currentEntries(list []wardturn.Member) []wardturn.Member {
 	latest := make(map[string]wardturn.Position, len(list))
 	for _, e := range list {
-		latest[e.Addr] = max(latest[e.Addr], e.Seen)
+		latest[e.Addr] = max(latest[e.Addr], e.Position)
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(e wardturn.Member) bool {
-		return e.Seen < latest[e.Addr]
+		return e.Position < latest[e.Addr]
 	})
 }
 
@@ -130,26 +130,26 @@
 	members := make(map[wardturn.UpstreamID]*Member, len(list))
 	services := make(map[wardturn.ServiceName][]*Member)
 	list = currentEntries(list)
-	f.keepLeaving(now, list)
-	f.forgetRests(now)
+	f.markKnownLeaving(now, list)
+	f.dropEndedBackoffs(now)
 	for _, e := range list {
 		m := f.members[e.ID]
 		if m == nil {
 			m = &Member{
-				coldSeen: -1,
-				hash:     hashString(string(e.ID)),
-				held:     make(map[wardturn.ModelAdapter]heldAdapter),
-				everHeld: make(map[wardturn.ModelAdapter]bool),
-				asks:     make(map[wardturn.ModelAdapter]bool),
-				doubts:   make(map[wardturn.ModelAdapter]time.Time),
-				uses:     make(map[wardturn.ModelAdapter]*AdapterCount),
+				coldEntry:    -1,
+				hash:         hashString(string(e.ID)),
+				held:         make(map[wardturn.ModelAdapter]heldAdapter),
+				everHeld:     make(map[wardturn.ModelAdapter]bool),
+				requested:    make(map[wardturn.ModelAdapter]bool),
+				notHeldUntil: make(map[wardturn.ModelAdapter]time.Time),
+				uses:         make(map[wardturn.ModelAdapter]*AdapterCount),
 			}
 		}
-		m.noteCold(now, e)
+		m.updateCold(now, e)
 		m.Member = e
-		m.rate = f.rateOf(e.Service)
+		m.prefillRate = f.prefillRateOf(e.Service)
 		m.evacuated = f.evacuated[e.Domain]
-		m.rest = f.rests[e.ID.Instance()]
+		m.backoff = f.backoffs[e.ID.Instance()]
 		members[e.ID] = m
 		services[e.Service] = append(services[e.Service], m)
 	}
@@ -160,7 +160,7 @@
 	}
 	for id, m := range f.members {
 		if members[id] != m {
-			f.release(m)
+			f.removeAllHeld(m)
 			f.heldBefore.removeAll(m, m.everHeld)
 			if !m.Draining {
 				lost = append(lost, id)
@@ -168,10 +168,10 @@
 		}
 	}
 	f.members = members
-	f.limits.Keep(now, listedInstances(list))
-	f.limitCold(now)
+	f.limits.Retain(now, listedInstances(list))
+	f.updateColdLimits(now)
 	f.services = services
-	f.near = membersByServiceIn(services, f.cfg.Domain)
+	f.local = membersByServiceIn(services, f.cfg.Domain)
 	f.updateEngineCount()
 	return lost
 }
@@ -207,13 +207,13 @@
 			engines += len(list)
 		}
 	}
-	f.window.Expect(engines)
+	f.window.SetEngineCount(engines)
 }
 
-// RecallWindow sets the size of the load window that gateways had learned before all of
+// RestoreWindow sets the size of the load window that gateways had learned before all of
 // them ended.
-func (f *Fleet) RecallWindow(size int) {
-	f.window.Recall(size)
+func (f *Fleet) RestoreWindow(size int) {
+	f.window.Restore(size)
 }
 
 // LearnedWindow returns the size of the load window, and whether loads have confirmed it.
@@ -231,9 +231,9 @@
 	return max(f.gateways, 1)
 }
 
-// CountedGateways returns the number of gateways reported by keepers, or zero if no
+// ReportedGateways returns the number of gateways reported by keepers, or zero if no
 // keeper is connected.
-func (f *Fleet) CountedGateways() int {
+func (f *Fleet) ReportedGateways() int {
 	return f.gateways
 }
 
@@ -249,8 +249,8 @@
 	f.gatewaysAt = now
 	f.gateways = 0
 	for _, m := range f.members {
-		if m.holding.Connected {
-			f.gateways = max(f.gateways, m.holding.Gateways)
+		if m.lastUpdate.Connected {
+			f.gateways = max(f.gateways, m.lastUpdate.Gateways)
 		}
 	}
 }
@@ -267,7 +267,7 @@
 // loaded there for now.
 func (f *Fleet) KeeperLost(id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
-		m.holding.Connected = false
+		m.lastUpdate.Connected = false
 	}
 }
 
@@ -282,10 +282,10 @@
 	if m == nil {
 		return
 	}
-	for k, until := range m.doubts {
+	for k, until := range m.notHeldUntil {
 		if now.After(until) {
-			delete(m.doubts, k)
+			delete(m.notHeldUntil, k)
 		}
 	}
-	m.doubts[key] = now.Add(refusalOverride)
+	m.notHeldUntil[key] = now.Add(refusalOverride)
 }
--- a/decide/homes.go
+++ b/decide/homes.go
@@ -107,11 +107,11 @@
 func (f *Fleet) homes(now time.Time, s wardturn.ServiceName, key wardturn.ModelAdapter, near bool) iter.Seq[*Member] {
 	list := f.services[s]
 	if near {
-		list = f.near[s]
+		list = f.local[s]
 	}
 	return func(yield func(*Member) bool) {
 		for m := range inHomeOrder(key, list) {
-			if m.loads(now, key.Model) && !f.limits.Bounded(now, m.ID) && !yield(m) {
+			if m.canLoad(now, key.Model) && !f.limits.Bounded(now, m.ID) && !yield(m) {
 				return
 			}
 		}
--- a/decide/ledger.go
+++ b/decide/ledger.go
@@ -32,7 +32,7 @@
 // Unknown. Late duplicates are thus recognized without a clock.
 type Ledger struct {
 	limit          int
-	remember       time.Duration
+	attemptTTL     time.Duration
 	attempts       map[wardturn.AttemptID]*ledgerEntry
 	ended          *list.List // of *entry, in the order in which they ended
 	highWaterMarks map[wardturn.Incarnation]*highWaterMark
@@ -63,7 +63,7 @@
 func NewLedger(limit int, remember time.Duration) *Ledger {
 	return &Ledger{
 		limit:          limit,
-		remember:       remember,
+		attemptTTL:     remember,
 		attempts:       make(map[wardturn.AttemptID]*ledgerEntry),
 		ended:          list.New(),
 		highWaterMarks: make(map[wardturn.Incarnation]*highWaterMark),
@@ -81,10 +81,10 @@
 	return AttemptNew, wardturn.Outcome{}
 }
 
-// Attach looks up an attempt that an entry asks for after a lost connection. An attempt
+// Lookup looks up an attempt that an entry asks for after a lost connection. An attempt
 // that was never seen is recorded as not run, so that a duplicate that arrives later is
 // refused.
-func (l *Ledger) Attach(now time.Time, id wardturn.AttemptID) (AttemptState, wardturn.Outcome) {
+func (l *Ledger) Lookup(now time.Time, id wardturn.AttemptID) (AttemptState, wardturn.Outcome) {
 	state, outcome := l.lookup(id)
 	if state != AttemptNew {
 		return state, outcome
@@ -130,9 +130,9 @@
 	return true
 }
 
-// Unsend records that the upstream refused the attempt without running it, so that it is
+// Requeue records that the upstream refused the attempt without running it, so that it is
 // waiting again.
-func (l *Ledger) Unsend(id wardturn.AttemptID) {
+func (l *Ledger) Requeue(id wardturn.AttemptID) {
 	if e := l.attempts[id]; e != nil && e.state == AttemptSent {
 		e.state = AttemptWaiting
 	}
@@ -157,7 +157,7 @@
 func (l *Ledger) Sweep(now time.Time) {
 	for l.ended.Len() > 0 {
 		e := l.ended.Front().Value.(*ledgerEntry)
-		if l.ended.Len() <= l.limit && now.Sub(e.endedAt) <= l.remember {
+		if l.ended.Len() <= l.limit && now.Sub(e.endedAt) <= l.attemptTTL {
 			break
 		}
 		l.ended.Remove(l.ended.Front())
@@ -172,8 +172,8 @@
 	m.seq = max(m.seq, id.Seq)
 }
 
-// SweepMarks forgets the marks of entry processes that have been silent for long.
-func (l *Ledger) SweepMarks(now time.Time) {
+// SweepHighWaterMarks forgets the marks of entry processes that have been silent for long.
+func (l *Ledger) SweepHighWaterMarks(now time.Time) {
 	for entry, m := range l.highWaterMarks {
 		if m.live == 0 && now.Sub(m.at) > highWaterTTL {
 			delete(l.highWaterMarks, entry)
--- a/decide/limited.go
+++ b/decide/limited.go
@@ -7,16 +7,16 @@
 	"wardturn"
 )
 
-// turnedAway reports whether every upstream that could serve a request is excluded only by
+// refusedByLimits reports whether every upstream that could serve a request is excluded only by
 // its rate limit or its backoff, and when the caller should retry. Such a request is
 // refused at once, since waiting in the gateway would gain it nothing.
-func (f *Fleet) turnedAway(now time.Time, t *Ticket) (reason wardturn.Reason, retryAfter time.Duration, refused bool) {
+func (f *Fleet) refusedByLimits(now time.Time, t *PendingRequest) (reason wardturn.Reason, retryAfter time.Duration, refused bool) {
 	var soonest *Member
 	for _, m := range f.services[t.Service] {
 		if !m.available(now) || !f.inRegions(m, t.Regions) {
 			continue
 		}
-		backingOff := !m.rest.over(now)
+		backingOff := !m.backoff.allows(now)
 		if slices.Contains(t.Tried, m.ID) && !backingOff {
 			continue
 		}
@@ -33,18 +33,18 @@
 		return "", 0, false
 	}
 	if soonest == nil {
-		return wardturn.ReasonLimited, maxComeBack, true
+		return wardturn.ReasonLimited, maxLoadRetryDelay, true
 	}
-	f.limits.Owe(now, soonest.ID)
-	if left := soonest.rest.remaining(now); left > 0 {
-		return wardturn.ReasonResting, f.spreadRest(max(retryAfter, left)), true
+	f.limits.ReserveRetry(now, soonest.ID)
+	if left := soonest.backoff.remaining(now); left > 0 {
+		return wardturn.ReasonBackoff, f.jitteredDelay(max(retryAfter, left)), true
 	}
-	return wardturn.ReasonLimited, min(max(retryAfter, minRetryDelay), maxComeBack), true
+	return wardturn.ReasonLimited, min(max(retryAfter, minRetryDelay), maxLoadRetryDelay), true
 }
 
 // retryDelay returns the delay after which a refused caller's retry may be sent to an
 // upstream. It returns false if the delay is unknown.
 func (f *Fleet) retryDelay(now time.Time, m *Member) (time.Duration, bool) {
-	delay, known := f.limits.RoomIn(now, m.ID)
-	return max(delay, m.rest.remaining(now)), known
+	delay, known := f.limits.RetryDelay(now, m.ID)
+	return max(delay, m.backoff.remaining(now)), known
 }
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -24,7 +24,7 @@
 	cold        map[string]*coldLimit
 	expectsCold bool // upstreams may become cold, so gateways must already know each other
 	others      map[wardturn.Incarnation]*limitPeer
-	lags        leastLags
+	lags        minLags
 	seq         uint64
 	announcedAt time.Time // time of the latest message sent
 	sharesAt    time.Time // when the shares were last computed
@@ -45,9 +45,9 @@
 	// limitEndDelay is how long an upstream's answers must carry no limit before the limit
 	// ends. A single answer without one may come from an intermediary.
 	limitEndDelay = time.Second
-	// limitEndAnswers is the minimum number of consecutive answers without a limit that
+	// limitEndResponses is the minimum number of consecutive answers without a limit that
 	// end it.
-	limitEndAnswers = 2
+	limitEndResponses = 2
 	// minProbeAge is the minimum age of the latest known answer before a gateway without a
 	// share of the limit sends a probe request. It may have missed the end of the limit.
 	minProbeAge = 10 * time.Second
@@ -59,11 +59,11 @@
 // with rate zero.
 type upstreamLimit struct {
 	sharedRate
-	observedAt       time.Time // approximate time of the latest answer that carries the limit
-	unlimitedSince   time.Time // first answer without a limit since observedAt
-	unlimitedAnswers int       // number of answers without a limit since observedAt
-	endedAt          time.Time // time of the answer that ended the previous limit
-	probedAt         time.Time
+	observedAt         time.Time // approximate time of the latest answer that carries the limit
+	unlimitedSince     time.Time // first answer without a limit since observedAt
+	unlimitedResponses int       // number of answers without a limit since observedAt
+	endedAt            time.Time // time of the answer that ended the previous limit
+	probedAt           time.Time
 	// probeAfter is the age of the latest answer after which a gateway with a zero share
 	// sends a probe request.
 	probeAfter   time.Duration
@@ -81,21 +81,21 @@
 		start:     now,
 		upstreams: make(map[string]*upstreamLimit),
 		others:    make(map[wardturn.Incarnation]*limitPeer),
-		lags:      make(leastLags),
+		lags:      make(minLags),
 	}
 }
 
 // SetGateways sets the number of gateways counted by keepers, or zero if no keeper is
 // reachable.
 func (l *Limits) SetGateways(now time.Time, counted int) {
-	l.gateways.Take(now, counted)
+	l.gateways.Update(now, counted)
 	l.updateShares(now)
 }
 
-// Recall sets the number of gateways known before this process started. Keepers that start
+// SetPreviousGateways sets the number of gateways known before this process started. Keepers that start
 // at the same time count gateways from one up, so without it each gateway would assume
 // that it is the only one.
-func (l *Limits) Recall(now time.Time, gateways int) {
+func (l *Limits) SetPreviousGateways(now time.Time, gateways int) {
 	l.SetGateways(now, gateways)
 }
 
@@ -109,9 +109,9 @@
 	return changed
 }
 
-// ObserveUnclear records an answer whose limit cannot be parsed. A known limit stays in
+// ObserveUnparsed records an answer whose limit cannot be parsed. A known limit stays in
 // force.
-func (l *Limits) ObserveUnclear(now time.Time, id wardturn.UpstreamID) {
+func (l *Limits) ObserveUnparsed(now time.Time, id wardturn.UpstreamID) {
 	if n := l.upstreams[id.Instance()]; n != nil && n.rate > 0 {
 		n.confirm(now)
 	}
@@ -125,11 +125,11 @@
 	if n == nil || n.rate == 0 || !sent.After(n.observedAt) {
 		return false
 	}
-	if n.unlimitedAnswers == 0 {
+	if n.unlimitedResponses == 0 {
 		n.unlimitedSince = now
 	}
-	n.unlimitedAnswers++
-	if n.unlimitedAnswers < limitEndAnswers || now.Sub(n.unlimitedSince) < limitEndDelay {
+	n.unlimitedResponses++
+	if n.unlimitedResponses < limitEndResponses || now.Sub(n.unlimitedSince) < limitEndDelay {
 		return false
 	}
 	n.end(n.unlimitedSince)
@@ -183,9 +183,9 @@
 	n.spend(now)
 }
 
-// RoomIn returns the delay after which a refused caller's retry may be sent to an upstream,
+// RetryDelay returns the delay after which a refused caller's retry may be sent to an upstream,
 // behind the retries already reserved with Owe. It returns false if the delay is unknown.
-func (l *Limits) RoomIn(now time.Time, id wardturn.UpstreamID) (time.Duration, bool) {
+func (l *Limits) RetryDelay(now time.Time, id wardturn.UpstreamID) (time.Duration, bool) {
 	wait, known := time.Duration(0), true
 	if c := l.coldOf(now, id); c != nil {
 		wait, known = c.retryDelay(now)
@@ -201,8 +201,8 @@
 	return max(wait, limitWait), known
 }
 
-// Owe reserves capacity at an upstream for the retry of a refused caller.
-func (l *Limits) Owe(now time.Time, id wardturn.UpstreamID) {
+// ReserveRetry reserves capacity at an upstream for the retry of a refused caller.
+func (l *Limits) ReserveRetry(now time.Time, id wardturn.UpstreamID) {
 	if c := l.coldOf(now, id); c != nil {
 		c.reserved++
 	}
@@ -211,10 +211,10 @@
 	}
 }
 
-// Keep drops the limits of upstreams that have been absent for gatewayCountRetention. They
+// Retain drops the limits of upstreams that have been absent for gatewayCountRetention. They
 // are kept until then because a list read while the store was unavailable may be
 // incomplete.
-func (l *Limits) Keep(now time.Time, present func(instance string) bool) {
+func (l *Limits) Retain(now time.Time, present func(instance string) bool) {
 	for instance, n := range l.upstreams {
 		if !present(instance) && now.Sub(latest(n.observedAt, n.endedAt)) > gatewayCountRetention {
 			delete(l.upstreams, instance)
@@ -281,14 +281,14 @@
 func (n *upstreamLimit) confirm(observed time.Time) {
 	n.observedAt = latest(n.observedAt, observed)
 	if observed.After(n.unlimitedSince) {
-		n.unlimitedAnswers = 0
+		n.unlimitedResponses = 0
 	}
 }
 
 // end ends a limit because of an answer given at the time at.
 func (n *upstreamLimit) end(at time.Time) {
 	n.rate = 0
-	n.unlimitedAnswers = 0
+	n.unlimitedResponses = 0
 	n.endedAt = at
 }
 
--- a/decide/plan.go
+++ b/decide/plan.go
@@ -24,7 +24,7 @@
 	if w, due := a.permits.Pending(now); due {
 		w.Upstream = a.cfg.Upstream
 		w.Misses = a.misses
-		out.Wish = append(out.Wish[:0], w)
+		out.PermitRequests = append(out.PermitRequests[:0], w)
 	}
 }
 
@@ -37,7 +37,7 @@
 		switch {
 		case it == nil:
 			return
-		case it.late(now):
+		case it.pastDeadline(now):
 			a.refuseLate(it, out)
 		default:
 			a.start(now, it, out)
@@ -118,7 +118,7 @@
 // never held.
 func (a *Agent) heldBack(now time.Time, it *item) bool {
 	in := a.queueInput(now, it)
-	if !it.work.Deadline.IsZero() && in.Deadline < holdMargin*a.serveTime+a.loadTime {
+	if !it.work.Deadline.IsZero() && in.TimeLeft < holdMargin*a.serveTime+a.loadTime {
 		return false
 	}
 	held := in.Waited < a.policy.Hold(in)
@@ -143,7 +143,7 @@
 	}
 	if it.adapter != nil {
 		it.adapter.running++
-		start.Stalled = a.stalled(it)
+		start.AdapterWait = a.stalled(it)
 	}
 	out.Run = append(out.Run, start)
 }
@@ -168,7 +168,7 @@
 
 // planLoads orders loads for the adapters that wait for a slot, the most valuable first.
 func (a *Agent) planLoads(now time.Time, out *Orders) {
-	if len(a.slots) == 0 || !a.informed {
+	if len(a.slots) == 0 || !a.reported {
 		return
 	}
 	for {
@@ -192,11 +192,11 @@
 	}
 }
 
-func (a *Agent) permitRequest(now time.Time, missing *adapter) Wish {
-	w := Wish{
-		Class: wardturn.Interactive,
-		Value: a.value(now, missing),
-		Want:  max(1, a.urgentWants(now)),
+func (a *Agent) permitRequest(now time.Time, missing *adapter) PermitRequest {
+	w := PermitRequest{
+		Class:   wardturn.Interactive,
+		Value:   a.value(now, missing),
+		Pending: max(1, a.urgentMissing(now)),
 	}
 	if !a.urgent(now, missing) {
 		// Batch loads prefer engines that already run batch work, so that the steps of
@@ -207,10 +207,10 @@
 	return w
 }
 
-// urgentWants counts the adapters without a slot for which urgent work waits.
-func (a *Agent) urgentWants(now time.Time) int {
+// urgentMissing counts the adapters without a slot for which urgent work waits.
+func (a *Agent) urgentMissing(now time.Time) int {
 	n := 0
-	for _, ad := range a.wanted {
+	for _, ad := range a.missing {
 		if a.urgent(now, ad) {
 			n++
 		}
@@ -228,7 +228,7 @@
 // value. Adapters in backoff after a failed load are skipped.
 func (a *Agent) nextLoad(now time.Time) *adapter {
 	var best *adapter
-	for _, ad := range a.wanted {
+	for _, ad := range a.missing {
 		if now.Before(ad.retryAt) || !a.loadable(now, ad) {
 			continue
 		}
@@ -273,17 +273,17 @@
 
 func (a *Agent) slotInput(now time.Time, ad *adapter) wardturn.SlotInput {
 	return wardturn.SlotInput{
-		Adapter:     ad.ref.Adapter,
-		Rate:        ad.demand.Rate(now),
-		Waiting:     ad.interactive.len(),
-		WaitingLong: ad.interactive.oldest(now),
-		BatchWait:   ad.batch.len(),
-		BatchLong:   ad.batch.oldest(now),
-		Running:     ad.running,
-		Idle:        now.Sub(ad.demand.Last()),
-		Resident:    ad.slot != noSlot,
-		LoadTime:    a.loadTime,
-		BatchRuns:   a.runBatch,
+		Adapter:       ad.ref.Adapter,
+		Rate:          ad.demand.Rate(now),
+		Waiting:       ad.interactive.len(),
+		OldestWaiting: ad.interactive.oldest(now),
+		BatchWaiting:  ad.batch.len(),
+		OldestBatch:   ad.batch.oldest(now),
+		Running:       ad.running,
+		Idle:          now.Sub(ad.demand.Last()),
+		Resident:      ad.slot != noSlot,
+		LoadTime:      a.loadTime,
+		BatchRunning:  a.runBatch,
 	}
 }
 
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -18,8 +18,8 @@
 	running      bool
 }
 
-// late reports whether an item is past its deadline.
-func (it *item) late(now time.Time) bool {
+// pastDeadline reports whether an item is past its deadline.
+func (it *item) pastDeadline(now time.Time) bool {
 	return !it.work.Deadline.IsZero() && !now.Before(it.work.Deadline)
 }
 
@@ -36,7 +36,7 @@
 	missingAt    time.Time // when the agent last learned that the engine does not hold it
 	value        float64
 	valueAt      time.Time
-	missingIndex int // index in Agent.wanted, or notMissing
+	missingIndex int // index in Agent.missing, or notMissing
 }
 
 const notMissing = -1
@@ -122,7 +122,7 @@
 		if it.adapter.slot == noSlot && it.adapter.waiting() == 0 {
 			a.miss(now)
 		}
-		it.adapter.demand.Arrive(now)
+		it.adapter.demand.Record(now)
 		it.adapter.valueAt = time.Time{}
 		it.rank = a.policy.Order(a.queueInput(now, it))
 	}
@@ -134,8 +134,8 @@
 	a.trackMissing(it.adapter)
 }
 
-// enqueueAgain requeues an item that the engine refused, ahead of all others.
-func (a *Agent) enqueueAgain(it *item) {
+// requeue requeues an item that the engine refused, ahead of all others.
+func (a *Agent) requeue(it *item) {
 	if it.stalledSince.IsZero() {
 		it.stalledSince = it.startedAt
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-// trackMissing updates the adapter's membership in Agent.wanted, the adapters that have
+// trackMissing updates the adapter's membership in Agent.missing, the adapters that have
 // waiting requests and no slot.
 func (a *Agent) trackMissing(ad *adapter) {
 	if ad == nil {
@@ -170,20 +170,20 @@
 	wanted := ad.slot == noSlot && ad.waiting() > 0
 	switch {
 	case wanted && ad.missingIndex == notMissing:
-		ad.missingIndex = len(a.wanted)
-		a.wanted = append(a.wanted, ad)
+		ad.missingIndex = len(a.missing)
+		a.missing = append(a.missing, ad)
 	case !wanted && ad.missingIndex != notMissing:
 		a.removeMissing(ad)
 	}
 }
 
 func (a *Agent) removeMissing(ad *adapter) {
-	last := len(a.wanted) - 1
-	moved := a.wanted[last]
-	a.wanted[ad.missingIndex] = moved
+	last := len(a.missing) - 1
+	moved := a.missing[last]
+	a.missing[ad.missingIndex] = moved
 	moved.missingIndex = ad.missingIndex
-	a.wanted[last] = nil
-	a.wanted = a.wanted[:last]
+	a.missing[last] = nil
+	a.missing = a.missing[:last]
 	ad.missingIndex = notMissing
 }
 
@@ -232,21 +232,21 @@
 
 func (a *Agent) queueInput(now time.Time, it *item) wardturn.QueueInput {
 	in := wardturn.QueueInput{
-		Adapter:  it.work.Adapter.Adapter,
-		Class:    it.work.Class,
-		Waited:   now.Sub(it.arrived),
-		Prompt:   it.work.Prompt,
-		Output:   it.work.Output,
-		Waiting:  a.queueOf(it).len(),
-		Resident: a.ready(it.adapter),
-		Running:  a.running,
-		Batch:    a.cfg.MaxRunning,
-
-		BatchRuns:   a.runBatch,
-		BatchQueued: a.queuedBatch,
+		Adapter:   it.work.Adapter.Adapter,
+		Class:     it.work.Class,
+		Waited:    now.Sub(it.arrived),
+		Prompt:    it.work.Prompt,
+		Output:    it.work.Output,
+		Waiting:   a.queueOf(it).len(),
+		Resident:  a.ready(it.adapter),
+		Running:   a.running,
+		BatchSize: a.cfg.MaxRunning,
+
+		BatchRunning: a.runBatch,
+		BatchQueued:  a.queuedBatch,
 	}
 	if !it.work.Deadline.IsZero() {
-		in.Deadline = it.work.Deadline.Sub(now)
+		in.TimeLeft = it.work.Deadline.Sub(now)
 	}
 	return in
 }
--- a/decide/router_test.go
+++ b/decide/router_test.go
@@ -30,15 +30,15 @@
 		r.SetHosts(list)
 		return r
 	}
-	ask := func(name string) decide.Ask {
-		return decide.Ask{
+	ask := func(name string) decide.RouteRequest {
+		return decide.RouteRequest{
 			Adapter: wardturn.AdapterRef{
 				Adapter: wardturn.AdapterID(name),
 				Version: 1,
 			},
 		}
 	}
-	pick := func(r *decide.Router, now time.Time, a decide.Ask) wardturn.UpstreamID {
+	pick := func(r *decide.Router, now time.Time, a decide.RouteRequest) wardturn.UpstreamID {
 		id, ok := r.Pick(now, a)
 		Expect(ok).To(BeTrue())
 		return id
@@ -97,8 +97,8 @@
 		home := pick(r, start, ask("hot"))
 		for _, h := range hosts(3, "near") {
 			hint := decide.Hint{
-				Capacity: 16,
-				Spare:    4,
+				Capacity:   16,
+				SpareSlots: 4,
 			}
 			if h.Upstream == home {
 				hint.Running = 16
@@ -113,8 +113,8 @@
 		r := router(hosts(2, "near")...)
 		first := pick(r, start, ask("a"))
 		for range 3 {
-			r.Sent(first)
-			r.Ended(start, first, false)
+			r.RequestSent(first)
+			r.RequestEnded(start, first, false)
 		}
 		Expect(pick(r, start, ask("a"))).NotTo(Equal(first))
 		// The adapter has a second home now, so the failing upstream is tried again only
@@ -132,8 +132,8 @@
 		r := router(list...)
 		for _, h := range list {
 			for range 3 {
-				r.Sent(h.Upstream)
-				r.Ended(start, h.Upstream, false)
+				r.RequestSent(h.Upstream)
+				r.RequestEnded(start, h.Upstream, false)
 			}
 		}
 		pick(r, start, ask("a"))
--- a/decide/screen.go
+++ b/decide/screen.go
@@ -58,7 +58,7 @@
 		return Refusal{}, false
 	}
 	a.miss(now)
-	a.adapter(w.Adapter).demand.Arrive(now)
+	a.adapter(w.Adapter).demand.Record(now)
 	return refuse(w, wardturn.ReasonDeadline, min(max(loadDelay, clearTime), maxRetryAfter)), true
 }
 
@@ -70,7 +70,7 @@
 
 func (a *Agent) congestion(now time.Time) Congestion {
 	return a.permits.Congestion(now, Congestion{
-		Backlog: a.urgentWants(now),
+		Backlog: a.urgentMissing(now),
 		Load:    a.missRate.rate(now),
 	})
 }
--- a/decide/trust.go
+++ b/decide/trust.go
@@ -18,29 +18,29 @@
 	pathBackoffJitter = 0.25
 )
 
-// Trust is the exponential backoff of a network path: it decides when a path that has
+// PathBackoff is the exponential backoff of a network path: it decides when a path that has
 // failed may be used again.
-type Trust struct {
-	Draw    func() float64 // random number in [0, 1); nil: the package's Draw
+type PathBackoff struct {
+	Random  func() float64 // random number in [0, 1); nil: the package's Draw
 	backoff time.Duration  // latest backoff, without jitter
 	until   time.Time
 }
 
 // Fail records that the path has failed after being in use since the given time.
-func (t *Trust) Fail(now, since time.Time) {
+func (t *PathBackoff) Fail(now, since time.Time) {
 	t.backoff = min(2*t.backoff, maxPathBackoff)
 	if t.backoff == 0 || now.Sub(since) >= pathBackoffReset {
 		t.backoff = minPathBackoff
 	}
-	draw := Draw
-	if t.Draw != nil {
-		draw = t.Draw
+	draw := RandomFloat
+	if t.Random != nil {
+		draw = t.Random
 	}
 	spread := 1 + pathBackoffJitter*(2*draw()-1)
 	t.until = now.Add(time.Duration(spread * float64(t.backoff)))
 }
 
 // Allows reports whether the path may be used.
-func (t *Trust) Allows(now time.Time) bool {
+func (t *PathBackoff) Allows(now time.Time) bool {
 	return !now.Before(t.until)
 }
--- a/entry/auth.go
+++ b/entry/auth.go
@@ -78,14 +78,14 @@
 	q.Rate = d.Rate
 	q.Burst = d.Burst
 	q.Concurrency = d.Concurrency
-	return q.Enter(e.clock.Now())
+	return q.Acquire(e.clock.Now())
 }
 
 // releaseQuota returns the quota of a request that was admitted and has ended.
 func (e *Entry) releaseQuota(caller wardturn.CallerID) {
 	e.quotaMu.Lock()
 	defer e.quotaMu.Unlock()
-	if q := e.quotas[caller]; q != nil && q.Open() > 0 {
-		q.Leave()
+	if q := e.quotas[caller]; q != nil && q.Active() > 0 {
+		q.Release()
 	}
 }
--- a/entry/call.go
+++ b/entry/call.go
@@ -37,7 +37,7 @@
 		clock:       l.entry.clock,
 		conn:        conn,
 		process:     conn.Peer().Process,
-		creditLimit: peer.Window,
+		creditLimit: peer.CreditWindow,
 		wake:        make(chan struct{}, 1),
 	}
 }
@@ -46,7 +46,7 @@
 // another request with the same idempotency key started. It must be added to its link
 // before it attaches, so that no message is missed.
 func newFollowingAttempt(end *peer.End, l *link, conn *peer.Conn) *attempt {
-	a := newAttempt(end.First, l, conn)
+	a := newAttempt(end.FirstAttempt, l, conn)
 	a.process = end.FirstProcess
 	a.following = true
 	return a
@@ -136,7 +136,7 @@
 	}
 	a.lost = false
 	a.conn = c
-	a.creditLimit = a.consumed + peer.Window
+	a.creditLimit = a.consumed + peer.CreditWindow
 	a.sendAttach()
 }
 
@@ -184,10 +184,10 @@
 func (a *attempt) grantCredit() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.creditLimit-a.consumed > peer.Window/2 || a.conn == nil {
+	if a.creditLimit-a.consumed > peer.CreditWindow/2 || a.conn == nil {
 		return
 	}
-	a.creditLimit = a.consumed + peer.Window
+	a.creditLimit = a.consumed + peer.CreditWindow
 	_ = a.conn.Send(&peer.Credit{
 		Attempt: a.id,
 		Upto:    a.creditLimit,
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -190,17 +190,17 @@
 		Body:       x.req.Body,
 		Supersedes: x.supersedes,
 		Config:     x.config,
-		Credit:     peer.Window,
+		Credit:     peer.CreditWindow,
 	}
 	if !x.req.Deadline.IsZero() {
-		m.Left = max(x.req.Deadline.Sub(x.now()), time.Millisecond)
+		m.TimeLeft = max(x.req.Deadline.Sub(x.now()), time.Millisecond)
 	}
 	return m
 }
 
 // onAttemptEnd handles the end of an attempt whose outcome is not Done.
 func (x *exchange) onAttemptEnd(end *peer.End) {
-	if end.Outcome.Reason == wardturn.ReasonDuplicate && end.First != (wardturn.AttemptID{}) {
+	if end.Outcome.Reason == wardturn.ReasonDuplicate && end.FirstAttempt != (wardturn.AttemptID{}) {
 		x.follow(end)
 		return
 	}
@@ -333,7 +333,7 @@
 		return
 	}
 	x.entry.routerMu.Lock()
-	x.entry.router.Sent(end.FirstUpstream)
+	x.entry.router.RequestSent(end.FirstUpstream)
 	x.entry.routerMu.Unlock()
 	x.upstream = end.FirstUpstream
 	x.attempt = newFollowingAttempt(end, l, conn)
@@ -360,14 +360,14 @@
 	e.routerMu.Lock()
 	defer e.routerMu.Unlock()
 	now := e.clock.Now()
-	id, ok := e.router.Pick(now, decide.Ask{
+	id, ok := e.router.Pick(now, decide.RouteRequest{
 		Adapter: x.req.Adapter,
 		Service: x.req.Service,
 		Model:   x.model,
 		Tried:   x.tried,
 	})
 	if ok {
-		e.router.Sent(id)
+		e.router.RequestSent(id)
 	}
 	return id, ok
 }
@@ -376,5 +376,5 @@
 func (e *Entry) attemptEnded(id wardturn.UpstreamID, healthy bool) {
 	e.routerMu.Lock()
 	defer e.routerMu.Unlock()
-	e.router.Ended(e.clock.Now(), id, healthy)
+	e.router.RequestEnded(e.clock.Now(), id, healthy)
 }
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -44,6 +44,6 @@
 	}
 	m.duration[x.req.Class].RecordDuration(x.now().Sub(x.arrived))
 	if x.head != nil {
-		m.loadStall[x.req.Class].RecordDuration(x.head.Stalled)
+		m.loadStall[x.req.Class].RecordDuration(x.head.AdapterWait)
 	}
 }
--- a/entry/windows.go
+++ b/entry/windows.go
@@ -42,7 +42,7 @@
 		return
 	}
 	if x.head != nil {
-		count(report.LoadStall, x.head.Stalled)
+		count(report.LoadStall, x.head.AdapterWait)
 	}
 	timeToFirst := x.firstByteAt.Sub(x.arrived)
 	count(report.FirstToken, timeToFirst)
--- a/experiment/clairvoyant.go
+++ b/experiment/clairvoyant.go
@@ -46,9 +46,9 @@
 		v = 1 / (1 + wait.Seconds())
 	}
 	if in.Waiting > 0 {
-		v += float64(in.Waiting) + clairvoyantAgeWeight*in.WaitingLong.Seconds()
+		v += float64(in.Waiting) + clairvoyantAgeWeight*in.OldestWaiting.Seconds()
 	}
-	return v + min(clairvoyantBatchWeight*float64(in.BatchWait), clairvoyantBatchLimit)
+	return v + min(clairvoyantBatchWeight*float64(in.BatchWaiting), clairvoyantBatchLimit)
 }
 
 // Weights of the policy's score of a slot.
--- a/experiment/node.go
+++ b/experiment/node.go
@@ -45,7 +45,7 @@
 	for _, st := range out.Run {
 		n.start(st)
 	}
-	for _, w := range out.Wish {
+	for _, w := range out.PermitRequests {
 		n.requestPermit(w)
 	}
 }
@@ -96,7 +96,7 @@
 	c := n.calls[st.Attempt]
 	req := n.sim.trace[c.index]
 	sm := &n.sim.samples[c.index]
-	sm.stall = st.Stalled
+	sm.stall = st.AdapterWait
 	sm.wait = n.sim.elapsed() - c.sentAt
 	gen := standin.Generation{
 		Request: wardturn.EngineRequest{
@@ -151,11 +151,11 @@
 }
 
 // requestPermit sends a permit request to the allocator.
-func (n *node) requestPermit(w decide.Wish) {
+func (n *node) requestPermit(w decide.PermitRequest) {
 	if n.alloc == nil {
 		return
 	}
 	n.sim.clock.AfterFunc(n.sim.setup.Hop, func() {
-		n.alloc.send(n.alloc.core.Wish(n.sim.clock.Now(), w, nil))
+		n.alloc.send(n.alloc.core.Request(n.sim.clock.Now(), w, nil))
 	})
 }
--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -11,12 +11,12 @@
 // upstream can take the request or the caller is gone.
 func (x *exchange) acquire(ctx context.Context) (assignment, bool) {
 	got := make(chan assignment, 1)
-	t := &decide.Ticket{
+	t := &decide.PendingRequest{
 		Service:   x.service,
 		Key:       x.key,
 		Arrived:   x.arrived,
 		Objective: cmp.Or(x.route.Objective, defaultObjective),
-		Pause:     x.route.MaxPause,
+		MaxPause:  x.route.MaxPause,
 		Deadline:  x.deadline,
 		Prompt:    x.prompt,
 		Body:      len(x.body),
@@ -48,7 +48,7 @@
 // releaseAssignment releases an assignment to whose upstream nothing was sent.
 func (x *exchange) releaseAssignment(a assignment) {
 	x.endPrefill(a)
-	x.g.ended(a.Member.ID, x.key, len(x.body), decide.EndedUnseen)
+	x.g.endSend(a.Member.ID, x.key, len(x.body), decide.OutcomeUnknown)
 }
 
 // handleAssignment records the assignment, or the reason why no upstream was assigned. It
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -29,7 +29,7 @@
 // the number of gateways the rate is zero: gateways that assume to be the only one would
 // each use the full allowance. The caller holds g.mu.
 func (g *Gateway) extraRetries() (floor, burst float64) {
-	n := g.counted.Take(g.clock.Now(), g.fleet.CountedGateways())
+	n := g.gatewayCount.Update(g.clock.Now(), g.fleet.ReportedGateways())
 	if n == 0 {
 		return 0, 1
 	}
@@ -45,16 +45,16 @@
 	}
 }
 
-// Retune applies the retry and adapter load limits of new settings. Other settings take
+// ApplySettings applies the retry and adapter load limits of new settings. Other settings take
 // effect at the next start.
-func (g *Gateway) Retune(c Config) {
+func (g *Gateway) ApplySettings(c Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cfg.RetryShare = c.RetryShare
 	g.cfg.RetryExtra = c.RetryExtra
 	g.cfg.RetryWindow = c.RetryWindow
 	g.resizeBudgets()
-	g.fleet.Retune(c.Fleet)
+	g.fleet.ApplySettings(c.Fleet)
 }
 
 // countRequest adds a request to the service's retry budget.
@@ -72,7 +72,7 @@
 	if ok {
 		g.metrics.resends.Inc(1)
 	} else {
-		g.metrics.denied.Inc(1)
+		g.metrics.resendsDenied.Inc(1)
 	}
 	return ok
 }
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -8,30 +8,30 @@
 )
 
 func (g *Gateway) tick() {
-	g.decide(func(now time.Time, out *decide.Moves) {
+	g.decide(func(now time.Time, out *decide.Actions) {
 		g.fleet.Tick(now, out)
 	})
 }
 
 // decide runs f with g.mu held and carries out the resulting moves.
-func (g *Gateway) decide(f func(now time.Time, out *decide.Moves)) {
-	var out decide.Moves
+func (g *Gateway) decide(f func(now time.Time, out *decide.Actions)) {
+	var out decide.Actions
 	g.mu.Lock()
 	f(g.clock.Now(), &out)
-	readings := g.fleet.Readings()
+	readings := g.fleet.PrefillReports()
 	g.mu.Unlock()
-	g.links.sendReadings(readings)
+	g.links.sendPrefillReports(readings)
 	g.execute(out)
 }
 
 // execute carries out the moves of a decision. It must be called without g.mu held.
-func (g *Gateway) execute(out decide.Moves) {
-	for _, n := range out.Loads {
+func (g *Gateway) execute(out decide.Actions) {
+	for _, n := range out.CompletedLoads {
 		g.metrics.loadDone(n)
-		g.logger.Info("adapter there", "adapter", n.Adapter.Adapter, "version", n.Adapter.Version, "upstream", n.Upstream, "took", n.Took, "waited", n.Waited, "warm", n.Warm, "cause", n.Cause, "window", n.Window, "under_way", n.Under)
+		g.logger.Info("adapter there", "adapter", n.Adapter.Adapter, "version", n.Adapter.Version, "upstream", n.Upstream, "took", n.Took, "waited", n.Waited, "warm", n.Warm, "cause", n.Cause, "window", n.Window, "under_way", n.InFlight)
 	}
-	for _, v := range out.Ended {
-		g.endOlder(v)
+	for _, v := range out.EnforcedVersions {
+		g.retireOlder(v)
 	}
 	for _, id := range out.Leaving {
 		g.logger.Info("upstream says that it leaves", "upstream", id)
@@ -39,84 +39,84 @@
 	g.links.sendLoadRequests(out)
 }
 
-func (g *Gateway) admit(t *decide.Ticket) {
-	g.decide(func(now time.Time, out *decide.Moves) {
+func (g *Gateway) admit(t *decide.PendingRequest) {
+	g.decide(func(now time.Time, out *decide.Actions) {
 		g.fleet.Admit(now, t, out)
 	})
 }
 
-func (g *Gateway) withdraw(t *decide.Ticket) {
+func (g *Gateway) withdraw(t *decide.PendingRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fleet.Withdraw(t)
 }
 
-func (g *Gateway) began(id wardturn.UpstreamID, prompt wardturn.Tokens) {
+func (g *Gateway) endPrefill(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	g.mu.Lock()
-	g.fleet.Began(id, prompt)
-	readings := g.fleet.Readings()
+	g.fleet.ResponseStarted(id, prompt)
+	readings := g.fleet.PrefillReports()
 	g.mu.Unlock()
-	g.links.sendReadings(readings)
+	g.links.sendPrefillReports(readings)
 }
 
-// readPrompt records how long an upstream took to process prompts.
-func (g *Gateway) readPrompt(s wardturn.ServiceName, tokens int, took time.Duration) {
+// recordPrefill records how long an upstream took to process prompts.
+func (g *Gateway) recordPrefill(s wardturn.ServiceName, tokens int, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.Read(s, tokens, took)
+	g.fleet.PrefillMeasured(s, tokens, took)
 }
 
-// ended records the end of a send to an upstream.
-func (g *Gateway) ended(id wardturn.UpstreamID, key wardturn.ModelAdapter, body int, how decide.Ending) {
+// endSend records the end of a send to an upstream.
+func (g *Gateway) endSend(id wardturn.UpstreamID, key wardturn.ModelAdapter, body int, how decide.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.Ended(g.clock.Now(), id, key, how)
-	g.fleet.Freed(id, body)
+	g.fleet.RequestEnded(g.clock.Now(), id, key, how)
+	g.fleet.ReleaseBody(id, body)
 }
 
-func (g *Gateway) misplaced(id wardturn.UpstreamID) {
+func (g *Gateway) recordMisdirected(id wardturn.UpstreamID) {
 	g.mu.Lock()
-	g.fleet.Misplaced(id)
+	g.fleet.IncarnationReplaced(id)
 	g.mu.Unlock()
 	g.markMembersStale()
 }
 
-// timed records the response time of a plain upstream, or that it was at capacity.
-func (g *Gateway) timed(id wardturn.UpstreamID, took time.Duration, full bool) {
+// recordLatency records the response time of a plain upstream, or that it was at capacity.
+func (g *Gateway) recordLatency(id wardturn.UpstreamID, took time.Duration, full bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if full {
-		g.fleet.Full(g.clock.Now(), id)
+		g.fleet.RefusedAsFull(g.clock.Now(), id)
 		return
 	}
-	g.fleet.Timed(g.clock.Now(), id, took)
+	g.fleet.ResponseTimed(g.clock.Now(), id, took)
 }
 
-// takes reports whether a request that was assigned to an upstream may still be sent to it.
-func (g *Gateway) takes(u wardturn.Member) bool {
+// accepts reports whether a request that was assigned to an upstream may still be sent to it.
+func (g *Gateway) accepts(u wardturn.Member) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.fleet.Takes(g.clock.Now(), u)
+	return g.fleet.Accepts(g.clock.Now(), u)
 }
 
-func (g *Gateway) refused(id wardturn.UpstreamID) {
+func (g *Gateway) recordRefused(id wardturn.UpstreamID) {
 	g.mu.Lock()
-	g.fleet.Refused(g.clock.Now(), id)
+	g.fleet.ConnectionRefused(g.clock.Now(), id)
 	g.mu.Unlock()
 	g.markMembersStale()
 }
 
-func (g *Gateway) notHeld(id wardturn.UpstreamID, key wardturn.ModelAdapter) {
+func (g *Gateway) recordNotHeld(id wardturn.UpstreamID, key wardturn.ModelAdapter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fleet.NotHeld(g.clock.Now(), id, key)
 }
 
-// versionServes reports whether requests may start on a version of an adapter now.
-func (g *Gateway) versionServes(key wardturn.ModelAdapter, v wardturn.Version) bool {
+// versionInUse reports whether requests may start on a version of an adapter now.
+func (g *Gateway) versionInUse(key wardturn.ModelAdapter, v wardturn.Version) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.fleet.VersionServes(g.clock.Now(), key, v)
+	return g.fleet.VersionInUse(g.clock.Now(), key, v)
 }
 
 // superseded returns the first newer version of an adapter, and when it was activated here.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -47,18 +47,18 @@
 
 // Config holds the settings of a gateway.
 type Config struct {
-	Process     wardturn.Incarnation
-	Host        string // host name
-	Domain      wardturn.FailureDomain
-	KeeperPort  string        // port of the keeper beside each engine
-	Drain       time.Duration // after which a draining upstream must receive no new requests
-	LapseGrace  time.Duration // how long to retain entries that expired while the store was unavailable
-	MaxBody     int           // limit of a request body in bytes unless the configuration sets one
-	MaxHeld     int64         // limit of buffered request bodies in bytes, over all requests; zero means none
-	RetryShare  float64       // retries allowed over all gateways, as a fraction of a service's requests
-	RetryExtra  float64       // additional retries allowed per RetryWindow
-	RetryWindow time.Duration
-	LeaveAfter  time.Duration // how long a gateway that shuts down still accepts requests
+	Process          wardturn.Incarnation
+	Host             string // host name
+	Domain           wardturn.FailureDomain
+	KeeperPort       string        // port of the keeper beside each engine
+	Drain            time.Duration // after which a draining upstream must receive no new requests
+	ExpiryGrace      time.Duration // how long to retain entries that expired while the store was unavailable
+	MaxBody          int           // limit of a request body in bytes unless the configuration sets one
+	MaxBufferedBytes int64         // limit of buffered request bodies in bytes, over all requests; zero means none
+	RetryShare       float64       // retries allowed over all gateways, as a fraction of a service's requests
+	RetryExtra       float64       // additional retries allowed per RetryWindow
+	RetryWindow      time.Duration
+	ShutdownDelay    time.Duration // how long a gateway that shuts down still accepts requests
 	// KeyBound limits how long after an API key was revoked in the store requests with
 	// that key may still be sent, on any host. Zero means no limit.
 	KeyBound time.Duration
@@ -71,88 +71,88 @@
 
 // Deps holds the dependencies of a gateway.
 type Deps struct {
-	Config  Config
-	Clock   wardturn.Clock
-	Logger  hclog.Logger
-	Metrics *Metrics
-	Names   wardturn.HeaderNames
-	Heads   wardturn.AnswerReader
-	Source  wardturn.ConfigSource
-	Members wardturn.MemberSource
-	Memory  wardturn.FleetMemory
-	Crashes wardturn.CrashRecord
-	Front   net.Listener // for callers
-	Ready   net.Listener // for the load balancer's readiness probe; may be nil
+	Config         Config
+	Clock          wardturn.Clock
+	Logger         hclog.Logger
+	Metrics        *Metrics
+	Names          wardturn.HeaderNames
+	ResponseReader wardturn.ResponseReader
+	Source         wardturn.ConfigSource
+	Members        wardturn.MemberSource
+	FactStore      wardturn.FleetFactStore
+	Crashes        wardturn.CrashStore
+	Listener       net.Listener // for callers
+	ReadyListener  net.Listener // for the load balancer's readiness probe; may be nil
 	// ReadyPath is the path of the readiness probe.
 	ReadyPath string
 }
 
 // Gateway serves callers on one entry host.
 type Gateway struct {
-	cfg     Config
-	clock   wardturn.Clock
-	logger  hclog.Logger
-	metrics *Metrics
-	prompts *prompts
-	names   wardturn.HeaderNames
-	heads   wardturn.AnswerReader
-	source  wardturn.ConfigSource
-	memory  wardturn.FleetMemory
-	// remembered is the latest state saved to memory; used by a single goroutine.
-	remembered   wardturn.FleetFacts
-	returned     atomic.Bool // the store was restored from an older copy and may have lost saved state
-	membership   *membership
-	news         *readCoordinator
-	caps         *caps
-	limits       *limits
-	unread       unreadHeaders
-	rests        atomic.Bool // an upstream has asked to be sent no requests for a while
-	crashes      *crashes
-	routes       atomic.Pointer[routes]
-	pool         *pool
-	links        *links
-	notStarted   *notStarted
-	server       *http.Server
-	ready        *http.Server
-	front        net.Listener
-	open         atomic.Int64
-	held         heldBytes
-	leaving      atomic.Bool
-	membersRead  atomic.Bool // the list of upstreams has been read
-	hadUpstreams atomic.Bool // the list has contained an upstream
-	serveOnce    sync.Once
-	tasks        *process.Tasks
+	cfg            Config
+	clock          wardturn.Clock
+	logger         hclog.Logger
+	metrics        *Metrics
+	promptCounts   *promptCounts
+	names          wardturn.HeaderNames
+	responseReader wardturn.ResponseReader
+	source         wardturn.ConfigSource
+	factStore      wardturn.FleetFactStore
+	// savedFacts is the latest state saved to memory; used by a single goroutine.
+	savedFacts        wardturn.FleetFacts
+	storeRestored     atomic.Bool // the store was restored from an older copy and may have lost saved state
+	membership        *membership
+	reads             *readCoordinator
+	caps              *caps
+	limits            *limits
+	unknownHeaders    unknownHeaders
+	backoffsRequested atomic.Bool // an upstream has asked to be sent no requests for a while
+	crashes           *crashes
+	routes            atomic.Pointer[routes]
+	pool              *pool
+	links             *links
+	pendingSends      *pendingSends
+	server            *http.Server
+	ready             *http.Server
+	listener          net.Listener
+	open              atomic.Int64
+	bodyLimiter       byteLimiter
+	leaving           atomic.Bool
+	membersRead       atomic.Bool // the list of upstreams has been read
+	hadUpstreams      atomic.Bool // the list has contained an upstream
+	serveOnce         sync.Once
+	tasks             *process.Tasks
 
 	mu             sync.Mutex
 	fleet          *decide.Fleet
 	evacuations    evacuations
 	partialMembers []wardturn.Member // pages received so far of the initial list; nil if none
 	budgets        map[wardturn.ServiceName]*decide.RetryBudget
-	counted        decide.GatewayCount // number of gateways that share the budgets
+	gatewayCount   decide.GatewayCount // number of gateways that share the budgets
 }
 
 // New starts a gateway. It accepts requests once it has a configuration, or after one
 // second without one.
 func New(d Deps) *Gateway {
 	g := &Gateway{
-		cfg:        d.Config,
-		clock:      d.Clock,
-		logger:     d.Logger,
-		metrics:    d.Metrics,
-		prompts:    newPrompts(),
-		names:      d.Names,
-		heads:      d.Heads,
-		source:     d.Source,
-		memory:     d.Memory,
-		pool:       newPool(d.Clock),
-		front:      d.Front,
-		notStarted: newNotStarted(),
-		tasks:      process.NewTasks(d.Clock),
-		budgets:    make(map[wardturn.ServiceName]*decide.RetryBudget),
+		cfg:            d.Config,
+		clock:          d.Clock,
+		logger:         d.Logger,
+		metrics:        d.Metrics,
+		promptCounts:   newPromptCounts(),
+		names:          d.Names,
+		responseReader: d.ResponseReader,
+		source:         d.Source,
+		factStore:      d.FactStore,
+		pool:           newPool(d.Clock),
+		listener:       d.Listener,
+		pendingSends:   newPendingSends(),
+		tasks:          process.NewTasks(d.Clock),
+		budgets:        make(map[wardturn.ServiceName]*decide.RetryBudget),
 	}
-	g.held.most = d.Config.MaxHeld
-	g.membership = newMembership(d.Members, d.Clock, d.Logger, d.Config.LapseGrace)
-	g.news = newReadCoordinator(g)
+	g.bodyLimiter.limit = d.Config.MaxBufferedBytes
+	g.membership = newMembership(d.Members, d.Clock, d.Logger, d.Config.ExpiryGrace)
+	g.reads = newReadCoordinator(g)
 	g.caps = newCaps(g)
 	g.limits = newLimits(g)
 	d.Config.Fleet.Limits = g.limits.state
@@ -166,8 +166,8 @@
 		MaxHeaderBytes:    defaultMaxHeaderBytes,
 		ErrorLog:          d.Logger.StandardLogger(&hclog.StandardLoggerOptions{}),
 	}
-	if d.Ready != nil {
-		g.serveReadiness(d.Ready, d.ReadyPath)
+	if d.ReadyListener != nil {
+		g.serveReadiness(d.ReadyListener, d.ReadyPath)
 	}
 	g.tasks.Go(g.followConfig)
 	g.tasks.Go(g.followMembers)
@@ -175,9 +175,9 @@
 	g.tasks.Go(g.crashes.writeLoop)
 	g.tasks.Go(g.caps.sendUrgent)
 	g.tasks.Go(func() {
-		g.recallFleet()
-		for g.tasks.Pause(rememberEvery) {
-			g.rememberFleet()
+		g.restoreFleetFacts()
+		for g.tasks.Pause(saveInterval) {
+			g.saveFleetFacts()
 		}
 	})
 	g.tasks.Go(func() {
@@ -193,8 +193,8 @@
 	g.tasks.Every(limitInterval, g.limits.announce)
 	g.tasks.Every(startedQueryInterval, g.queryStarted)
 	g.tasks.Every(sweepInterval, g.sweep)
-	g.tasks.Every(promptsEvery, g.logPrompts)
-	g.logger.Info("gateway started", "front", d.Front.Addr(), "process", d.Config.Process, "domain", d.Config.Domain)
+	g.tasks.Every(promptLogInterval, g.logPromptCounts)
+	g.logger.Info("gateway started", "front", d.Listener.Addr(), "process", d.Config.Process, "domain", d.Config.Domain)
 	return g
 }
 
@@ -223,7 +223,7 @@
 
 func (g *Gateway) acceptRequests() {
 	g.tasks.Go(func() {
-		if err := g.server.Serve(g.front); !errors.Is(err, http.ErrServerClosed) {
+		if err := g.server.Serve(g.listener); !errors.Is(err, http.ErrServerClosed) {
 			g.logger.Error("request server failed", "error", err)
 		}
 	})
@@ -241,24 +241,24 @@
 	g.resizeBudgets()
 	g.mu.Unlock()
 	g.metrics.updateLevels(levels)
-	g.news.reportAges()
+	g.reads.reportAges()
 	g.crashes.sweep()
 	g.pool.sweep(func(addr string) bool {
 		return addrs[addr]
 	})
 }
 
-// Leave shuts the gateway down gracefully. It fails the readiness probe and keeps
-// accepting requests for Config.LeaveAfter, so that the load balancer stops sending them.
+// Shutdown shuts the gateway down gracefully. It fails the readiness probe and keeps
+// accepting requests for Config.ShutdownDelay, so that the load balancer stops sending them.
 // It then closes the listener and returns when all requests have completed or ctx is done.
-func (g *Gateway) Leave(ctx context.Context) {
+func (g *Gateway) Shutdown(ctx context.Context) {
 	g.leaving.Store(true)
 	g.logger.Info("leaving", "requests", g.open.Load())
-	wardturn.Sleep(ctx, g.clock, g.cfg.LeaveAfter)
+	wardturn.Sleep(ctx, g.clock, g.cfg.ShutdownDelay)
 	if err := g.server.Shutdown(ctx); err != nil {
 		g.logger.Warn("graceful shutdown timed out with open requests", "requests", g.open.Load(), "error", err)
 	}
-	g.logPrompts()
+	g.logPromptCounts()
 	g.logger.Info("left", "requests", g.open.Load())
 }
 
@@ -269,7 +269,7 @@
 	if g.ready != nil {
 		_ = g.ready.Close()
 	}
-	g.front.Close()
+	g.listener.Close()
 	g.links.close()
 	g.pool.close()
 }
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -12,10 +12,10 @@
 // responses that are not forwarded. own reports whether it is the response to this
 // request. Any other may be old, so it ends no back-off or limit that the upstream asked
 // for before.
-func (x *exchange) observe(m wardturn.Member, head wardturn.AnswerHead, status int, own bool) {
+func (x *exchange) observe(m wardturn.Member, head wardturn.ResponseHead, status int, own bool) {
 	g := x.g
-	for _, name := range head.Unread {
-		if g.unread.shouldLog(name) {
+	for _, name := range head.Unknown {
+		if g.unknownHeaders.shouldLog(name) {
 			g.logger.Info("header of upstreams is not read", "header", name, "status", status, "upstream", m.ID)
 		}
 	}
@@ -27,22 +27,22 @@
 		}
 	}
 	if head.Leaving {
-		g.decide(func(now time.Time, out *decide.Moves) {
-			g.fleet.Leaves(now, id, out)
+		g.decide(func(now time.Time, out *decide.Actions) {
+			g.fleet.MarkLeaving(now, id, out)
 		})
 	}
-	if head.Rest.Named {
-		g.observeBackoff(id, head.Rest)
-	} else if own && g.rests.Load() {
+	if head.RetryAfter.Present {
+		g.observeBackoff(id, head.RetryAfter)
+	} else if own && g.backoffsRequested.Load() {
 		g.endBackoff(id, x.send.sent)
 	}
-	if head.Cold.Named && own {
+	if head.Cold.Present && own {
 		g.observeCold(id, head.Cold)
 	}
 	switch {
-	case head.Limit.Named:
+	case head.Limit.Present:
 		g.limits.observe(id, head.Limit, status)
-	case own && g.limits.any.Load():
+	case own && g.limits.seen.Load():
 		g.limits.observeNone(id, x.send.sent, status)
 	}
 }
@@ -52,22 +52,22 @@
 func (g *Gateway) upstreamOfInstance(instance string) wardturn.UpstreamID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.fleet.Lifetime(instance)
+	return g.fleet.ListedLifetime(instance)
 }
 
 // observeBackoff processes a Retry-After: the upstream asks this gateway to back off.
-func (g *Gateway) observeBackoff(id wardturn.UpstreamID, backoff wardturn.Figure[time.Duration]) {
-	g.rests.Store(true)
+func (g *Gateway) observeBackoff(id wardturn.UpstreamID, backoff wardturn.HeaderValue[time.Duration]) {
+	g.backoffsRequested.Store(true)
 	g.mu.Lock()
 	now := g.clock.Now()
 	changed := false
 	if backoff.Err != nil {
-		changed = g.fleet.RestsUnclear(now, id)
+		changed = g.fleet.BackOffUnparsed(now, id)
 	} else {
-		changed = g.fleet.Rests(now, id, backoff.Value)
+		changed = g.fleet.BackOff(now, id, backoff.Value)
 	}
 	g.mu.Unlock()
-	g.metrics.rests.Inc(1)
+	g.metrics.backoffsRequested.Inc(1)
 	if changed {
 		g.logger.Info("upstream asks for a rest", "upstream", id, "asked", backoff.Value, "error", backoff.Err)
 	}
@@ -77,32 +77,32 @@
 func (g *Gateway) endBackoff(id wardturn.UpstreamID, sent time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.Rested(id, sent)
+	g.fleet.ClearBackoff(id, sent)
 }
 
 // observeCold processes for how much longer a cold upstream takes only few requests.
-func (g *Gateway) observeCold(id wardturn.UpstreamID, cold wardturn.Figure[time.Duration]) {
+func (g *Gateway) observeCold(id wardturn.UpstreamID, cold wardturn.HeaderValue[time.Duration]) {
 	if cold.Err != nil {
 		g.logger.Warn("malformed warm-up time of a cold upstream", "upstream", id, "error", cold.Err)
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.SawCold(g.clock.Now(), id, cold.Value)
+	g.fleet.ObserveCold(g.clock.Now(), id, cold.Value)
 }
 
 // maxUnknownHeaders bounds the header names that are kept as logged.
 const maxUnknownHeaders = 32
 
-// unreadHeaders is the set of response headers of upstreams that the gateway does not
+// unknownHeaders is the set of response headers of upstreams that the gateway does not
 // know and has logged. The zero value is an empty set.
-type unreadHeaders struct {
+type unknownHeaders struct {
 	mu     sync.Mutex
 	logged map[string]bool
 }
 
 // shouldLog reports whether a header has to be logged: once for each name.
-func (u *unreadHeaders) shouldLog(name string) bool {
+func (u *unknownHeaders) shouldLog(name string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.logged[name] || len(u.logged) >= maxUnknownHeaders {
--- a/gateway/storereturn_test.go
+++ b/gateway/storereturn_test.go
@@ -30,15 +30,15 @@
 	BeforeEach(func() {
 		x = newRig()
 		version = 1
-		fronts = []string{x.front}
+		fronts = []string{x.frontURL}
 		for _, name := range []wardturn.Incarnation{"second", "third", "fourth"} {
 			g, front, _ := x.startGateway(name, platform.NewStore(x.storeAddr, x.metrics))
-			Eventually(g.Ready, soon, often).Should(BeTrue())
+			Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
 			fronts = append(fronts, front)
 		}
 	})
 	serves := func(front, path string) bool {
-		_, r := x.with(front, path, "", nil)
+		_, r := x.sendWithHeaders(front, path, "", nil)
 		return r.status == http.StatusOK
 	}
 	// expectInForce expects that a route that was just added is served within configBound.
@@ -48,7 +48,7 @@
 		for _, front := range fronts {
 			Eventually(func() bool {
 				return serves(front, path)
-			}, time.Until(deadline), often).Should(BeTrue(), front)
+			}, time.Until(deadline), pollInterval).Should(BeTrue(), front)
 		}
 	}
 
@@ -63,7 +63,7 @@
 			Away: true,
 		})
 		time.Sleep(time.Second)
-		x.store.ComeBack(old)
+		x.store.Restore(old)
 		x.store.SetFaults(standin.MetaFaults{})
 		time.Sleep(configBound)
 		putConfig(newRoute)
@@ -74,7 +74,7 @@
 		old := x.store.Copy()
 		putConfig("")
 		time.Sleep(configBound)
-		x.store.ComeBack(old)
+		x.store.Restore(old)
 		putConfig(newRoute)
 		for i := range 4 {
 			x.store.PutVersion("m0", "a9", int64(2+i))
@@ -86,12 +86,12 @@
 		old := x.store.Copy()
 		putConfig(newRoute)
 		expectInForce("/new/a")
-		x.list(x.apps[0], "app", "a0", "draining")
+		x.putEntry(x.apps[0], "app", "a0", "draining")
 		time.Sleep(configBound)
 		x.store.DropServer("a0")
-		x.list(x.apps[1], "app", "a1", "ready")
+		x.putEntry(x.apps[1], "app", "a1", "ready")
 		time.Sleep(configBound)
-		x.store.ComeBack(old)
+		x.store.Restore(old)
 		began := time.Now()
 		after := began.Add(arrivalLag)
 		for time.Since(began) < configBound {
@@ -106,10 +106,10 @@
 		old := x.store.Copy()
 		after := x.evacuate("d")
 		time.Sleep(time.Until(after))
-		x.store.ComeBack(old)
-		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, lapseGrace/2)
+		x.store.Restore(old)
+		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, expiryGrace/2)
 		x.evacuate("d")
-		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, 2*lapseGrace+configBound)
+		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, 2*expiryGrace+configBound)
 		Expect(x.domainArrivalsAfter("d", after)).To(BeZero())
 	})
 
@@ -117,18 +117,18 @@
 		old := x.store.Copy()
 		after := x.evacuate("d")
 		time.Sleep(time.Until(after))
-		x.store.ComeBack(old)
-		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, configBound+lapseGrace+time.Second)
+		x.store.Restore(old)
+		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, configBound+expiryGrace+time.Second)
 		Expect(x.domainArrivalsAfter("d", after)).To(BeNumerically(">", 0))
 	})
 
 	It("has changes applied after two restores in short succession", func() {
 		old := x.store.Copy()
 		putConfig("")
-		x.store.ComeBack(old)
+		x.store.Restore(old)
 		putConfig("")
 		time.Sleep(50 * time.Millisecond)
-		x.store.ComeBack(old)
+		x.store.Restore(old)
 		time.Sleep(50 * time.Millisecond)
 		putConfig(newRoute)
 		expectInForce("/new/a")
--- a/peer/message.go
+++ b/peer/message.go
@@ -25,27 +25,27 @@
 	KindCredit
 	KindCancel
 	KindHint
-	KindWish
+	KindPermitRequest
 	KindGrant
 	KindPing
 	KindPong
 	KindConfigPull
 	KindConfigPage
-	KindHolding
-	KindEngineNotice
-	KindLoadWish
-	KindUsage
-	KindStoreNews
-	KindReading
-	KindListen
+	KindEngineUpdate
+	KindEngineConfig
+	KindLoadRequest
+	KindAdapterUsage
+	KindReadAnnouncement
+	KindPrefillReport
+	KindSubscribe
 	KindFollow
-	KindRelayed
+	KindRelayedUpdate
 	KindMark
-	KindTeamUse
-	KindCrashNews
+	KindTeamUsageReports
+	KindCrashAnnouncement
 	KindStartedQuery
 	KindStartedReport
-	KindLimitNews
+	KindLimitGossip
 )
 
 // Message is a typed message.
@@ -83,7 +83,7 @@
 	Service    wardturn.ServiceName
 	Prompt     wardturn.Tokens
 	Output     wardturn.Tokens
-	Left       time.Duration // until the deadline; zero if there is none
+	TimeLeft   time.Duration // until the deadline; zero if there is none
 	Repeatable bool
 	Key        wardturn.IdempotencyKey
 	KeyCreated time.Time
@@ -110,11 +110,11 @@
 
 // Head starts a response: the attempt is running.
 type Head struct {
-	Attempt wardturn.AttemptID
-	Status  int // of a plain service; zero for an engine
-	Header  []wardturn.HeaderField
-	Stalled time.Duration // time that the attempt waited for its adapter
-	Queued  time.Duration // total time that the attempt waited
+	Attempt     wardturn.AttemptID
+	Status      int // of a plain service; zero for an engine
+	Header      []wardturn.HeaderField
+	AdapterWait time.Duration // time that the attempt waited for its adapter
+	TotalWait   time.Duration // total time that the attempt waited
 }
 
 // Chunk is a part of a response.
@@ -131,10 +131,10 @@
 	Outcome wardturn.Outcome
 	Length  int64
 	Hint    decide.Hint
-	// First is the attempt that holds the response for an idempotency key that
+	// FirstAttempt is the attempt that holds the response for an idempotency key that
 	// was already claimed. FirstUpstream and FirstProcess are the upstream and
 	// the agent process that have it.
-	First         wardturn.AttemptID
+	FirstAttempt  wardturn.AttemptID
 	FirstUpstream wardturn.UpstreamID
 	FirstProcess  wardturn.Incarnation
 	// Config, if set, is the configuration that put another version in force than
@@ -160,9 +160,9 @@
 	Hint     decide.Hint
 }
 
-// Wish is an agent's permit request to its allocator.
-type Wish struct {
-	Wish decide.Wish
+// PermitRequest is an agent's permit request to its allocator.
+type PermitRequest struct {
+	Request decide.PermitRequest
 }
 
 // Grant is an allocator's reply to a permit request.
@@ -224,7 +224,7 @@
 func (*Hint) Kind() Kind { return KindHint }
 
 // Kind implements Message.
-func (*Wish) Kind() Kind { return KindWish }
+func (*PermitRequest) Kind() Kind { return KindPermitRequest }
 
 // Kind implements Message.
 func (*Grant) Kind() Kind { return KindGrant }
@@ -262,8 +262,8 @@
 		return &Cancel{}
 	case KindHint:
 		return &Hint{}
-	case KindWish:
-		return &Wish{}
+	case KindPermitRequest:
+		return &PermitRequest{}
 	case KindGrant:
 		return &Grant{}
 	case KindPing:
@@ -274,36 +274,36 @@
 		return &ConfigPull{}
 	case KindConfigPage:
 		return &ConfigPage{}
-	case KindHolding:
-		return &Holding{}
-	case KindEngineNotice:
-		return &EngineNotice{}
-	case KindLoadWish:
-		return &LoadWish{}
-	case KindUsage:
-		return &Usage{}
-	case KindReading:
-		return &Reading{}
-	case KindStoreNews:
-		return &StoreNews{}
-	case KindListen:
-		return &Listen{}
+	case KindEngineUpdate:
+		return &EngineUpdate{}
+	case KindEngineConfig:
+		return &EngineConfig{}
+	case KindLoadRequest:
+		return &LoadRequest{}
+	case KindAdapterUsage:
+		return &AdapterUsage{}
+	case KindPrefillReport:
+		return &PrefillReport{}
+	case KindReadAnnouncement:
+		return &ReadAnnouncement{}
+	case KindSubscribe:
+		return &Subscribe{}
 	case KindFollow:
 		return &Follow{}
-	case KindRelayed:
-		return &Relayed{}
+	case KindRelayedUpdate:
+		return &RelayedUpdate{}
 	case KindMark:
 		return &Mark{}
-	case KindTeamUse:
-		return &TeamUse{}
-	case KindCrashNews:
-		return &CrashNews{}
+	case KindTeamUsageReports:
+		return &TeamUsageReports{}
+	case KindCrashAnnouncement:
+		return &CrashAnnouncement{}
 	case KindStartedQuery:
 		return &StartedQuery{}
 	case KindStartedReport:
 		return &StartedReport{}
-	case KindLimitNews:
-		return &LimitNews{}
+	case KindLimitGossip:
+		return &LimitGossip{}
 	}
 	return nil
 }
--- a/process/clock.go
+++ b/process/clock.go
@@ -17,7 +17,7 @@
 // including time during which the host was suspended. Changes of the wall clock therefore
 // don't affect them. They have no monotonic clock reading. Don't use them for deadlines of
 // contexts and connections, which are based on the runtime's clock; see
-// wardturn.WithLimit.
+// wardturn.WithTimeout.
 type Clock struct{}
 
 // Now implements wardturn.Clock.
--- a/process/tasks.go
+++ b/process/tasks.go
@@ -80,7 +80,7 @@
 
 // Limit returns a context that ends after d or on Stop.
 func (t *Tasks) Limit(d time.Duration) (context.Context, context.CancelFunc) {
-	return wardturn.WithLimit(t.ctx, t.clock, d)
+	return wardturn.WithTimeout(t.ctx, t.clock, d)
 }
 
 // Stop cancels the context and stops all timers.
--- a/soak/answers.go
+++ b/soak/answers.go
@@ -172,10 +172,10 @@
 // requested. The caller holds the lock.
 func (c *responseChecker) checkBackoffs(requests *requestChecker, u *upstream, arrivals []standin.Arrival) {
 	for _, refused := range arrivals {
-		if refused.Rest == 0 {
+		if refused.RetryAfter == 0 {
 			continue
 		}
-		from, until := refused.At.Add(backoffGrace), refused.At.Add(refused.Rest)
+		from, until := refused.At.Add(backoffGrace), refused.At.Add(refused.RetryAfter)
 		arrived := 0
 		for _, a := range arrivals {
 			if a.At.After(from) && a.At.Before(until) && c.sent[a.Attempt].process == c.sent[refused.Attempt].process {
@@ -183,7 +183,7 @@
 			}
 		}
 		if arrived > backoffAllowed && !c.excusedIn(refused.At, until) && !u.excusedIn(refused.At, until) {
-			requests.addViolation("%s asked %s for a rest of %v and got %d requests in it", u.addr, c.sent[refused.Attempt].process, refused.Rest, arrived)
+			requests.addViolation("%s asked %s for a rest of %v and got %d requests in it", u.addr, c.sent[refused.Attempt].process, refused.RetryAfter, arrived)
 			return
 		}
 	}
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -119,7 +119,7 @@
 		return 0
 	}
 	req.Host = "h"
-	req.Header.Set(platformHeaders.Attempt, id)
+	req.Header.Set(platformHeaders.AttemptID, id)
 	req.Header.Set(platformHeaders.DeadlineMS, deadlineMS)
 	if k.onEngine {
 		req.Header.Set(platformHeaders.Adapter, fmt.Sprintf("m0/a%d", int(draw*adapterMean)))
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -57,7 +57,7 @@
 		return 0
 	}
 	req.Host = "h"
-	req.Header.Set(platformHeaders.Attempt, id)
+	req.Header.Set(platformHeaders.AttemptID, id)
 	req.Header.Set(platformHeaders.DeadlineMS, deadlineMS)
 	req.Header.Set("Authorization", "Bearer "+permanentKey)
 	res, err := client.Do(req)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -107,7 +107,7 @@
 
 func (s *soak) randomLinkFault(r *rand.Rand) fault {
 	link := randomElement(r, s.links())
-	direction := standin.Way(r.IntN(2))
+	direction := standin.Direction(r.IntN(2))
 	delay := time.Duration(r.IntN(300)) * time.Millisecond
 	list := []fault{
 		{
--- a/soak/storereturn.go
+++ b/soak/storereturn.go
@@ -51,7 +51,7 @@
 					Away: true,
 				})
 				time.Sleep(outageBeforeRestore)
-				s.world.store.ComeBack(saved)
+				s.world.store.Restore(saved)
 				s.world.store.SetFaults(standin.MetaFaults{})
 				s.repeatStoreWrites()
 			}
--- a/standin/metastore.go
+++ b/standin/metastore.go
@@ -202,9 +202,9 @@
 	return out
 }
 
-// ComeBack restores the store from a copy, as after a recovery from a backup. Later
+// Restore restores the store from a copy, as after a recovery from a backup. Later
 // records are lost, and their offsets are assigned again.
-func (s *MetaStore) ComeBack(c MetaCopy) {
+func (s *MetaStore) Restore(c MetaCopy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics = c.clone()
--- a/standin/modelworker.go
+++ b/standin/modelworker.go
@@ -147,11 +147,11 @@
 
 // Arrival describes a request that reached a worker, including refused ones.
 type Arrival struct {
-	At       time.Time
-	Attempt  string
-	Lifetime string        // of the worker, as id@start
-	Leaving  bool          // the response announces that the worker is leaving
-	Rest     time.Duration // from the Retry-After header of the refusal; zero: none
+	At         time.Time
+	Attempt    string
+	Lifetime   string        // of the worker, as id@start
+	Leaving    bool          // the response announces that the worker is leaving
+	RetryAfter time.Duration // from the Retry-After header of the refusal; zero: none
 }
 
 // Arrivals returns the requests in order of their arrival.
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Way is a direction of the traffic through a Relay.
-type Way int
+// Direction is a direction of the traffic through a Relay.
+type Direction int
 
 // The directions.
 const (
-	ToTarget Way = iota
+	ToTarget Direction = iota
 	FromTarget
 )
 
@@ -112,7 +112,7 @@
 }
 
 // Silence stalls or resumes the traffic in one direction.
-func (r *Relay) Silence(dir Way, on bool) {
+func (r *Relay) Silence(dir Direction, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stalled[dir] = on
@@ -189,7 +189,7 @@
 	for dir, pair := range [][2]net.Conn{{c, t}, {t, c}} {
 		go func() {
 			defer wg.Done()
-			r.copy(Way(dir), pair[1], pair[0])
+			r.copy(Direction(dir), pair[1], pair[0])
 			c.Close()
 			t.Close()
 		}()
@@ -214,7 +214,7 @@
 	return true
 }
 
-func (r *Relay) copy(dir Way, dst io.Writer, src io.Reader) {
+func (r *Relay) copy(dir Direction, dst io.Writer, src io.Reader) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
@@ -231,7 +231,7 @@
 }
 
 // waitResumed waits while the direction is stalled, and then for the delay.
-func (r *Relay) waitResumed(dir Way) {
+func (r *Relay) waitResumed(dir Direction) {
 	r.mu.Lock()
 	for r.stalled[dir] {
 		r.resumed.Wait()
