--- a/agent/orders.go
+++ b/agent/orders.go
@@ -234,7 +234,7 @@
 	weights := control.Shares(a.replica)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.core.SetShares(weights)
+	a.core.SetWeights(weights)
 }
 
 func (a *Agent) compile(doc control.NamedPolicy) wardturn.Policy {
--- a/decide/agent.go
+++ b/decide/agent.go
@@ -124,7 +124,7 @@
 	scratch     []*item
 	lastSeq     uint64
 	misses      uint64
-	shares      shares
+	teamUse     teamUse
 	missRate    meter
 	running     int
 	runBatch    int
@@ -154,7 +154,7 @@
 		work:      make(map[wardturn.AttemptID]*item),
 		loadTime:  cfg.LoadTime,
 		serveTime: cfg.ServiceTime,
-		shares:    newShares(),
+		teamUse:   newTeamUse(),
 		started:   now,
 		lastSweep: now,
 	}
@@ -235,7 +235,7 @@
 	}
 	a.unpin(it)
 	a.observeService(now.Sub(it.startedAt))
-	a.shares.add(now, it.work.Team, now.Sub(it.startedAt))
+	a.teamUse.add(now, it.work.Team, now.Sub(it.startedAt))
 	delete(a.work, id)
 	a.plan(now, out)
 }
@@ -310,7 +310,7 @@
 	if now.Sub(a.lastSweep) >= sweepEvery {
 		a.lastSweep = now
 		a.sweep(now)
-		a.shares.sweep(now)
+		a.teamUse.sweep(now)
 	}
 	a.plan(now, out)
 }
--- a/decide/cold.go
+++ b/decide/cold.go
@@ -33,9 +33,9 @@
 	l.sharesAt = time.Time{}
 }
 
-// Cold marks an upstream as cold until the given time, with a bound on its request rate. A
+// SetCold marks an upstream as cold until the given time, with a bound on its request rate. A
 // time that has passed, or a rate of zero, removes the bound.
-func (l *Limits) Cold(now time.Time, id wardturn.UpstreamID, rate float64, until time.Time) {
+func (l *Limits) SetCold(now time.Time, id wardturn.UpstreamID, rate float64, until time.Time) {
 	c := l.cold[id.Instance()]
 	if !now.Before(until) || rate <= 0 {
 		delete(l.cold, id.Instance())
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -70,12 +70,12 @@
 			counted = min(counted, s.counted())
 		}
 		g.SetGateways(s.now, counted)
-		msg, _, due := g.Word(s.now)
+		msg, _, due := g.Gossip(s.now)
 		if !due || s.partitioned {
 			continue
 		}
 		for _, o := range s.gateways {
-			o.Heard(s.now, msg)
+			o.Receive(s.now, msg)
 		}
 	}
 }
@@ -89,7 +89,7 @@
 // cold tells all gateways that the upstream is cold for a duration.
 func (s *coldSim) cold(d time.Duration) {
 	for _, g := range s.gateways {
-		g.Cold(s.now, limitID, coldRate, s.now.Add(d))
+		g.SetCold(s.now, limitID, coldRate, s.now.Add(d))
 	}
 }
 
@@ -144,7 +144,7 @@
 		}
 		for _, g := range s.gateways {
 			g.SetGateways(s.now, 1)
-			g.Recall(s.now, n)
+			g.SetPreviousGateways(s.now, n)
 		}
 		s.cold(10 * time.Second)
 		s.run(5 * time.Second)
@@ -181,18 +181,18 @@
 func TestColdUpstreamWarms(t *testing.T) {
 	l := newColdSim(1).gateways[0]
 	l.SetGateways(start, 1)
-	l.Cold(start, limitID, coldRate, start.Add(time.Second))
+	l.SetCold(start, limitID, coldRate, start.Add(time.Second))
 	if !l.Bounded(start, limitID) {
 		t.Error("cold upstream is not bounded")
 	}
-	l.Cold(start, limitID, coldRate, start.Add(3*time.Second))
+	l.SetCold(start, limitID, coldRate, start.Add(3*time.Second))
 	if at := start.Add(2 * time.Second); !l.Bounded(at, limitID) {
 		t.Error("the later time was not applied")
 	}
 	if at := start.Add(3 * time.Second); l.Bounded(at, limitID) || !l.Allows(at, limitID) {
 		t.Error("warm upstream is still bounded")
 	}
-	l.Cold(start, "other", 0, start.Add(time.Second))
+	l.SetCold(start, "other", 0, start.Add(time.Second))
 	if l.Bounded(start, "other") {
 		t.Error("upstream with a cold rate of zero is bounded")
 	}
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -88,7 +88,7 @@
 		if f.table != nil {
 			rate = f.table.Services[m.Service].ColdRate
 		}
-		f.limits.Cold(now, m.ID, rate, until)
+		f.limits.SetCold(now, m.ID, rate, until)
 		cold = cold || rate > 0 && now.Before(until)
 	}
 	f.limits.ExpectCold(cold || len(f.evacuated) > 0)
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -55,9 +55,9 @@
 		Rate:  2,
 		Burst: 1,
 	}
-	_, ok := q.Enter(now)
+	_, ok := q.Acquire(now)
 	fmt.Println(ok)
-	after, ok := q.Enter(now)
+	after, ok := q.Acquire(now)
 	fmt.Println(ok, after)
 	// Output:
 	// true
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -36,7 +36,7 @@
 	limits        *Limits
 	prefillRates  map[wardturn.ServiceName]*prefillRate // prefill rates of engines
 	evacuated     wardturn.Evacuations
-	rests         map[string]*rest // pauses requested by upstreams, by instance
+	backoffs      map[string]*upstreamBackoff // pauses requested by upstreams, by instance
 }
 
 // FleetConfig holds the limits of a Fleet.
@@ -84,7 +84,7 @@
 		crossed:       make(map[wardturn.ModelAdapter]int),
 		limits:        cfg.Limits,
 		prefillRates:  make(map[wardturn.ServiceName]*prefillRate),
-		rests:         make(map[string]*rest),
+		backoffs:      make(map[string]*upstreamBackoff),
 	}
 }
 
@@ -131,7 +131,7 @@
 	services := make(map[wardturn.ServiceName][]*Member)
 	list = currentEntries(list)
 	f.keepLeaving(now, list)
-	f.forgetRests(now)
+	f.dropEndedBackoffs(now)
 	for _, e := range list {
 		m := f.members[e.ID]
 		if m == nil {
@@ -149,7 +149,7 @@
 		m.Member = e
 		m.rate = f.rateOf(e.Service)
 		m.evacuated = f.evacuated[e.Domain]
-		m.rest = f.rests[e.ID.Instance()]
+		m.backoff = f.backoffs[e.ID.Instance()]
 		members[e.ID] = m
 		services[e.Service] = append(services[e.Service], m)
 	}
@@ -168,7 +168,7 @@
 		}
 	}
 	f.members = members
-	f.limits.Keep(now, listedInstances(list))
+	f.limits.Retain(now, listedInstances(list))
 	f.limitCold(now)
 	f.services = services
 	f.near = membersByServiceIn(services, f.cfg.Domain)
--- a/decide/gatewaycount.go
+++ b/decide/gatewaycount.go
@@ -15,9 +15,9 @@
 	countedAt time.Time // time of the latest count of at least that many
 }
 
-// Take records the number that keepers count now, or zero if no keeper is reachable, and
+// Update records the number that keepers count now, or zero if no keeper is reachable, and
 // returns the number to use. It returns zero if no keeper has been reachable yet.
-func (c *GatewayCount) Take(now time.Time, counted int) int {
+func (c *GatewayCount) Update(now time.Time, counted int) int {
 	if counted > 0 && (counted >= c.highest || now.Sub(c.countedAt) > gatewayCountRetention) {
 		c.highest = counted
 		c.countedAt = now
--- a/decide/leaving.go
+++ b/decide/leaving.go
@@ -25,7 +25,7 @@
 // Takes reports whether a request that was assigned to an upstream may still be sent there.
 // The upstream may have disappeared from the list meanwhile.
 func (f *Fleet) Takes(now time.Time, u wardturn.Member) bool {
-	if f.evacuated[u.Domain] || f.rests[u.ID.Instance()].inForce(now) {
+	if f.evacuated[u.Domain] || f.backoffs[u.ID.Instance()].inForce(now) {
 		return false
 	}
 	if m := f.members[u.ID]; m != nil {
--- a/decide/limited.go
+++ b/decide/limited.go
@@ -16,7 +16,7 @@
 		if !m.available(now) || !f.inRegions(m, t.Regions) {
 			continue
 		}
-		backingOff := !m.rest.over(now)
+		backingOff := !m.backoff.allows(now)
 		if slices.Contains(t.Tried, m.ID) && !backingOff {
 			continue
 		}
@@ -35,9 +35,9 @@
 	if soonest == nil {
 		return wardturn.ReasonLimited, maxComeBack, true
 	}
-	f.limits.Owe(now, soonest.ID)
-	if left := soonest.rest.remaining(now); left > 0 {
-		return wardturn.ReasonResting, f.spreadRest(max(retryAfter, left)), true
+	f.limits.ReserveRetry(now, soonest.ID)
+	if left := soonest.backoff.remaining(now); left > 0 {
+		return wardturn.ReasonBackoff, f.jitteredDelay(max(retryAfter, left)), true
 	}
 	return wardturn.ReasonLimited, min(max(retryAfter, minRetryDelay), maxComeBack), true
 }
@@ -45,6 +45,6 @@
 // retryDelay returns the delay after which a refused caller's retry may be sent to an
 // upstream. It returns false if the delay is unknown.
 func (f *Fleet) retryDelay(now time.Time, m *Member) (time.Duration, bool) {
-	delay, known := f.limits.RoomIn(now, m.ID)
-	return max(delay, m.rest.remaining(now)), known
+	delay, known := f.limits.RetryDelay(now, m.ID)
+	return max(delay, m.backoff.remaining(now)), known
 }
--- a/decide/limitgossip.go
+++ b/decide/limitgossip.go
@@ -46,9 +46,9 @@
 	lastSeen time.Time
 }
 
-// Word returns the message to send to the other gateways, if one is due. The result dirty
+// Gossip returns the message to send to the other gateways, if one is due. The result dirty
 // reports whether it contains a change that has not been announced before.
-func (l *Limits) Word(now time.Time) (msg LimitGossip, dirty, due bool) {
+func (l *Limits) Gossip(now time.Time) (msg LimitGossip, dirty, due bool) {
 	if now.Sub(l.announcedAt) < limitMessageInterval {
 		return LimitGossip{}, false, false
 	}
@@ -104,8 +104,8 @@
 	}
 }
 
-// Heard processes a message from another gateway and returns the updates that were new.
-func (l *Limits) Heard(now time.Time, msg LimitGossip) (changes []LimitUpdate) {
+// Receive processes a message from another gateway and returns the updates that were new.
+func (l *Limits) Receive(now time.Time, msg LimitGossip) (changes []LimitUpdate) {
 	if msg.Process == l.self {
 		return nil
 	}
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -88,14 +88,14 @@
 // SetGateways sets the number of gateways counted by keepers, or zero if no keeper is
 // reachable.
 func (l *Limits) SetGateways(now time.Time, counted int) {
-	l.gateways.Take(now, counted)
+	l.gateways.Update(now, counted)
 	l.updateShares(now)
 }
 
-// Recall sets the number of gateways known before this process started. Keepers that start
+// SetPreviousGateways sets the number of gateways known before this process started. Keepers that start
 // at the same time count gateways from one up, so without it each gateway would assume
 // that it is the only one.
-func (l *Limits) Recall(now time.Time, gateways int) {
+func (l *Limits) SetPreviousGateways(now time.Time, gateways int) {
 	l.SetGateways(now, gateways)
 }
 
@@ -109,9 +109,9 @@
 	return changed
 }
 
-// ObserveUnclear records an answer whose limit cannot be parsed. A known limit stays in
+// ObserveUnparsed records an answer whose limit cannot be parsed. A known limit stays in
 // force.
-func (l *Limits) ObserveUnclear(now time.Time, id wardturn.UpstreamID) {
+func (l *Limits) ObserveUnparsed(now time.Time, id wardturn.UpstreamID) {
 	if n := l.upstreams[id.Instance()]; n != nil && n.rate > 0 {
 		n.confirm(now)
 	}
@@ -183,9 +183,9 @@
 	n.spend(now)
 }
 
-// RoomIn returns the delay after which a refused caller's retry may be sent to an upstream,
+// RetryDelay returns the delay after which a refused caller's retry may be sent to an upstream,
 // behind the retries already reserved with Owe. It returns false if the delay is unknown.
-func (l *Limits) RoomIn(now time.Time, id wardturn.UpstreamID) (time.Duration, bool) {
+func (l *Limits) RetryDelay(now time.Time, id wardturn.UpstreamID) (time.Duration, bool) {
 	wait, known := time.Duration(0), true
 	if c := l.coldOf(now, id); c != nil {
 		wait, known = c.retryDelay(now)
@@ -201,8 +201,8 @@
 	return max(wait, limitWait), known
 }
 
-// Owe reserves capacity at an upstream for the retry of a refused caller.
-func (l *Limits) Owe(now time.Time, id wardturn.UpstreamID) {
+// ReserveRetry reserves capacity at an upstream for the retry of a refused caller.
+func (l *Limits) ReserveRetry(now time.Time, id wardturn.UpstreamID) {
 	if c := l.coldOf(now, id); c != nil {
 		c.reserved++
 	}
@@ -211,10 +211,10 @@
 	}
 }
 
-// Keep drops the limits of upstreams that have been absent for gatewayCountRetention. They
+// Retain drops the limits of upstreams that have been absent for gatewayCountRetention. They
 // are kept until then because a list read while the store was unavailable may be
 // incomplete.
-func (l *Limits) Keep(now time.Time, present func(instance string) bool) {
+func (l *Limits) Retain(now time.Time, present func(instance string) bool) {
 	for instance, n := range l.upstreams {
 		if !present(instance) && now.Sub(latest(n.observedAt, n.endedAt)) > gatewayCountRetention {
 			delete(l.upstreams, instance)
--- a/decide/limits_bench_test.go
+++ b/decide/limits_bench_test.go
@@ -30,7 +30,7 @@
 			for i := range b.N {
 				msg := messages[i%len(messages)]
 				msg.Seq = uint64(i + 2)
-				l.Heard(now.Add(time.Duration(i)*time.Millisecond), msg)
+				l.Receive(now.Add(time.Duration(i)*time.Millisecond), msg)
 			}
 		})
 	}
@@ -47,8 +47,8 @@
 	for i := 1; i < n; i++ {
 		other := decide.NewLimits(start, wardturn.Incarnation(fmt.Sprint("p", i)))
 		other.Observe(start, wardturn.UpstreamID(fmt.Sprint("u", i%50)), 5)
-		msg, _, _ := other.Word(start)
-		l.Heard(start, msg)
+		msg, _, _ := other.Gossip(start)
+		l.Receive(start, msg)
 		messages = append(messages, msg)
 	}
 	return l, messages
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -137,7 +137,7 @@
 		return
 	}
 	g.limits.SetGateways(s.now, s.counted(g))
-	msg, _, due := g.limits.Word(s.now)
+	msg, _, due := g.limits.Gossip(s.now)
 	if !due {
 		return
 	}
@@ -160,7 +160,7 @@
 			messages = append(messages, w)
 			continue
 		}
-		w.to.limits.Heard(s.now, w.message)
+		w.to.limits.Receive(s.now, w.message)
 	}
 	s.messages = messages
 	answers := s.answers[:0]
@@ -382,7 +382,7 @@
 func TestLimitsUnclear(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
-	l.ObserveUnclear(start, limitID)
+	l.ObserveUnparsed(start, limitID)
 	if l.Limited(limitID) {
 		t.Error("limit set by an answer whose limit cannot be parsed")
 	}
@@ -390,7 +390,7 @@
 	for i := range 50 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
 		l.ObserveNone(now, limitID, now)
-		l.ObserveUnclear(now, limitID)
+		l.ObserveUnparsed(now, limitID)
 	}
 	if !l.Limited(limitID) {
 		t.Error("limit ended while answers carry one")
--- a/decide/member.go
+++ b/decide/member.go
@@ -32,7 +32,7 @@
 	doubts        map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides the holding
 	replaced      bool                                // another incarnation answers at its address
 	refusedUntil  time.Time                           // set when it refuses a connection
-	rest          *rest                               // a pause that it asked for, or nil
+	backoff       *upstreamBackoff                    // a pause that it asked for, or nil
 	coldUntil     time.Time                           // according to its entry and its responses
 	coldSeen      wardturn.Position                   // position of the entry behind coldUntil; negative if none
 	watchUntil    time.Time                           // until when it may be cold without having reported it
@@ -140,12 +140,12 @@
 
 // usable reports whether a request may be sent to a member now.
 func (m *Member) usable(now time.Time, tried []wardturn.UpstreamID) bool {
-	return m.available(now) && m.rest.over(now) && !slices.Contains(tried, m.ID)
+	return m.available(now) && m.backoff.allows(now) && !slices.Contains(tried, m.ID)
 }
 
 // open reports whether a member is usable now or will be shortly.
 func (m *Member) open(now time.Time) bool {
-	return m.available(now) && !m.rest.inForce(now)
+	return m.available(now) && !m.backoff.inForce(now)
 }
 
 // available is usable without regard to a requested pause and to the members that a
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -13,9 +13,9 @@
 	active int
 }
 
-// Enter reports whether a request is admitted, and the delay after which to retry if it is
+// Acquire reports whether a request is admitted, and the delay after which to retry if it is
 // not. The caller calls Leave at the end of each admitted request.
-func (q *Quota) Enter(now time.Time) (retryAfter time.Duration, ok bool) {
+func (q *Quota) Acquire(now time.Time) (retryAfter time.Duration, ok bool) {
 	if q.Concurrency > 0 && q.active >= q.Concurrency {
 		return time.Second, false
 	}
@@ -31,12 +31,12 @@
 	return 0, true
 }
 
-// Leave records the end of an admitted request.
-func (q *Quota) Leave() {
+// Release records the end of an admitted request.
+func (q *Quota) Release() {
 	q.active--
 }
 
-// Open returns the number of admitted requests that have not ended.
-func (q *Quota) Open() int {
+// Active returns the number of admitted requests that have not ended.
+func (q *Quota) Active() int {
 	return q.active
 }
--- a/decide/rest.go
+++ b/decide/rest.go
@@ -24,26 +24,26 @@
 	backoffRetention = time.Minute
 )
 
-// rest is a backoff: a period during which an upstream asked this gateway to send it no
+// upstreamBackoff is a backoff: a period during which an upstream asked this gateway to send it no
 // requests. Without it, an upstream that refuses requests would have the lowest load and so
 // be preferred over all others.
-type rest struct {
+type upstreamBackoff struct {
 	until   time.Time
 	trialAt time.Time // time of the latest request sent
 }
 
 // inForce reports whether the backoff is in force. A nil rest is never in force.
-func (r *rest) inForce(now time.Time) bool {
+func (r *upstreamBackoff) inForce(now time.Time) bool {
 	return r != nil && now.Before(r.until)
 }
 
-// over reports whether the backoff allows a request to be sent to the upstream now.
-func (r *rest) over(now time.Time) bool {
+// allows reports whether the backoff allows a request to be sent to the upstream now.
+func (r *upstreamBackoff) allows(now time.Time) bool {
 	return r == nil || !r.inForce(now) && now.Sub(r.trialAt) >= backoffTrialInterval
 }
 
 // remaining returns the time until the backoff allows a request.
-func (r *rest) remaining(now time.Time) time.Duration {
+func (r *upstreamBackoff) remaining(now time.Time) time.Duration {
 	if r == nil {
 		return 0
 	}
@@ -51,81 +51,81 @@
 }
 
 // sent records that a request is sent to the upstream.
-func (r *rest) sent(now time.Time) {
+func (r *upstreamBackoff) sent(now time.Time) {
 	if r != nil {
 		r.trialAt = now
 	}
 }
 
-// Rests records that an upstream refused a request and asked for a backoff of the given
+// BackOff records that an upstream refused a request and asked for a backoff of the given
 // duration, and reports whether no backoff was in force before. Of several the one that
 // ends last counts. It stays in force when the list of upstreams changes and when the
 // upstream restarts under the same name.
-func (f *Fleet) Rests(now time.Time, id wardturn.UpstreamID, asked time.Duration) (changed bool) {
+func (f *Fleet) BackOff(now time.Time, id wardturn.UpstreamID, asked time.Duration) (changed bool) {
 	if asked <= 0 {
 		return false
 	}
-	r := f.rests[id.Instance()]
+	r := f.backoffs[id.Instance()]
 	if r == nil {
-		r = &rest{}
-		f.rests[id.Instance()] = r
+		r = &upstreamBackoff{}
+		f.backoffs[id.Instance()] = r
 	}
 	changed = !r.inForce(now)
 	r.until = latest(r.until, now.Add(min(asked, maxUpstreamBackoff)))
 	if m := f.members[id]; m != nil {
-		m.rest = r
+		m.backoff = r
 	}
 	return changed
 }
 
-// RestsUnclear is Rests for a duration that cannot be parsed.
-func (f *Fleet) RestsUnclear(now time.Time, id wardturn.UpstreamID) (changed bool) {
-	return f.Rests(now, id, unclearBackoff)
+// BackOffUnparsed is Rests for a duration that cannot be parsed.
+func (f *Fleet) BackOffUnparsed(now time.Time, id wardturn.UpstreamID) (changed bool) {
+	return f.BackOff(now, id, unclearBackoff)
 }
 
-// Rested records that an upstream answered a request, sent at the given time, without
+// ClearBackoff records that an upstream answered a request, sent at the given time, without
 // asking for a backoff.
-func (f *Fleet) Rested(id wardturn.UpstreamID, sent time.Time) {
+func (f *Fleet) ClearBackoff(id wardturn.UpstreamID, sent time.Time) {
 	m := f.members[id]
-	if m == nil || m.rest == nil || sent.Before(m.rest.until) {
+	if m == nil || m.backoff == nil || sent.Before(m.backoff.until) {
 		return
 	}
-	m.rest = nil
-	delete(f.rests, id.Instance())
+	m.backoff = nil
+	delete(f.backoffs, id.Instance())
 }
 
-// allRest reports whether all upstreams that may serve a request are backing off, and the
+// allBackingOff reports whether all upstreams that may serve a request are backing off, and the
 // time until the first of them allows a request.
-func (f *Fleet) allRest(now time.Time, t *Ticket) (left time.Duration, all bool) {
-	if len(f.rests) == 0 {
+func (f *Fleet) allBackingOff(now time.Time, t *Ticket) (left time.Duration, all bool) {
+	if len(f.backoffs) == 0 {
 		return 0, false
 	}
 	for _, m := range f.services[t.Service] {
 		if !m.available(now) || !f.inRegions(m, t.Regions) {
 			continue
 		}
-		if !m.rest.inForce(now) {
+		if !m.backoff.inForce(now) {
 			return 0, false
 		}
-		if l := m.rest.remaining(now); !all || l < left {
+		if l := m.backoff.remaining(now); !all || l < left {
 			left, all = l, true
 		}
 	}
 	return left, all
 }
 
-// forgetRests drops backoffs that ended more than backoffRetention ago.
-func (f *Fleet) forgetRests(now time.Time) {
-	for instance, r := range f.rests {
+// dropEndedBackoffs drops backoffs that ended more than backoffRetention ago.
+func (f *Fleet) dropEndedBackoffs(now time.Time) {
+	for instance, r := range f.backoffs {
 		if now.Sub(r.until) > backoffRetention {
-			delete(f.rests, instance)
+			delete(f.backoffs, instance)
 		}
 	}
 }
 
-// spreadRest returns the retry delay for a caller after a backoff with the given time left.
+// jitteredDelay returns the retry delay for a caller after a backoff with the given time left.
 // It adds jitter, since callers that all retried at the end would be refused together.
-func (f *Fleet) spreadRest(left time.Duration) time.Duration {
+func (f *Fleet) jitteredDelay(left time.Duration) time.Duration {
 	jitter := max(minBackoffJitter, time.Duration(backoffJitterPart*float64(left)))
 	return left + time.Duration(f.cfg.Draw()*float64(jitter))
 }
--- a/decide/rest_test.go
+++ b/decide/rest_test.go
@@ -19,13 +19,13 @@
 	})
 	backOffAll := func(d time.Duration) {
 		for _, m := range fleetMembers() {
-			x.f.Rests(x.now, m.ID, d)
+			x.f.BackOff(x.now, m.ID, d)
 		}
 	}
 
 	It("has its adapters loaded elsewhere at the first request", func() {
 		x.hold("n0", readyAdapter("a", 1))
-		x.f.Rests(x.now, "n0", 3*time.Second)
+		x.f.BackOff(x.now, "n0", 3*time.Second)
 		x.out.Asks = nil
 		x.admit("r", "a")
 		Expect(x.out.Asks).To(HaveLen(1))
@@ -37,8 +37,8 @@
 
 	It("keeps its backoff if it is missing from a list, asks for a shorter one, or restarts under its name", func() {
 		x.hold("n0", readyAdapter("a", 1))
-		x.f.Rests(x.now, "n0", 3*time.Second)
-		x.f.Rests(x.now, "n0", time.Second)
+		x.f.BackOff(x.now, "n0", 3*time.Second)
+		x.f.BackOff(x.now, "n0", time.Second)
 		x.f.SetMembers(x.now, fleetMembers()[1:])
 		again := fleetMembers()
 		again[0].ID = wardturn.Lifetime("n0", 7)
@@ -55,17 +55,17 @@
 
 	It("gets one trial request after it, and the others once that is answered", func() {
 		x.hold("n0", readyAdapter("a", 1))
-		x.f.Rests(x.now, "n0", time.Second)
+		x.f.BackOff(x.now, "n0", time.Second)
 		x.now = x.now.Add(time.Second)
 		sent := x.now
 		x.admit("first", "a")
 		Expect(x.got["first"].Member.ID).To(BeEquivalentTo("n0"))
 		x.admit("second", "a")
 		Expect(x.got).NotTo(HaveKey("second"))
-		x.f.Rested("n0", sent.Add(-time.Millisecond))
+		x.f.ClearBackoff("n0", sent.Add(-time.Millisecond))
 		x.tick(10 * time.Millisecond)
 		Expect(x.got).NotTo(HaveKey("second"), "an answer to a request sent before the end of the backoff does not count")
-		x.f.Rested("n0", sent)
+		x.f.ClearBackoff("n0", sent)
 		x.tick(10 * time.Millisecond)
 		Expect(x.got["second"].Member.ID).To(BeEquivalentTo("n0"))
 	})
@@ -74,11 +74,11 @@
 		x.admit("waits", "a")
 		Expect(x.got).NotTo(HaveKey("waits"))
 		backOffAll(2 * time.Second)
-		x.f.Rests(x.now, "f1", time.Second)
+		x.f.BackOff(x.now, "f1", time.Second)
 		x.tick(10 * time.Millisecond)
 		x.admit("comes", "b")
 		for _, id := range []string{"waits", "comes"} {
-			Expect(x.got[id].Reason).To(Equal(wardturn.ReasonResting))
+			Expect(x.got[id].Reason).To(Equal(wardturn.ReasonBackoff))
 			Expect(x.got[id].RetryAfter).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond))
 		}
 	})
@@ -92,7 +92,7 @@
 		f.SetTable(fleetTable(nil))
 		f.SetMembers(x.now, fleetMembers())
 		for _, m := range fleetMembers() {
-			f.Rests(x.now, m.ID, 20*time.Second)
+			f.BackOff(x.now, m.ID, 20*time.Second)
 		}
 		retryDelay := func() (back time.Duration) {
 			t := x.ticket("plain", "")
@@ -108,9 +108,9 @@
 	})
 
 	It("gets a backoff of at most one hour, and none if it asks for zero", func() {
-		x.f.Rests(x.now, "n0", 0)
+		x.f.BackOff(x.now, "n0", 0)
 		Expect(x.takes(x.now, "n0")).To(BeTrue())
-		x.f.Rests(x.now, "n0", 1e8*time.Second)
+		x.f.BackOff(x.now, "n0", 1e8*time.Second)
 		Expect(x.takes(x.now.Add(59*time.Minute), "n0")).To(BeFalse())
 		Expect(x.takes(x.now.Add(61*time.Minute), "n0")).To(BeTrue())
 	})
--- a/decide/share.go
+++ b/decide/share.go
@@ -15,11 +15,11 @@
 	useTolerance = 1.0
 )
 
-// shares tracks how much of an upstream's time each team has used recently. When the
+// teamUse tracks how much of an upstream's time each team has used recently. When the
 // upstream is full, the team with the least use for its weight runs next, so that a burst
 // of one team does not delay the others. While the upstream has free capacity no request
 // waits and weights have no effect.
-type shares struct {
+type teamUse struct {
 	weights map[wardturn.TeamID]float64
 	used    map[wardturn.TeamID]*usage
 }
@@ -29,14 +29,14 @@
 	at      time.Time
 }
 
-func newShares() shares {
-	return shares{
+func newTeamUse() teamUse {
+	return teamUse{
 		used: make(map[wardturn.TeamID]*usage),
 	}
 }
 
 // add records the run time of a team's request.
-func (s *shares) add(now time.Time, team wardturn.TeamID, ran time.Duration) {
+func (s *teamUse) add(now time.Time, team wardturn.TeamID, ran time.Duration) {
 	u := s.used[team]
 	if u == nil {
 		u = &usage{
@@ -53,7 +53,7 @@
 }
 
 // weightedUse returns the recent use of a team divided by its weight.
-func (s *shares) weightedUse(now time.Time, team wardturn.TeamID) float64 {
+func (s *teamUse) weightedUse(now time.Time, team wardturn.TeamID) float64 {
 	u := s.used[team]
 	if u == nil {
 		return 0
@@ -65,7 +65,7 @@
 }
 
 // sweep drops teams without recent use.
-func (s *shares) sweep(now time.Time) {
+func (s *teamUse) sweep(now time.Time) {
 	for team, u := range s.used {
 		if u.decayed(now) < useTolerance/10 {
 			delete(s.used, team)
@@ -73,9 +73,9 @@
 	}
 }
 
-// SetShares sets the weights of the teams; a team without one has 1.
-func (a *Agent) SetShares(weights map[wardturn.TeamID]float64) {
-	a.shares.weights = weights
+// SetWeights sets the weights of the teams; a team without one has 1.
+func (a *Agent) SetWeights(weights map[wardturn.TeamID]float64) {
+	a.teamUse.weights = weights
 }
 
 // before reports whether x runs before y. Items that wait longer than StarveAfter come
@@ -92,8 +92,8 @@
 	case x.rank != y.rank:
 		return x.rank < y.rank
 	case x.work.Team != y.work.Team:
-		usedX := a.shares.weightedUse(now, x.work.Team)
-		usedY := a.shares.weightedUse(now, y.work.Team)
+		usedX := a.teamUse.weightedUse(now, x.work.Team)
+		usedY := a.teamUse.weightedUse(now, y.work.Team)
 		if math.Abs(usedX-usedY) >= useTolerance {
 			return usedX < usedY
 		}
--- a/decide/share_test.go
+++ b/decide/share_test.go
@@ -77,7 +77,7 @@
 
 	It("divide a full upstream by weight", func() {
 		u := newFullUpstream()
-		u.agent.SetShares(map[wardturn.TeamID]float64{
+		u.agent.SetWeights(map[wardturn.TeamID]float64{
 			"heavy": 3,
 		})
 		u.admit("heavy", 200)
--- a/decide/teamcaps.go
+++ b/decide/teamcaps.go
@@ -119,7 +119,7 @@
 	if reachable == len(c.others)+1 {
 		c.clearOffsets(now)
 	}
-	counted = c.counted.Take(now, counted)
+	counted = c.counted.Update(now, counted)
 	if counted == 0 {
 		counted = c.gateways // an isolated gateway keeps the last known number
 	}
@@ -166,10 +166,10 @@
 	}
 }
 
-// Recall sets the number of gateways known before this process started. It applies until
+// SetPreviousGateways sets the number of gateways known before this process started. It applies until
 // keepers and other gateways have had time to report. Otherwise each newly started process
 // would assume that it is the only one and grant a team its whole cap.
-func (c *TeamCaps) Recall(now time.Time, gateways int) {
+func (c *TeamCaps) SetPreviousGateways(now time.Time, gateways int) {
 	c.previousGateways = gateways
 	c.SetGateways(now, 0)
 }
@@ -182,10 +182,10 @@
 	}
 }
 
-// Take charges a request's units to its team's cap. If the cap is used up, it returns false
+// Charge charges a request's units to its team's cap. If the cap is used up, it returns false
 // and the delay after which to retry. A request may be larger than the remaining level or
 // the burst; the excess becomes a debt.
-func (c *TeamCaps) Take(now time.Time, team wardturn.TeamID, units int64) (retryAfter time.Duration, ok bool) {
+func (c *TeamCaps) Charge(now time.Time, team wardturn.TeamID, units int64) (retryAfter time.Duration, ok bool) {
 	t := c.caps[team]
 	if t == nil || t.limit.Rate <= 0 {
 		return 0, true
@@ -204,17 +204,17 @@
 	return min(time.Duration(wait*float64(time.Second)), maxCapRetryDelay), false
 }
 
-// GiveBack refunds the units of a request that no upstream ran.
-func (c *TeamCaps) GiveBack(team wardturn.TeamID, units int64) {
+// Refund refunds the units of a request that no upstream ran.
+func (c *TeamCaps) Refund(team wardturn.TeamID, units int64) {
 	if t := c.caps[team]; t != nil && t.limit.Rate > 0 {
 		t.level += float64(units)
 		t.used -= units
 	}
 }
 
-// Left returns what is left of a team's cap, as far as known here, in seconds of the cap's
+// Remaining returns what is left of a team's cap, as far as known here, in seconds of the cap's
 // rate. A negative value is a debt.
-func (c *TeamCaps) Left(now time.Time, team wardturn.TeamID) float64 {
+func (c *TeamCaps) Remaining(now time.Time, team wardturn.TeamID) float64 {
 	t := c.caps[team]
 	if t == nil || t.limit.Rate <= 0 {
 		return 0
--- a/decide/teamcaps_apart_test.go
+++ b/decide/teamcaps_apart_test.go
@@ -81,7 +81,7 @@
 	for i, g := range s.gateways {
 		if restarted == "each of 26" || i < 9 {
 			s.startProcess(g)
-			g.caps.Recall(s.now, n)
+			g.caps.SetPreviousGateways(s.now, n)
 			g.side = 1 + i
 		}
 	}
--- a/decide/teamcaps_bench_test.go
+++ b/decide/teamcaps_bench_test.go
@@ -32,11 +32,11 @@
 		return c
 	}
 	for _, gateways := range []int{26, 470} {
-		reports := make([]decide.TeamWord, gateways)
+		reports := make([]decide.TeamUsageReport, gateways)
 		for i := range reports {
 			reports[i].Process = wardturn.Incarnation(fmt.Sprint("g", i))
 			for t := range teams {
-				reports[i].Used = append(reports[i].Used, decide.TeamUsed{
+				reports[i].Used = append(reports[i].Used, decide.TeamUsage{
 					Team: team(t),
 				})
 			}
@@ -47,7 +47,7 @@
 				for t := range reports[i].Used {
 					reports[i].Used[t].Total += 700
 				}
-				c.Heard(now, reports[i])
+				c.Receive(now, reports[i])
 			}
 		}
 		b.Run(fmt.Sprintf("take/gateways=%d", gateways), func(b *testing.B) {
@@ -56,7 +56,7 @@
 			receive(c, now, 1)
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time.Millisecond)
-				c.Take(now, team(i), 700)
+				c.Charge(now, team(i), 700)
 			}
 		})
 		b.Run(fmt.Sprintf("hear/gateways=%d", gateways), func(b *testing.B) {
--- a/decide/teamcaps_heal_test.go
+++ b/decide/teamcaps_heal_test.go
@@ -113,7 +113,7 @@
 		s.run(0.3*capRate, 4*time.Second)
 		for _, g := range s.gateways[:n] {
 			s.startProcess(g)
-			g.caps.Recall(s.now, 26)
+			g.caps.SetPreviousGateways(s.now, 26)
 			g.isolated = int(20 * time.Second / capStep)
 		}
 		s.run(4.2*capRate, 12*time.Second)
--- a/decide/teamcaps_test.go
+++ b/decide/teamcaps_test.go
@@ -51,7 +51,7 @@
 type capReport struct {
 	to     *capGateway
 	at     time.Time
-	report decide.TeamWord
+	report decide.TeamUsageReport
 }
 
 func newCapSim(n int, shares bool) *capSim {
@@ -105,13 +105,13 @@
 		g.receivesNothing = max(0, g.receivesNothing-1)
 		for g.pending += rate * capStep.Seconds() * g.weight / weights; g.pending >= capUnits; g.pending -= capUnits {
 			demanded += capUnits
-			if _, ok := g.caps.Take(s.now, capTeam, capUnits); ok {
+			if _, ok := g.caps.Charge(s.now, capTeam, capUnits); ok {
 				taken += capUnits
 			} else {
 				s.refused += capUnits
 			}
 		}
-		if s.now.Sub(start)%checkInterval == 0 || !s.noEarlyReports && g.caps.Pressing(s.now, capTeam) {
+		if s.now.Sub(start)%checkInterval == 0 || !s.noEarlyReports && g.caps.NeedsEarlyReport(s.now, capTeam) {
 			s.sendReport(g, delay, lost)
 		}
 	}
@@ -130,7 +130,7 @@
 		counted = 0
 	}
 	g.caps.SetGateways(s.now, counted)
-	report, due := g.caps.Word(s.now)
+	report, due := g.caps.Report(s.now)
 	if !due {
 		return
 	}
@@ -170,7 +170,7 @@
 			kept = append(kept, w)
 			continue
 		}
-		w.to.caps.Heard(s.now, w.report)
+		w.to.caps.Receive(s.now, w.report)
 	}
 	s.reports = kept
 }
@@ -270,10 +270,10 @@
 				s := newCapSim(29, false)
 				s.noEarlyReports = noEarlyReports
 				run(s, 0.55*capRate, 6*time.Second+at)
-				before := s.gateways[0].caps.Words()
+				before := s.gateways[0].caps.ReportCount()
 				run(s, 7.5*capRate, 10*time.Second)
 				worst[noEarlyReports] = max(worst[noEarlyReports], s.excess())
-				reports[noEarlyReports] = s.gateways[0].caps.Words() - before
+				reports[noEarlyReports] = s.gateways[0].caps.ReportCount() - before
 			}
 		}
 		Expect(worst[false]).To(BeNumerically("<", 0.5), "%v", worst)
@@ -306,7 +306,7 @@
 		taken := 0
 		for range 200 {
 			s.now = s.now.Add(capStep)
-			if _, ok := g.caps.Take(s.now, capTeam, capUnits); ok {
+			if _, ok := g.caps.Charge(s.now, capTeam, capUnits); ok {
 				taken += capUnits
 			}
 		}
@@ -317,13 +317,13 @@
 		s := newCapSim(1, false)
 		c := s.gateways[0].caps
 		s.now = s.now.Add(2 * time.Second)
-		_, ok := c.Take(s.now, capTeam, 3*capRate)
+		_, ok := c.Charge(s.now, capTeam, 3*capRate)
 		Expect(ok).To(BeTrue())
-		back, ok := c.Take(s.now, capTeam, capUnits)
+		back, ok := c.Charge(s.now, capTeam, capUnits)
 		Expect(ok).To(BeFalse())
 		Expect(back).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond))
 		s.now = s.now.Add(back)
-		_, ok = c.Take(s.now, capTeam, capUnits)
+		_, ok = c.Charge(s.now, capTeam, capUnits)
 		Expect(ok).To(BeTrue())
 	})
 
@@ -331,9 +331,9 @@
 		s := newCapSim(1, false)
 		c := s.gateways[0].caps
 		s.now = s.now.Add(2 * time.Second)
-		c.Take(s.now, capTeam, capRate)
-		one, _ := c.Take(s.now, capTeam, capRate/10)
-		two, _ := c.Take(s.now, capTeam, capRate/10)
+		c.Charge(s.now, capTeam, capRate)
+		one, _ := c.Charge(s.now, capTeam, capRate/10)
+		two, _ := c.Charge(s.now, capTeam, capRate/10)
 		Expect(two - one).To(BeNumerically("~", 100*time.Millisecond, time.Millisecond))
 	})
 
@@ -341,23 +341,23 @@
 		s := newCapSim(2, false)
 		run(s, 0, 2*time.Second)
 		a, b := s.gateways[0].caps, s.gateways[1].caps
-		a.Take(s.now, capTeam, capRate)
+		a.Charge(s.now, capTeam, capRate)
 		run(s, 0, checkInterval+100*time.Millisecond)
-		left := b.Left(s.now, capTeam)
+		left := b.Remaining(s.now, capTeam)
 		Expect(left).To(BeNumerically("<", 0.5))
-		a.GiveBack(capTeam, capRate)
+		a.Refund(capTeam, capRate)
 		run(s, 0, checkInterval+100*time.Millisecond)
-		Expect(b.Left(s.now, capTeam)).To(BeNumerically("~", 1, 0.01))
+		Expect(b.Remaining(s.now, capTeam)).To(BeNumerically("~", 1, 0.01))
 	})
 
 	It("refunds as much as was taken", func() {
 		s := newCapSim(1, false)
 		c := s.gateways[0].caps
 		s.now = s.now.Add(2 * time.Second)
-		c.Take(s.now, capTeam, capRate/2)
-		c.Take(s.now, capTeam, capRate/4)
-		c.GiveBack(capTeam, capRate/4)
-		Expect(c.Left(s.now, capTeam)).To(BeNumerically("~", 0.5, 0.01))
+		c.Charge(s.now, capTeam, capRate/2)
+		c.Charge(s.now, capTeam, capRate/4)
+		c.Refund(capTeam, capRate/4)
+		Expect(c.Remaining(s.now, capTeam)).To(BeNumerically("~", 0.5, 0.01))
 	})
 
 	It("applies a lower cap at once", func() {
@@ -371,8 +371,8 @@
 				Burst: capRate / 10,
 			},
 		}})
-		c.Take(s.now, capTeam, capRate/10)
-		_, ok := c.Take(s.now, capTeam, 1)
+		c.Charge(s.now, capTeam, capRate/10)
+		_, ok := c.Charge(s.now, capTeam, 1)
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/decide/teamwords.go
+++ b/decide/teamwords.go
@@ -44,17 +44,17 @@
 	silentGatewayRetention = time.Minute
 )
 
-// TeamWord is the report by which a gateway tells the others how much of the caps it has
+// TeamUsageReport is the report by which a gateway tells the others how much of the caps it has
 // used.
-type TeamWord struct {
+type TeamUsageReport struct {
 	Process wardturn.Incarnation
 	Seq     uint64        // sequence number of the report within the process
 	Age     time.Duration // time since the process started counting
-	Used    []TeamUsed
+	Used    []TeamUsage
 }
 
-// TeamUsed is the usage of a team's cap by one gateway process since its start.
-type TeamUsed struct {
+// TeamUsage is the usage of a team's cap by one gateway process since its start.
+type TeamUsage struct {
 	Team  wardturn.TeamID
 	Total int64
 }
@@ -75,10 +75,10 @@
 	reportedAge  map[wardturn.TeamID]time.Duration // Age of the latest report on a team
 }
 
-// Word returns the report to send to the other gateways, if one is due.
-func (c *TeamCaps) Word(now time.Time) (report TeamWord, due bool) {
+// Report returns the report to send to the other gateways, if one is due.
+func (c *TeamCaps) Report(now time.Time) (report TeamUsageReport, due bool) {
 	if c.cfg.EqualShares {
-		return TeamWord{}, false
+		return TeamUsageReport{}, false
 	}
 	c.recountGateways(now)
 	heartbeat := now.Sub(c.reportedAt) >= reportHeartbeat
@@ -89,13 +89,13 @@
 			continue
 		}
 		due = due || unreported > 0
-		report.Used = append(report.Used, TeamUsed{
+		report.Used = append(report.Used, TeamUsage{
 			Team:  id,
 			Total: t.used,
 		})
 	}
 	if !due && !heartbeat {
-		return TeamWord{}, false
+		return TeamUsageReport{}, false
 	}
 	for _, u := range report.Used {
 		t := c.caps[u.Team]
@@ -110,10 +110,10 @@
 	return report, true
 }
 
-// Pressing reports whether the usage of a team's cap since the latest report is so high
+// NeedsEarlyReport reports whether the usage of a team's cap since the latest report is so high
 // that the others must be told before the next regular check. This happens when a team
 // suddenly uses far more than before.
-func (c *TeamCaps) Pressing(now time.Time, id wardturn.TeamID) bool {
+func (c *TeamCaps) NeedsEarlyReport(now time.Time, id wardturn.TeamID) bool {
 	t := c.caps[id]
 	if t == nil || c.cfg.EqualShares || now.Sub(c.reportedAt) < earlyReportInterval {
 		return false
@@ -125,8 +125,8 @@
 	return unreported >= earlyReportFactor*t.unreportedBound(now, c.reachablePart)
 }
 
-// Words returns the number of reports this process has made.
-func (c *TeamCaps) Words() uint64 {
+// ReportCount returns the number of reports this process has made.
+func (c *TeamCaps) ReportCount() uint64 {
 	return c.seq
 }
 
@@ -137,8 +137,8 @@
 	return max(unreportedPart*t.limit.Rate, unreportedLevelPart*t.level)
 }
 
-// Heard processes a report of another gateway.
-func (c *TeamCaps) Heard(now time.Time, report TeamWord) {
+// Receive processes a report of another gateway.
+func (c *TeamCaps) Receive(now time.Time, report TeamUsageReport) {
 	if report.Process == c.self || c.cfg.EqualShares {
 		return
 	}
@@ -189,7 +189,7 @@
 
 // record stores the sequence number and timing of a report, and reports whether the report
 // was delayed in transit by more than reportDelayed.
-func (o *otherGateway) record(at time.Duration, report TeamWord) (delayed bool) {
+func (o *otherGateway) record(at time.Duration, report TeamUsageReport) (delayed bool) {
 	if report.Age-o.age > reportTimeout {
 		o.gapEnd = report.Age
 	}
--- a/decide/trust.go
+++ b/decide/trust.go
@@ -18,16 +18,16 @@
 	pathBackoffJitter = 0.25
 )
 
-// Trust is the exponential backoff of a network path: it decides when a path that has
+// PathBackoff is the exponential backoff of a network path: it decides when a path that has
 // failed may be used again.
-type Trust struct {
+type PathBackoff struct {
 	Draw    func() float64 // random number in [0, 1); nil: the package's Draw
 	backoff time.Duration  // latest backoff, without jitter
 	until   time.Time
 }
 
 // Fail records that the path has failed after being in use since the given time.
-func (t *Trust) Fail(now, since time.Time) {
+func (t *PathBackoff) Fail(now, since time.Time) {
 	t.backoff = min(2*t.backoff, maxPathBackoff)
 	if t.backoff == 0 || now.Sub(since) >= pathBackoffReset {
 		t.backoff = minPathBackoff
@@ -41,6 +41,6 @@
 }
 
 // Allows reports whether the path may be used.
-func (t *Trust) Allows(now time.Time) bool {
+func (t *PathBackoff) Allows(now time.Time) bool {
 	return !now.Before(t.until)
 }
--- a/decide/trust_test.go
+++ b/decide/trust_test.go
@@ -11,7 +11,7 @@
 
 var _ = Describe("Backoff of a path", func() {
 	// pause returns how long the path is not used from now on.
-	pause := func(t *decide.Trust, now time.Time) time.Duration {
+	pause := func(t *decide.PathBackoff, now time.Time) time.Duration {
 		for d := time.Duration(0); ; d += 100 * time.Millisecond {
 			if t.Allows(now.Add(d)) {
 				return d
@@ -20,7 +20,7 @@
 	}
 
 	It("allows use at first and grows with each failure that follows soon", func() {
-		t := &decide.Trust{
+		t := &decide.PathBackoff{
 			Draw: func() float64 { return 0.5 },
 		}
 		now := start
@@ -43,10 +43,10 @@
 	})
 
 	It("ends at different times in different processes", func() {
-		early := &decide.Trust{
+		early := &decide.PathBackoff{
 			Draw: func() float64 { return 0 },
 		}
-		late := &decide.Trust{
+		late := &decide.PathBackoff{
 			Draw: func() float64 { return 0.99 },
 		}
 		early.Fail(start, start)
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -11,7 +11,7 @@
 	m.running++
 	f.reads(m, prompt)
 	m.breaker.Tried(now)
-	m.rest.sent(now)
+	m.backoff.sent(now)
 	f.limits.Sent(now, m.ID)
 	if key.Adapter == "" {
 		return
--- a/decide/wait.go
+++ b/decide/wait.go
@@ -230,8 +230,8 @@
 	if reason, none := f.noneMay(t); none {
 		return reason, maxComeBack, true
 	}
-	if left, all := f.allRest(now, t); all {
-		return wardturn.ReasonResting, f.spreadRest(left), true
+	if left, all := f.allBackingOff(now, t); all {
+		return wardturn.ReasonBackoff, f.jitteredDelay(left), true
 	}
 	return "", 0, false
 }
--- a/entry/auth.go
+++ b/entry/auth.go
@@ -75,14 +75,14 @@
 	q.Rate = d.Rate
 	q.Burst = d.Burst
 	q.Concurrency = d.Concurrency
-	return q.Enter(e.clock.Now())
+	return q.Acquire(e.clock.Now())
 }
 
 // leave records the end of a request that enter admitted.
 func (e *Entry) leave(caller wardturn.CallerID) {
 	e.quotaMu.Lock()
 	defer e.quotaMu.Unlock()
-	if q := e.quotas[caller]; q != nil && q.Open() > 0 {
-		q.Leave()
+	if q := e.quotas[caller]; q != nil && q.Active() > 0 {
+		q.Release()
 	}
 }
--- a/gateway/caps.go
+++ b/gateway/caps.go
@@ -57,7 +57,7 @@
 func (c *caps) recall(gateways int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.teams.Recall(c.g.clock.Now(), gateways)
+	c.teams.SetPreviousGateways(c.g.clock.Now(), gateways)
 }
 
 // sendUrgent sends a usage message whenever one cannot wait for the next interval, until the
@@ -77,7 +77,7 @@
 // to two keepers in each failure domain alternately. Totals are cumulative, so the next
 // message makes up for a lost one.
 func (c *caps) announce() {
-	if !c.g.keyed() {
+	if !c.g.hasTeams() {
 		return
 	}
 	c.g.mu.Lock()
@@ -86,7 +86,7 @@
 	c.mu.Lock()
 	now := c.g.clock.Now()
 	c.teams.SetGateways(now, gateways)
-	w, due := c.teams.Word(now)
+	w, due := c.teams.Report(now)
 	turn := c.sent
 	if due {
 		c.sent++
@@ -95,8 +95,8 @@
 	if !due {
 		return
 	}
-	m := &peer.TeamUse{
-		Words: []decide.TeamWord{w},
+	m := &peer.TeamUsageReports{
+		Reports: []decide.TeamUsageReport{w},
 	}
 	for _, conn := range c.g.links.alternatingConns(c.relayKey(gateways), turn) {
 		// Errors are ignored: the next message makes up for a lost one.
@@ -104,12 +104,12 @@
 	}
 }
 
-func (c *caps) receive(m *peer.TeamUse) {
+func (c *caps) receive(m *peer.TeamUsageReports) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.g.clock.Now()
-	for _, w := range m.Words {
-		c.teams.Heard(now, w)
+	for _, w := range m.Reports {
+		c.teams.Receive(now, w)
 	}
 }
 
@@ -122,12 +122,12 @@
 	x.units = x.team.Cap.Units(x.r.Header.Get(x.g.names.TokenCount))
 	c := x.g.caps
 	c.mu.Lock()
-	retryAfter, ok := c.teams.Take(x.g.clock.Now(), x.team.ID, x.units)
+	retryAfter, ok := c.teams.Charge(x.g.clock.Now(), x.team.ID, x.units)
 	left := 0.0
 	if !ok {
-		left = c.teams.Left(x.g.clock.Now(), x.team.ID)
+		left = c.teams.Remaining(x.g.clock.Now(), x.team.ID)
 	}
-	urgent := c.teams.Pressing(x.g.clock.Now(), x.team.ID)
+	urgent := c.teams.NeedsEarlyReport(x.g.clock.Now(), x.team.ID)
 	c.mu.Unlock()
 	if urgent {
 		signal(c.urgent)
@@ -138,15 +138,15 @@
 	return ok
 }
 
-// settle refunds the request's charge if no upstream can have run the request.
-func (x *exchange) settle() {
+// refund refunds the request's charge if no upstream can have run the request.
+func (x *exchange) refund() {
 	if x.units == 0 || x.mayHaveRun {
 		return
 	}
 	c := x.g.caps
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.teams.GiveBack(x.team.ID, x.units)
+	c.teams.Refund(x.team.ID, x.units)
 }
 
 // rejectOverCap rejects a request that exceeds its team's cap. Left is the remainder of the
--- a/gateway/caps_internal_test.go
+++ b/gateway/caps_internal_test.go
@@ -65,7 +65,7 @@
 		}
 	}
 	clock.now = clock.now.Add(5 * time.Second)
-	g.caps.teams.Word(clock.now)
+	g.caps.teams.Report(clock.now)
 	clock.now = clock.now.Add(capInterval / 2)
 	if charge("1,0") {
 		t.Error("a single token requests a message")
--- a/gateway/caps_test.go
+++ b/gateway/caps_test.go
@@ -27,7 +27,7 @@
 	}
 	BeforeEach(func() {
 		x = newRig()
-		x.store.PutConfig(keyed(2, capped+","+free))
+		x.store.PutConfig(configWithTeams(2, capped+","+free))
 		Eventually(func() int {
 			_, r := try(x.front, "key-a", "1,1")
 			return r.status
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -163,7 +163,7 @@
 	if !x.charge() {
 		return
 	}
-	defer x.settle()
+	defer x.refund()
 	x.run()
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -99,29 +99,29 @@
 	source  wardturn.ConfigSource
 	memory  wardturn.FleetMemory
 	// remembered is the latest state saved to memory; used by a single goroutine.
-	remembered   wardturn.FleetFacts
-	returned     atomic.Bool // the store was restored from an older copy and may have lost saved state
-	membership   *membership
-	news         *readCoordinator
-	caps         *caps
-	limits       *limits
-	unread       unreadHeaders
-	rests        atomic.Bool // an upstream has asked to be sent no requests for a while
-	crashes      *crashes
-	routes       atomic.Pointer[routes]
-	pool         *pool
-	links        *links
-	notStarted   *notStarted
-	server       *http.Server
-	ready        *http.Server
-	front        net.Listener
-	open         atomic.Int64
-	held         heldBytes
-	leaving      atomic.Bool
-	membersRead  atomic.Bool // the list of upstreams has been read
-	hadUpstreams atomic.Bool // the list has contained an upstream
-	serveOnce    sync.Once
-	tasks        *process.Tasks
+	remembered        wardturn.FleetFacts
+	returned          atomic.Bool // the store was restored from an older copy and may have lost saved state
+	membership        *membership
+	news              *readCoordinator
+	caps              *caps
+	limits            *limits
+	unread            unreadHeaders
+	backoffsRequested atomic.Bool // an upstream has asked to be sent no requests for a while
+	crashes           *crashes
+	routes            atomic.Pointer[routes]
+	pool              *pool
+	links             *links
+	notStarted        *notStarted
+	server            *http.Server
+	ready             *http.Server
+	front             net.Listener
+	open              atomic.Int64
+	held              heldBytes
+	leaving           atomic.Bool
+	membersRead       atomic.Bool // the list of upstreams has been read
+	hadUpstreams      atomic.Bool // the list has contained an upstream
+	serveOnce         sync.Once
+	tasks             *process.Tasks
 
 	mu             sync.Mutex
 	fleet          *decide.Fleet
--- a/gateway/identify.go
+++ b/gateway/identify.go
@@ -22,7 +22,7 @@
 // refusal if the keys known here are too old, so that one may have been revoked for
 // longer than KeyBound.
 func (x *exchange) authenticate(rs *routes, keysAsOf time.Time) bool {
-	x.teamsConfigured = rs.table.Keyed
+	x.teamsConfigured = rs.table.HasTeams
 	x.routeLevels = rs.levels
 	if !x.teamsConfigured || x.route.Public {
 		return true
--- a/gateway/identify_internal_test.go
+++ b/gateway/identify_internal_test.go
@@ -13,7 +13,7 @@
 	for _, keys := range []int{16, 10_000} {
 		b.Run(fmt.Sprintf("keys=%d", keys), func(b *testing.B) {
 			t := &wardturn.RouteTable{
-				Keyed: true,
+				HasTeams: true,
 			}
 			for i := range 16 {
 				team := wardturn.Team{
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -14,8 +14,8 @@
 	"wardturn/standin"
 )
 
-// keyed returns the rig's configuration with teams and a public route.
-func keyed(version int, teams string) string {
+// configWithTeams returns the rig's configuration with teams and a public route.
+func configWithTeams(version int, teams string) string {
 	plain := config(version, `,{"name":"open","host":"h.example","path_prefix":"/open/","type":"idempotent","timeout_ms":1000,"slo_ms":150,"service":"app","max_attempts":2,"public":true}`)
 	return strings.TrimSuffix(plain, "}") + `,"tenants":[` + teams + `]}`
 }
@@ -67,7 +67,7 @@
 	}
 	BeforeEach(func() {
 		x = newRig()
-		x.store.PutConfig(keyed(2, clerks+","+robots))
+		x.store.PutConfig(configWithTeams(2, clerks+","+robots))
 		Eventually(func() int {
 			return status("/look/a", nil)
 		}, soon, often).Should(Equal(http.StatusUnauthorized))
@@ -138,7 +138,7 @@
 
 	It("are valid once added, and no longer once revoked", func() {
 		Expect(status("/look/a", bearer("key-a"))).To(Equal(http.StatusOK))
-		x.store.PutConfig(keyed(3, `{"name":"clerks","api_keys":["key-b","key-n"]}`))
+		x.store.PutConfig(configWithTeams(3, `{"name":"clerks","api_keys":["key-b","key-n"]}`))
 		Eventually(func() int {
 			return status("/look/a", bearer("key-n"))
 		}, soon, often).Should(Equal(http.StatusOK))
@@ -147,7 +147,7 @@
 	})
 
 	It("stay valid if other fields of their team's record are malformed", func() {
-		x.store.PutConfig(keyed(3, `{"name":"clerks","api_keys":["key-n",7,"key-b"],"rate_per_s":"many"},{"api_keys":["key-z"]},`+robots))
+		x.store.PutConfig(configWithTeams(3, `{"name":"clerks","api_keys":["key-n",7,"key-b"],"rate_per_s":"many"},{"api_keys":["key-z"]},`+robots))
 		Eventually(func() int {
 			return status("/look/a", bearer("key-n"))
 		}, soon, often).Should(Equal(http.StatusOK))
@@ -162,7 +162,7 @@
 var _ = Describe("Keys of a gateway that cannot reach the store", func() {
 	It("are accepted until they may have been revoked too long ago; then requests are refused as not run", func() {
 		x := newRig()
-		x.store.PutConfig(keyed(2, clerks))
+		x.store.PutConfig(configWithTeams(2, clerks))
 		x.keyBound = 2 * time.Second
 		g, front, _ := x.startGateway("late", platform.NewStore(x.storeAddr, x.metrics))
 		Eventually(g.Ready, soon, often).Should(BeTrue())
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -18,7 +18,7 @@
 type limits struct {
 	g     *Gateway
 	state *decide.Limits // guarded by the gateway's lock
-	any   atomic.Bool    // an upstream has announced a limit
+	seen  atomic.Bool    // an upstream has announced a limit
 	sent  atomic.Int64   // messages sent so far
 }
 
@@ -31,12 +31,12 @@
 
 // observe records a response that carries a limit.
 func (l *limits) observe(id wardturn.UpstreamID, limit wardturn.Figure[wardturn.RequestRate], status int) {
-	l.any.Store(true)
+	l.seen.Store(true)
 	now := l.g.clock.Now()
 	l.g.mu.Lock()
 	changed := false
 	if limit.Err != nil {
-		l.state.ObserveUnclear(now, id)
+		l.state.ObserveUnparsed(now, id)
 	} else {
 		changed = l.state.Observe(now, id, limit.Value)
 	}
@@ -69,7 +69,7 @@
 	now := l.g.clock.Now()
 	gateways := l.g.fleet.CountedGateways()
 	l.state.SetGateways(now, gateways)
-	w, fresh, due := l.state.Word(now)
+	w, fresh, due := l.state.Gossip(now)
 	l.g.mu.Unlock()
 	if !due {
 		return
@@ -80,8 +80,8 @@
 	if fresh {
 		conns = l.g.links.announcementConns(key)
 	}
-	m := &peer.LimitNews{
-		Words: []decide.LimitGossip{w},
+	m := &peer.LimitGossip{
+		Messages: []decide.LimitGossip{w},
 	}
 	for _, conn := range conns {
 		// Errors are ignored: another gateway repeats what a lost message carried.
@@ -90,13 +90,13 @@
 }
 
 // receive handles a message of another gateway.
-func (l *limits) receive(m *peer.LimitNews) {
-	l.any.Store(true)
+func (l *limits) receive(m *peer.LimitGossip) {
+	l.seen.Store(true)
 	var changes []decide.LimitUpdate
 	l.g.mu.Lock()
 	now := l.g.clock.Now()
-	for _, w := range m.Words {
-		changes = append(changes, l.state.Heard(now, w)...)
+	for _, w := range m.Messages {
+		changes = append(changes, l.state.Receive(now, w)...)
 	}
 	l.g.mu.Unlock()
 	for _, c := range changes {
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -22,16 +22,16 @@
 	notice         peer.EngineNotice
 	noticeSent     bool // the notice was sent on the current connection
 	conn           *peer.Conn
-	createdAt      time.Time    // when the link was created
-	relay          *link        // the relay; nil if there is none
-	subscribedConn *peer.Conn   // relay connection that carries the subscription; nil if not subscribed
-	relaySince     time.Time    // when the relay was selected
-	relayBackoff   decide.Trust // backoff after a relay failed
-	relaySuspended bool         // a relay failed; updates come directly until the backoff ends
-	synced         bool         // a full state was received
-	seq            uint64       // of the latest update
-	syncStartedAt  time.Time    // when a full state was last requested
-	pendingMark    peer.Mark    // mark that the relay had not reached when it arrived; zero if none
+	createdAt      time.Time          // when the link was created
+	relay          *link              // the relay; nil if there is none
+	subscribedConn *peer.Conn         // relay connection that carries the subscription; nil if not subscribed
+	relaySince     time.Time          // when the relay was selected
+	relayBackoff   decide.PathBackoff // backoff after a relay failed
+	relaySuspended bool               // a relay failed; updates come directly until the backoff ends
+	synced         bool               // a full state was received
+	seq            uint64             // of the latest update
+	syncStartedAt  time.Time          // when a full state was last requested
+	pendingMark    peer.Mark          // mark that the relay had not reached when it arrived; zero if none
 	pendingMarkAt  time.Time
 }
 
@@ -101,9 +101,9 @@
 		l.links.g.news.receive(m)
 	case *peer.CrashNews:
 		l.links.g.crashes.receive(m)
-	case *peer.TeamUse:
+	case *peer.TeamUsageReports:
 		l.links.g.caps.receive(m)
-	case *peer.LimitNews:
+	case *peer.LimitGossip:
 		l.links.g.limits.receive(m)
 	case *peer.StartedReport:
 		l.links.g.notStarted.markStarted(m.Upstream, m.IDs)
@@ -128,7 +128,7 @@
 	g := l.links.g
 	g.metrics.keeperUpdate(relayed, h.Answer)
 	if h.Limit > 0 {
-		g.limits.any.Store(true)
+		g.limits.seen.Store(true)
 	}
 	g.decide(func(now time.Time, out *decide.Moves) {
 		g.fleet.SetHolding(now, id, holdingOf(h), out)
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -28,7 +28,7 @@
 		if err == nil {
 			g.mu.Lock()
 			g.fleet.RecallWindow(facts.Window)
-			g.limits.state.Recall(g.clock.Now(), facts.Gateways)
+			g.limits.state.SetPreviousGateways(g.clock.Now(), facts.Gateways)
 			g.mu.Unlock()
 			g.caps.recall(facts.Gateways)
 			g.remembered = facts
@@ -85,14 +85,14 @@
 			return true
 		}
 	}
-	return rs.table.Keyed
+	return rs.table.HasTeams
 }
 
-// keyed reports whether the configuration has teams. Without any there are no usage caps
+// hasTeams reports whether the configuration has teams. Without any there are no usage caps
 // to share.
-func (g *Gateway) keyed() bool {
+func (g *Gateway) hasTeams() bool {
 	rs := g.routes.Load()
-	return rs != nil && rs.table.Keyed
+	return rs != nil && rs.table.HasTeams
 }
 
 // changedSignificantly reports whether a fact has changed enough to be written to the
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -13,27 +13,27 @@
 // Metrics holds the gateway's counters, gauges and histograms. The series of requests are
 // cached, so that counting a request needs no label lookup.
 type Metrics struct {
-	scope           tally.Scope
-	resends         tally.Counter
-	denied          tally.Counter
-	coldLoads       tally.Histogram
-	warmLoads       tally.Histogram
-	waiting         tally.Gauge
-	loading         tally.Gauge
-	evacuated       tally.Gauge
-	window          tally.Gauge
-	sends           tally.Counter
-	directUpdates   tally.Counter   // keeper updates received directly
-	relayedUpdates  tally.Counter   // keeper updates received through relays
-	replies         tally.Counter   // keeper replies to requests of this gateway
-	oldBegan        tally.Histogram // time from the activation of a newer version to a start on an old one
-	oldEnded        tally.Counter   // requests aborted before they started on an old version
-	relaysAbandoned tally.Counter   // relays abandoned because they sent nothing, were behind, or lost the keeper
-	crashes         tally.Counter   // requests that were at an upstream when it crashed
-	staleKeys       tally.Counter   // requests rejected because the API keys were not refreshed in time
-	rests           tally.Counter   // responses in which an upstream asked to be sent no requests for a while
-	config          recordMetrics
-	members         recordMetrics
+	scope             tally.Scope
+	resends           tally.Counter
+	denied            tally.Counter
+	coldLoads         tally.Histogram
+	warmLoads         tally.Histogram
+	waiting           tally.Gauge
+	loading           tally.Gauge
+	evacuated         tally.Gauge
+	window            tally.Gauge
+	sends             tally.Counter
+	directUpdates     tally.Counter   // keeper updates received directly
+	relayedUpdates    tally.Counter   // keeper updates received through relays
+	replies           tally.Counter   // keeper replies to requests of this gateway
+	oldBegan          tally.Histogram // time from the activation of a newer version to a start on an old one
+	oldEnded          tally.Counter   // requests aborted before they started on an old version
+	relaysAbandoned   tally.Counter   // relays abandoned because they sent nothing, were behind, or lost the keeper
+	crashes           tally.Counter   // requests that were at an upstream when it crashed
+	staleKeys         tally.Counter   // requests rejected because the API keys were not refreshed in time
+	backoffsRequested tally.Counter   // responses in which an upstream asked to be sent no requests for a while
+	config            recordMetrics
+	members           recordMetrics
 
 	mu       sync.RWMutex
 	requests map[seriesKey]outcomeSeries
@@ -95,28 +95,28 @@
 		}).Histogram("adapter_load_time", latencies)
 	}
 	return &Metrics{
-		scope:           scope,
-		resends:         scope.Counter("resends"),
-		denied:          scope.Counter("resends_denied"),
-		coldLoads:       loadTime("store"),
-		warmLoads:       loadTime("memory"),
-		waiting:         scope.Gauge("requests_waiting"),
-		loading:         scope.Gauge("loads_under_way"),
-		evacuated:       scope.Gauge("requests_in_evacuated"),
-		window:          scope.Gauge("load_window"),
-		sends:           scope.Counter("sends"),
-		directUpdates:   keeperUpdates(scope, "direct"),
-		relayedUpdates:  keeperUpdates(scope, "relay"),
-		replies:         keeperUpdates(scope, "answer"),
-		oldBegan:        scope.Histogram("old_version_begin_time", latencies),
-		oldEnded:        scope.Counter("old_version_broken_off"),
-		relaysAbandoned: scope.Counter("relays_left"),
-		crashes:         scope.Counter("crash_suspects"),
-		staleKeys:       scope.Counter("refused_stale_keys"),
-		rests:           scope.Counter("rests_asked"),
-		config:          newRecordMetrics(scope, "configuration"),
-		members:         newRecordMetrics(scope, "upstreams"),
-		requests:        make(map[seriesKey]outcomeSeries),
+		scope:             scope,
+		resends:           scope.Counter("resends"),
+		denied:            scope.Counter("resends_denied"),
+		coldLoads:         loadTime("store"),
+		warmLoads:         loadTime("memory"),
+		waiting:           scope.Gauge("requests_waiting"),
+		loading:           scope.Gauge("loads_under_way"),
+		evacuated:         scope.Gauge("requests_in_evacuated"),
+		window:            scope.Gauge("load_window"),
+		sends:             scope.Counter("sends"),
+		directUpdates:     keeperUpdates(scope, "direct"),
+		relayedUpdates:    keeperUpdates(scope, "relay"),
+		replies:           keeperUpdates(scope, "answer"),
+		oldBegan:          scope.Histogram("old_version_begin_time", latencies),
+		oldEnded:          scope.Counter("old_version_broken_off"),
+		relaysAbandoned:   scope.Counter("relays_left"),
+		crashes:           scope.Counter("crash_suspects"),
+		staleKeys:         scope.Counter("refused_stale_keys"),
+		backoffsRequested: scope.Counter("rests_asked"),
+		config:            newRecordMetrics(scope, "configuration"),
+		members:           newRecordMetrics(scope, "upstreams"),
+		requests:          make(map[seriesKey]outcomeSeries),
 	}
 }
 
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -33,7 +33,7 @@
 	}
 	if head.Rest.Named {
 		g.observeBackoff(id, head.Rest)
-	} else if own && g.rests.Load() {
+	} else if own && g.backoffsRequested.Load() {
 		g.endBackoff(id, x.send.sent)
 	}
 	if head.Cold.Named && own {
@@ -42,7 +42,7 @@
 	switch {
 	case head.Limit.Named:
 		g.limits.observe(id, head.Limit, status)
-	case own && g.limits.any.Load():
+	case own && g.limits.seen.Load():
 		g.limits.observeNone(id, x.send.sent, status)
 	}
 }
@@ -57,17 +57,17 @@
 
 // observeBackoff processes a Retry-After: the upstream asks this gateway to back off.
 func (g *Gateway) observeBackoff(id wardturn.UpstreamID, backoff wardturn.Figure[time.Duration]) {
-	g.rests.Store(true)
+	g.backoffsRequested.Store(true)
 	g.mu.Lock()
 	now := g.clock.Now()
 	changed := false
 	if backoff.Err != nil {
-		changed = g.fleet.RestsUnclear(now, id)
+		changed = g.fleet.BackOffUnparsed(now, id)
 	} else {
-		changed = g.fleet.Rests(now, id, backoff.Value)
+		changed = g.fleet.BackOff(now, id, backoff.Value)
 	}
 	g.mu.Unlock()
-	g.metrics.rests.Inc(1)
+	g.metrics.backoffsRequested.Inc(1)
 	if changed {
 		g.logger.Info("upstream asks for a rest", "upstream", id, "asked", backoff.Value, "error", backoff.Err)
 	}
@@ -77,7 +77,7 @@
 func (g *Gateway) endBackoff(id wardturn.UpstreamID, sent time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.Rested(id, sent)
+	g.fleet.ClearBackoff(id, sent)
 }
 
 // observeCold processes for how much longer a cold upstream takes only few requests.
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -301,13 +301,13 @@
 		k.sendUpdate()
 	case *peer.StoreNews, *peer.CrashNews:
 		k.forward(c, m)
-	case *peer.TeamUse:
+	case *peer.TeamUsageReports:
 		k.queueGossip(gossip{
-			teams: m.Words,
+			teams: m.Reports,
 		})
-	case *peer.LimitNews:
+	case *peer.LimitGossip:
 		k.queueGossip(gossip{
-			limits: m.Words,
+			limits: m.Messages,
 		})
 	case *peer.StartedQuery:
 		k.startedQueries.add(c, m.IDs)
--- a/keeper/words.go
+++ b/keeper/words.go
@@ -14,7 +14,7 @@
 // gossip is what gateways report to each other about rates that they enforce jointly: the
 // usage of team caps and the limits of upstreams.
 type gossip struct {
-	teams  []decide.TeamWord
+	teams  []decide.TeamUsageReport
 	limits []decide.LimitGossip
 }
 
@@ -33,13 +33,13 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.pendingGossip.teams) > 0 {
-		k.forward(nil, &peer.TeamUse{
-			Words: k.pendingGossip.teams,
+		k.forward(nil, &peer.TeamUsageReports{
+			Reports: k.pendingGossip.teams,
 		})
 	}
 	if len(k.pendingGossip.limits) > 0 {
-		k.forward(nil, &peer.LimitNews{
-			Words: k.pendingGossip.limits,
+		k.forward(nil, &peer.LimitGossip{
+			Messages: k.pendingGossip.limits,
 		})
 	}
 	k.pendingGossip = gossip{}
--- a/limit_test.go
+++ b/limit_test.go
@@ -15,7 +15,7 @@
 	// Output: 4.5 <nil>
 }
 
-func TestParseRequestRateGarbled(t *testing.T) {
+func TestParseRequestRateMalformed(t *testing.T) {
 	for _, s := range []string{"", " ", ".", "4.5.1", "-4", "+4", "4e3", "0x4", "NaN", "Inf", "4,5", "4.5 4.5", "4\x005", "1111111111111111111111111", "99999999999"} {
 		if rate, err := wardturn.ParseRequestRate(s); !errors.Is(err, wardturn.ErrBadRate) {
 			t.Errorf("%q: %v, %v", s, rate, err)
--- a/outcome.go
+++ b/outcome.go
@@ -61,8 +61,8 @@
 	ReasonLoading Reason = "adapter_loading"
 	// ReasonLimited: the request rates that the upstreams accept are used up.
 	ReasonLimited Reason = "upstream_limit"
-	// ReasonResting: the upstreams asked to be sent no requests for a while.
-	ReasonResting Reason = "upstream_resting"
+	// ReasonBackoff: the upstreams asked to be sent no requests for a while.
+	ReasonBackoff Reason = "upstream_resting"
 	// ReasonEvacuated: the operator has evacuated the failure domains of all upstreams.
 	ReasonEvacuated Reason = "domains_evacuated"
 	// ReasonRegions: no upstream is in a region where the request may be served.
--- a/peer/message.go
+++ b/peer/message.go
@@ -41,11 +41,11 @@
 	KindFollow
 	KindRelayed
 	KindMark
-	KindTeamUse
+	KindTeamUsageReports
 	KindCrashNews
 	KindStartedQuery
 	KindStartedReport
-	KindLimitNews
+	KindLimitGossip
 )
 
 // Message is a typed message.
@@ -294,16 +294,16 @@
 		return &Relayed{}
 	case KindMark:
 		return &Mark{}
-	case KindTeamUse:
-		return &TeamUse{}
+	case KindTeamUsageReports:
+		return &TeamUsageReports{}
 	case KindCrashNews:
 		return &CrashNews{}
 	case KindStartedQuery:
 		return &StartedQuery{}
 	case KindStartedReport:
 		return &StartedReport{}
-	case KindLimitNews:
-		return &LimitNews{}
+	case KindLimitGossip:
+		return &LimitGossip{}
 	}
 	return nil
 }
--- a/peer/placement.go
+++ b/peer/placement.go
@@ -156,24 +156,24 @@
 	Uses []AdapterUse
 }
 
-// TeamUse is gossip between gateways on how much each has used of the teams' usage caps.
+// TeamUsageReports is gossip between gateways on how much each has used of the teams' usage caps.
 // A gateway sends its report to one keeper in each failure domain, which combines the
 // reports of several gateways in one message to those that receive announcements there.
-type TeamUse struct {
-	Words []decide.TeamWord
+type TeamUsageReports struct {
+	Reports []decide.TeamUsageReport
 }
 
-// LimitNews is gossip between gateways on the rate limits that upstreams announce. It is
-// forwarded in the same way as TeamUse.
-type LimitNews struct {
-	Words []decide.LimitGossip
+// LimitGossip is gossip between gateways on the rate limits that upstreams announce. It is
+// forwarded in the same way as TeamUsageReports.
+type LimitGossip struct {
+	Messages []decide.LimitGossip
 }
 
 // Kind implements Message.
-func (*LimitNews) Kind() Kind { return KindLimitNews }
+func (*LimitGossip) Kind() Kind { return KindLimitGossip }
 
 // Kind implements Message.
-func (*TeamUse) Kind() Kind { return KindTeamUse }
+func (*TeamUsageReports) Kind() Kind { return KindTeamUsageReports }
 
 // Kind implements Message.
 func (*StartedQuery) Kind() Kind { return KindStartedQuery }
--- a/routes.go
+++ b/routes.go
@@ -24,9 +24,9 @@
 	Services map[ServiceName]ServiceSpec
 	Limits   CallerLimits
 	Teams    []Team
-	// Keyed reports whether the configuration has teams: a request of a route that is not
+	// HasTeams reports whether the configuration has teams: a request of a route that is not
 	// public must then carry the key of a team.
-	Keyed bool
+	HasTeams bool
 }
 
 // Route maps the requests of a host and path prefix to services.
--- a/teams.go
+++ b/teams.go
@@ -51,8 +51,8 @@
 	Unit  CapUnit
 	Rate  float64 // units per second; zero: no limit
 	Burst float64 // units that may be used at once beyond the rate
-	// RawTokens is the number of tokens charged for a request without token counts.
-	RawTokens float64
+	// DefaultTokens is the number of tokens charged for a request without token counts.
+	DefaultTokens float64
 }
 
 // Team is a group of callers with its own keys and usage cap.
@@ -67,7 +67,7 @@
 
 // Units returns the units to charge for a request. The argument is the value of its header
 // of token counts: the tokens of the prompt and the maximum number of output tokens. A
-// request without valid counts is charged RawTokens.
+// request without valid counts is charged DefaultTokens.
 func (c UsageCap) Units(header string) int64 {
 	if c.Unit == CapRequests {
 		return 1
@@ -76,7 +76,7 @@
 	p, errPrompt := strconv.ParseInt(strings.TrimSpace(prompt), 10, 64)
 	o, errOut := strconv.ParseInt(strings.TrimSpace(out), 10, 64)
 	if !ok || errPrompt != nil || errOut != nil || p < 0 || o < 0 {
-		return int64(c.RawTokens)
+		return int64(c.DefaultTokens)
 	}
 	return p + o
 }
--- a/teams_test.go
+++ b/teams_test.go
@@ -21,8 +21,8 @@
 
 func ExampleUsageCap_Units() {
 	c := wardturn.UsageCap{
-		Unit:      wardturn.CapTokens,
-		RawTokens: 200,
+		Unit:          wardturn.CapTokens,
+		DefaultTokens: 200,
 	}
 	for _, counts := range []string{"1460,80", "1460", "x,80", "-3,5", ""} {
 		fmt.Print(c.Units(counts), " ")
