--- a/cli/fleet/crashes.go
+++ b/cli/fleet/crashes.go
@@ -31,7 +31,7 @@
 	if err := b.Err(); err != nil {
 		return err
 	}
-	record := platform.NewCrashes(platform.NewStore(c.Store, tally.NoopScope), hclog.NewNullLogger())
+	record := platform.NewCrashStore(platform.NewStore(c.Store, tally.NoopScope), hclog.NewNullLogger())
 	change, err := record.Next()
 	if err != nil {
 		return err
@@ -58,7 +58,7 @@
 // errNoSuchContent is returned for a content that has no record.
 var errNoSuchContent = errors.New("no upstream is recorded to have ended under it")
 
-func (c *crashesCmd) clear(record wardturn.CrashRecord, byContent map[wardturn.ContentID][]wardturn.RecordedCrash) error {
+func (c *crashesCmd) clear(record wardturn.CrashStore, byContent map[wardturn.ContentID][]wardturn.RecordedCrash) error {
 	var takeBack []wardturn.Crash
 	for _, content := range c.Clear {
 		list := byContent[content]
--- a/crash.go
+++ b/crash.go
@@ -13,10 +13,10 @@
 	From    Position // start of the range that was read; zero: all records
 	To      Position // end of the range that was read
 	Crashes []RecordedCrash
-	Cleared []Crash // records that were removed
-	// Returned reports that the store was restored from an older copy since the previous
+	Removed []Crash // records that were removed
+	// Restored reports that the store was restored from an older copy since the previous
 	// read: records that are not in Crashes are lost.
-	Returned bool
+	Restored bool
 }
 
 // RecordedCrash is a crash with the time at which it was recorded.
@@ -25,9 +25,9 @@
 	At time.Time
 }
 
-// CrashRecord stores crashes in the platform's store, so that they outlive gateways and
+// CrashStore stores crashes in the platform's store, so that they outlive gateways and
 // reach gateways that receive no messages from others.
-type CrashRecord interface {
+type CrashStore interface {
 	// Next returns all records on the first call, and the changes since the previous call
 	// after that. It must be called from one goroutine only.
 	Next() (CrashChange, error)
--- a/decide/crashes.go
+++ b/decide/crashes.go
@@ -9,7 +9,7 @@
 	"wardturn"
 )
 
-// Crashes decides which requests are refused because they crash upstreams. A request is
+// CrashTracker decides which requests are refused because they crash upstreams. A request is
 // identified by its content, across all of its attempts. Once a number of upstreams have
 // ended while they served the same content, the content is refused until it has caused no
 // crash for a long time. Gateways report crashes to each other, and each does its own
@@ -19,7 +19,7 @@
 // suspect along with the one that caused the crash. A successful response tells them
 // apart: content that was answered successfully does not crash upstreams, so its crashes
 // are cleared, and for a while it does not become suspect again.
-type Crashes struct {
+type CrashTracker struct {
 	cfg            CrashConfig
 	contents       map[wardturn.ContentID]*suspectContent
 	answered       map[wardturn.ContentID]time.Time  // when each was last answered successfully
@@ -77,9 +77,9 @@
 	Memory time.Duration // how long crashes count after the latest one
 }
 
-// NewCrashes returns a Crashes without any recorded crash.
-func NewCrashes(cfg CrashConfig) *Crashes {
-	return &Crashes{
+// NewCrashTracker returns a Crashes without any recorded crash.
+func NewCrashTracker(cfg CrashConfig) *CrashTracker {
+	return &CrashTracker{
 		cfg:            cfg,
 		contents:       make(map[wardturn.ContentID]*suspectContent),
 		answered:       make(map[wardturn.ContentID]time.Time),
@@ -90,7 +90,7 @@
 }
 
 // Refuses reports whether a content is refused, and for how much longer.
-func (c *Crashes) Refuses(now time.Time, content wardturn.ContentID) (time.Duration, bool) {
+func (c *CrashTracker) Refuses(now time.Time, content wardturn.ContentID) (time.Duration, bool) {
 	s := c.contents[content]
 	if s == nil || len(s.crashes) < c.cfg.Limit {
 		return 0, false
@@ -99,9 +99,9 @@
 	return left, left > 0
 }
 
-// Broke records that a request got no complete response from an upstream. It returns the
+// RequestBroke records that a request got no complete response from an upstream. It returns the
 // crash if the upstream is known to have ended and the crash is new.
-func (c *Crashes) Broke(now time.Time, content wardturn.ContentID, id wardturn.UpstreamID) []wardturn.Crash {
+func (c *CrashTracker) RequestBroke(now time.Time, content wardturn.ContentID, id wardturn.UpstreamID) []wardturn.Crash {
 	at, ended := c.ended[id]
 	if ended && now.Sub(at) < endCorrelationWindow {
 		return c.observed(now, []wardturn.Crash{newCrash(content, id)})
@@ -110,9 +110,9 @@
 	return nil
 }
 
-// Ended records that an upstream has ended without notice. It returns the new crashes
+// UpstreamEnded records that an upstream has ended without notice. It returns the new crashes
 // that follow from this.
-func (c *Crashes) Ended(now time.Time, id wardturn.UpstreamID) []wardturn.Crash {
+func (c *CrashTracker) UpstreamEnded(now time.Time, id wardturn.UpstreamID) []wardturn.Crash {
 	c.ended[id] = now
 	var list []wardturn.Crash
 	for b, at := range c.brokenRequests {
@@ -129,8 +129,8 @@
 
 // observed records crashes observed by this gateway, and returns those that count and are
 // new.
-func (c *Crashes) observed(now time.Time, list []wardturn.Crash) []wardturn.Crash {
-	fresh := c.Heard(now, list)
+func (c *CrashTracker) observed(now time.Time, list []wardturn.Crash) []wardturn.Crash {
+	fresh := c.AddReported(now, list)
 	for _, crash := range fresh {
 		c.state(crash).observedHere = true
 	}
@@ -142,9 +142,9 @@
 	return cmp.Or(cmp.Compare(x.Content, y.Content), cmp.Compare(x.Upstream, y.Upstream))
 }
 
-// Heard records crashes observed by another gateway, and returns those that count and are
+// AddReported records crashes observed by another gateway, and returns those that count and are
 // new.
-func (c *Crashes) Heard(now time.Time, list []wardturn.Crash) (fresh []wardturn.Crash) {
+func (c *CrashTracker) AddReported(now time.Time, list []wardturn.Crash) (fresh []wardturn.Crash) {
 	for _, crash := range list {
 		if c.add(now, now, crash) {
 			fresh = append(fresh, crash)
@@ -153,9 +153,9 @@
 	return fresh
 }
 
-// Recorded records crashes that were read from the store, with the times at which they
+// AddRecorded records crashes that were read from the store, with the times at which they
 // were written, and returns those that count and are new.
-func (c *Crashes) Recorded(now time.Time, list []wardturn.RecordedCrash) (fresh []wardturn.Crash) {
+func (c *CrashTracker) AddRecorded(now time.Time, list []wardturn.RecordedCrash) (fresh []wardturn.Crash) {
 	for _, r := range list {
 		at := r.At
 		if at.After(now) {
@@ -174,11 +174,11 @@
 	return fresh
 }
 
-// RecordsLost records that the store may have lost records because it was restored from
+// StoreRestored records that the store may have lost records because it was restored from
 // an older copy. Call Recorded with the remaining records afterwards. The gateways that
 // observed a crash write its record again; other gateways do so only if that fails to
 // happen.
-func (c *Crashes) RecordsLost(now time.Time) {
+func (c *CrashTracker) StoreRestored(now time.Time) {
 	for _, s := range c.contents {
 		for _, state := range s.crashes {
 			state.recorded = false
@@ -188,7 +188,7 @@
 }
 
 // state returns the state of a crash, or nil.
-func (c *Crashes) state(crash wardturn.Crash) *crashState {
+func (c *CrashTracker) state(crash wardturn.Crash) *crashState {
 	s := c.contents[crash.Content]
 	if s == nil {
 		return nil
@@ -197,7 +197,7 @@
 }
 
 // add counts a crash that occurred at a time, and reports whether it counts and is new.
-func (c *Crashes) add(now, at time.Time, crash wardturn.Crash) bool {
+func (c *CrashTracker) add(now, at time.Time, crash wardturn.Crash) bool {
 	if answeredAt, ok := c.answered[crash.Content]; ok && at.Sub(answeredAt) < answeredGrace {
 		return false
 	}
@@ -221,7 +221,7 @@
 
 // Answered records that a content was answered successfully, and reports whether crashes
 // had been counted for it. Their records in the store are scheduled for deletion.
-func (c *Crashes) Answered(now time.Time, content wardturn.ContentID) (suspected bool) {
+func (c *CrashTracker) Answered(now time.Time, content wardturn.ContentID) (suspected bool) {
 	c.answered[content] = now
 	s := c.contents[content]
 	if s == nil {
@@ -236,16 +236,16 @@
 	return true
 }
 
-// Cleared removes contents that were answered successfully at another gateway, which
+// ClearReported removes contents that were answered successfully at another gateway, which
 // deletes their records.
-func (c *Crashes) Cleared(contents []wardturn.ContentID) {
+func (c *CrashTracker) ClearReported(contents []wardturn.ContentID) {
 	for _, content := range contents {
 		delete(c.contents, content)
 	}
 }
 
-// TakenBack removes crashes whose records were deleted from the store.
-func (c *Crashes) TakenBack(list []wardturn.Crash) {
+// RecordsRemoved removes crashes whose records were deleted from the store.
+func (c *CrashTracker) RecordsRemoved(list []wardturn.Crash) {
 	for _, crash := range list {
 		s := c.contents[crash.Content]
 		if s == nil {
@@ -258,10 +258,10 @@
 	}
 }
 
-// Due returns the pending writes of this gateway to the store: the crashes to record and
+// PendingWrites returns the pending writes of this gateway to the store: the crashes to record and
 // the records to delete. Crashes are due if this gateway observed them or if they have
 // lacked a record for long, and if their content has enough of them or all is set.
-func (c *Crashes) Due(now time.Time, all bool) (crashes, deletes []wardturn.Crash) {
+func (c *CrashTracker) PendingWrites(now time.Time, all bool) (crashes, deletes []wardturn.Crash) {
 	for content, s := range c.contents {
 		if !all && len(s.crashes) < min(minRecordedCrashes, c.cfg.Limit) {
 			continue
@@ -280,7 +280,7 @@
 }
 
 // Written records that the store holds the result of pending writes.
-func (c *Crashes) Written(crashes, deletes []wardturn.Crash) {
+func (c *CrashTracker) Written(crashes, deletes []wardturn.Crash) {
 	for _, crash := range crashes {
 		if state := c.state(crash); state != nil {
 			state.recorded = true
@@ -295,7 +295,7 @@
 
 // Sweep forgets what no longer counts. The gateway that observed a crash deletes its
 // record.
-func (c *Crashes) Sweep(now time.Time) {
+func (c *CrashTracker) Sweep(now time.Time) {
 	deleteOlder(now, c.answered, answeredGrace)
 	deleteOlder(now, c.brokenRequests, endCorrelationWindow)
 	deleteOlder(now, c.ended, endCorrelationWindow)
@@ -325,7 +325,7 @@
 
 // evictContents drops the contents with the fewest and oldest crashes if there are too
 // many.
-func (c *Crashes) evictContents() {
+func (c *CrashTracker) evictContents() {
 	if len(c.contents) < maxContents {
 		return
 	}
--- a/decide/crashes_model_test.go
+++ b/decide/crashes_model_test.go
@@ -23,7 +23,7 @@
 	rand         *rand.Rand
 	now          time.Time
 	events       simEvents
-	gateways     []*decide.Crashes
+	gateways     []*decide.CrashTracker
 	up           []bool
 	incarnations []int
 	running      []map[*simRequest]bool // by engine
@@ -130,7 +130,7 @@
 		incarnations: make([]int, simEngines),
 	}
 	for range simGateways {
-		s.gateways = append(s.gateways, decide.NewCrashes(decide.CrashConfig{
+		s.gateways = append(s.gateways, decide.NewCrashTracker(decide.CrashConfig{
 			Limit:  variant.limit,
 			Memory: time.Hour,
 		}))
@@ -180,7 +180,7 @@
 	})
 	for i := range simGateways {
 		s.every(simReadInterval, func() {
-			s.gateways[i].Recorded(s.now, s.stored[s.storedRead[i]:])
+			s.gateways[i].AddRecorded(s.now, s.stored[s.storedRead[i]:])
 			s.storedRead[i] = len(s.stored)
 			s.gateways[i].Sweep(s.now)
 		})
@@ -290,7 +290,7 @@
 	for i, g := range s.gateways {
 		if i != r.gateway && !s.variant.storeOnly {
 			s.after(simMessageDelay, func() {
-				g.Cleared([]wardturn.ContentID{r.content})
+				g.ClearReported([]wardturn.ContentID{r.content})
 			})
 		}
 	}
@@ -310,7 +310,7 @@
 		return x.number - y.number
 	})
 	for _, r := range cut {
-		s.gateways[r.gateway].Broke(s.now, r.content, id)
+		s.gateways[r.gateway].RequestBroke(s.now, r.content, id)
 		affected[r.gateway] = true
 		if s.fatal[r.content] != nil {
 			continue
@@ -327,7 +327,7 @@
 	for i := range simGateways {
 		if affected[i] {
 			s.after(simDetectionDelay, func() {
-				s.shareCrashes(i, s.gateways[i].Ended(s.now, id))
+				s.shareCrashes(i, s.gateways[i].UpstreamEnded(s.now, id))
 			})
 		}
 	}
@@ -343,7 +343,7 @@
 	for i, g := range s.gateways {
 		if i != gateway && !s.variant.storeOnly {
 			s.after(simMessageDelay, func() {
-				g.Heard(s.now, fresh)
+				g.AddReported(s.now, fresh)
 				s.record(i)
 			})
 		}
@@ -352,7 +352,7 @@
 }
 
 func (s *crashSimulation) record(gateway int) {
-	due, deletes := s.gateways[gateway].Due(s.now, s.variant.storeOnly)
+	due, deletes := s.gateways[gateway].PendingWrites(s.now, s.variant.storeOnly)
 	for _, crash := range due {
 		s.stored = append(s.stored, wardturn.RecordedCrash{
 			Crash: crash,
--- a/decide/crashes_test.go
+++ b/decide/crashes_test.go
@@ -17,7 +17,7 @@
 		other = wardturn.ContentID("other")
 	)
 	var (
-		c   *decide.Crashes
+		c   *decide.CrashTracker
 		now time.Time
 	)
 	crash := func(content wardturn.ContentID, upstream string) wardturn.Crash {
@@ -29,16 +29,16 @@
 	// endUpstream has an upstream end while it serves some contents.
 	endUpstream := func(upstream string, contents ...wardturn.ContentID) {
 		for _, content := range contents {
-			c.Broke(now, content, wardturn.UpstreamID(upstream))
+			c.RequestBroke(now, content, wardturn.UpstreamID(upstream))
 		}
-		c.Ended(now, wardturn.UpstreamID(upstream))
+		c.UpstreamEnded(now, wardturn.UpstreamID(upstream))
 	}
 	refuses := func(content wardturn.ContentID) bool {
 		_, refused := c.Refuses(now, content)
 		return refused
 	}
 	BeforeEach(func() {
-		c = decide.NewCrashes(decide.CrashConfig{
+		c = decide.NewCrashTracker(decide.CrashConfig{
 			Limit:  3,
 			Memory: 24 * time.Hour,
 		})
@@ -60,25 +60,25 @@
 	It("count an upstream once, whichever gateway reports it", func() {
 		for range 3 {
 			endUpstream("u", bad)
-			Expect(c.Heard(now, []wardturn.Crash{crash(bad, "u")})).To(BeEmpty())
+			Expect(c.AddReported(now, []wardturn.Crash{crash(bad, "u")})).To(BeEmpty())
 		}
 		Expect(refuses(bad)).To(BeFalse())
 	})
 
 	It("count crashes reported by other gateways", func() {
 		endUpstream("u0", bad)
-		Expect(c.Heard(now, []wardturn.Crash{crash(bad, "u1"), crash(bad, "u2")})).To(HaveLen(2))
+		Expect(c.AddReported(now, []wardturn.Crash{crash(bad, "u1"), crash(bad, "u2")})).To(HaveLen(2))
 		Expect(refuses(bad)).To(BeTrue())
 	})
 
 	It("relate the end of an upstream to requests that broke off before and after it", func() {
 		for i := range 3 {
 			id := wardturn.UpstreamID(fmt.Sprint("u", i))
-			Expect(c.Broke(now, bad, id)).To(BeEmpty())
+			Expect(c.RequestBroke(now, bad, id)).To(BeEmpty())
 			now = now.Add(5 * time.Second)
-			Expect(c.Ended(now, id)).To(Equal([]wardturn.Crash{crash(bad, string(id))}))
+			Expect(c.UpstreamEnded(now, id)).To(Equal([]wardturn.Crash{crash(bad, string(id))}))
 			now = now.Add(5 * time.Second)
-			Expect(c.Broke(now, other, id)).To(Equal([]wardturn.Crash{crash(other, string(id))}))
+			Expect(c.RequestBroke(now, other, id)).To(Equal([]wardturn.Crash{crash(other, string(id))}))
 		}
 		Expect(refuses(bad)).To(BeTrue())
 		Expect(refuses(other)).To(BeTrue())
@@ -87,16 +87,16 @@
 	It("do not suspect a request that broke off long before", func() {
 		for i := range 3 {
 			id := wardturn.UpstreamID(fmt.Sprint("u", i))
-			c.Broke(now, bad, id)
+			c.RequestBroke(now, bad, id)
 			now = now.Add(13 * time.Second)
-			Expect(c.Ended(now, id)).To(BeEmpty())
+			Expect(c.UpstreamEnded(now, id)).To(BeEmpty())
 		}
 		Expect(refuses(bad)).To(BeFalse())
 	})
 
 	It("do not suspect a request whose upstream did not end", func() {
 		for i := range 10 {
-			c.Broke(now, other, wardturn.UpstreamID(fmt.Sprint("u", i)))
+			c.RequestBroke(now, other, wardturn.UpstreamID(fmt.Sprint("u", i)))
 		}
 		Expect(refuses(other)).To(BeFalse())
 	})
@@ -131,52 +131,52 @@
 
 	It("record the crashes observed by this gateway once, for contents with two crashes", func() {
 		endUpstream("u0", bad, other)
-		due, _ := c.Due(now, false)
+		due, _ := c.PendingWrites(now, false)
 		Expect(due).To(BeEmpty())
-		all, _ := c.Due(now, true)
+		all, _ := c.PendingWrites(now, true)
 		Expect(all).To(HaveLen(2))
-		c.Heard(now, []wardturn.Crash{crash(bad, "u1")})
-		due, _ = c.Due(now, false)
+		c.AddReported(now, []wardturn.Crash{crash(bad, "u1")})
+		due, _ = c.PendingWrites(now, false)
 		Expect(due).To(Equal([]wardturn.Crash{crash(bad, "u0")}))
 		c.Written(due, nil)
-		due, _ = c.Due(now, false)
+		due, _ = c.PendingWrites(now, false)
 		Expect(due).To(BeEmpty())
 	})
 
 	It("record a crash observed by another gateway that has not recorded it for long", func() {
-		c.Heard(now, []wardturn.Crash{crash(bad, "u0"), crash(bad, "u1"), crash(other, "u0")})
-		due, _ := c.Due(now, false)
+		c.AddReported(now, []wardturn.Crash{crash(bad, "u0"), crash(bad, "u1"), crash(other, "u0")})
+		due, _ := c.PendingWrites(now, false)
 		Expect(due).To(BeEmpty())
 		now = now.Add(time.Second)
-		c.Recorded(now, []wardturn.RecordedCrash{{
+		c.AddRecorded(now, []wardturn.RecordedCrash{{
 			Crash: crash(bad, "u0"),
 			At:    now,
 		}})
 		now = now.Add(2 * time.Second)
-		due, _ = c.Due(now, false)
+		due, _ = c.PendingWrites(now, false)
 		Expect(due).To(Equal([]wardturn.Crash{crash(bad, "u1")}))
 	})
 
 	It("record again what the store has lost, first through the gateway that observed it", func() {
 		endUpstream("u0", bad)
 		endUpstream("u1", bad)
-		c.Heard(now, []wardturn.Crash{crash(bad, "u2")})
-		due, _ := c.Due(now, false)
+		c.AddReported(now, []wardturn.Crash{crash(bad, "u2")})
+		due, _ := c.PendingWrites(now, false)
 		c.Written(due, nil)
-		c.Recorded(now, []wardturn.RecordedCrash{{
+		c.AddRecorded(now, []wardturn.RecordedCrash{{
 			Crash: crash(bad, "u2"),
 			At:    now,
 		}})
 		now = now.Add(time.Hour)
-		c.RecordsLost(now)
-		c.Recorded(now, []wardturn.RecordedCrash{{
+		c.StoreRestored(now)
+		c.AddRecorded(now, []wardturn.RecordedCrash{{
 			Crash: crash(bad, "u0"),
 			At:    now,
 		}})
-		due, _ = c.Due(now, false)
+		due, _ = c.PendingWrites(now, false)
 		Expect(due).To(Equal([]wardturn.Crash{crash(bad, "u1")}))
 		now = now.Add(3 * time.Second)
-		due, _ = c.Due(now, false)
+		due, _ = c.PendingWrites(now, false)
 		Expect(due).To(Equal([]wardturn.Crash{crash(bad, "u1"), crash(bad, "u2")}))
 		Expect(refuses(bad)).To(BeTrue())
 	})
@@ -184,23 +184,23 @@
 	It("delete records that no longer apply", func() {
 		endUpstream("u0", bad)
 		endUpstream("u1", bad)
-		due, _ := c.Due(now, false)
+		due, _ := c.PendingWrites(now, false)
 		c.Written(due, nil)
 		c.Answered(now, bad)
-		_, back := c.Due(now, false)
+		_, back := c.PendingWrites(now, false)
 		Expect(back).To(Equal(due))
 		c.Written(nil, back)
-		_, back = c.Due(now, false)
+		_, back = c.PendingWrites(now, false)
 		Expect(back).To(BeEmpty())
 	})
 
 	It("delete a record that was written while its content was answered", func() {
 		endUpstream("u0", bad)
 		endUpstream("u1", bad)
-		due, _ := c.Due(now, false)
+		due, _ := c.PendingWrites(now, false)
 		c.Answered(now, bad)
 		c.Written(due, nil)
-		_, back := c.Due(now, false)
+		_, back := c.PendingWrites(now, false)
 		Expect(back).To(Equal(due))
 	})
 
@@ -211,11 +211,11 @@
 				At:    now.Add(-ago),
 			}
 		}
-		c.Recorded(now, []wardturn.RecordedCrash{at(25*time.Hour, "u0"), at(time.Hour, "u1"), at(-time.Hour, "u2")})
+		c.AddRecorded(now, []wardturn.RecordedCrash{at(25*time.Hour, "u0"), at(time.Hour, "u1"), at(-time.Hour, "u2")})
 		Expect(refuses(bad)).To(BeFalse())
-		c.Recorded(now, []wardturn.RecordedCrash{at(2*time.Hour, "u3")})
+		c.AddRecorded(now, []wardturn.RecordedCrash{at(2*time.Hour, "u3")})
 		Expect(refuses(bad)).To(BeTrue())
-		c.TakenBack([]wardturn.Crash{crash(bad, "u3")})
+		c.RecordsRemoved([]wardturn.Crash{crash(bad, "u3")})
 		Expect(refuses(bad)).To(BeFalse())
 	})
 
@@ -223,12 +223,12 @@
 		for i := range 3 {
 			endUpstream(fmt.Sprint("u", i), bad)
 		}
-		due, _ := c.Due(now, false)
+		due, _ := c.PendingWrites(now, false)
 		c.Written(due, nil)
-		c.Heard(now, []wardturn.Crash{crash(other, "u9")})
+		c.AddReported(now, []wardturn.Crash{crash(other, "u9")})
 		now = now.Add(24 * time.Hour)
 		c.Sweep(now)
-		_, back := c.Due(now, false)
+		_, back := c.PendingWrites(now, false)
 		Expect(back).To(Equal(due))
 		endUpstream("u4", bad)
 		Expect(refuses(bad)).To(BeFalse())
@@ -239,7 +239,7 @@
 			endUpstream(fmt.Sprint("u", i), bad)
 		}
 		for i := range 1 << 16 {
-			c.Heard(now, []wardturn.Crash{crash(wardturn.ContentID(fmt.Sprint("c", i)), "u")})
+			c.AddReported(now, []wardturn.Crash{crash(wardturn.ContentID(fmt.Sprint("c", i)), "u")})
 		}
 		Expect(refuses(bad)).To(BeTrue())
 	})
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -64,7 +64,7 @@
 //	cause.go              LoadCause: why an adapter was asked for
 //	window.go             LoadWindow: how many concurrent loads the store can serve
 //	room.go               a gateway's share of the free load window
-//	turn.go               ReadTurn: which gateway reads the store for all
+//	turn.go               ReadScheduler: which gateway reads the store for all
 //	trust.go              Trust: avoids a path for a while after it failed
 //
 // The users' platform, keeper:
--- a/decide/fleet_versions_test.go
+++ b/decide/fleet_versions_test.go
@@ -15,7 +15,7 @@
 
 	It("does not use an old version if the newer one may have been announced before the gateway started", func() {
 		x.hold("n0", readyAdapter("a", 1))
-		x.f.SetVersion(x.now, adapterVersion("a", 2), time.Time{}, &x.out)
+		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), time.Time{}, &x.out)
 		Expect(x.out.Asks).To(HaveLen(1))
 		Expect(x.out.Asks[0].Adapter).To(Equal(adapterVersion("a", 2)))
 		Expect(x.out.Asks[0].Upstream).To(BeEquivalentTo("n0"))
@@ -27,7 +27,7 @@
 
 	It("loads a new version on another engine, moves the requests there, and then replaces the old version", func() {
 		x.hold("n0", readyAdapter("a", 1))
-		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
+		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now, &x.out)
 		Expect(x.out.Asks).To(HaveLen(1))
 		newEngine := x.out.Asks[0].Upstream
 		Expect(newEngine).NotTo(BeEquivalentTo("n0"))
@@ -42,7 +42,7 @@
 
 	It("does not use an old version after its end", func() {
 		x.hold("n0", readyAdapter("a", 1))
-		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
+		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now, &x.out)
 		x.now = x.now.Add(3 * time.Second)
 		x.admit("r", "a")
 		Expect(x.got).To(BeEmpty())
--- a/decide/limitgossip.go
+++ b/decide/limitgossip.go
@@ -123,7 +123,7 @@
 	o.seq = msg.Seq
 	o.lastSeen = now
 	lag := now.Sub(l.start) - msg.Stamp
-	least, measured := l.lags.note(msg.Process, lag)
+	least, measured := l.lags.observe(msg.Process, lag)
 	sent := now.Add(least - lag)
 	for _, u := range msg.Limits {
 		if l.merge(now, u, sent.Add(-u.Ago), measured) {
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -24,7 +24,7 @@
 	cold        map[string]*coldLimit
 	expectsCold bool // upstreams may become cold, so gateways must already know each other
 	others      map[wardturn.Incarnation]*limitPeer
-	lags        leastLags
+	lags        minLags
 	seq         uint64
 	announcedAt time.Time // time of the latest message sent
 	sharesAt    time.Time // when the shares were last computed
@@ -81,7 +81,7 @@
 		start:     now,
 		upstreams: make(map[string]*upstreamLimit),
 		others:    make(map[wardturn.Incarnation]*limitPeer),
-		lags:      make(leastLags),
+		lags:      make(minLags),
 	}
 }
 
--- a/decide/naming.go
+++ b/decide/naming.go
@@ -60,12 +60,12 @@
 	return n.version, n.receivedAt, true
 }
 
-// VersionServes reports whether requests may start on a version of an adapter. The newest
+// VersionInUse reports whether requests may start on a version of an adapter. The newest
 // version always serves. Each older version serves until the end set when the first newer
 // version was announced. With a single end for all old versions, each announcement would
 // postpone it, and under announcements in quick succession old versions would never stop
 // serving.
-func (f *Fleet) VersionServes(now time.Time, key wardturn.ModelAdapter, v wardturn.Version) bool {
+func (f *Fleet) VersionInUse(now time.Time, key wardturn.ModelAdapter, v wardturn.Version) bool {
 	n := f.firstNewer(key, v)
 	return n == nil || now.Before(n.end)
 }
@@ -77,9 +77,9 @@
 	return len(list) > 0 && now.Before(list[len(list)-1].end)
 }
 
-// beginsInTime reports whether a request sent to a member now is expected to start on the
+// startsBeforeEnd reports whether a request sent to a member now is expected to start on the
 // version held there before that version stops serving.
-func (f *Fleet) beginsInTime(now time.Time, m *Member, t *Ticket) bool {
+func (f *Fleet) startsBeforeEnd(now time.Time, m *Member, t *Ticket) bool {
 	prefill := m.rate.time(m.toRead(now) + int(t.Prompt))
-	return f.VersionServes(now.Add(versionStartMargin+prefill), t.Key, m.held[t.Key].version)
+	return f.VersionInUse(now.Add(versionStartMargin+prefill), t.Key, m.held[t.Key].version)
 }
--- a/decide/old_version_test.go
+++ b/decide/old_version_test.go
@@ -27,7 +27,7 @@
 		servedOldAt := make(map[time.Duration]bool)
 		first := x.now
 		for v := wardturn.Version(2); v < 6; v++ {
-			x.f.SetVersion(x.now, adapterVersion("a", v), x.now, &x.out)
+			x.f.VersionAnnounced(x.now, adapterVersion("a", v), x.now, &x.out)
 			for range 4 {
 				id := x.now.String()
 				t := x.admit(id, "a")
@@ -59,7 +59,7 @@
 	}
 
 	It("is counted from when the newer version was not announced yet, not from its receipt", func() {
-		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now.Add(-1500*time.Millisecond), &x.out)
+		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now.Add(-1500*time.Millisecond), &x.out)
 		x.now = x.now.Add(1400 * time.Millisecond)
 		x.admit("in time", "a")
 		Expect(x.got["in time"].Version).To(BeEquivalentTo(1))
@@ -69,33 +69,33 @@
 	})
 
 	It("is reported once for each announcement, 500 ms before the bound", func() {
-		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
+		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now, &x.out)
 		tick(2 * time.Second)
-		x.f.SetVersion(x.now, adapterVersion("a", 3), x.now, &x.out)
+		x.f.VersionAnnounced(x.now, adapterVersion("a", 3), x.now, &x.out)
 		tick(1990 * time.Millisecond)
-		Expect(x.out.Ended).To(BeEmpty())
+		Expect(x.out.EnforcedVersions).To(BeEmpty())
 		tick(10 * time.Millisecond)
-		Expect(x.out.Ended).To(ConsistOf(adapterVersion("a", 2)))
+		Expect(x.out.EnforcedVersions).To(ConsistOf(adapterVersion("a", 2)))
 		tick(1990 * time.Millisecond)
-		Expect(x.out.Ended).To(BeEmpty())
+		Expect(x.out.EnforcedVersions).To(BeEmpty())
 		tick(10 * time.Millisecond)
-		Expect(x.out.Ended).To(ConsistOf(adapterVersion("a", 3)))
+		Expect(x.out.EnforcedVersions).To(ConsistOf(adapterVersion("a", 3)))
 	})
 
 	It("is not postponed by any number of later announcements", func() {
 		for v := wardturn.Version(2); v < 40; v++ {
-			x.f.SetVersion(x.now, adapterVersion("a", v), x.now, &x.out)
+			x.f.VersionAnnounced(x.now, adapterVersion("a", v), x.now, &x.out)
 			tick(300 * time.Millisecond)
 		}
-		Expect(x.f.VersionServes(x.now, adapterKey("a"), 1)).To(BeFalse())
-		Expect(x.f.VersionServes(x.now, adapterKey("a"), 38)).To(BeTrue())
+		Expect(x.f.VersionInUse(x.now, adapterKey("a"), 1)).To(BeFalse())
+		Expect(x.f.VersionInUse(x.now, adapterKey("a"), 38)).To(BeTrue())
 	})
 
 	It("has an ended version replaced while another old version still serves", func() {
 		x.hold("n1", readyAdapter("a", 2))
-		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
+		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now, &x.out)
 		tick(2 * time.Second)
-		x.f.SetVersion(x.now, adapterVersion("a", 3), x.now, &x.out)
+		x.f.VersionAnnounced(x.now, adapterVersion("a", 3), x.now, &x.out)
 		x.out = decide.Moves{}
 		tick(2 * time.Second)
 		Expect(x.out.Asks).To(ContainElement(HaveField("Upstream", BeEquivalentTo("n0"))))
@@ -106,7 +106,7 @@
 	It("is not sent to an engine that would not prefill it before the version's end", func() {
 		x := newFleetRig()
 		x.hold("n0", readyAdapter("a", 1))
-		x.f.SetVersion(x.now, adapterVersion("a", 2), x.now, &x.out)
+		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now, &x.out)
 		x.now = x.now.Add(2500 * time.Millisecond)
 		long := x.ticket("long", "a")
 		long.Prompt = 24000 // 600 ms of prefill
--- a/decide/turn.go
+++ b/decide/turn.go
@@ -6,13 +6,13 @@
 	"wardturn"
 )
 
-// ReadTurn decides when a process reads a record of the platform's store itself and when
+// ReadScheduler decides when a process reads a record of the platform's store itself and when
 // it relies on the reads of another process. Processes that follow the same record report
 // their reads to each other, and usually only the process with the lowest ID, the leader,
 // reads. There is no agreement protocol: each process bounds the age of its own copy, and
 // reads itself when the reports of others fail to arrive.
-type ReadTurn struct {
-	cfg                 ReadTurnConfig
+type ReadScheduler struct {
+	cfg                 ReadSchedulerConfig
 	self                wardturn.Incarnation
 	start               time.Time // origin of the timestamps sent to other processes
 	spread              float64   // position of this process in the spread of read times, from 0 to 1
@@ -24,20 +24,20 @@
 	earliestRead        time.Time // earliest time of this process's next read
 	lastInvalidatedRead time.Time // when the latest read caused by a contradiction started
 	failed              bool      // the latest read failed
-	lags                leastLags
-}
-
-// ReadTurnConfig holds the intervals of a ReadTurn.
-type ReadTurnConfig struct {
-	// Every is the age at which the copy is read again.
-	Every time.Duration
-	// Pause is the time between two reads of the leader.
-	Pause time.Duration
-	// Least is the minimum time between two reads of one process.
-	Least time.Duration
-	// Gather is the minimum time between two reads caused by contradictions, so that
+	lags                minLags
+}
+
+// ReadSchedulerConfig holds the intervals of a ReadScheduler.
+type ReadSchedulerConfig struct {
+	// MaxAge is the age at which the copy is read again.
+	MaxAge time.Duration
+	// Interval is the time between two reads of the leader.
+	Interval time.Duration
+	// MinInterval is the minimum time between two reads of one process.
+	MinInterval time.Duration
+	// MinInvalidatedInterval is the minimum time between two reads caused by contradictions, so that
 	// changes in quick succession are read together.
-	Gather time.Duration
+	MinInvalidatedInterval time.Duration
 }
 
 const (
@@ -55,14 +55,14 @@
 	invalidationSpread = 100 * time.Millisecond
 )
 
-// NewReadTurn returns a ReadTurn whose first read is due at once.
-func NewReadTurn(now time.Time, self wardturn.Incarnation, cfg ReadTurnConfig) *ReadTurn {
-	return &ReadTurn{
+// NewReadScheduler returns a ReadScheduler whose first read is due at once.
+func NewReadScheduler(now time.Time, self wardturn.Incarnation, cfg ReadSchedulerConfig) *ReadScheduler {
+	return &ReadScheduler{
 		cfg:    cfg,
 		self:   self,
 		start:  now,
 		spread: float64(hashString(string(self))) / (1 << 64),
-		lags:   make(leastLags),
+		lags:   make(minLags),
 	}
 }
 
@@ -71,38 +71,38 @@
 
 // Causes of a read.
 const (
-	ReadFirst   ReadCause = "first"   // there was no copy
-	ReadForAll  ReadCause = "for_all" // this process is the leader
-	ReadStepIn  ReadCause = "step_in" // the reports of other processes failed to arrive
-	ReadDoubted ReadCause = "doubted" // something contradicted the copy
-	ReadAgain   ReadCause = "again"   // the previous read failed
+	ReadFirst       ReadCause = "first"   // there was no copy
+	ReadAsLeader    ReadCause = "for_all" // this process is the leader
+	ReadFallback    ReadCause = "step_in" // the reports of other processes failed to arrive
+	ReadInvalidated ReadCause = "doubted" // something contradicted the copy
+	ReadRetry       ReadCause = "again"   // the previous read failed
 )
 
 // ReadCauses lists all causes.
 func ReadCauses() []ReadCause {
-	return []ReadCause{ReadFirst, ReadForAll, ReadStepIn, ReadDoubted, ReadAgain}
+	return []ReadCause{ReadFirst, ReadAsLeader, ReadFallback, ReadInvalidated, ReadRetry}
 }
 
 // Cause returns why this process would read now.
-func (t *ReadTurn) Cause(now time.Time) ReadCause {
+func (t *ReadScheduler) Cause(now time.Time) ReadCause {
 	switch {
 	case t.failed:
-		return ReadAgain
+		return ReadRetry
 	case t.asOf.IsZero():
 		return ReadFirst
 	case now.Before(t.dueByAge(now)):
-		return ReadDoubted
-	case t.Reads(now):
-		return ReadForAll
+		return ReadInvalidated
+	case t.IsLeader(now):
+		return ReadAsLeader
 	}
-	return ReadStepIn
+	return ReadFallback
 }
 
 // DueAt returns when this process has to read the record.
-func (t *ReadTurn) DueAt(now time.Time) time.Time {
+func (t *ReadScheduler) DueAt(now time.Time) time.Time {
 	due := t.dueByAge(now)
 	if t.invalidatedAt.After(t.asOf) {
-		invalidatedDue := latest(t.invalidatedAt.Add(time.Duration(t.spread*float64(invalidationSpread))), t.lastInvalidatedRead.Add(t.cfg.Gather))
+		invalidatedDue := latest(t.invalidatedAt.Add(time.Duration(t.spread*float64(invalidationSpread))), t.lastInvalidatedRead.Add(t.cfg.MinInvalidatedInterval))
 		if invalidatedDue.Before(due) {
 			due = invalidatedDue
 		}
@@ -114,18 +114,18 @@
 }
 
 // dueByAge returns when this process has to read judging by the age of its copy alone.
-func (t *ReadTurn) dueByAge(now time.Time) time.Time {
+func (t *ReadScheduler) dueByAge(now time.Time) time.Time {
 	due := t.asOf
 	switch {
 	case t.asOf.IsZero():
-	case t.Reads(now) && t.asOfOwn:
-		due = due.Add(t.cfg.Pause)
-	case t.Reads(now):
-		delay := time.Duration(followerSlack * t.spread * float64(t.cfg.Every))
-		due = due.Add(t.cfg.Pause + delay)
+	case t.IsLeader(now) && t.asOfOwn:
+		due = due.Add(t.cfg.Interval)
+	case t.IsLeader(now):
+		delay := time.Duration(followerSlack * t.spread * float64(t.cfg.MaxAge))
+		due = due.Add(t.cfg.Interval + delay)
 	default:
 		factor := 1 + followerSlack + followerSpread*t.spread
-		due = due.Add(time.Duration(factor * float64(t.cfg.Every)))
+		due = due.Add(time.Duration(factor * float64(t.cfg.MaxAge)))
 	}
 	return due
 }
@@ -134,7 +134,7 @@
 // counts a report of another process only if its transit time can be compared with that
 // of an earlier one: a delayed report taken for a recent one would let an old version of
 // an adapter serve longer by the delay.
-func (t *ReadTurn) AsOf() time.Time {
+func (t *ReadScheduler) AsOf() time.Time {
 	return t.confirmedAsOf
 }
 
@@ -146,75 +146,75 @@
 }
 
 // Age returns the age of the copy, or zero before the first read.
-func (t *ReadTurn) Age(now time.Time) time.Duration {
+func (t *ReadScheduler) Age(now time.Time) time.Duration {
 	if t.asOf.IsZero() {
 		return 0
 	}
 	return max(0, now.Sub(t.asOf))
 }
 
-// Reads reports whether this process is the leader: no process with a lower ID has sent a
+// IsLeader reports whether this process is the leader: no process with a lower ID has sent a
 // message lately.
-func (t *ReadTurn) Reads(now time.Time) bool {
-	return t.leaderSeenAt.IsZero() || now.Sub(t.leaderSeenAt) > leaderTimeout*t.cfg.Every
+func (t *ReadScheduler) IsLeader(now time.Time) bool {
+	return t.leaderSeenAt.IsZero() || now.Sub(t.leaderSeenAt) > leaderTimeout*t.cfg.MaxAge
 }
 
-// Began records the start of a read by this process.
-func (t *ReadTurn) Began(now time.Time) {
-	if t.Cause(now) == ReadDoubted {
+// ReadStarted records the start of a read by this process.
+func (t *ReadScheduler) ReadStarted(now time.Time) {
+	if t.Cause(now) == ReadInvalidated {
 		t.lastInvalidatedRead = now
 	}
-	t.earliestRead = now.Add(t.cfg.Least)
+	t.earliestRead = now.Add(t.cfg.MinInterval)
 }
 
-// Failed records that a read of this process failed. It is retried after the minimum time
+// ReadFailed records that a read of this process failed. It is retried after the minimum time
 // between reads unless another process reports a later read. Exponential backoff was no
 // better for callers and saved few reads.
-func (t *ReadTurn) Failed(now time.Time) {
+func (t *ReadScheduler) ReadFailed(now time.Time) {
 	t.failed = true
-	t.earliestRead = now.Add(t.cfg.Least)
-	t.Doubt(now)
+	t.earliestRead = now.Add(t.cfg.MinInterval)
+	t.Invalidate(now)
 }
 
-// Read records a successful read of the record as it was at the time asOf. It returns the
+// ReadSucceeded records a successful read of the record as it was at the time asOf. It returns the
 // timestamp to send to the other processes.
-func (t *ReadTurn) Read(asOf time.Time) time.Duration {
+func (t *ReadScheduler) ReadSucceeded(asOf time.Time) time.Duration {
 	t.failed = false
 	t.update(asOf, true)
 	t.confirmedAsOf = latest(t.confirmedAsOf, asOf)
 	return asOf.Sub(t.start)
 }
 
-// Doubt records that something contradicts the copy.
-func (t *ReadTurn) Doubt(now time.Time) {
+// Invalidate records that something contradicts the copy.
+func (t *ReadScheduler) Invalidate(now time.Time) {
 	t.invalidatedAt = now
 }
 
-// Heard records the report of another process that it has read the record. The stamp is
+// PeerRead records the report of another process that it has read the record. The stamp is
 // the time of the read by that process's clock. The clock offset is estimated by the
 // smallest difference between arrival time and stamp, which makes a delayed report
 // recognizable as old. The first report of a process has nothing to be compared with, so
 // it does not count for AsOf. Heard returns the time of the read, or zero for a first
 // report.
-func (t *ReadTurn) Heard(now time.Time, from wardturn.Incarnation, stamp time.Duration) (asOf time.Time) {
-	minLag, measured := t.lags.note(from, now.Sub(t.start)-stamp)
+func (t *ReadScheduler) PeerRead(now time.Time, from wardturn.Incarnation, stamp time.Duration) (asOf time.Time) {
+	minLag, measured := t.lags.observe(from, now.Sub(t.start)-stamp)
 	t.update(t.start.Add(stamp+minLag), false)
 	if measured {
 		asOf = t.start.Add(stamp + minLag)
 		t.confirmedAsOf = latest(t.confirmedAsOf, asOf)
 	}
-	t.Present(now, from)
+	t.PeerSeen(now, from)
 	return asOf
 }
 
-// Present records a message of another process that says nothing about its reads.
-func (t *ReadTurn) Present(now time.Time, from wardturn.Incarnation) {
+// PeerSeen records a message of another process that says nothing about its reads.
+func (t *ReadScheduler) PeerSeen(now time.Time, from wardturn.Incarnation) {
 	if from < t.self {
 		t.leaderSeenAt = now
 	}
 }
 
-func (t *ReadTurn) update(asOf time.Time, own bool) {
+func (t *ReadScheduler) update(asOf time.Time, own bool) {
 	if asOf.After(t.asOf) {
 		t.asOf = asOf
 		t.asOfOwn = own
--- a/decide/turn_late_word_test.go
+++ b/decide/turn_late_word_test.go
@@ -9,19 +9,19 @@
 	"wardturn/decide"
 )
 
-// The end of old versions is computed from ReadTurn.AsOf. The first report of a process
+// The end of old versions is computed from ReadScheduler.AsOf. The first report of a process
 // sets the lag that its later reports are compared with. A delayed first report would
 // therefore make an old copy look recent, and old versions would serve longer by the
 // delay.
 var _ = Describe("A delayed first report of another process", func() {
 	It("does not make the copy look newer than the reported read", func() {
-		t := decide.NewReadTurn(start, "b", decide.ReadTurnConfig{
-			Every: 1200 * time.Millisecond,
-			Least: 100 * time.Millisecond,
+		t := decide.NewReadScheduler(start, "b", decide.ReadSchedulerConfig{
+			MaxAge:      1200 * time.Millisecond,
+			MinInterval: 100 * time.Millisecond,
 		})
-		t.Read(start)
+		t.ReadSucceeded(start)
 		read := start.Add(100 * time.Millisecond) // at "a", whose clock started at start too
-		t.Heard(start.Add(3*time.Second), "a", read.Sub(start))
+		t.PeerRead(start.Add(3*time.Second), "a", read.Sub(start))
 		Expect(t.AsOf()).To(BeTemporally("<=", read))
 	})
 })
--- a/decide/turn_reads_test.go
+++ b/decide/turn_reads_test.go
@@ -30,17 +30,17 @@
 func storeReads(n int) float64 {
 	now := start
 	startedCount := 0
-	startGateway := func() (wardturn.Incarnation, *decide.ReadTurn) {
+	startGateway := func() (wardturn.Incarnation, *decide.ReadScheduler) {
 		startedCount++
 		id := wardturn.Incarnation(fmt.Sprintf("%08x", uint32(startedCount)*2654435761))
-		return id, decide.NewReadTurn(now, id, decide.ReadTurnConfig{
-			Every: readInterval,
-			Pause: readInterval,
-			Least: readInterval / 4,
+		return id, decide.NewReadScheduler(now, id, decide.ReadSchedulerConfig{
+			MaxAge:      readInterval,
+			Interval:    readInterval,
+			MinInterval: readInterval / 4,
 		})
 	}
 	ids := make([]wardturn.Incarnation, n)
-	turns := make([]*decide.ReadTurn, n)
+	turns := make([]*decide.ReadScheduler, n)
 	for i := range turns {
 		ids[i], turns[i] = startGateway()
 	}
@@ -57,7 +57,7 @@
 }
 
 // readDue performs the reads that are due and reports each to the other gateways.
-func readDue(now time.Time, ids []wardturn.Incarnation, turns []*decide.ReadTurn) int {
+func readDue(now time.Time, ids []wardturn.Incarnation, turns []*decide.ReadScheduler) int {
 	var due []int
 	for i, t := range turns {
 		if !t.DueAt(now).After(now) {
@@ -65,11 +65,11 @@
 		}
 	}
 	for _, i := range due {
-		turns[i].Began(now)
-		stamp := turns[i].Read(now)
+		turns[i].ReadStarted(now)
+		stamp := turns[i].ReadSucceeded(now)
 		for j, t := range turns {
 			if j != i {
-				t.Heard(now.Add(readStep), ids[i], stamp)
+				t.PeerRead(now.Add(readStep), ids[i], stamp)
 			}
 		}
 	}
--- a/decide/turn_test.go
+++ b/decide/turn_test.go
@@ -17,14 +17,14 @@
 		least = 250 * time.Millisecond
 	)
 	var now time.Time
-	newTurn := func(self wardturn.Incarnation) *decide.ReadTurn {
-		return decide.NewReadTurn(now, self, decide.ReadTurnConfig{
-			Every: every,
-			Pause: every,
-			Least: least,
+	newTurn := func(self wardturn.Incarnation) *decide.ReadScheduler {
+		return decide.NewReadScheduler(now, self, decide.ReadSchedulerConfig{
+			MaxAge:      every,
+			Interval:    every,
+			MinInterval: least,
 		})
 	}
-	due := func(t *decide.ReadTurn) time.Duration {
+	due := func(t *decide.ReadScheduler) time.Duration {
 		return t.DueAt(now).Sub(now)
 	}
 	BeforeEach(func() {
@@ -34,26 +34,26 @@
 	It("is due at the start, and after a pause while no other process reads", func() {
 		t := newTurn("b")
 		Expect(due(t)).To(BeNumerically("<=", 0))
-		t.Read(now)
+		t.ReadSucceeded(now)
 		Expect(due(t)).To(Equal(every))
 	})
 
 	It("retries failed reads at a constant interval", func() {
 		t := newTurn("b")
-		t.Read(now)
+		t.ReadSucceeded(now)
 		now = now.Add(2 * every)
-		t.Doubt(now)
+		t.Invalidate(now)
 		var pauses []time.Duration
 		for range 5 {
-			t.Began(now)
-			t.Failed(now)
+			t.ReadStarted(now)
+			t.ReadFailed(now)
 			pauses = append(pauses, due(t))
 			now = now.Add(due(t))
 		}
 		Expect(pauses).To(Equal([]time.Duration{least, least, least, least, least}))
-		t.Began(now)
-		t.Read(now.Add(-time.Millisecond))
-		t.Doubt(now)
+		t.ReadStarted(now)
+		t.ReadSucceeded(now.Add(-time.Millisecond))
+		t.Invalidate(now)
 		Expect(due(t)).To(Equal(least))
 	})
 
@@ -61,9 +61,9 @@
 	// one read per gateway and change.
 	It("reads changes in quick succession together, and a single change soon", func() {
 		const gather = 800 * time.Millisecond
-		t := decide.NewReadTurn(now, "b", decide.ReadTurnConfig{
-			Every:  10 * every, // no read by age alone
-			Gather: gather,
+		t := decide.NewReadScheduler(now, "b", decide.ReadSchedulerConfig{
+			MaxAge:                 10 * every, // no read by age alone
+			MinInvalidatedInterval: gather,
 		})
 		began := now
 		reads := 0
@@ -77,14 +77,14 @@
 			now = began.Add(at)
 			switch {
 			case changed(at):
-				t.Doubt(now)
+				t.Invalidate(now)
 				waits = append(waits, now)
 			case at%time.Second == 0 && len(waits) == 0: // a process that has not read a change does not count
-				t.Heard(now, "a", at)
+				t.PeerRead(now, "a", at)
 			}
 			if len(waits) > 0 && due(t) <= 0 {
-				t.Began(now)
-				t.Read(now)
+				t.ReadStarted(now)
+				t.ReadSucceeded(now)
 				reads++
 				longest = max(longest, now.Sub(waits[0]))
 				waits = nil
@@ -96,33 +96,33 @@
 		Expect(reads).To(BeNumerically("<=", 5))
 		Expect(longest).To(BeNumerically("<=", gather+100*time.Millisecond))
 		now = began.Add(10 * time.Second)
-		t.Doubt(now)
+		t.Invalidate(now)
 		Expect(due(t)).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
 	It("returns the cause of a read", func() {
 		t := newTurn("b")
 		Expect(t.Cause(now)).To(Equal(decide.ReadFirst))
-		t.Read(now)
+		t.ReadSucceeded(now)
 		now = now.Add(2 * every)
-		Expect(t.Cause(now)).To(Equal(decide.ReadForAll))
-		t.Failed(now)
-		Expect(t.Cause(now)).To(Equal(decide.ReadAgain))
-		t.Read(now)
-		t.Doubt(now.Add(time.Millisecond))
-		Expect(t.Cause(now.Add(time.Millisecond))).To(Equal(decide.ReadDoubted))
-		t.Read(now.Add(2 * time.Millisecond))
-		t.Heard(now, "a", 0)
+		Expect(t.Cause(now)).To(Equal(decide.ReadAsLeader))
+		t.ReadFailed(now)
+		Expect(t.Cause(now)).To(Equal(decide.ReadRetry))
+		t.ReadSucceeded(now)
+		t.Invalidate(now.Add(time.Millisecond))
+		Expect(t.Cause(now.Add(time.Millisecond))).To(Equal(decide.ReadInvalidated))
+		t.ReadSucceeded(now.Add(2 * time.Millisecond))
+		t.PeerRead(now, "a", 0)
 		now = now.Add(time.Duration(1.5 * float64(every)))
-		Expect(t.Cause(now)).To(Equal(decide.ReadStepIn))
+		Expect(t.Cause(now)).To(Equal(decide.ReadFallback))
 	})
 
 	It("leaves the reads to the process with the lowest ID while its reports arrive", func() {
 		a, b := newTurn("a"), newTurn("b")
 		for range 10 {
-			stamp := a.Read(now)
-			b.Heard(now, "a", stamp)
-			a.Heard(now, "b", stamp)
+			stamp := a.ReadSucceeded(now)
+			b.PeerRead(now, "a", stamp)
+			a.PeerRead(now, "b", stamp)
 			Expect(due(a)).To(Equal(every))
 			Expect(due(b)).To(And(BeNumerically(">", every), BeNumerically("<", 3*every/2)))
 			now = now.Add(every)
@@ -131,27 +131,27 @@
 
 	It("reads when the reports of others fail to arrive, and becomes the leader after a while", func() {
 		a, b := newTurn("a"), newTurn("b")
-		b.Heard(now, "a", a.Read(now))
+		b.PeerRead(now, "a", a.ReadSucceeded(now))
 		now = now.Add(3 * every / 2)
 		Expect(due(b)).To(BeNumerically("<=", 0))
 		now = now.Add(every)
-		b.Read(now)
+		b.ReadSucceeded(now)
 		Expect(due(b)).To(Equal(every))
 	})
 
 	It("does not have all processes read at once when the leader is gone", func() {
 		const n = 200
-		var turns []*decide.ReadTurn
+		var turns []*decide.ReadScheduler
 		var ids []wardturn.Incarnation
 		for i := range n {
 			ids = append(ids, wardturn.Incarnation(fmt.Sprintf("%03d", i)))
 			turns = append(turns, newTurn(ids[i]))
 		}
 		read := func(i int) {
-			stamp := turns[i].Read(now)
+			stamp := turns[i].ReadSucceeded(now)
 			for j, t := range turns {
 				if j != i {
-					t.Heard(now, ids[i], stamp)
+					t.PeerRead(now, ids[i], stamp)
 				}
 			}
 		}
@@ -187,10 +187,10 @@
 	It("recognizes the age of a delayed report", func() {
 		a, b := newTurn("a"), newTurn("b")
 		now = now.Add(time.Minute)
-		b.Heard(now, "a", a.Read(now))
-		held := a.Read(now.Add(every))
+		b.PeerRead(now, "a", a.ReadSucceeded(now))
+		held := a.ReadSucceeded(now.Add(every))
 		now = now.Add(4 * every)
-		b.Heard(now, "a", held)
+		b.PeerRead(now, "a", held)
 		Expect(due(b)).To(BeNumerically("<", 0))
 	})
 
@@ -198,24 +198,24 @@
 		a := newTurn("a")
 		now = now.Add(time.Hour)
 		b := newTurn("b")
-		b.Heard(now, "a", a.Read(now))
+		b.PeerRead(now, "a", a.ReadSucceeded(now))
 		Expect(due(b)).To(BeNumerically(">", every))
 	})
 
 	It("is due soon after a contradiction unless another process has read since", func() {
 		a, b := newTurn("a"), newTurn("b")
-		b.Heard(now, "a", a.Read(now))
+		b.PeerRead(now, "a", a.ReadSucceeded(now))
 		now = now.Add(10 * time.Millisecond)
-		b.Doubt(now)
+		b.Invalidate(now)
 		Expect(due(b)).To(BeNumerically("<=", 100*time.Millisecond))
-		b.Heard(now, "a", a.Read(now))
+		b.PeerRead(now, "a", a.ReadSucceeded(now))
 		Expect(due(b)).To(BeNumerically(">", every))
 	})
 
 	It("keeps a minimum time between its own reads", func() {
 		t := newTurn("a")
-		t.Began(now)
-		t.Doubt(now)
+		t.ReadStarted(now)
+		t.Invalidate(now)
 		Expect(due(t)).To(Equal(least))
 	})
 })
--- a/decide/versions.go
+++ b/decide/versions.go
@@ -27,11 +27,11 @@
 	pendingEnds []announcement // announcements whose end is still to come, earliest first
 }
 
-// SetVersion records the newest version of an adapter. The version was not yet announced
+// VersionAnnounced records the newest version of an adapter. The version was not yet announced
 // at the time known, so the bound on older versions runs from then. If it ran from the
 // time of receipt, late messages would postpone it. A zero known means that this gateway
 // had no earlier knowledge; then no older version serves.
-func (f *Fleet) SetVersion(now time.Time, v wardturn.AdapterVersion, known time.Time, out *Moves) {
+func (f *Fleet) VersionAnnounced(now time.Time, v wardturn.AdapterVersion, known time.Time, out *Moves) {
 	key := v.Key()
 	if v.Version <= f.newest(key) {
 		return
@@ -51,7 +51,7 @@
 		// just now: cancelling the requests sent before would lose them without need.
 		r.pendingEnds = append(r.pendingEnds, n)
 	}
-	f.advance(now, key, r, out)
+	f.advanceRollout(now, key, r, out)
 }
 
 // advanceRollouts ends old versions whose time is over and continues the rollouts that
@@ -59,7 +59,7 @@
 func (f *Fleet) advanceRollouts(now time.Time, out *Moves) {
 	for key, r := range f.rollouts {
 		for len(r.pendingEnds) > 0 && !now.Before(r.pendingEnds[0].end) {
-			out.Ended = append(out.Ended, wardturn.AdapterVersion{
+			out.EnforcedVersions = append(out.EnforcedVersions, wardturn.AdapterVersion{
 				Model:   key.Model,
 				Adapter: key.Adapter,
 				Version: r.pendingEnds[0].version,
@@ -68,14 +68,14 @@
 			r.nextAt = now
 		}
 		if !now.Before(r.nextAt) {
-			f.advance(now, key, r, out)
+			f.advanceRollout(now, key, r, out)
 		}
 	}
 }
 
-// advance asks engines for the newest version: those whose old version no longer serves
+// advanceRollout asks engines for the newest version: those whose old version no longer serves
 // at once, the others as soon as another engine has the newest.
-func (f *Fleet) advance(now time.Time, key wardturn.ModelAdapter, r *rollout, out *Moves) {
+func (f *Fleet) advanceRollout(now time.Time, key wardturn.ModelAdapter, r *rollout, out *Moves) {
 	r.nextAt = now.Add(rolloutInterval)
 	var serving, expired []*Member
 	newestHeld := false
@@ -83,7 +83,7 @@
 		switch v := m.held[key].version; {
 		case v >= f.newest(key):
 			newestHeld = true
-		case f.VersionServes(now.Add(versionStartMargin), key, v):
+		case f.VersionInUse(now.Add(versionStartMargin), key, v):
 			serving = append(serving, m)
 		default:
 			expired = append(expired, m)
--- a/decide/wait.go
+++ b/decide/wait.go
@@ -62,9 +62,9 @@
 type Moves struct {
 	Asks  []LoadAsk
 	Loads []LoadNote
-	// Ended are versions whose older versions must not serve any more. Requests that were
+	// EnforcedVersions are versions whose older versions must not serve any more. Requests that were
 	// sent to an older version and have not begun must be cancelled.
-	Ended []wardturn.AdapterVersion
+	EnforcedVersions []wardturn.AdapterVersion
 	// Leaving are upstreams that have just announced that they are shutting down.
 	Leaving []wardturn.UpstreamID
 }
@@ -161,7 +161,7 @@
 	m := f.engineFor(now, t, f.newest(t.Key), anyMember)
 	if m == nil && f.oldVersionServes(now, t.Key) {
 		m = f.engineFor(now, t, 0, func(m *Member) bool {
-			return f.beginsInTime(now, m, t)
+			return f.startsBeforeEnd(now, m, t)
 		})
 	}
 	if m == nil || f.waitsForQuicker(now, t, m) {
--- a/decide/want.go
+++ b/decide/want.go
@@ -271,7 +271,7 @@
 	waiting := w.waiting
 	f.removeMissing(w)
 	if r := f.rollouts[a.Key()]; r != nil {
-		f.advance(now, a.Key(), r, out)
+		f.advanceRollout(now, a.Key(), r, out)
 	}
 	for _, t := range waiting {
 		t.missing = nil
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -29,7 +29,7 @@
 // the number of gateways the rate is zero: gateways that assume to be the only one would
 // each use the full allowance. The caller holds g.mu.
 func (g *Gateway) extraRetries() (floor, burst float64) {
-	n := g.counted.Update(g.clock.Now(), g.fleet.CountedGateways())
+	n := g.gatewayCount.Update(g.clock.Now(), g.fleet.CountedGateways())
 	if n == 0 {
 		return 0, 1
 	}
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -22,25 +22,25 @@
 // crash another one each time it is repeated.
 type crashes struct {
 	g           *Gateway
-	record      wardturn.CrashRecord
+	record      wardturn.CrashStore
 	readSignal  chan struct{} // requests a read of the store
 	writeSignal chan struct{} // requests a write of the records that are due
 
 	mu           sync.Mutex
-	tracker      *decide.Crashes
+	tracker      *decide.CrashTracker
 	checking     map[wardturn.UpstreamID]bool
 	unannounced  bool              // a crash could not be announced because no keeper was connected
 	readPosition wardturn.Position // position up to which the store was read
 	readAt       time.Time         // time as of which readPosition was current; zero before the first read
 }
 
-func newCrashes(g *Gateway, record wardturn.CrashRecord) *crashes {
+func newCrashes(g *Gateway, record wardturn.CrashStore) *crashes {
 	return &crashes{
 		g:           g,
 		record:      record,
 		readSignal:  make(chan struct{}, 1),
 		writeSignal: make(chan struct{}, 1),
-		tracker:     decide.NewCrashes(g.cfg.Crashes),
+		tracker:     decide.NewCrashTracker(g.cfg.Crashes),
 		checking:    make(map[wardturn.UpstreamID]bool),
 	}
 }
@@ -69,7 +69,7 @@
 		return
 	}
 	c.g.logger.Info("request not suspected any more, it was answered", "content", content)
-	c.announce(&peer.CrashNews{
+	c.announce(&peer.CrashAnnouncement{
 		Cleared: []wardturn.ContentID{content},
 	})
 	signal(c.writeSignal)
@@ -80,7 +80,7 @@
 // crashed.
 func (c *crashes) interrupted(m wardturn.Member, content wardturn.ContentID, check bool) {
 	c.mu.Lock()
-	fresh := c.tracker.Broke(c.g.clock.Now(), content, m.ID)
+	fresh := c.tracker.RequestBroke(c.g.clock.Now(), content, m.ID)
 	check = check && !c.checking[m.ID]
 	if check {
 		c.checking[m.ID] = true
@@ -114,7 +114,7 @@
 	c.mu.Lock()
 	now := c.g.clock.Now()
 	for _, id := range ids {
-		fresh = append(fresh, c.tracker.Ended(now, id)...)
+		fresh = append(fresh, c.tracker.UpstreamEnded(now, id)...)
 	}
 	c.mu.Unlock()
 	c.observed(fresh)
@@ -127,7 +127,7 @@
 	}
 	c.g.metrics.crashes.Inc(int64(len(fresh)))
 	c.g.logger.Info("upstream ended under requests", "upstream", fresh[0].Upstream, "requests", len(fresh))
-	announced := c.announce(&peer.CrashNews{
+	announced := c.announce(&peer.CrashAnnouncement{
 		Crashes: fresh,
 	})
 	c.mu.Lock()
@@ -139,7 +139,7 @@
 // announce sends a message to the other gateways and reports whether any keeper is
 // connected to forward it. Gateways that miss the message read the crashes from the store
 // once there are enough of them to be recorded.
-func (c *crashes) announce(m *peer.CrashNews) bool {
+func (c *crashes) announce(m *peer.CrashAnnouncement) bool {
 	conns := c.g.links.announcementConns(string(c.g.cfg.Process) + "/crashes")
 	for _, conn := range conns {
 		_ = conn.Send(m)
@@ -154,7 +154,7 @@
 		if _, rejected := c.rejects(crash.Content); !rejected {
 			continue
 		}
-		n := c.g.notStarted.breakOffContent(crash.Content)
+		n := c.g.pendingSends.abortContent(crash.Content)
 		c.g.logger.Warn("request is refused, upstreams ended under it", "content", crash.Content, "latest", crash.Upstream, "broken_off", n)
 	}
 	if len(fresh) > 0 {
@@ -163,26 +163,26 @@
 }
 
 // receive handles a message of another gateway.
-func (c *crashes) receive(m *peer.CrashNews) {
+func (c *crashes) receive(m *peer.CrashAnnouncement) {
 	c.mu.Lock()
-	fresh := c.tracker.Heard(c.g.clock.Now(), m.Crashes)
-	c.tracker.Cleared(m.Cleared)
+	fresh := c.tracker.AddReported(c.g.clock.Now(), m.Crashes)
+	c.tracker.ClearReported(m.Cleared)
 	known := c.readPosition
 	c.mu.Unlock()
 	c.handleNew(fresh)
-	if m.Read == nil {
+	if m.Change == nil {
 		return
 	}
-	if m.Read.From > known {
+	if m.Change.From > known {
 		signal(c.readSignal) // changes in between were missed
 		return
 	}
-	c.apply(*m.Read)
+	c.apply(*m.Change)
 }
 
-// refuseCrashing reports whether the request is rejected because its content crashes
+// rejectCrashing reports whether the request is rejected because its content crashes
 // upstreams, and records when it may be retried.
-func (x *exchange) refuseCrashing() bool {
+func (x *exchange) rejectCrashing() bool {
 	left, rejected := x.g.crashes.rejects(x.content)
 	if rejected {
 		x.refusal = &refusal{
@@ -202,7 +202,7 @@
 	case passed:
 		x.g.crashes.completed(x.content)
 	case unknown, cut, left:
-		if !x.send.brokenOff && !x.slowCaller() {
+		if !x.send.aborted && !x.slowCaller() {
 			x.g.crashes.interrupted(a.Member, x.content, res != left && limit == nil)
 		}
 	}
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -25,20 +25,20 @@
 
 // describeRead describes the latest read of the crash records, for announcements. It
 // returns nil before the first read.
-func (c *crashes) describeRead() *peer.CrashReading {
+func (c *crashes) describeRead() *peer.CrashRead {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.readAt.IsZero() {
 		return nil
 	}
-	return &peer.CrashReading{
+	return &peer.CrashRead{
 		To:  c.readPosition,
 		Age: c.g.clock.Now().Sub(c.readAt),
 	}
 }
 
 // mergeRead handles another gateway's description of its latest read.
-func (c *crashes) mergeRead(r *peer.CrashReading) {
+func (c *crashes) mergeRead(r *peer.CrashRead) {
 	if r == nil {
 		return
 	}
@@ -85,8 +85,8 @@
 		failing = false
 		c.apply(change)
 		if !first && change.To > change.From {
-			c.announce(&peer.CrashNews{
-				Read: &change,
+			c.announce(&peer.CrashAnnouncement{
+				Change: &change,
 			})
 		}
 		first = false
@@ -108,14 +108,14 @@
 	c.mu.Lock()
 	c.readPosition = max(c.readPosition, change.To)
 	c.readAt = c.g.clock.Now()
-	if change.Returned {
-		c.tracker.RecordsLost(c.g.clock.Now())
+	if change.Restored {
+		c.tracker.StoreRestored(c.g.clock.Now())
 	}
-	fresh := c.tracker.Recorded(c.g.clock.Now(), change.Crashes)
-	c.tracker.TakenBack(change.Cleared)
+	fresh := c.tracker.AddRecorded(c.g.clock.Now(), change.Crashes)
+	c.tracker.RecordsRemoved(change.Removed)
 	c.mu.Unlock()
 	c.handleNew(fresh)
-	if change.Returned {
+	if change.Restored {
 		signal(c.writeSignal)
 	}
 }
@@ -136,7 +136,7 @@
 // writeDue writes the records that are due. It reports false if the write failed.
 func (c *crashes) writeDue() bool {
 	c.mu.Lock()
-	crashes, takeBack := c.tracker.Due(c.g.clock.Now(), c.unannounced)
+	crashes, takeBack := c.tracker.PendingWrites(c.g.clock.Now(), c.unannounced)
 	all := c.unannounced
 	c.unannounced = false
 	c.mu.Unlock()
@@ -161,7 +161,7 @@
 	c.mu.Lock()
 	now := c.g.clock.Now()
 	c.tracker.Sweep(now)
-	crashes, takeBack := c.tracker.Due(now, false)
+	crashes, takeBack := c.tracker.PendingWrites(now, false)
 	c.mu.Unlock()
 	if len(crashes)+len(takeBack) > 0 {
 		signal(c.writeSignal)
--- a/gateway/crashrecord_internal_test.go
+++ b/gateway/crashrecord_internal_test.go
@@ -32,7 +32,7 @@
 		c := newCrashes(&Gateway{
 			clock: clock,
 		}, nil)
-		c.tracker = decide.NewCrashes(decide.CrashConfig{})
+		c.tracker = decide.NewCrashTracker(decide.CrashConfig{})
 		c.apply(wardturn.CrashChange{})
 		gateways = append(gateways, c)
 	}
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -30,8 +30,8 @@
 		g.metrics.loadDone(n)
 		g.logger.Info("adapter there", "adapter", n.Adapter.Adapter, "version", n.Adapter.Version, "upstream", n.Upstream, "took", n.Took, "waited", n.Waited, "warm", n.Warm, "cause", n.Cause, "window", n.Window, "under_way", n.Under)
 	}
-	for _, v := range out.Ended {
-		g.endOlder(v)
+	for _, v := range out.EnforcedVersions {
+		g.retireOlder(v)
 	}
 	for _, id := range out.Leaving {
 		g.logger.Info("upstream says that it leaves", "upstream", id)
@@ -112,11 +112,11 @@
 	g.fleet.NotHeld(g.clock.Now(), id, key)
 }
 
-// versionServes reports whether requests may start on a version of an adapter now.
-func (g *Gateway) versionServes(key wardturn.ModelAdapter, v wardturn.Version) bool {
+// versionInUse reports whether requests may start on a version of an adapter now.
+func (g *Gateway) versionInUse(key wardturn.ModelAdapter, v wardturn.Version) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.fleet.VersionServes(g.clock.Now(), key, v)
+	return g.fleet.VersionInUse(g.clock.Now(), key, v)
 }
 
 // superseded returns the first newer version of an adapter, and when it was activated here.
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -31,9 +31,9 @@
 // applyEvacuations applies the evacuations in a configuration change. The caller must hold
 // g.mu.
 func (g *Gateway) applyEvacuations(now time.Time, c wardturn.ConfigChange, out *decide.Moves) {
-	if c.Returned {
+	if c.Restored {
 		g.evacuations.retained = g.evacuations.inForce()
-		g.evacuations.retainedUntil = now.Add(g.cfg.LapseGrace)
+		g.evacuations.retainedUntil = now.Add(g.cfg.ExpiryGrace)
 	}
 	if c.Evacuated == nil {
 		return
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -84,7 +84,7 @@
 type sendState struct {
 	sent      time.Time // to the upstream
 	firstByte time.Time // of the response; of a buffered one, when it was read completely
-	brokenOff bool      // the gateway aborted the send before it started
+	aborted   bool      // the gateway aborted the send before it started
 }
 
 // refusal is why a request was not run and when the caller may retry.
@@ -120,7 +120,7 @@
 // ending returns what the result of the latest send says about its upstream: nothing if
 // the gateway aborted the send.
 func (x *exchange) ending(r result) decide.Ending {
-	if x.send.brokenOff || r == cut && x.slowCaller() {
+	if x.send.aborted || r == cut && x.slowCaller() {
 		return decide.EndedUnseen
 	}
 	switch r {
@@ -156,7 +156,7 @@
 		return
 	}
 	x.identifyContent()
-	if x.refuseCrashing() {
+	if x.rejectCrashing() {
 		x.refuse(x.refusal.reason, x.refusal.retryAfter, "content", x.content)
 		return
 	}
@@ -179,7 +179,7 @@
 			x.giveUp(ctx)
 			return
 		}
-		if x.refuseCrashing() { // may have become known while the request waited
+		if x.rejectCrashing() { // may have become known while the request waited
 			x.releaseAssignment(a)
 			x.giveUp(ctx)
 			return
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -14,11 +14,11 @@
 	unavailable := false
 	first := true
 	for {
-		if !g.news.awaitRead(g.news.config) {
+		if !g.reads.awaitRead(g.reads.config) {
 			return
 		}
 		sent := g.clock.Now()
-		g.news.startConfigRead(sent)
+		g.reads.startConfigRead(sent)
 		wait := g.configWait()
 		change, err := g.source.Next(wait)
 		if err == nil {
@@ -30,15 +30,15 @@
 			}
 			unavailable = false
 			pause = configRetryDelay
-			if change.Returned {
+			if change.Restored {
 				g.handleStoreRestored()
 			}
-			g.apply(change, g.news.configKnown())
+			g.apply(change, g.reads.configCurrentAt())
 			// Recorded last, so that a configuration known as of a time is also in force
 			// as of that time.
-			g.news.finishConfigRead(asOf, change.To)
+			g.reads.finishConfigRead(asOf, change.To)
 			if g.hadUpstreams.Load() {
-				g.crashes.readIfStale(g.news.readsForAll())
+				g.crashes.readIfStale(g.reads.readsForAll())
 			}
 			continue
 		}
@@ -47,7 +47,7 @@
 			g.logger.Warn("store away, the present configuration stays", "error", err)
 		}
 		unavailable = true
-		g.news.readFailed(g.news.config)
+		g.reads.readFailed(g.reads.config)
 		if !g.tasks.Pause(pause) {
 			return
 		}
@@ -58,7 +58,7 @@
 // handleStoreRestored triggers a rewrite of records that the store may have lost when it was
 // restored from an older copy.
 func (g *Gateway) handleStoreRestored() {
-	g.returned.Store(true)
+	g.storeRestored.Store(true)
 	signal(g.crashes.readSignal)
 }
 
@@ -91,7 +91,7 @@
 	var out decide.Moves
 	g.mu.Lock()
 	for _, v := range c.Versions {
-		g.fleet.SetVersion(now, v, known, &out)
+		g.fleet.VersionAnnounced(now, v, known, &out)
 		line := []any{"model", v.Model, "adapter", v.Adapter, "version", v.Version}
 		if !known.IsZero() {
 			line = append(line, "unnamed_ago", now.Sub(known))
@@ -138,7 +138,7 @@
 // changes.
 func (g *Gateway) followMembers() {
 	for {
-		change, due, ok := g.news.awaitMembers(g.membership.nextRetentionEnd())
+		change, due, ok := g.reads.awaitMembers(g.membership.nextRetentionEnd())
 		switch {
 		case !ok:
 			return
@@ -164,7 +164,7 @@
 
 func (g *Gateway) readMembers() {
 	sent := g.clock.Now()
-	g.news.startMembersRead(sent)
+	g.reads.startMembersRead(sent)
 	var part func([]wardturn.Member)
 	if !g.membersRead.Load() {
 		part = g.receivePartialMembers
@@ -172,13 +172,13 @@
 	view, change, ok := g.membership.read(part)
 	if !ok {
 		g.metrics.members.failed.Inc(1)
-		g.news.readFailed(g.news.members)
+		g.reads.readFailed(g.reads.members)
 		return
 	}
 	g.metrics.members.succeeded.Inc(1)
 	g.setMembers(view)
 	g.membersRead.Store(true)
-	g.news.finishMembersRead(sent, change)
+	g.reads.finishMembersRead(sent, change)
 }
 
 func (g *Gateway) setMembers(view membershipView) {
@@ -192,7 +192,7 @@
 	g.crashes.ended(lost...)
 	g.links.update()
 	if len(view.members) > 0 && !g.hadUpstreams.Swap(true) {
-		g.crashes.readIfStale(g.news.readsForAll())
+		g.crashes.readIfStale(g.reads.readsForAll())
 	}
 }
 
@@ -223,5 +223,5 @@
 
 // markMembersStale marks the list as possibly out of date, so that it is read soon.
 func (g *Gateway) markMembersStale() {
-	g.news.markMembersStale()
+	g.reads.markMembersStale()
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -52,7 +52,7 @@
 	Domain      wardturn.FailureDomain
 	KeeperPort  string        // port of the keeper beside each engine
 	Drain       time.Duration // after which a draining upstream must receive no new requests
-	LapseGrace  time.Duration // how long to retain entries that expired while the store was unavailable
+	ExpiryGrace time.Duration // how long to retain entries that expired while the store was unavailable
 	MaxBody     int           // limit of a request body in bytes unless the configuration sets one
 	MaxHeld     int64         // limit of buffered request bodies in bytes, over all requests; zero means none
 	RetryShare  float64       // retries allowed over all gateways, as a fraction of a service's requests
@@ -79,8 +79,8 @@
 	Heads   wardturn.AnswerReader
 	Source  wardturn.ConfigSource
 	Members wardturn.MemberSource
-	Memory  wardturn.FleetMemory
-	Crashes wardturn.CrashRecord
+	Memory  wardturn.FleetFactStore
+	Crashes wardturn.CrashStore
 	Front   net.Listener // for callers
 	Ready   net.Listener // for the load balancer's readiness probe; may be nil
 	// ReadyPath is the path of the readiness probe.
@@ -89,20 +89,20 @@
 
 // Gateway serves callers on one entry host.
 type Gateway struct {
-	cfg     Config
-	clock   wardturn.Clock
-	logger  hclog.Logger
-	metrics *Metrics
-	prompts *prompts
-	names   wardturn.HeaderNames
-	heads   wardturn.AnswerReader
-	source  wardturn.ConfigSource
-	memory  wardturn.FleetMemory
-	// remembered is the latest state saved to memory; used by a single goroutine.
-	remembered        wardturn.FleetFacts
-	returned          atomic.Bool // the store was restored from an older copy and may have lost saved state
+	cfg       Config
+	clock     wardturn.Clock
+	logger    hclog.Logger
+	metrics   *Metrics
+	prompts   *prompts
+	names     wardturn.HeaderNames
+	heads     wardturn.AnswerReader
+	source    wardturn.ConfigSource
+	factStore wardturn.FleetFactStore
+	// savedFacts is the latest state saved to memory; used by a single goroutine.
+	savedFacts        wardturn.FleetFacts
+	storeRestored     atomic.Bool // the store was restored from an older copy and may have lost saved state
 	membership        *membership
-	news              *readCoordinator
+	reads             *readCoordinator
 	caps              *caps
 	limits            *limits
 	unread            unreadHeaders
@@ -111,7 +111,7 @@
 	routes            atomic.Pointer[routes]
 	pool              *pool
 	links             *links
-	notStarted        *notStarted
+	pendingSends      *pendingSends
 	server            *http.Server
 	ready             *http.Server
 	front             net.Listener
@@ -128,31 +128,31 @@
 	evacuations    evacuations
 	partialMembers []wardturn.Member // pages received so far of the initial list; nil if none
 	budgets        map[wardturn.ServiceName]*decide.RetryBudget
-	counted        decide.GatewayCount // number of gateways that share the budgets
+	gatewayCount   decide.GatewayCount // number of gateways that share the budgets
 }
 
 // New starts a gateway. It accepts requests once it has a configuration, or after one
 // second without one.
 func New(d Deps) *Gateway {
 	g := &Gateway{
-		cfg:        d.Config,
-		clock:      d.Clock,
-		logger:     d.Logger,
-		metrics:    d.Metrics,
-		prompts:    newPrompts(),
-		names:      d.Names,
-		heads:      d.Heads,
-		source:     d.Source,
-		memory:     d.Memory,
-		pool:       newPool(d.Clock),
-		front:      d.Front,
-		notStarted: newNotStarted(),
-		tasks:      process.NewTasks(d.Clock),
-		budgets:    make(map[wardturn.ServiceName]*decide.RetryBudget),
+		cfg:          d.Config,
+		clock:        d.Clock,
+		logger:       d.Logger,
+		metrics:      d.Metrics,
+		prompts:      newPrompts(),
+		names:        d.Names,
+		heads:        d.Heads,
+		source:       d.Source,
+		factStore:    d.Memory,
+		pool:         newPool(d.Clock),
+		front:        d.Front,
+		pendingSends: newPendingSends(),
+		tasks:        process.NewTasks(d.Clock),
+		budgets:      make(map[wardturn.ServiceName]*decide.RetryBudget),
 	}
 	g.held.most = d.Config.MaxHeld
-	g.membership = newMembership(d.Members, d.Clock, d.Logger, d.Config.LapseGrace)
-	g.news = newReadCoordinator(g)
+	g.membership = newMembership(d.Members, d.Clock, d.Logger, d.Config.ExpiryGrace)
+	g.reads = newReadCoordinator(g)
 	g.caps = newCaps(g)
 	g.limits = newLimits(g)
 	d.Config.Fleet.Limits = g.limits.state
@@ -175,9 +175,9 @@
 	g.tasks.Go(g.crashes.writeLoop)
 	g.tasks.Go(g.caps.sendUrgent)
 	g.tasks.Go(func() {
-		g.recallFleet()
-		for g.tasks.Pause(rememberEvery) {
-			g.rememberFleet()
+		g.restoreFleetFacts()
+		for g.tasks.Pause(saveInterval) {
+			g.saveFleetFacts()
 		}
 	})
 	g.tasks.Go(func() {
@@ -241,7 +241,7 @@
 	g.resizeBudgets()
 	g.mu.Unlock()
 	g.metrics.updateLevels(levels)
-	g.news.reportAges()
+	g.reads.reportAges()
 	g.crashes.sweep()
 	g.pool.sweep(func(addr string) bool {
 		return addrs[addr]
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -46,7 +46,7 @@
 	}
 	l.member = m
 	n.Relayed = l.notice.Relayed
-	n.News = l.notice.News
+	n.Announcements = l.notice.Announcements
 	l.noticeSent = l.noticeSent && l.notice.Upstream == n.Upstream && l.notice.Spec.Equal(n.Spec)
 	l.notice = n
 	l.sendNotice()
@@ -97,16 +97,16 @@
 // Handle implements peer.Handler.
 func (l *link) Handle(c *peer.Conn, m peer.Message) {
 	switch m := m.(type) {
-	case *peer.StoreNews:
-		l.links.g.news.receive(m)
-	case *peer.CrashNews:
+	case *peer.ReadAnnouncement:
+		l.links.g.reads.receive(m)
+	case *peer.CrashAnnouncement:
 		l.links.g.crashes.receive(m)
 	case *peer.TeamUsageReports:
 		l.links.g.caps.receive(m)
 	case *peer.LimitGossip:
 		l.links.g.limits.receive(m)
 	case *peer.StartedReport:
-		l.links.g.notStarted.markStarted(m.Upstream, m.IDs)
+		l.links.g.pendingSends.markStarted(m.Upstream, m.IDs)
 	case *peer.Holding:
 		l.handleUpdate(c.Peer().Process, m, false)
 	case *peer.Relayed:
--- a/gateway/list_bench_test.go
+++ b/gateway/list_bench_test.go
@@ -115,7 +115,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			var err error
-			list, err = platform.NewMembers(store, process.Clock{}, logger).Next(nil)
+			list, err = platform.NewMemberReader(store, process.Clock{}, logger).Next(nil)
 			if err != nil || len(list.Members) != listEngines+listPlain {
 				b.Fatal(len(list.Members), err)
 			}
@@ -125,7 +125,7 @@
 		b.ReportAllocs()
 		for b.Loop() {
 			g := newListGateway(b, logger)
-			if _, err := platform.NewMembers(store, process.Clock{}, logger).Next(g.receivePartialMembers); err != nil {
+			if _, err := platform.NewMemberReader(store, process.Clock{}, logger).Next(g.receivePartialMembers); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// rememberEvery is the least time between two writes of the fleet facts to the store.
-	rememberEvery = 10 * time.Second
+	// saveInterval is the least time between two writes of the fleet facts to the store.
+	saveInterval = 10 * time.Second
 	// saveThreshold is the fraction by which a fact must have changed to be written again.
 	saveThreshold = 0.25
 	// restoreAttempts is the number of attempts to read the record; without it the facts
@@ -17,22 +17,22 @@
 	restoreRetryInterval = 300 * time.Millisecond
 )
 
-// recallFleet restores what earlier gateways knew about the fleet from the store. After a
+// restoreFleetFacts restores what earlier gateways knew about the fleet from the store. After a
 // power loss all engines are empty, and without the window of concurrent adapter loads
 // requests would wait while it grows again to what the store can serve. From the number of
 // gateways a new one knows its share of usage caps before it has received messages of the
 // others.
-func (g *Gateway) recallFleet() {
+func (g *Gateway) restoreFleetFacts() {
 	for range restoreAttempts {
-		facts, err := g.memory.RecallFleet()
+		facts, err := g.factStore.ReadFleetFacts()
 		if err == nil {
 			g.mu.Lock()
-			g.fleet.RecallWindow(facts.Window)
+			g.fleet.RecallWindow(facts.LoadWindow)
 			g.limits.state.SetPreviousGateways(g.clock.Now(), facts.Gateways)
 			g.mu.Unlock()
 			g.caps.recall(facts.Gateways)
-			g.remembered = facts
-			g.logger.Info("window of loads recalled", "window", facts.Window, "gateways", facts.Gateways)
+			g.savedFacts = facts
+			g.logger.Info("window of loads recalled", "window", facts.LoadWindow, "gateways", facts.Gateways)
 			return
 		}
 		g.logger.Warn("failed to read the window of loads from the store", "error", err)
@@ -42,34 +42,34 @@
 	}
 }
 
-// rememberFleet writes the fleet facts to the store if they have changed significantly.
+// saveFleetFacts writes the fleet facts to the store if they have changed significantly.
 // All gateways know the same, so only the one that reads the configuration for the others
 // writes them.
-func (g *Gateway) rememberFleet() {
-	if !g.news.readsForAll() {
+func (g *Gateway) saveFleetFacts() {
+	if !g.reads.readsForAll() {
 		return
 	}
-	if g.returned.Swap(false) {
-		g.remembered = wardturn.FleetFacts{}
+	if g.storeRestored.Swap(false) {
+		g.savedFacts = wardturn.FleetFacts{}
 	}
-	facts := g.remembered
+	facts := g.savedFacts
 	g.mu.Lock()
 	if window, known := g.fleet.LearnedWindow(); known {
-		facts.Window = window
+		facts.LoadWindow = window
 	}
 	if n := g.fleet.CountedGateways(); n > 0 && g.dividesByGateways() {
 		facts.Gateways = n
 	}
 	g.mu.Unlock()
-	if !changedSignificantly(facts.Window, g.remembered.Window) && !changedSignificantly(facts.Gateways, g.remembered.Gateways) {
+	if !changedSignificantly(facts.LoadWindow, g.savedFacts.LoadWindow) && !changedSignificantly(facts.Gateways, g.savedFacts.Gateways) {
 		return
 	}
-	if err := g.memory.RememberFleet(facts); err != nil {
-		g.logger.Warn("failed to write the window of loads to the store", "window", facts.Window, "gateways", facts.Gateways, "error", err)
+	if err := g.factStore.WriteFleetFacts(facts); err != nil {
+		g.logger.Warn("failed to write the window of loads to the store", "window", facts.LoadWindow, "gateways", facts.Gateways, "error", err)
 		return
 	}
-	g.remembered = facts
-	g.logger.Info("window of loads remembered", "window", facts.Window, "gateways", facts.Gateways)
+	g.savedFacts = facts
+	g.logger.Info("window of loads remembered", "window", facts.LoadWindow, "gateways", facts.Gateways)
 }
 
 // dividesByGateways reports whether the gateways divide something by their number from
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -26,8 +26,8 @@
 	directUpdates     tally.Counter   // keeper updates received directly
 	relayedUpdates    tally.Counter   // keeper updates received through relays
 	replies           tally.Counter   // keeper replies to requests of this gateway
-	oldBegan          tally.Histogram // time from the activation of a newer version to a start on an old one
-	oldEnded          tally.Counter   // requests aborted before they started on an old version
+	oldVersionStart   tally.Histogram // time from the activation of a newer version to a start on an old one
+	oldVersionAborted tally.Counter   // requests aborted before they started on an old version
 	relaysAbandoned   tally.Counter   // relays abandoned because they sent nothing, were behind, or lost the keeper
 	crashes           tally.Counter   // requests that were at an upstream when it crashed
 	staleKeys         tally.Counter   // requests rejected because the API keys were not refreshed in time
@@ -108,8 +108,8 @@
 		directUpdates:     keeperUpdates(scope, "direct"),
 		relayedUpdates:    keeperUpdates(scope, "relay"),
 		replies:           keeperUpdates(scope, "answer"),
-		oldBegan:          scope.Histogram("old_version_begin_time", latencies),
-		oldEnded:          scope.Counter("old_version_broken_off"),
+		oldVersionStart:   scope.Histogram("old_version_begin_time", latencies),
+		oldVersionAborted: scope.Counter("old_version_broken_off"),
 		relaysAbandoned:   scope.Counter("relays_left"),
 		crashes:           scope.Counter("crash_suspects"),
 		staleKeys:         scope.Counter("refused_stale_keys"),
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -20,9 +20,9 @@
 
 	mu              sync.Mutex
 	scheduleChanged chan struct{} // closed and replaced when a schedule may have changed
-	config          *decide.ReadTurn
+	config          *decide.ReadScheduler
 	configPosition  wardturn.Position // position up to which the configuration was read
-	members         *decide.ReadTurn
+	members         *decide.ReadScheduler
 }
 
 // announcedChange is a change of the list that another gateway has read.
@@ -43,7 +43,7 @@
 // shortened returns the change to announce. For a long change, that is only its end
 // position, so that other gateways read the change themselves.
 func shortened(c *wardturn.MemberChange) *wardturn.MemberChange {
-	if len(c.Changed)+len(c.Ended) <= maxAnnounced {
+	if len(c.Changed)+len(c.Expired) <= maxAnnounced {
 		return c
 	}
 	return &wardturn.MemberChange{
@@ -59,14 +59,14 @@
 		g:               g,
 		changes:         make(chan announcedChange, maxQueuedChanges),
 		scheduleChanged: make(chan struct{}),
-		config: decide.NewReadTurn(now, g.cfg.Process, decide.ReadTurnConfig{
-			Every:  configWait,
-			Gather: configMinInterval,
+		config: decide.NewReadScheduler(now, g.cfg.Process, decide.ReadSchedulerConfig{
+			MaxAge:                 configWait,
+			MinInvalidatedInterval: configMinInterval,
 		}),
-		members: decide.NewReadTurn(now, g.cfg.Process, decide.ReadTurnConfig{
-			Every: every,
-			Pause: every,
-			Least: membersMinInterval,
+		members: decide.NewReadScheduler(now, g.cfg.Process, decide.ReadSchedulerConfig{
+			MaxAge:      every,
+			Interval:    every,
+			MinInterval: membersMinInterval,
 		}),
 	}
 }
@@ -80,7 +80,7 @@
 
 // awaitRead blocks until a read is due by the schedule t. It reports false when the gateway
 // shuts down.
-func (n *readCoordinator) awaitRead(t *decide.ReadTurn) bool {
+func (n *readCoordinator) awaitRead(t *decide.ReadScheduler) bool {
 	for n.g.tasks.Context().Err() == nil {
 		limit, cancel, woken, due := n.checkSchedule(t, time.Time{})
 		if due {
@@ -98,7 +98,7 @@
 // checkSchedule reports whether a read is due by the schedule t. If not, it returns a
 // context that expires when the read is due or at the time until, unless that is zero, and
 // a channel that is closed when the schedule has to be evaluated again.
-func (n *readCoordinator) checkSchedule(t *decide.ReadTurn, until time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
+func (n *readCoordinator) checkSchedule(t *decide.ReadScheduler, until time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.g.clock.Now()
@@ -138,9 +138,9 @@
 	return nil, false, false
 }
 
-// configKnown returns the latest time at which the local configuration is known to have been
+// configCurrentAt returns the latest time at which the local configuration is known to have been
 // current, or zero before the first read.
-func (n *readCoordinator) configKnown() time.Time {
+func (n *readCoordinator) configCurrentAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.config.AsOf()
@@ -150,18 +150,18 @@
 func (n *readCoordinator) readsForAll() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.config.Reads(n.g.clock.Now())
+	return n.config.IsLeader(n.g.clock.Now())
 }
 
 // finishConfigRead records and announces that the configuration was read up to a position.
 func (n *readCoordinator) finishConfigRead(asOf time.Time, to wardturn.Position) {
 	n.mu.Lock()
 	n.configPosition = to
-	stamp := n.config.Read(asOf)
+	stamp := n.config.ReadSucceeded(asOf)
 	n.mu.Unlock()
-	n.announce(&peer.StoreNews{
+	n.announce(&peer.ReadAnnouncement{
 		Reader:  n.g.cfg.Process,
-		Stamp:   stamp,
+		ReadAt:  stamp,
 		Config:  to,
 		Crashes: n.g.crashes.describeRead(),
 	})
@@ -172,42 +172,42 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.g.metrics.config.causes[n.config.Cause(now)].Inc(1)
-	n.config.Began(now)
+	n.config.ReadStarted(now)
 }
 
 func (n *readCoordinator) startMembersRead(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.g.metrics.members.causes[n.members.Cause(now)].Inc(1)
-	n.members.Began(now)
+	n.members.ReadStarted(now)
 }
 
 // finishMembersRead records a read of the list and announces the change, unless it is nil.
 func (n *readCoordinator) finishMembersRead(asOf time.Time, c *wardturn.MemberChange) {
 	n.mu.Lock()
-	stamp := n.members.Read(asOf)
+	stamp := n.members.ReadSucceeded(asOf)
 	n.mu.Unlock()
 	if c == nil {
 		return
 	}
-	n.announce(&peer.StoreNews{
+	n.announce(&peer.ReadAnnouncement{
 		Reader:  n.g.cfg.Process,
-		Stamp:   stamp,
+		ReadAt:  stamp,
 		Members: shortened(c),
 	})
 }
 
 // readFailed records that a read failed.
-func (n *readCoordinator) readFailed(t *decide.ReadTurn) {
+func (n *readCoordinator) readFailed(t *decide.ReadScheduler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	t.Failed(n.g.clock.Now())
+	t.ReadFailed(n.g.clock.Now())
 }
 
 func (n *readCoordinator) markMembersStale() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.members.Doubt(n.g.clock.Now())
+	n.members.Invalidate(n.g.clock.Now())
 	n.notifySchedules()
 }
 
@@ -220,7 +220,7 @@
 	n.g.metrics.members.age.Update(n.members.Age(now).Seconds())
 }
 
-func (n *readCoordinator) announce(m *peer.StoreNews) {
+func (n *readCoordinator) announce(m *peer.ReadAnnouncement) {
 	kind := "config"
 	if m.Members != nil {
 		kind = "members"
@@ -232,7 +232,7 @@
 }
 
 // receive handles an announcement of another gateway.
-func (n *readCoordinator) receive(m *peer.StoreNews) {
+func (n *readCoordinator) receive(m *peer.ReadAnnouncement) {
 	if m.Reader == n.g.cfg.Process {
 		return
 	}
@@ -245,33 +245,33 @@
 		return
 	}
 	if m.Config > n.configPosition {
-		n.config.Doubt(now) // a change that has not been applied here
+		n.config.Invalidate(now) // a change that has not been applied here
 		n.notifySchedules()
 		return
 	}
 	n.g.metrics.config.announced.Inc(1)
-	n.config.Heard(now, m.Reader, m.Stamp)
+	n.config.PeerRead(now, m.Reader, m.ReadAt)
 	n.notifySchedules()
 }
 
 // queueMembers queues an announced change of the list. If the queue is full, the list is
 // marked as out of date. The caller must hold n.mu.
-func (n *readCoordinator) queueMembers(now time.Time, m *peer.StoreNews) {
+func (n *readCoordinator) queueMembers(now time.Time, m *peer.ReadAnnouncement) {
 	if m.Members.From < 0 {
 		// The change was too long to announce, so the list is read as scheduled. If all
 		// gateways read it at once while hundreds of upstreams register, each would announce
 		// the same change and trigger another round of reads.
-		n.members.Present(now, m.Reader)
+		n.members.PeerSeen(now, m.Reader)
 		return
 	}
 	defer n.notifySchedules()
 	if len(n.changes) == cap(n.changes) { // no other goroutine sends on the channel while the lock is held
-		n.members.Doubt(now)
+		n.members.Invalidate(now)
 		return
 	}
 	n.g.metrics.members.announced.Inc(1)
 	n.changes <- announcedChange{
 		change: *m.Members,
-		asOf:   n.members.Heard(now, m.Reader, m.Stamp),
+		asOf:   n.members.PeerRead(now, m.Reader, m.ReadAt),
 	}
 }
--- a/gateway/notstarted.go
+++ b/gateway/notstarted.go
@@ -20,11 +20,11 @@
 	errCrashingContent = errors.New("gateway: requests of this content crash upstreams")
 )
 
-// notStarted tracks the sends that have not started, as far as the gateway knows. A
+// pendingSends tracks the sends that have not started, as far as the gateway knows. A
 // request may be delayed in the network, in the queue of a slow engine or on a frozen
 // host. Unless it is aborted it may start on an old adapter version after that was
 // retired, or crash one more upstream.
-type notStarted struct {
+type pendingSends struct {
 	mu    sync.Mutex
 	sends map[*pendingSend]bool
 }
@@ -44,15 +44,15 @@
 	aborted bool      // was aborted
 }
 
-func newNotStarted() *notStarted {
-	return &notStarted{
+func newPendingSends() *pendingSends {
+	return &pendingSends{
 		sends: make(map[*pendingSend]bool),
 	}
 }
 
 // add tracks a send until remove. The returned context is canceled with the cause if the
 // send is aborted before.
-func (p *notStarted) add(ctx context.Context, s *pendingSend) context.Context {
+func (p *pendingSends) add(ctx context.Context, s *pendingSend) context.Context {
 	ctx, s.cancel = context.WithCancelCause(ctx)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,7 @@
 
 // remove stops tracking a send that has started or ended, and reports whether it was
 // aborted.
-func (p *notStarted) remove(s *pendingSend) bool {
+func (p *pendingSends) remove(s *pendingSend) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.sends, s)
@@ -72,7 +72,7 @@
 // abortOlder aborts the sends to older versions of an adapter and returns how many. Those
 // without a streamed response may have started unnoticed: they are aborted startedGrace
 // later, unless their keepers report the start. Their number is returned as unconfirmed.
-func (p *notStarted) abortOlder(newer wardturn.AdapterVersion, now time.Time) (n, unconfirmed int) {
+func (p *pendingSends) abortOlder(newer wardturn.AdapterVersion, now time.Time) (n, unconfirmed int) {
 	n = p.abort(errVersionRetired, func(s *pendingSend) bool {
 		old := s.version > 0 && s.key == newer.Key() && s.version < newer.Version
 		if !old || !s.nonStreaming {
@@ -89,7 +89,7 @@
 
 // abortOverdue aborts the sends whose start was not reported in time, and returns how
 // many.
-func (p *notStarted) abortOverdue(now time.Time) int {
+func (p *pendingSends) abortOverdue(now time.Time) int {
 	return p.abort(errVersionRetired, func(s *pendingSend) bool {
 		return !s.started && !s.abortAt.IsZero() && !now.Before(s.abortAt)
 	})
@@ -97,7 +97,7 @@
 
 // unconfirmed returns the sends to an adapter version whose start only a keeper can
 // report and none has reported yet.
-func (p *notStarted) unconfirmed() []*pendingSend {
+func (p *pendingSends) unconfirmed() []*pendingSend {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []*pendingSend
@@ -110,7 +110,7 @@
 }
 
 // markStarted records a keeper's report that requests have started at its upstream.
-func (p *notStarted) markStarted(id wardturn.UpstreamID, attempts []string) {
+func (p *pendingSends) markStarted(id wardturn.UpstreamID, attempts []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for s := range p.sends {
@@ -120,16 +120,16 @@
 	}
 }
 
-// breakOffContent aborts the sends of requests with the same content, and returns how
+// abortContent aborts the sends of requests with the same content, and returns how
 // many.
-func (p *notStarted) breakOffContent(content wardturn.ContentID) int {
+func (p *pendingSends) abortContent(content wardturn.ContentID) int {
 	return p.abort(errCrashingContent, func(s *pendingSend) bool {
 		return s.content == content
 	})
 }
 
 // abort aborts the matching sends with a cause, and returns how many.
-func (p *notStarted) abort(cause error, match func(*pendingSend) bool) int {
+func (p *pendingSends) abort(cause error, match func(*pendingSend) bool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
--- a/gateway/notstarted_internal_test.go
+++ b/gateway/notstarted_internal_test.go
@@ -45,7 +45,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := newNotStarted()
+			p := newPendingSends()
 			s := oldSend("r", tt.nonStreaming)
 			ctx := p.add(context.Background(), s)
 			if !tt.lateReport {
@@ -73,7 +73,7 @@
 // Keepers are asked only for sends whose response is not streamed and whose start was not
 // reported.
 func TestPendingSendsUnconfirmed(t *testing.T) {
-	p := newNotStarted()
+	p := newPendingSends()
 	for _, s := range []*pendingSend{oldSend("stream", false), oldSend("told", true), oldSend("asked for", true)} {
 		p.add(context.Background(), s)
 	}
--- a/gateway/oldversion.go
+++ b/gateway/oldversion.go
@@ -17,16 +17,16 @@
 		content:      x.content,
 		nonStreaming: !x.route.Streaming,
 	}
-	ctx = x.g.notStarted.add(ctx, x.pending)
+	ctx = x.g.pendingSends.add(ctx, x.pending)
 	// The send is added before the check, so that a version that is retired after the
 	// check aborts it.
-	return ctx, x.unwatch, a.Version == 0 || x.g.versionServes(x.key, a.Version)
+	return ctx, x.unwatch, a.Version == 0 || x.g.versionInUse(x.key, a.Version)
 }
 
 // unwatch records that the latest send has started or ended.
 func (x *exchange) unwatch() {
 	if x.pending != nil {
-		x.send.brokenOff = x.g.notStarted.remove(x.pending)
+		x.send.aborted = x.g.pendingSends.remove(x.pending)
 		x.pending = nil
 	}
 }
@@ -47,7 +47,7 @@
 	switch {
 	case firstByte.IsZero():
 	case x.route.Streaming:
-		x.g.metrics.oldBegan.RecordDuration(firstByte.Sub(learned))
+		x.g.metrics.oldVersionStart.RecordDuration(firstByte.Sub(learned))
 		fields = append(fields, "began", firstByte.Sub(learned))
 	default: // the start is not visible, only the response
 		fields = append(fields, "answered", firstByte.Sub(learned))
--- a/gateway/oldversion_internal_test.go
+++ b/gateway/oldversion_internal_test.go
@@ -14,8 +14,8 @@
 // version may then be retired before the send is tracked, so that nothing aborts it.
 func TestWatchStartRefusesRetiredVersion(t *testing.T) {
 	g := &Gateway{
-		clock:      process.Clock{},
-		notStarted: newNotStarted(),
+		clock:        process.Clock{},
+		pendingSends: newPendingSends(),
 		fleet: decide.NewFleet(decide.FleetConfig{
 			VersionBound: 5 * time.Second,
 		}),
@@ -44,7 +44,7 @@
 	}
 	publish := func(v wardturn.Version, known time.Time) {
 		var out decide.Moves
-		g.fleet.SetVersion(g.clock.Now(), wardturn.AdapterVersion{
+		g.fleet.VersionAnnounced(g.clock.Now(), wardturn.AdapterVersion{
 			Model:   key.Model,
 			Adapter: key.Adapter,
 			Version: v,
@@ -56,7 +56,7 @@
 	x.key.Adapter, key.Adapter = "b", "b"
 	publish(2, g.clock.Now().Add(-time.Minute))
 	expectMaySend("newer version published a minute ago", false)
-	if len(g.notStarted.sends) != 0 {
-		t.Errorf("%d sends are still tracked as not started, want none", len(g.notStarted.sends))
+	if len(g.pendingSends.sends) != 0 {
+		t.Errorf("%d sends are still tracked as not started, want none", len(g.pendingSends.sends))
 	}
 }
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -14,7 +14,7 @@
 // false after it has answered a request that cannot be served.
 func (x *exchange) resolve() bool {
 	// Read before the routes, which are then at least as new as this time says.
-	configAsOf := x.g.news.configKnown()
+	configAsOf := x.g.reads.configCurrentAt()
 	rs := x.g.routes.Load()
 	if rs == nil {
 		x.refuse(wardturn.ReasonStaleConfig, unreadyRetryAfter)
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -87,7 +87,7 @@
 // zero if unknown. It reports false if the change does not directly follow the local state.
 func (r *membership) apply(c wardturn.MemberChange, asOf time.Time) (membershipView, bool) {
 	r.noteStoreRead(asOf, minOutage)
-	list, ok := r.source.Take(c)
+	list, ok := r.source.Apply(c)
 	if !ok {
 		return membershipView{}, false
 	}
@@ -122,15 +122,15 @@
 }
 
 func (r *membership) merge(now time.Time, list wardturn.MemberList) membershipView {
-	if list.Returned {
+	if list.Restored {
 		r.recoveredAt = now
 	}
-	if list.Same && len(r.retained) == 0 {
+	if list.Unchanged && len(r.retained) == 0 {
 		return membershipView{
 			unchanged: true,
 		}
 	}
-	if !list.Same {
+	if !list.Unchanged {
 		r.update(now, list)
 	}
 	return membershipView{
@@ -151,7 +151,7 @@
 			r.logger.Info("upstream leaving", "upstream", m.ID, "gone_at", m.GoneAt)
 		}
 	}
-	for _, id := range list.Lapsed {
+	for _, id := range list.Expired {
 		m, ok := r.byID[id]
 		r.logger.Info("upstream left the list", "upstream", id, "store_was_away", recovered)
 		if !ok || !recovered {
--- a/gateway/roster_internal_test.go
+++ b/gateway/roster_internal_test.go
@@ -25,14 +25,14 @@
 	return s.list(), nil
 }
 
-func (s *fakeMemberSource) Take(wardturn.MemberChange) (wardturn.MemberList, bool) {
+func (s *fakeMemberSource) Apply(wardturn.MemberChange) (wardturn.MemberList, bool) {
 	return s.list(), true
 }
 
 func (s *fakeMemberSource) list() wardturn.MemberList {
 	l := wardturn.MemberList{
 		Members: slices.Clone(s.members),
-		Lapsed:  s.expired,
+		Expired: s.expired,
 	}
 	s.expired = nil
 	return l
--- a/gateway/startedquery.go
+++ b/gateway/startedquery.go
@@ -27,8 +27,8 @@
 // let them continue, delayed ones could still start on the old version, and if it aborted
 // them, running ones would be lost.
 func (g *Gateway) queryStarted() {
-	if n := g.notStarted.abortOverdue(g.clock.Now()); n > 0 {
-		g.metrics.oldEnded.Inc(int64(n))
+	if n := g.pendingSends.abortOverdue(g.clock.Now()); n > 0 {
+		g.metrics.oldVersionAborted.Inc(int64(n))
 		g.logger.Info("begins not told in time", "broken_off", n)
 	}
 	for id, ids := range g.unconfirmedStarts() {
@@ -43,7 +43,7 @@
 // unconfirmedStarts returns the attempt ids of the requests that may still start on a
 // superseded version, by upstream.
 func (g *Gateway) unconfirmedStarts() map[wardturn.UpstreamID][]string {
-	sends := g.notStarted.unconfirmed()
+	sends := g.pendingSends.unconfirmed()
 	if len(sends) == 0 {
 		return nil
 	}
@@ -58,11 +58,11 @@
 	return ids
 }
 
-// endOlder retires the versions before a newer one: it aborts the sends that have not
+// retireOlder retires the versions before a newer one: it aborts the sends that have not
 // started on them.
-func (g *Gateway) endOlder(newer wardturn.AdapterVersion) {
-	n, unconfirmed := g.notStarted.abortOlder(newer, g.clock.Now())
-	g.metrics.oldEnded.Inc(int64(n))
+func (g *Gateway) retireOlder(newer wardturn.AdapterVersion) {
+	n, unconfirmed := g.pendingSends.abortOlder(newer, g.clock.Now())
+	g.metrics.oldVersionAborted.Inc(int64(n))
 	g.logger.Info("older versions serve no more", "adapter", newer.Adapter, "newer", newer.Version, "broken_off", n, "unknown", unconfirmed)
 	if unconfirmed > 0 {
 		g.queryStarted()
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -299,7 +299,7 @@
 	case *peer.Reading:
 		k.prefill[c] = m.Tokens
 		k.sendUpdate()
-	case *peer.StoreNews, *peer.CrashNews:
+	case *peer.ReadAnnouncement, *peer.CrashAnnouncement:
 		k.forward(c, m)
 	case *peer.TeamUsageReports:
 		k.queueGossip(gossip{
@@ -336,7 +336,7 @@
 		k.registered[c] = true
 		k.gateways[hostOf(c)]++
 	}
-	if m.News {
+	if m.Announcements {
 		k.forwardTo[c] = true
 	} else {
 		delete(k.forwardTo, c)
--- a/keeper/news_test.go
+++ b/keeper/news_test.go
@@ -20,7 +20,7 @@
 	connectGateway := func(news bool) (*gatewayClient, *peer.Conn) {
 		g, c := connect(addr)
 		n := engineNotice(true)
-		n.News = news
+		n.Announcements = news
 		Expect(c.Send(n)).To(Succeed())
 		return g, c
 	}
@@ -30,7 +30,7 @@
 		next[*peer.Holding](g)
 	}
 	announce := func(position wardturn.Position) {
-		Expect(senderConn.Send(&peer.StoreNews{
+		Expect(senderConn.Send(&peer.ReadAnnouncement{
 			Reader: "reader",
 			Config: position,
 		})).To(Succeed())
@@ -48,7 +48,7 @@
 
 	It("forwards it to the gateways that get announcements from it, except the sender, and to no other", func() {
 		announce(7)
-		Expect(next[*peer.StoreNews](receiver).Config).To(BeEquivalentTo(7))
+		Expect(next[*peer.ReadAnnouncement](receiver).Config).To(BeEquivalentTo(7))
 		Consistently(func() bool {
 			return gotAnnouncement(other) || gotAnnouncement(sender)
 		}, "200ms").Should(BeFalse())
@@ -62,11 +62,11 @@
 		Consistently(func() bool {
 			return gotAnnouncement(receiver)
 		}, "200ms").Should(BeFalse())
-		n.News = true
+		n.Announcements = true
 		Expect(receiverConn.Send(n)).To(Succeed())
 		sync(receiver, receiverConn)
 		announce(8)
-		Expect(next[*peer.StoreNews](receiver).Config).To(BeEquivalentTo(8))
+		Expect(next[*peer.ReadAnnouncement](receiver).Config).To(BeEquivalentTo(8))
 	})
 })
 
@@ -75,7 +75,7 @@
 	for {
 		select {
 		case m := <-g.messages:
-			if _, ok := m.(*peer.StoreNews); ok {
+			if _, ok := m.(*peer.ReadAnnouncement); ok {
 				return true
 			}
 		default:
--- a/peer/message.go
+++ b/peer/message.go
@@ -35,14 +35,14 @@
 	KindEngineNotice
 	KindLoadWish
 	KindUsage
-	KindStoreNews
+	KindReadAnnouncement
 	KindReading
 	KindListen
 	KindFollow
 	KindRelayed
 	KindMark
 	KindTeamUsageReports
-	KindCrashNews
+	KindCrashAnnouncement
 	KindStartedQuery
 	KindStartedReport
 	KindLimitGossip
@@ -284,8 +284,8 @@
 		return &Usage{}
 	case KindReading:
 		return &Reading{}
-	case KindStoreNews:
-		return &StoreNews{}
+	case KindReadAnnouncement:
+		return &ReadAnnouncement{}
 	case KindListen:
 		return &Listen{}
 	case KindFollow:
@@ -296,8 +296,8 @@
 		return &Mark{}
 	case KindTeamUsageReports:
 		return &TeamUsageReports{}
-	case KindCrashNews:
-		return &CrashNews{}
+	case KindCrashAnnouncement:
+		return &CrashAnnouncement{}
 	case KindStartedQuery:
 		return &StartedQuery{}
 	case KindStartedReport:
--- a/peer/placement.go
+++ b/peer/placement.go
@@ -58,12 +58,12 @@
 // EngineNotice passes the operator's configuration of an engine to its keeper,
 // together with what the gateway wants to receive on this connection.
 type EngineNotice struct {
-	Config   int64 // version of the configuration
-	Upstream wardturn.UpstreamID
-	Seen     wardturn.Position // of the upstream's entry in the list; higher for later lifetimes
-	Spec     wardturn.EngineSpec
-	Relayed  bool // a relay sends the updates to the gateway; send only adapters that it requests
-	News     bool // send the announcements of other gateways to this gateway
+	Config        int64 // version of the configuration
+	Upstream      wardturn.UpstreamID
+	Seen          wardturn.Position // of the upstream's entry in the list; higher for later lifetimes
+	Spec          wardturn.EngineSpec
+	Relayed       bool // a relay sends the updates to the gateway; send only adapters that it requests
+	Announcements bool // send the announcements of other gateways to this gateway
 }
 
 // Listen subscribes to a keeper's state updates.
@@ -98,31 +98,31 @@
 	Oldest  time.Duration           // how long the oldest of them has waited
 }
 
-// StoreNews announces that a gateway has read a topic of the platform's store, so
+// ReadAnnouncement announces that a gateway has read a topic of the platform's store, so
 // that the others need not read it. A gateway sends it to two keepers in each
 // failure domain, which forward it to the gateways that receive announcements there.
-type StoreNews struct {
+type ReadAnnouncement struct {
 	Reader  wardturn.Incarnation
-	Stamp   time.Duration          // time of the read by the reader's own clock
+	ReadAt  time.Duration          // time of the read by the reader's own clock
 	Config  wardturn.Position      // up to which the configuration was read; zero: it was not
 	Members *wardturn.MemberChange // nil: the list of upstreams was not read
-	Crashes *CrashReading          // latest read of the crash records; nil: none, or not included
+	Crashes *CrashRead             // latest read of the crash records; nil: none, or not included
 }
 
-// CrashReading says up to which position and how long ago a gateway last read the
+// CrashRead says up to which position and how long ago a gateway last read the
 // crash records of the store, or received the announcement of another gateway's read.
-type CrashReading struct {
+type CrashRead struct {
 	To  wardturn.Position
 	Age time.Duration // since the read
 }
 
-// CrashNews announces contents whose requests were running when upstreams crashed,
+// CrashAnnouncement announces contents whose requests were running when upstreams crashed,
 // contents that were later answered successfully, and changes read from the crash
-// records of the store. It is forwarded in the same way as StoreNews.
-type CrashNews struct {
+// records of the store. It is forwarded in the same way as ReadAnnouncement.
+type CrashAnnouncement struct {
 	Crashes []wardturn.Crash
 	Cleared []wardturn.ContentID
-	Read    *wardturn.CrashChange // nil: nothing new was read
+	Change  *wardturn.CrashChange // nil: nothing new was read
 }
 
 // Reading reports to a keeper how many tokens of a gateway's long prompts are in
@@ -191,10 +191,10 @@
 func (*LoadWish) Kind() Kind { return KindLoadWish }
 
 // Kind implements Message.
-func (*StoreNews) Kind() Kind { return KindStoreNews }
+func (*ReadAnnouncement) Kind() Kind { return KindReadAnnouncement }
 
 // Kind implements Message.
-func (*CrashNews) Kind() Kind { return KindCrashNews }
+func (*CrashAnnouncement) Kind() Kind { return KindCrashAnnouncement }
 
 // Kind implements Message.
 func (*Reading) Kind() Kind { return KindReading }
--- a/routes.go
+++ b/routes.go
@@ -113,13 +113,13 @@
 
 // MemberList is the result of one read of the platform's list of upstreams.
 type MemberList struct {
-	Members []Member
-	Lapsed  []UpstreamID // entries that ended since the previous read
-	Change  MemberChange // since the previous read, to be passed on to other readers
-	Same    bool         // unchanged since the previous read; Members is nil
-	// Returned reports that the store was restored from an older copy since the previous
+	Members   []Member
+	Expired   []UpstreamID // entries that ended since the previous read
+	Change    MemberChange // since the previous read, to be passed on to other readers
+	Unchanged bool         // unchanged since the previous read; Members is nil
+	// Restored reports that the store was restored from an older copy since the previous
 	// read: some upstreams have to write their entries again.
-	Returned bool
+	Restored bool
 }
 
 // MemberChange is a range of the changes to the list of upstreams, sent by one reader to
@@ -129,7 +129,7 @@
 	From    Position // negative: the whole list was read, and only To is set
 	To      Position
 	Changed []Member // without GoneAt, which is a time of the reader's clock
-	Ended   []UpstreamID
+	Expired []UpstreamID
 }
 
 // EngineState is the state that an engine reports.
@@ -247,9 +247,9 @@
 	Versions []AdapterVersion // newest versions of weights that were announced
 	// Evacuated is the set of all evacuated failure domains; nil: unchanged.
 	Evacuated Evacuations
-	// Returned reports that the store was restored from an older copy since the previous
+	// Restored reports that the store was restored from an older copy since the previous
 	// call: the operator has to write some records again.
-	Returned bool
+	Restored bool
 }
 
 // Evacuations is the set of failure domains whose upstreams must get no requests.
@@ -269,25 +269,25 @@
 	// Next reads the current list. If the whole list takes several responses, progress is
 	// called between them with the members read so far, unless progress is nil.
 	Next(progress func([]Member)) (MemberList, error)
-	// Take applies a change that another reader has read and returns the resulting
+	// Apply applies a change that another reader has read and returns the resulting
 	// list. It reports false if the change does not follow what is known: the list
 	// has to be read.
-	Take(c MemberChange) (MemberList, bool)
+	Apply(c MemberChange) (MemberList, bool)
 }
 
 // FleetFacts are facts about the weight store and the gateways that are kept across
 // restarts of the gateways.
 type FleetFacts struct {
-	Window   int // maximum number of concurrent loads; zero: not known
-	Gateways int // number of gateways; zero: not known
+	LoadWindow int // maximum number of concurrent loads; zero: not known
+	Gateways   int // number of gateways; zero: not known
 }
 
-// FleetMemory stores FleetFacts in the platform's store.
-type FleetMemory interface {
-	// RecallFleet returns the facts that were written last.
-	RecallFleet() (FleetFacts, error)
-	// RememberFleet replaces the stored facts.
-	RememberFleet(f FleetFacts) error
+// FleetFactStore stores FleetFacts in the platform's store.
+type FleetFactStore interface {
+	// ReadFleetFacts returns the facts that were written last.
+	ReadFleetFacts() (FleetFacts, error)
+	// WriteFleetFacts replaces the stored facts.
+	WriteFleetFacts(f FleetFacts) error
 }
 
 // OrderedEngine is a model engine, as used by the process next to it.
