--- a/agent/agent.go
+++ b/agent/agent.go
@@ -234,7 +234,7 @@
 	for _, st := range o.Run {
 		a.startRun(st)
 	}
-	for _, w := range o.Wish {
+	for _, w := range o.PermitRequests {
 		a.alloc.wish(w)
 	}
 }
--- a/agent/allocator.go
+++ b/agent/allocator.go
@@ -67,25 +67,25 @@
 }
 
 // wish sends the agent's wish to the allocator. The agent's lock is held.
-func (r *allocatorRole) wish(w decide.Wish) {
+func (r *allocatorRole) wish(w decide.PermitRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case r.holder == r.agent.cfg.Upstream:
 		r.decide(func(now time.Time, out []decide.Grant) []decide.Grant {
-			return r.allocator().Wish(now, w, out)
+			return r.allocator().Request(now, w, out)
 		})
 	case r.client != nil:
 		if c := r.client.Conn(); c != nil {
-			_ = c.Send(&peer.Wish{
-				Wish: w,
+			_ = c.Send(&peer.PermitRequest{
+				Request: w,
 			})
 		}
 	}
 }
 
 // onWish takes another agent's wish. Whoever is asked allocates.
-func (r *allocatorRole) onWish(c *peer.Conn, w decide.Wish) {
+func (r *allocatorRole) onWish(c *peer.Conn, w decide.PermitRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed || r.agent.cfg.Model == "" {
@@ -93,7 +93,7 @@
 	}
 	r.conns[w.Upstream] = c
 	r.decide(func(now time.Time, out []decide.Grant) []decide.Grant {
-		return r.allocator().Wish(now, w, out)
+		return r.allocator().Request(now, w, out)
 	})
 }
 
--- a/agent/inbound.go
+++ b/agent/inbound.go
@@ -22,8 +22,8 @@
 	switch m := m.(type) {
 	case *peer.Submit:
 		a.onSubmit(c, m)
-	case *peer.Wish:
-		a.alloc.onWish(c, m.Wish)
+	case *peer.PermitRequest:
+		a.alloc.onWish(c, m.Request)
 	case *peer.ConfigPull:
 		a.onConfigPull(c, m)
 	case *peer.Ping:
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -76,13 +76,13 @@
 	h := core.Hint()
 	m.running.Update(float64(h.Running))
 	m.queued.Update(float64(h.Queued))
-	m.wants.Update(float64(h.Wants))
+	m.wants.Update(float64(h.WaitingAdapters))
 	m.attempts.Update(float64(attempts))
 	if sh, ok := core.Shadow(); ok {
 		m.shadowLoads.Update(float64(sh.Loads))
-		m.shadowWants.Update(float64(sh.Wants))
+		m.shadowWants.Update(float64(sh.OtherAdapters))
 		m.shadowVictims.Update(float64(sh.Victims))
 		m.shadowHolds.Update(float64(sh.Holds))
-		m.shadowHeld.Update(float64(sh.Held))
+		m.shadowHeld.Update(float64(sh.OtherHolds))
 	}
 }
--- a/cli/fleet/gateway.go
+++ b/cli/fleet/gateway.go
@@ -110,7 +110,7 @@
 			},
 			Window: decide.WindowConfig{
 				Start: c.LoadsAtStart,
-				Most:  c.LoadsAtMost,
+				Max:   c.LoadsAtMost,
 			},
 		},
 	}
@@ -124,7 +124,7 @@
 	logger.SetLevel(hclog.LevelFromString(n.LogLevel))
 	t := n.config()
 	g.Retune(t)
-	logger.Info("settings read again", "log_level", n.LogLevel, "retry_share", t.RetryShare, "retry_extra", t.RetryExtra, "retry_window", t.RetryWindow, "cross_bytes", t.Fleet.CrossBytes, "loads_at_most", t.Fleet.Window.Most)
+	logger.Info("settings read again", "log_level", n.LogLevel, "retry_share", t.RetryShare, "retry_extra", t.RetryExtra, "retry_window", t.RetryWindow, "cross_bytes", t.Fleet.CrossBytes, "loads_at_most", t.Fleet.Window.Max)
 }
 
 // leaveMargin is kept before SIGKILL to end the answers under way visibly and to
--- a/decide/agent.go
+++ b/decide/agent.go
@@ -86,11 +86,11 @@
 // Orders collects what the driver has to do after an event. Reset it between events to
 // reuse its memory.
 type Orders struct {
-	Run    []Start
-	Load   []SlotOrder
-	Unload []SlotOrder
-	Refuse []Refusal
-	Wish   []Wish // request to the allocator of the store's rate; at most one
+	Run            []Start
+	Load           []SlotOrder
+	Unload         []SlotOrder
+	Refuse         []Refusal
+	PermitRequests []PermitRequest // request to the allocator of the store's rate; at most one
 }
 
 // Reset empties the orders and keeps their memory.
@@ -99,7 +99,7 @@
 	o.Load = o.Load[:0]
 	o.Unload = o.Unload[:0]
 	o.Refuse = o.Refuse[:0]
-	o.Wish = o.Wish[:0]
+	o.PermitRequests = o.PermitRequests[:0]
 }
 
 // AgentStats counts the actions of an Agent since its start.
@@ -120,7 +120,7 @@
 	adapters    map[wardturn.AdapterRef]*adapter
 	work        map[wardturn.AttemptID]*item
 	plain       queue      // requests to a plain service
-	wanted      []*adapter // adapters with waiting requests and no slot
+	missing     []*adapter // adapters with waiting requests and no slot
 	scratch     []*item
 	lastSeq     uint64
 	misses      uint64
@@ -131,7 +131,7 @@
 	queued      int
 	queuedBatch int
 	leaving     bool
-	informed    bool // an engine report made after the start has arrived
+	reported    bool // an engine report made after the start has arrived
 	lastOrder   wardturn.OrderID
 	loadTime    time.Duration
 	serveTime   time.Duration
@@ -252,11 +252,11 @@
 	if ad := it.adapter; ad != nil {
 		ad.missingAt = now
 		if ad.slot != noSlot && a.slots[ad.slot].state == SlotReady {
-			a.lose(&a.slots[ad.slot], now)
+			a.slotLost(&a.slots[ad.slot], now)
 		}
 	}
 	it.running = false
-	a.enqueueAgain(it)
+	a.requeue(it)
 	a.plan(now, out)
 }
 
--- a/decide/allocator.go
+++ b/decide/allocator.go
@@ -32,14 +32,14 @@
 type Allocator struct {
 	limit  StoreLimit
 	epoch  uint64
-	bucket bucket
+	bucket tokenBucket
 	agents []*agentPermits // in order of upstream
 	byID   map[wardturn.UpstreamID]*agentPermits
 	misses meter
 }
 
 type agentPermits struct {
-	request     Wish
+	request     PermitRequest
 	total       uint64 // permits granted in this epoch
 	used        uint64
 	busy        int
@@ -58,7 +58,7 @@
 	return &Allocator{
 		limit: limit,
 		epoch: epoch,
-		bucket: bucket{
+		bucket: tokenBucket{
 			rate:  limit.Rate,
 			burst: max(2, float64(limit.Parallel)),
 		},
@@ -66,9 +66,9 @@
 	}
 }
 
-// Wish applies an agent's permit request and appends the grants to send to out. They always
+// Request applies an agent's permit request and appends the grants to send to out. They always
 // include one for the agent itself.
-func (l *Allocator) Wish(now time.Time, w Wish, out []Grant) []Grant {
+func (l *Allocator) Request(now time.Time, w PermitRequest, out []Grant) []Grant {
 	a := l.agent(w.Upstream)
 	if w.Busy > a.busy && !a.requestedAt.IsZero() {
 		l.bucket.rate = max(l.limit.Rate*allocatorFloor, l.bucket.rate*allocatorDecrease)
@@ -167,7 +167,7 @@
 			continue
 		}
 		if silent > permitRequestLifetime {
-			a.request.Want = 0
+			a.request.Pending = 0
 		}
 		kept = append(kept, a)
 	}
@@ -188,7 +188,7 @@
 func (l *Allocator) best() *agentPermits {
 	var best *agentPermits
 	for _, a := range l.agents {
-		if a.request.Want == 0 || a.total > a.used {
+		if a.request.Pending == 0 || a.total > a.used {
 			continue
 		}
 		if best == nil || moreValuable(a.request, best.request) {
@@ -198,7 +198,7 @@
 	return best
 }
 
-func moreValuable(x, y Wish) bool {
+func moreValuable(x, y PermitRequest) bool {
 	if x.Class != y.Class {
 		return x.Class == wardturn.Interactive
 	}
@@ -210,7 +210,7 @@
 	backlog := 0
 	for _, other := range l.agents {
 		if other.request.Class == wardturn.Interactive {
-			backlog += other.request.Want
+			backlog += other.request.Pending
 		}
 	}
 	return Grant{
--- a/decide/allocator_test.go
+++ b/decide/allocator_test.go
@@ -18,24 +18,24 @@
 		Rate:     10,
 		Parallel: 4,
 	}
-	wish := func(id wardturn.UpstreamID, value float64) decide.Wish {
-		return decide.Wish{
+	wish := func(id wardturn.UpstreamID, value float64) decide.PermitRequest {
+		return decide.PermitRequest{
 			Upstream: id,
 			Value:    value,
-			Want:     1,
+			Pending:  1,
 		}
 	}
 
 	It("gives a scarce permit to the most valuable request", func() {
 		l := decide.NewAllocator(limit, 1)
 		for _, id := range []wardturn.UpstreamID{"w", "x", "y", "z"} {
-			l.Wish(start, wish(id, 1), nil) // takes the burst and all parallel loads
+			l.Request(start, wish(id, 1), nil) // takes the burst and all parallel loads
 		}
-		l.Wish(start, wish("low", 2), nil)
-		l.Wish(start, wish("high", 3), nil)
+		l.Request(start, wish("low", 2), nil)
+		l.Request(start, wish("high", 3), nil)
 		now := start.Add(100 * time.Millisecond)
 		Expect(l.Tick(now, nil)).To(BeEmpty(), "no place is free")
-		grants := l.Wish(now, decide.Wish{
+		grants := l.Request(now, decide.PermitRequest{
 			Upstream: "w",
 			Epoch:    1,
 			Used:     1,
@@ -47,13 +47,13 @@
 
 	It("leaves permits and parallel loads for interactive work", func() {
 		l := decide.NewAllocator(limit, 1)
-		first := l.Wish(start, wish("interactive", 1), nil)
+		first := l.Request(start, wish("interactive", 1), nil)
 		Expect(first[0].Total).To(Equal(uint64(1)))
 		batch := wish("batch", 100)
 		batch.Class = wardturn.Batch
-		grants := l.Wish(start, batch, nil)
+		grants := l.Request(start, batch, nil)
 		Expect(grants[0].Total).To(BeZero(), "the bucket is not full")
-		grants = l.Wish(start.Add(time.Second), batch, nil)
+		grants = l.Request(start.Add(time.Second), batch, nil)
 		Expect(grants[0].Total).To(Equal(uint64(1)))
 	})
 
@@ -66,7 +66,7 @@
 				w, due := p.Pending(now)
 				Expect(due).To(BeTrue())
 				w.Upstream = "a"
-				for _, g := range l.Wish(now, w, nil) {
+				for _, g := range l.Request(now, w, nil) {
 					p.Granted(now, g)
 				}
 				return p.Take(now, wish("a", 1))
@@ -78,7 +78,7 @@
 			p.Withdraw(now)
 			if w, due := p.Pending(now); due {
 				w.Upstream = "a"
-				l.Wish(now, w, nil)
+				l.Request(now, w, nil)
 			}
 		}
 		Expect(load()).To(BeTrue())
@@ -91,9 +91,9 @@
 	It("slows down when the store refuses loads within its limit", func() {
 		l := decide.NewAllocator(limit, 1)
 		w := wish("a", 1)
-		l.Wish(start, w, nil)
+		l.Request(start, w, nil)
 		w.Busy = 3
-		grants := l.Wish(start.Add(time.Second), w, nil)
+		grants := l.Request(start.Add(time.Second), w, nil)
 		Expect(grants[0].Interval).To(BeNumerically(">", 100*time.Millisecond))
 	})
 })
--- a/decide/bodies_test.go
+++ b/decide/bodies_test.go
@@ -19,7 +19,7 @@
 		MostBodies: maxBytes,
 	})
 	for _, m := range fleetMembers() {
-		x.f.SetHolding(x.now, m.ID, decide.Holding{
+		x.f.ApplyEngineUpdate(x.now, m.ID, decide.EngineUpdate{
 			Connected: true,
 			Known:     true,
 			Models:    []wardturn.BaseModel{"m"},
--- a/decide/cause.go
+++ b/decide/cause.go
@@ -9,23 +9,23 @@
 
 // Causes of a load.
 const (
-	LoadFirst   LoadCause = "first"   // no engine held it, as far as this gateway knows
-	LoadAgain   LoadCause = "again"   // the engine held it before
-	LoadMoved   LoadCause = "moved"   // another engine held it before but no longer does
-	LoadSecond  LoadCause = "second"  // other engines hold it, but are full or would answer too late
-	LoadNear    LoadCause = "near"    // only engines in other failure domains hold it, and many bytes were sent there
-	LoadRelief  LoadCause = "relief"  // the engine that holds it is busier than others
-	LoadVersion LoadCause = "version" // a newer version was announced
+	LoadFirst      LoadCause = "first"   // no engine held it, as far as this gateway knows
+	LoadHeldBefore LoadCause = "again"   // the engine held it before
+	LoadMoved      LoadCause = "moved"   // another engine held it before but no longer does
+	LoadCopy       LoadCause = "second"  // other engines hold it, but are full or would answer too late
+	LoadLocal      LoadCause = "near"    // only engines in other failure domains hold it, and many bytes were sent there
+	LoadRelief     LoadCause = "relief"  // the engine that holds it is busier than others
+	LoadVersion    LoadCause = "version" // a newer version was announced
 )
 
 // causeOf returns why an engine is asked for a wanted adapter, for wants without a cause
 // set elsewhere.
-func (f *Fleet) causeOf(w *want, home *Member) LoadCause {
+func (f *Fleet) causeOf(w *missingAdapter, home *Member) LoadCause {
 	if home.everHeld[w.key] {
-		return LoadAgain
+		return LoadHeldBefore
 	}
 	if len(f.holders[w.key]) > 0 {
-		return LoadSecond
+		return LoadCopy
 	}
 	if f.heldElsewhere(w.service, w.key) {
 		return LoadMoved
--- a/decide/copies.go
+++ b/decide/copies.go
@@ -25,7 +25,7 @@
 // serves it, is more loaded than others, if the streams there would pause for the prefill
 // of the request's prompt, or if m is in another failure domain and the traffic sent
 // there exceeds FleetConfig.CrossBytes, the equivalent of a load.
-func (f *Fleet) considerCopy(now time.Time, t *Ticket, m *Member, out *Moves) {
+func (f *Fleet) considerCopy(now time.Time, t *PendingRequest, m *Member, out *Actions) {
 	near := m.Domain == f.cfg.Domain
 	if !near {
 		f.crossed[t.Key] += t.Bytes
@@ -35,7 +35,7 @@
 	if !costly && !busy {
 		return
 	}
-	if f.wants.anywhere(t.Key) != nil || !f.hasSpareCapacity(now) {
+	if f.missing.unrestricted(t.Key) != nil || !f.hasSpareCapacity(now) {
 		return
 	}
 	home := f.copyHome(now, t, m, costly)
@@ -43,20 +43,20 @@
 		return
 	}
 	f.crossed[t.Key] = 0
-	w := f.wantOf(now, t.Key, t.Service, nil)
-	w.cause = LoadNear
+	w := f.missingFor(now, t.Key, t.Service, nil)
+	w.cause = LoadLocal
 	if busy {
 		w.relieved = 1 + m.runningOf(t.Key)
 		w.cause = LoadRelief
 	}
-	f.ask(now, w, home, out)
+	f.requestLoad(now, w, home, out)
 }
 
 // pausesStreams reports whether the prefill of a request's prompt would pause so many
 // streams that its adapter needs another engine. The number of requests is estimated by
 // assuming that each gateway has as many for the adapter there as this one; for only a
 // few requests a copy costs more than it saves.
-func (f *Fleet) pausesStreams(now time.Time, t *Ticket, m *Member) bool {
+func (f *Fleet) pausesStreams(now time.Time, t *PendingRequest, m *Member) bool {
 	if (m.runningOf(t.Key)+1)*f.Gateways() < copyMinRequests {
 		return false
 	}
@@ -65,7 +65,7 @@
 
 // overloaded reports whether an engine has far more load than others and this gateway's
 // requests for the adapter contribute to it.
-func (f *Fleet) overloaded(t *Ticket, m *Member) bool {
+func (f *Fleet) overloaded(t *PendingRequest, m *Member) bool {
 	if m.load() < copyMinLoad || m.runningOf(t.Key) < copyMinOwnRequests {
 		return false
 	}
@@ -81,10 +81,10 @@
 // nil. It is the first one in home order that costs sufficiently less, or with near set
 // the first in the gateway's own failure domain. Gateways that need a copy at the same
 // time thus choose the same engine.
-func (f *Fleet) copyHome(now time.Time, t *Ticket, m *Member, near bool) *Member {
+func (f *Fleet) copyHome(now time.Time, t *PendingRequest, m *Member, near bool) *Member {
 	maxCost := f.costOf(now, t, m) - copyMinSaving
 	for o := range f.homes(now, t.Service, t.Key, near) {
-		if _, holds := o.held[t.Key]; holds || o.loading() >= MaxComing {
+		if _, holds := o.held[t.Key]; holds || o.loading() >= MaxConcurrentLoads {
 			continue
 		}
 		if near || f.costOf(now, t, o) <= maxCost {
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -17,7 +17,7 @@
 
 // SetEvacuated sets the failure domains whose upstreams get no requests. The upstreams of a
 // domain whose evacuation is withdrawn are presumed cold for coldWatch.
-func (f *Fleet) SetEvacuated(now time.Time, domains wardturn.Evacuations, out *Moves) {
+func (f *Fleet) SetEvacuated(now time.Time, domains wardturn.Evacuations, out *Actions) {
 	before := f.evacuated
 	f.evacuated = domains
 	for _, m := range f.members {
@@ -32,7 +32,7 @@
 			f.preloadElsewhere(now, m)
 		}
 	}
-	f.pump(now, out)
+	f.requestMissing(now, out)
 }
 
 // preloadElsewhere requests loads of the adapters that this gateway uses at an evacuated
@@ -45,12 +45,12 @@
 		region = nil
 	}
 	for key, u := range m.uses {
-		if u.Running == 0 || f.heldByAvailable(now, key) || f.wants.anywhere(key) != nil {
+		if u.Running == 0 || f.heldByAvailable(now, key) || f.missing.unrestricted(key) != nil {
 			continue
 		}
-		w := f.wantOf(now, key, m.Service, region)
-		w.owed += u.Running
-		w.owedTo = now.Add(preloadWantedFor)
+		w := f.missingFor(now, key, m.Service, region)
+		w.expectedRetries += u.Running
+		w.retriesUntil = now.Add(preloadWantedFor)
 	}
 }
 
@@ -110,7 +110,7 @@
 // noneMay reports whether no upstream of a request's service is eligible for it, whatever
 // their load, and why. Such a request is refused at once, since waiting in the gateway
 // would gain it nothing.
-func (f *Fleet) noneMay(t *Ticket) (wardturn.Reason, bool) {
+func (f *Fleet) noneMay(t *PendingRequest) (wardturn.Reason, bool) {
 	if t.Regions == nil && len(f.evacuated) == 0 {
 		return "", false
 	}
--- a/decide/evacuation_test.go
+++ b/decide/evacuation_test.go
@@ -45,7 +45,7 @@
 
 // admitFor admits a request and returns its assignment if it was decided at once.
 func (x *fleetRig) admitFor(service wardturn.ServiceName, key wardturn.ModelAdapter, regions wardturn.Regions) (a decide.Assignment, decided bool) {
-	x.f.Admit(x.now, &decide.Ticket{
+	x.f.Admit(x.now, &decide.PendingRequest{
 		Service:   service,
 		Key:       key,
 		Arrived:   x.now,
@@ -63,13 +63,13 @@
 // holdEverywhere makes all engines report an adapter as ready.
 func (x *fleetRig) holdEverywhere(name string) {
 	for _, id := range []wardturn.UpstreamID{"n0", "n1", "f0", "f1"} {
-		x.f.SetHolding(x.now, id, decide.Holding{
+		x.f.ApplyEngineUpdate(x.now, id, decide.EngineUpdate{
 			Connected: true,
 			Known:     true,
 			Models:    []wardturn.BaseModel{"m"},
 			Full:      true,
 			Adapters:  []decide.HeldVersion{readyAdapter(name, 1)},
-			Free:      2,
+			FreeSlots: 2,
 			Gateways:  1,
 		}, &x.out)
 	}
@@ -92,9 +92,9 @@
 			}
 			x.f.Ended(x.now, a.Member.ID, adapterKey("a"), decide.EndedWell)
 		}
-		x.out.Asks = nil
+		x.out.LoadRequests = nil
 		x.admitFor(fleetService, adapterKey("b"), nil)
-		for _, ask := range x.out.Asks {
+		for _, ask := range x.out.LoadRequests {
 			if id := ask.Upstream; id == "n0" || id == "n1" {
 				t.Errorf("load requested at the evacuated engine %s", id)
 			}
@@ -123,7 +123,7 @@
 	x, _ := newEvacuationRig()
 	x.holdEverywhere("a")
 	refused := false
-	x.f.Admit(x.now, &decide.Ticket{
+	x.f.Admit(x.now, &decide.PendingRequest{
 		Service:   fleetService,
 		Key:       adapterKey("b"),
 		Arrived:   x.now,
@@ -237,14 +237,14 @@
 			t.Fatalf("%s: %+v", name, a)
 		}
 	}
-	x.out.Asks = nil
+	x.out.LoadRequests = nil
 	x.f.SetEvacuated(x.now, wardturn.Evacuations{
 		"near": true,
 	}, &x.out)
-	if len(x.out.Asks) != 1 || x.out.Asks[0].Adapter.Adapter != "used" {
-		t.Fatalf("requested %+v, want only the adapter that is in use and held nowhere else", x.out.Asks)
+	if len(x.out.LoadRequests) != 1 || x.out.LoadRequests[0].Adapter.Adapter != "used" {
+		t.Fatalf("requested %+v, want only the adapter that is in use and held nowhere else", x.out.LoadRequests)
 	}
-	home := x.out.Asks[0].Upstream
+	home := x.out.LoadRequests[0].Upstream
 	if home != "f0" && home != "f1" {
 		t.Errorf("load requested at %s", home)
 	}
@@ -253,7 +253,7 @@
 		t.Errorf("next request: %+v", a)
 	}
 	x.tick(10 * time.Second)
-	if len(x.out.Asks) != 1 {
-		t.Errorf("requested again: %+v", x.out.Asks)
+	if len(x.out.LoadRequests) != 1 {
+		t.Errorf("requested again: %+v", x.out.LoadRequests)
 	}
 }
--- a/decide/evict.go
+++ b/decide/evict.go
@@ -6,14 +6,14 @@
 	"wardturn"
 )
 
-// MaxFree is the largest number of free slots that is reported. A larger number makes no
+// MaxFreeSlots is the largest number of free slots that is reported. A larger number makes no
 // difference to the choice of an engine for an adapter.
-const MaxFree = 2
+const MaxFreeSlots = 2
 
-// Free counts, up to MaxFree, the slots that another adapter could take now: empty ones
+// FreeSlots counts, up to MaxFreeSlots, the slots that another adapter could take now: empty ones
 // and those of adapters that may be evicted, less one for each load request that has no
 // slot yet.
-func (p *Places) Free(now time.Time) int {
+func (p *Placement) FreeSlots(now time.Time) int {
 	n := p.spec.AdapterSlots - p.occupied()
 	for _, m := range p.state.Models {
 		for _, a := range m.Adapters {
@@ -27,18 +27,18 @@
 			n--
 		}
 	}
-	return min(max(n, 0), MaxFree)
+	return min(max(n, 0), MaxFreeSlots)
 }
 
 // evictable reports whether a resident adapter may be evicted.
-func (p *Places) evictable(now time.Time, key wardturn.ModelAdapter) bool {
+func (p *Placement) evictable(now time.Time, key wardturn.ModelAdapter) bool {
 	return !p.isLoading(key) && p.pending[key] == nil && !p.inUse(now, key)
 }
 
 // victim returns the evictable adapter of the least value, if that is less than worth, the
 // value of the adapter to load. An adapter whose eviction was already announced is
 // returned first.
-func (p *Places) victim(now time.Time, worth float64) (wardturn.ModelAdapter, bool) {
+func (p *Placement) victim(now time.Time, worth float64) (wardturn.ModelAdapter, bool) {
 	var best wardturn.ModelAdapter
 	found := false
 	least := worth
@@ -63,7 +63,7 @@
 
 // inUse reports whether an adapter is in use, was used within minIdleTime, or was loaded
 // within minResidentTime.
-func (p *Places) inUse(now time.Time, key wardturn.ModelAdapter) bool {
+func (p *Placement) inUse(now time.Time, key wardturn.ModelAdapter) bool {
 	if at, ok := p.readyAt[key]; ok && now.Sub(at) < minResidentTime {
 		return true
 	}
@@ -73,7 +73,7 @@
 
 // hasRunning reports whether connected gateways report running requests on an adapter, or a
 // disconnected one is assumed to have some.
-func (p *Places) hasRunning(key wardturn.ModelAdapter) bool {
+func (p *Placement) hasRunning(key wardturn.ModelAdapter) bool {
 	if _, lost := p.orphaned[key]; lost {
 		return true
 	}
--- a/decide/finish_test.go
+++ b/decide/finish_test.go
@@ -30,8 +30,8 @@
 		Expect(x.got["second"].Member.ID).To(BeEquivalentTo("n0")) // 420 ms of prefill, with an objective of 600 ms
 		admit("third", "hot", longPrompt)
 		Expect(x.got).NotTo(HaveKey("third"))
-		Expect(x.out.Asks).To(HaveLen(1))
-		copyEngine := x.out.Asks[0].Upstream
+		Expect(x.out.LoadRequests).To(HaveLen(1))
+		copyEngine := x.out.LoadRequests[0].Upstream
 		Expect(copyEngine).NotTo(BeEquivalentTo("n0"))
 		x.tick(250 * time.Millisecond)
 		x.hold(string(copyEngine), readyAdapter("hot", 1))
@@ -39,7 +39,7 @@
 	})
 
 	It("are made while the load window has any space, however many gateways share it", func() {
-		x.f.SetHolding(x.now, "n0", decide.Holding{
+		x.f.ApplyEngineUpdate(x.now, "n0", decide.EngineUpdate{
 			Connected: true,
 			Known:     true,
 			Models:    []wardturn.BaseModel{"m"},
@@ -49,7 +49,7 @@
 			admit(fmt.Sprint("r", i), "hot", longPrompt)
 		}
 		Expect(x.got).To(HaveLen(2))
-		Expect(x.out.Asks).To(HaveLen(1))
+		Expect(x.out.LoadRequests).To(HaveLen(1))
 	})
 
 	It("are not made for an adapter with frequent requests and short prompts", func() {
@@ -57,7 +57,7 @@
 			admit(fmt.Sprint("r", i), "hot", 500)
 		}
 		Expect(x.got).To(HaveLen(4))
-		Expect(x.out.Asks).To(BeEmpty())
+		Expect(x.out.LoadRequests).To(BeEmpty())
 	})
 
 	It("are not waited for if the prompt would miss its objective there as well", func() {
@@ -65,15 +65,15 @@
 		admit("second", "hot", longPrompt)
 		admit("huge", "hot", 20000) // 500 ms of prefill, and 300 ms for a load
 		Expect(x.got["huge"].Member.ID).To(BeEquivalentTo("n0"))
-		Expect(x.out.Asks).To(BeEmpty())
+		Expect(x.out.LoadRequests).To(BeEmpty())
 	})
 
 	It("have waiting prompts counted at the engine that loads the copy, until they stop waiting", func() {
 		for i := range 3 {
 			admit(fmt.Sprint("cold", i), "cold", 4500)
 		}
-		home := x.out.Asks[0].Upstream
-		Expect(x.f.Readings()).To(Equal([]decide.ReadingNote{
+		home := x.out.LoadRequests[0].Upstream
+		Expect(x.f.PrefillReports()).To(Equal([]decide.PrefillReport{
 			{
 				Upstream: home,
 				Tokens:   3 * 4500,
@@ -81,7 +81,7 @@
 		}))
 		x.tick(400 * time.Millisecond) // none could meet its objective any more
 		Expect(x.got).To(HaveLen(3))
-		Expect(x.f.Readings()).To(Equal([]decide.ReadingNote{
+		Expect(x.f.PrefillReports()).To(Equal([]decide.PrefillReport{
 			{
 				Upstream: home,
 			},
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -24,14 +24,14 @@
 	holders       engineIndex                        // engines that hold an adapter ready
 	loaders       engineIndex                        // engines that are loading it
 	heldBefore    engineIndex                        // engines that have held it since they started
-	wants         wants
+	missing       missingAdapters
 	gateways      int       // as reported by keepers
 	gatewaysAt    time.Time // when gateways was last updated
 	window        LoadWindow
-	refilled      map[wardturn.ServiceName]time.Time // when services whose engines were all empty are expected to hold adapters again
+	refilledBy    map[wardturn.ServiceName]time.Time // when services whose engines were all empty are expected to hold adapters again
 	reportsDue    []*Member                          // members whose keepers have to be sent changed prefill counts
-	coming        int                                // loads under way from the weight store, of all gateways
-	drawnAt       time.Time                          // latest random draw for a share of the window below one
+	loadsInFlight int                                // loads under way from the weight store, of all gateways
+	lastDrawAt    time.Time                          // latest random draw for a share of the window below one
 	crossed       map[wardturn.ModelAdapter]int      // bytes sent to other failure domains
 	limits        *Limits
 	prefillRates  map[wardturn.ServiceName]*prefillRate // prefill rates of engines
@@ -56,13 +56,13 @@
 	VersionBound time.Duration
 	Limits       *Limits // request rate limits stated by upstreams; nil if none
 	Cold         ColdConfig
-	Draw         func() float64 // returns a random number in [0, 1); nil means the function Draw
+	Random       func() float64 // returns a random number in [0, 1); nil means the function Draw
 }
 
 // NewFleet returns a Fleet without upstreams.
 func NewFleet(cfg FleetConfig) *Fleet {
-	if cfg.Draw == nil {
-		cfg.Draw = Draw
+	if cfg.Random == nil {
+		cfg.Random = RandomFloat
 	}
 	if cfg.Limits == nil {
 		cfg.Limits = NewLimits(time.Time{}, "")
@@ -78,9 +78,9 @@
 		holders:       make(engineIndex),
 		loaders:       make(engineIndex),
 		heldBefore:    make(engineIndex),
-		wants:         make(wants),
+		missing:       make(missingAdapters),
 		window:        NewLoadWindow(cfg.Window),
-		refilled:      make(map[wardturn.ServiceName]time.Time),
+		refilledBy:    make(map[wardturn.ServiceName]time.Time),
 		crossed:       make(map[wardturn.ModelAdapter]int),
 		limits:        cfg.Limits,
 		prefillRates:  make(map[wardturn.ServiceName]*prefillRate),
@@ -92,7 +92,7 @@
 func (f *Fleet) Retune(cfg FleetConfig) {
 	f.cfg.CrossBytes = cfg.CrossBytes
 	f.cfg.MostBodies = cfg.MostBodies
-	f.window.Retune(cfg.Window)
+	f.window.ApplySettings(cfg.Window)
 	f.cfg.Cold = cfg.Cold
 	f.limits.SetColdConfig(cfg.Cold)
 }
@@ -136,18 +136,18 @@
 		m := f.members[e.ID]
 		if m == nil {
 			m = &Member{
-				coldSeen: -1,
-				hash:     hashString(string(e.ID)),
-				held:     make(map[wardturn.ModelAdapter]heldAdapter),
-				everHeld: make(map[wardturn.ModelAdapter]bool),
-				asks:     make(map[wardturn.ModelAdapter]bool),
-				doubts:   make(map[wardturn.ModelAdapter]time.Time),
-				uses:     make(map[wardturn.ModelAdapter]*AdapterCount),
+				coldSeen:     -1,
+				hash:         hashString(string(e.ID)),
+				held:         make(map[wardturn.ModelAdapter]heldAdapter),
+				everHeld:     make(map[wardturn.ModelAdapter]bool),
+				requested:    make(map[wardturn.ModelAdapter]bool),
+				notHeldUntil: make(map[wardturn.ModelAdapter]time.Time),
+				uses:         make(map[wardturn.ModelAdapter]*AdapterCount),
 			}
 		}
 		m.noteCold(now, e)
 		m.Member = e
-		m.rate = f.rateOf(e.Service)
+		m.prefillRate = f.prefillRateOf(e.Service)
 		m.evacuated = f.evacuated[e.Domain]
 		m.backoff = f.backoffs[e.ID.Instance()]
 		members[e.ID] = m
@@ -160,7 +160,7 @@
 	}
 	for id, m := range f.members {
 		if members[id] != m {
-			f.release(m)
+			f.removeAllHeld(m)
 			f.heldBefore.removeAll(m, m.everHeld)
 			if !m.Draining {
 				lost = append(lost, id)
@@ -207,13 +207,13 @@
 			engines += len(list)
 		}
 	}
-	f.window.Expect(engines)
+	f.window.SetEngineCount(engines)
 }
 
-// RecallWindow sets the size of the load window that gateways had learned before all of
+// RestoreWindow sets the size of the load window that gateways had learned before all of
 // them ended.
-func (f *Fleet) RecallWindow(size int) {
-	f.window.Recall(size)
+func (f *Fleet) RestoreWindow(size int) {
+	f.window.Restore(size)
 }
 
 // LearnedWindow returns the size of the load window, and whether loads have confirmed it.
@@ -249,8 +249,8 @@
 	f.gatewaysAt = now
 	f.gateways = 0
 	for _, m := range f.members {
-		if m.holding.Connected {
-			f.gateways = max(f.gateways, m.holding.Gateways)
+		if m.lastUpdate.Connected {
+			f.gateways = max(f.gateways, m.lastUpdate.Gateways)
 		}
 	}
 }
@@ -267,7 +267,7 @@
 // loaded there for now.
 func (f *Fleet) KeeperLost(id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
-		m.holding.Connected = false
+		m.lastUpdate.Connected = false
 	}
 }
 
@@ -282,10 +282,10 @@
 	if m == nil {
 		return
 	}
-	for k, until := range m.doubts {
+	for k, until := range m.notHeldUntil {
 		if now.After(until) {
-			delete(m.doubts, k)
+			delete(m.notHeldUntil, k)
 		}
 	}
-	m.doubts[key] = now.Add(refusalOverride)
+	m.notHeldUntil[key] = now.Add(refusalOverride)
 }
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -40,7 +40,7 @@
 			Domain: "d",
 			Window: decide.WindowConfig{
 				Start: 1 << 20,
-				Most:  1 << 20,
+				Max:   1 << 20,
 			},
 		}),
 		now: start,
@@ -61,21 +61,21 @@
 	}
 	x.f.SetMembers(x.now, list)
 	for _, m := range list {
-		x.setHolding(m.ID, decide.Holding{
+		x.setHolding(m.ID, decide.EngineUpdate{
 			Full: true,
 		})
 	}
 	return x
 }
 
-func (x *emptyFleet) setHolding(id wardturn.UpstreamID, h decide.Holding) {
+func (x *emptyFleet) setHolding(id wardturn.UpstreamID, h decide.EngineUpdate) {
 	h.Connected = true
 	h.Known = true
 	h.Models = []wardturn.BaseModel{"m"}
-	h.Free = decide.MaxFree
+	h.FreeSlots = decide.MaxFreeSlots
 	h.Gateways = 1
-	var out decide.Moves
-	x.f.SetHolding(x.now, id, h, &out)
+	var out decide.Actions
+	x.f.ApplyEngineUpdate(x.now, id, h, &out)
 }
 
 // serve admits one request and serves it until its end.
@@ -83,9 +83,9 @@
 	x.next++
 	x.now = x.now.Add(time.Millisecond)
 	name := fmt.Sprint("a", x.next%20000)
-	var out decide.Moves
+	var out decide.Actions
 	served := false
-	x.f.Admit(x.now, &decide.Ticket{
+	x.f.Admit(x.now, &decide.PendingRequest{
 		Service:   fleetService,
 		Key:       adapterKey(name),
 		Arrived:   x.now,
@@ -95,19 +95,19 @@
 			served = true
 		},
 	}, &out)
-	if len(out.Asks) != 1 {
+	if len(out.LoadRequests) != 1 {
 		panic("nobody was asked")
 	}
-	id := out.Asks[0].Upstream
-	x.setHolding(id, decide.Holding{
+	id := out.LoadRequests[0].Upstream
+	x.setHolding(id, decide.EngineUpdate{
 		Adapters: []decide.HeldVersion{readyAdapter(name, 1)},
 	})
 	if !served {
 		panic("not served")
 	}
 	x.f.Ended(x.now, id, adapterKey(name), decide.EndedWell)
-	x.setHolding(id, decide.Holding{
-		Gone: []wardturn.ModelAdapter{adapterKey(name)},
+	x.setHolding(id, decide.EngineUpdate{
+		Unloaded: []wardturn.ModelAdapter{adapterKey(name)},
 	})
 }
 
@@ -118,7 +118,7 @@
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			x := newEmptyFleet(engines)
 			for i := range engines {
-				x.setHolding(wardturn.UpstreamID(fmt.Sprint("e", i)), decide.Holding{
+				x.setHolding(wardturn.UpstreamID(fmt.Sprint("e", i)), decide.EngineUpdate{
 					Adapters: []decide.HeldVersion{readyAdapter(fmt.Sprint("a", i), 1)},
 				})
 			}
@@ -135,8 +135,8 @@
 
 // admitHeld serves a request whose adapter is held, until its end.
 func (x *emptyFleet) admitHeld(name string) {
-	var out decide.Moves
-	x.f.Admit(x.now, &decide.Ticket{
+	var out decide.Actions
+	x.f.Admit(x.now, &decide.PendingRequest{
 		Service:   fleetService,
 		Key:       adapterKey(name),
 		Arrived:   x.now,
@@ -154,7 +154,7 @@
 func BenchmarkOrderChoice(b *testing.B) {
 	for _, wishes := range []int{4, 64, 256} {
 		b.Run(fmt.Sprint(wishes), func(b *testing.B) {
-			p := decide.NewPlaces(start, policy.Default{})
+			p := decide.NewPlacement(start, policy.Default{})
 			p.SetSpec(wardturn.EngineSpec{
 				AdapterSlots: 9,
 				Models: []wardturn.ModelSpec{
@@ -171,7 +171,7 @@
 				},
 			})
 			for i := range wishes {
-				p.Wish(start, "g", adapterVersion(fmt.Sprint("a", i), 1), 1+i%7, 0)
+				p.RequestLoad(start, "g", adapterVersion(fmt.Sprint("a", i), 1), 1+i%7, 0)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/decide/fleet_loads_test.go
+++ b/decide/fleet_loads_test.go
@@ -21,14 +21,14 @@
 		for i := range 5 {
 			x.admit(fmt.Sprint("r", i), "a")
 		}
-		Expect(x.out.Asks).To(HaveLen(1))
+		Expect(x.out.LoadRequests).To(HaveLen(1))
 		Expect(x.got).To(BeEmpty())
 		x.now = x.now.Add(250 * time.Millisecond)
-		x.hold(string(x.out.Asks[0].Upstream), readyAdapter("a", 1))
+		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
 		Expect(x.got).To(HaveLen(4)) // the batch of the engine is full
 		x.tick(100 * time.Millisecond)
 		for _, a := range x.got {
-			Expect(a.Member.ID).To(Equal(x.out.Asks[0].Upstream))
+			Expect(a.Member.ID).To(Equal(x.out.LoadRequests[0].Upstream))
 		}
 	})
 
@@ -41,9 +41,9 @@
 			AdapterSlots: 2,
 		}))
 		other.SetMembers(x.now, fleetMembers())
-		var otherMoves decide.Moves
+		var otherMoves decide.Actions
 		for _, m := range fleetMembers() {
-			other.SetHolding(x.now, m.ID, decide.Holding{
+			other.ApplyEngineUpdate(x.now, m.ID, decide.EngineUpdate{
 				Connected: true,
 				Known:     true,
 				Full:      true,
@@ -55,8 +55,8 @@
 			x.admit(name, name)
 			other.Admit(x.now, x.ticket(name, name), &otherMoves)
 		}
-		Expect(x.out.Asks).To(HaveLen(4))
-		Expect(otherMoves.Asks).To(Equal(x.out.Asks))
+		Expect(x.out.LoadRequests).To(HaveLen(4))
+		Expect(otherMoves.LoadRequests).To(Equal(x.out.LoadRequests))
 	})
 
 	It("asks first for the most recently requested adapter when loads are delayed", func() {
@@ -66,10 +66,10 @@
 		x.admit("early", "early")
 		x.now = x.now.Add(10 * time.Millisecond)
 		x.admit("late", "late")
-		Expect(x.out.Asks).To(HaveLen(4))
-		x.hold(string(x.out.Asks[0].Upstream), readyAdapter(string(x.out.Asks[0].Adapter.Adapter), 1))
-		Expect(x.out.Asks).To(HaveLen(5))
-		Expect(x.out.Asks[4].Adapter.Adapter).To(BeEquivalentTo("late"))
+		Expect(x.out.LoadRequests).To(HaveLen(4))
+		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter(string(x.out.LoadRequests[0].Adapter.Adapter), 1))
+		Expect(x.out.LoadRequests).To(HaveLen(5))
+		Expect(x.out.LoadRequests[4].Adapter.Adapter).To(BeEquivalentTo("late"))
 	})
 
 	It("gives up a load whose callers have not retried", func() {
@@ -79,10 +79,10 @@
 		for range 4 {
 			x.tick(300 * time.Millisecond)
 		}
-		Expect(x.f.Levels().Under).To(BeZero())
-		asks := len(x.out.Asks)
+		Expect(x.f.Levels().LoadsInFlight).To(BeZero())
+		asks := len(x.out.LoadRequests)
 		x.tick(300 * time.Millisecond)
-		Expect(x.out.Asks).To(HaveLen(asks))
+		Expect(x.out.LoadRequests).To(HaveLen(asks))
 	})
 
 	It("joins a load that another gateway requested", func() {
@@ -93,23 +93,23 @@
 				Loading: true,
 			})
 			x.admit(name, name)
-			Expect(x.out.Asks[i].Upstream).To(Equal(m.ID))
+			Expect(x.out.LoadRequests[i].Upstream).To(Equal(m.ID))
 		}
 	})
 
 	It("keeps the home of an adapter that is loading other adapters", func() {
 		x.admit("first", "a")
-		home := x.out.Asks[0].Upstream
+		home := x.out.LoadRequests[0].Upstream
 		x.tick(2 * time.Second) // its request has ended
 		x.f.Retune(decide.FleetConfig{
 			Window: decide.WindowConfig{
-				Least: 2 * decide.MaxComing,
-				Most:  2 * decide.MaxComing,
+				Min: 2 * decide.MaxConcurrentLoads,
+				Max: 2 * decide.MaxConcurrentLoads,
 			},
 		})
-		x.out.Asks = nil
+		x.out.LoadRequests = nil
 		var coming []decide.HeldVersion
-		for i := range decide.MaxComing {
+		for i := range decide.MaxConcurrentLoads {
 			coming = append(coming, decide.HeldVersion{
 				Adapter: adapterVersion(fmt.Sprint("b", i), 1),
 				Loading: true,
@@ -120,7 +120,7 @@
 			x.tick(time.Second)
 		}
 		x.admit("second", "a")
-		Expect(x.out.Asks[len(x.out.Asks)-1].Upstream).To(Equal(home))
+		Expect(x.out.LoadRequests[len(x.out.LoadRequests)-1].Upstream).To(Equal(home))
 	})
 
 	It("bounds its loads, and asks first for the adapter with the most waiting requests", func() {
@@ -130,10 +130,10 @@
 		x.admit("one", "single")
 		x.admit("two", "wanted")
 		x.admit("three", "wanted")
-		Expect(x.out.Asks).To(HaveLen(4))
-		x.hold(string(x.out.Asks[0].Upstream), readyAdapter(string(x.out.Asks[0].Adapter.Adapter), 1))
-		Expect(x.out.Asks).To(HaveLen(5))
-		Expect(x.out.Asks[4].Adapter.Adapter).To(BeEquivalentTo("wanted"))
+		Expect(x.out.LoadRequests).To(HaveLen(4))
+		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter(string(x.out.LoadRequests[0].Adapter.Adapter), 1))
+		Expect(x.out.LoadRequests).To(HaveLen(5))
+		Expect(x.out.LoadRequests[4].Adapter.Adapter).To(BeEquivalentTo("wanted"))
 	})
 
 	It("does not count a load from the engine's own memory in the load window", func() {
@@ -148,17 +148,17 @@
 			x.admit(fmt.Sprint("r", i), fmt.Sprint("b", i))
 		}
 		x.admit("warm", "a")
-		Expect(x.out.Asks).To(HaveLen(5))
+		Expect(x.out.LoadRequests).To(HaveLen(5))
 	})
 
 	It("asks another engine when a load takes too long", func() {
 		x.admit("r", "a")
-		first := x.out.Asks[0].Upstream
+		first := x.out.LoadRequests[0].Upstream
 		for range 12 {
 			x.tick(100 * time.Millisecond)
 			x.admit("r", "a")
 		}
-		Expect(x.out.Asks[len(x.out.Asks)-1].Upstream).NotTo(Equal(first))
+		Expect(x.out.LoadRequests[len(x.out.LoadRequests)-1].Upstream).NotTo(Equal(first))
 	})
 
 	It("loads an adapter in its own failure domain once many bytes were sent to another one", func() {
@@ -167,10 +167,10 @@
 			t := x.admit("r", "a")
 			x.f.Ended(x.now, x.got["r"].Member.ID, t.Key, decide.EndedWell)
 		}
-		Expect(x.out.Asks).To(BeEmpty())
+		Expect(x.out.LoadRequests).To(BeEmpty())
 		x.admit("r", "a")
-		Expect(x.out.Asks).To(HaveLen(1))
-		Expect(string(x.out.Asks[0].Upstream)).To(HavePrefix("n"))
+		Expect(x.out.LoadRequests).To(HaveLen(1))
+		Expect(string(x.out.LoadRequests[0].Upstream)).To(HavePrefix("n"))
 	})
 
 	It("keeps sending requests for held adapters to an engine whose keeper is lost, and asks it for no loads", func() {
@@ -181,7 +181,7 @@
 		for i := range 20 {
 			x.admit(fmt.Sprint("x", i), fmt.Sprint("x", i))
 		}
-		for _, a := range x.out.Asks {
+		for _, a := range x.out.LoadRequests {
 			Expect(a.Upstream).NotTo(BeEquivalentTo("n0"))
 		}
 	})
--- a/decide/fleet_prompts_test.go
+++ b/decide/fleet_prompts_test.go
@@ -19,11 +19,11 @@
 
 	It("avoids an engine that prefills a long prompt of another gateway, for a limited time", func() {
 		reading := func(tokens int) {
-			x.f.SetHolding(x.now, "n0", decide.Holding{
-				Connected: true,
-				Known:     true,
-				Models:    []wardturn.BaseModel{"m"},
-				Reading:   tokens,
+			x.f.ApplyEngineUpdate(x.now, "n0", decide.EngineUpdate{
+				Connected:     true,
+				Known:         true,
+				Models:        []wardturn.BaseModel{"m"},
+				PrefillTokens: tokens,
 			}, &x.out)
 		}
 		x.hold("n0", readyAdapter("a", 1))
@@ -42,27 +42,27 @@
 		t := x.ticket("long", "a")
 		t.Prompt = 9000
 		x.f.Admit(x.now, t, &x.out)
-		Expect(x.f.Readings()).To(Equal([]decide.ReadingNote{
+		Expect(x.f.PrefillReports()).To(Equal([]decide.PrefillReport{
 			{
 				Upstream: "n0",
 				Tokens:   9000,
 			},
 		}))
-		x.f.SetHolding(x.now, "n0", decide.Holding{
-			Connected: true,
-			Known:     true,
-			Models:    []wardturn.BaseModel{"m"},
-			Reading:   9000,
+		x.f.ApplyEngineUpdate(x.now, "n0", decide.EngineUpdate{
+			Connected:     true,
+			Known:         true,
+			Models:        []wardturn.BaseModel{"m"},
+			PrefillTokens: 9000,
 		}, &x.out)
 		x.admit("short", "a")
 		Expect(x.got["short"].Prefill).To(Equal(9000))
 		x.f.Began("n0", 9000)
-		Expect(x.f.Readings()).To(Equal([]decide.ReadingNote{
+		Expect(x.f.PrefillReports()).To(Equal([]decide.PrefillReport{
 			{
 				Upstream: "n0",
 			},
 		}))
-		Expect(x.f.Readings()).To(BeEmpty())
+		Expect(x.f.PrefillReports()).To(BeEmpty())
 	})
 
 	// Engines that prefill more slowly than assumed would receive prompt after prompt,
@@ -75,13 +75,13 @@
 		}
 		x.f.SetMembers(x.now, list)
 		choose := func(id string) wardturn.UpstreamID {
-			for at, h := range map[wardturn.UpstreamID]decide.Holding{
+			for at, h := range map[wardturn.UpstreamID]decide.EngineUpdate{
 				"n0": {
 					Running: 25,
 				},
 				"n1": {
-					Running: 1,
-					Reading: 2400,
+					Running:       1,
+					PrefillTokens: 2400,
 				},
 			} {
 				h.Connected = true
@@ -89,7 +89,7 @@
 				h.Full = true
 				h.Models = []wardturn.BaseModel{"m"}
 				h.Adapters = []decide.HeldVersion{readyAdapter("a", 1)}
-				x.f.SetHolding(x.now, at, h, &x.out)
+				x.f.ApplyEngineUpdate(x.now, at, h, &x.out)
 			}
 			x.admit(id, "a")
 			at := x.got[id].Member.ID
@@ -98,7 +98,7 @@
 		}
 		Expect(choose("before")).To(BeEquivalentTo("n1"))
 		for range 50 {
-			x.f.Read("llm", 2400, 125*time.Millisecond)
+			x.f.PrefillMeasured("llm", 2400, 125*time.Millisecond)
 		}
 		Expect(choose("after")).To(BeEquivalentTo("n0"))
 	})
@@ -113,7 +113,7 @@
 		for i := range 9 {
 			x.admit(fmt.Sprint("r", i), "a")
 		}
-		Expect(x.out.Asks).To(HaveLen(1))
-		Expect(x.out.Asks[0].Waiting).To(BeNumerically(">", 1))
+		Expect(x.out.LoadRequests).To(HaveLen(1))
+		Expect(x.out.LoadRequests[0].Waiting).To(BeNumerically(">", 1))
 	})
 })
--- a/decide/fleet_rig_test.go
+++ b/decide/fleet_rig_test.go
@@ -16,7 +16,7 @@
 	f   *decide.Fleet
 	now time.Time
 	got map[string]decide.Assignment // by request
-	out decide.Moves
+	out decide.Actions
 }
 
 func adapterKey(name string) wardturn.ModelAdapter {
@@ -100,10 +100,10 @@
 			// announced.
 			VersionBound: 4500 * time.Millisecond,
 			Limits:       limits,
-			Draw:         func() float64 { return 0 },
+			Random:       func() float64 { return 0 },
 			Window: decide.WindowConfig{
 				Start: 4,
-				Most:  4,
+				Max:   4,
 			},
 		}),
 	}
@@ -120,18 +120,18 @@
 
 // hold has an engine's keeper report all adapters that it holds.
 func (x *fleetRig) hold(id string, adapters ...decide.HeldVersion) {
-	x.f.SetHolding(x.now, wardturn.UpstreamID(id), decide.Holding{
+	x.f.ApplyEngineUpdate(x.now, wardturn.UpstreamID(id), decide.EngineUpdate{
 		Connected: true,
 		Known:     true,
 		Full:      true,
 		Models:    []wardturn.BaseModel{"m"},
 		Adapters:  adapters,
-		Free:      decide.MaxFree,
+		FreeSlots: decide.MaxFreeSlots,
 	}, &x.out)
 }
 
-func (x *fleetRig) ticket(id, adapter string) *decide.Ticket {
-	return &decide.Ticket{
+func (x *fleetRig) ticket(id, adapter string) *decide.PendingRequest {
+	return &decide.PendingRequest{
 		Service:   fleetService,
 		Key:       adapterKey(adapter),
 		Arrived:   x.now,
@@ -144,7 +144,7 @@
 	}
 }
 
-func (x *fleetRig) admit(id, adapter string) *decide.Ticket {
+func (x *fleetRig) admit(id, adapter string) *decide.PendingRequest {
 	t := x.ticket(id, adapter)
 	x.f.Admit(x.now, t, &x.out)
 	return t
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -24,7 +24,7 @@
 		x.hold("n1", readyAdapter("a", 1))
 		x.admit("r2", "a")
 		Expect(x.got["r2"].Member.ID).To(BeEquivalentTo("n1"))
-		Expect(x.out.Asks).To(BeEmpty())
+		Expect(x.out.LoadRequests).To(BeEmpty())
 	})
 
 	It("sends requests again to an engine that refused a connection after a while", func() {
@@ -73,12 +73,12 @@
 
 	It("applies incremental changes of a holding", func() {
 		x.hold("n0", readyAdapter("a", 1), readyAdapter("b", 1))
-		x.f.SetHolding(x.now, "n0", decide.Holding{
+		x.f.ApplyEngineUpdate(x.now, "n0", decide.EngineUpdate{
 			Connected: true,
 			Known:     true,
 			Models:    []wardturn.BaseModel{"m"},
 			Adapters:  []decide.HeldVersion{readyAdapter("c", 1)},
-			Gone:      []wardturn.ModelAdapter{adapterKey("a")},
+			Unloaded:  []wardturn.ModelAdapter{adapterKey("a")},
 		}, &x.out)
 		x.admit("b", "b")
 		x.admit("c", "c")
@@ -89,9 +89,9 @@
 	It("withdraws a request whose caller has gone", func() {
 		t := x.admit("r", "a")
 		x.f.Withdraw(t)
-		x.hold(string(x.out.Asks[0].Upstream), readyAdapter("a", 1))
+		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
 		Expect(x.got).To(BeEmpty())
-		Expect(x.f.Usage(x.out.Asks[0].Upstream)).To(BeEmpty())
+		Expect(x.f.Usage(x.out.LoadRequests[0].Upstream)).To(BeEmpty())
 	})
 
 	It("reports each change in the use of adapters once", func() {
--- a/decide/fleet_versions_test.go
+++ b/decide/fleet_versions_test.go
@@ -16,9 +16,9 @@
 	It("does not use an old version if the newer one may have been announced before the gateway started", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), time.Time{}, &x.out)
-		Expect(x.out.Asks).To(HaveLen(1))
-		Expect(x.out.Asks[0].Adapter).To(Equal(adapterVersion("a", 2)))
-		Expect(x.out.Asks[0].Upstream).To(BeEquivalentTo("n0"))
+		Expect(x.out.LoadRequests).To(HaveLen(1))
+		Expect(x.out.LoadRequests[0].Adapter).To(Equal(adapterVersion("a", 2)))
+		Expect(x.out.LoadRequests[0].Upstream).To(BeEquivalentTo("n0"))
 		x.admit("r", "a")
 		Expect(x.got).To(BeEmpty())
 		x.hold("n0", readyAdapter("a", 2))
@@ -28,8 +28,8 @@
 	It("loads a new version on another engine, moves the requests there, and then replaces the old version", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now, &x.out)
-		Expect(x.out.Asks).To(HaveLen(1))
-		newEngine := x.out.Asks[0].Upstream
+		Expect(x.out.LoadRequests).To(HaveLen(1))
+		newEngine := x.out.LoadRequests[0].Upstream
 		Expect(newEngine).NotTo(BeEquivalentTo("n0"))
 		x.admit("old", "a")
 		Expect(x.got["old"].Version).To(BeEquivalentTo(1))
@@ -37,7 +37,7 @@
 		x.admit("new", "a")
 		Expect(x.got["new"].Member.ID).To(Equal(newEngine))
 		Expect(x.got["new"].Version).To(BeEquivalentTo(2))
-		Expect(x.out.Asks[len(x.out.Asks)-1].Upstream).To(BeEquivalentTo("n0"))
+		Expect(x.out.LoadRequests[len(x.out.LoadRequests)-1].Upstream).To(BeEquivalentTo("n0"))
 	})
 
 	It("does not use an old version after its end", func() {
--- a/decide/hint.go
+++ b/decide/hint.go
@@ -11,22 +11,22 @@
 // Hint is an agent's load as reported with its replies. It is already out of date on
 // arrival and expires soon after.
 type Hint struct {
-	Running  int  `msgpack:"r" json:"running"`
-	Queued   int  `msgpack:"q" json:"queued"`
-	Capacity int  `msgpack:"c" json:"capacity"`         // requests that can run at once
-	Wants    int  `msgpack:"w" json:"waiting_adapters"` // adapters that wait for a slot
-	Spare    int  `msgpack:"s" json:"spare_slots"`      // slots that are empty or can be reused at once
-	Leaving  bool `msgpack:"l" json:"leaving"`
+	Running         int  `msgpack:"r" json:"running"`
+	Queued          int  `msgpack:"q" json:"queued"`
+	Capacity        int  `msgpack:"c" json:"capacity"`         // requests that can run at once
+	WaitingAdapters int  `msgpack:"w" json:"waiting_adapters"` // adapters that wait for a slot
+	Spare           int  `msgpack:"s" json:"spare_slots"`      // slots that are empty or can be reused at once
+	Leaving         bool `msgpack:"l" json:"leaving"`
 }
 
 // Hint returns the agent's present load.
 func (a *Agent) Hint() Hint {
 	h := Hint{
-		Running:  a.running,
-		Queued:   a.queued,
-		Capacity: a.cfg.MaxRunning,
-		Wants:    len(a.wanted),
-		Leaving:  a.leaving,
+		Running:         a.running,
+		Queued:          a.queued,
+		Capacity:        a.cfg.MaxRunning,
+		WaitingAdapters: len(a.missing),
+		Leaving:         a.leaving,
 	}
 	for i := range a.slots {
 		s := &a.slots[i]
--- a/decide/holding.go
+++ b/decide/holding.go
@@ -7,20 +7,20 @@
 	"wardturn"
 )
 
-// Holding is a keeper's report on its engine. A keeper is the process beside an engine
+// EngineUpdate is a keeper's report on its engine. A keeper is the process beside an engine
 // that loads and unloads the engine's adapters.
-type Holding struct {
-	Connected bool // a keeper is connected
-	Known     bool // the keeper knows the engine's state
-	Models    []wardturn.BaseModel
-	Full      bool // Adapters lists all adapters; otherwise only those that changed
-	Adapters  []HeldVersion
-	Gone      []wardturn.ModelAdapter // unloaded since the previous report
-	Running   int
-	Queued    int
-	Reading   int // tokens of long prompts in prefill, for all gateways together
-	Free      int // adapter slots that could be used at once, counted up to MaxFree
-	Gateways  int // gateways connected to the keeper
+type EngineUpdate struct {
+	Connected     bool // a keeper is connected
+	Known         bool // the keeper knows the engine's state
+	Models        []wardturn.BaseModel
+	Full          bool // Adapters lists all adapters; otherwise only those that changed
+	Adapters      []HeldVersion
+	Unloaded      []wardturn.ModelAdapter // unloaded since the previous report
+	Running       int
+	Queued        int
+	PrefillTokens int // tokens of long prompts in prefill, for all gateways together
+	FreeSlots     int // adapter slots that could be used at once, counted up to MaxFreeSlots
+	Gateways      int // gateways connected to the keeper
 	// Limit is the rate limit in requests per second that the engine announces. Zero means
 	// that this report carries none; the engine's responses may still announce one.
 	Limit   wardturn.RequestRate
@@ -42,14 +42,14 @@
 	warm    bool      // loaded from the engine's own memory, not from the weight store
 }
 
-// SetHolding applies a keeper's report on its engine.
-func (f *Fleet) SetHolding(now time.Time, id wardturn.UpstreamID, h Holding, out *Moves) {
+// ApplyEngineUpdate applies a keeper's report on its engine.
+func (f *Fleet) ApplyEngineUpdate(now time.Time, id wardturn.UpstreamID, h EngineUpdate, out *Actions) {
 	m := f.members[id]
 	if m == nil {
 		return
 	}
-	m.holding = h
-	m.heldAt = now
+	m.lastUpdate = h
+	m.updatedAt = now
 	if h.Limit > 0 {
 		f.limits.Observe(now, id, h.Limit)
 	}
@@ -57,8 +57,8 @@
 		f.Leaves(now, id, out)
 	}
 	f.gateways = max(f.gateways, h.Gateways)
-	m.atHold = m.running
-	f.setReading(now, m, h)
+	m.runningAtUpdate = m.running
+	f.setPrefill(now, m, h)
 	before := maps.Clone(m.held)
 	f.applyRemovals(m, h)
 	for _, a := range h.Adapters {
@@ -79,7 +79,7 @@
 			f.adapterLoaded(now, m, a.Adapter, out)
 		}
 	}
-	f.pump(now, out)
+	f.requestMissing(now, out)
 }
 
 // reportedState returns the state of a reported adapter, given its state before the
@@ -108,18 +108,18 @@
 // window.
 func (f *Fleet) observeLoad(now time.Time, before heldAdapter) {
 	if before.loading && !before.warm && !before.since.IsZero() {
-		f.window.Loaded(now, now.Sub(before.since), f.coming)
+		f.window.ObserveLoad(now, now.Sub(before.since), f.loadsInFlight)
 	}
 }
 
 // applyRemovals removes the adapters that the report says are unloaded, and those whose
 // state the report replaces.
-func (f *Fleet) applyRemovals(m *Member, h Holding) {
+func (f *Fleet) applyRemovals(m *Member, h EngineUpdate) {
 	if h.Full {
-		f.release(m)
+		f.removeAllHeld(m)
 		return
 	}
-	gone := h.Gone
+	gone := h.Unloaded
 	for _, a := range h.Adapters {
 		gone = append(gone, a.Adapter.Key())
 	}
@@ -137,8 +137,8 @@
 	f.heldBefore.add(key, m)
 }
 
-// release forgets all adapters of a member.
-func (f *Fleet) release(m *Member) {
+// removeAllHeld forgets all adapters of a member.
+func (f *Fleet) removeAllHeld(m *Member) {
 	for key := range m.held {
 		f.removeHeld(m, key)
 	}
--- a/decide/home.go
+++ b/decide/home.go
@@ -12,9 +12,9 @@
 	// loaded only once. The second one is for the case that the first is in a long
 	// prefill.
 	maxHomeCandidates = 2
-	// noPlaceTime is the expected time that a load waits for a slot on an engine without a
+	// noSlotWait is the expected time that a load waits for a slot on an engine without a
 	// free one: nine streams of about 2 s each end 0.2 s apart.
-	noPlaceTime = 200 * time.Millisecond
+	noSlotWait = 200 * time.Millisecond
 )
 
 // homeCandidates collects the candidate engines for an adapter in home order. The home of
@@ -47,14 +47,14 @@
 	return list
 }
 
-// placeFree reports whether an engine has a free slot for an adapter, in addition to those
+// slotFree reports whether an engine has a free slot for an adapter, in addition to those
 // for the loads that this gateway has requested there and the keeper has not reported yet.
-func (m *Member) placeFree(key wardturn.ModelAdapter) bool {
+func (m *Member) slotFree(key wardturn.ModelAdapter) bool {
 	taken := 0
-	for asked := range m.asks {
+	for asked := range m.requested {
 		if asked != key && !m.held[asked].loading {
 			taken++
 		}
 	}
-	return m.holding.Free > taken
+	return m.lastUpdate.FreeSlots > taken
 }
--- a/decide/home_test.go
+++ b/decide/home_test.go
@@ -16,21 +16,21 @@
 	// report sends a keeper's report with an engine's free slots, its tokens in prefill and
 	// the adapters that it has unloaded.
 	report := func(id wardturn.UpstreamID, free, reading int, gone ...wardturn.ModelAdapter) {
-		x.f.SetHolding(x.now, id, decide.Holding{
-			Connected: true,
-			Known:     true,
-			Models:    []wardturn.BaseModel{"m"},
-			Free:      free,
-			Reading:   reading,
-			Gone:      gone,
+		x.f.ApplyEngineUpdate(x.now, id, decide.EngineUpdate{
+			Connected:     true,
+			Known:         true,
+			Models:        []wardturn.BaseModel{"m"},
+			FreeSlots:     free,
+			PrefillTokens: reading,
+			Unloaded:      gone,
 		}, &x.out)
 	}
 	// homeOf returns the engine that is asked to load an adapter.
 	homeOf := func(adapter string) wardturn.UpstreamID {
-		before := len(x.out.Asks)
+		before := len(x.out.LoadRequests)
 		x.admit("for "+adapter, adapter)
-		Expect(x.out.Asks).To(HaveLen(before + 1))
-		return x.out.Asks[before].Upstream
+		Expect(x.out.LoadRequests).To(HaveLen(before + 1))
+		return x.out.LoadRequests[before].Upstream
 	}
 	BeforeEach(func() {
 		x = newFleetRig()
@@ -39,7 +39,7 @@
 	It("is the one of two engines with fewer tokens in prefill", func() {
 		first := homeOf("a")
 		x = newFleetRig()
-		report(first, decide.MaxFree, 20000)
+		report(first, decide.MaxFreeSlots, 20000)
 		second := homeOf("a")
 		Expect(second).NotTo(Equal(first))
 		x = newFleetRig()
@@ -47,7 +47,7 @@
 			if m.ID != first && m.ID != second {
 				continue
 			}
-			report(m.ID, decide.MaxFree, 20000)
+			report(m.ID, decide.MaxFreeSlots, 20000)
 		}
 		Expect(homeOf("a")).To(BeElementOf(first, second)) // not a third one, on which gateways may disagree
 	})
@@ -81,7 +81,7 @@
 
 	It("is the engine that held it before, even if the load window is full", func() {
 		x.hold("f1", readyAdapter("old", 1))
-		report("f1", decide.MaxFree, 0, adapterKey("old"))
+		report("f1", decide.MaxFreeSlots, 0, adapterKey("old"))
 		for i := range 4 { // fills the window
 			homeOf(fmt.Sprint("a", i))
 		}
@@ -90,27 +90,27 @@
 
 	It("is not the engine that held it before if its prefill takes longer than a load", func() {
 		x.hold("f1", readyAdapter("old", 1))
-		report("f1", decide.MaxFree, 20000, adapterKey("old")) // 500 ms
+		report("f1", decide.MaxFreeSlots, 20000, adapterKey("old")) // 500 ms
 		Expect(homeOf("old")).NotTo(BeEquivalentTo("f1"))
 	})
 
 	It("is reported with the cause of the load", func() {
 		causes := func(adapter string, id wardturn.UpstreamID) decide.LoadCause {
-			x.out.Loads = nil
+			x.out.CompletedLoads = nil
 			x.now = x.now.Add(250 * time.Millisecond)
 			x.hold(string(id), readyAdapter(adapter, 1))
-			Expect(x.out.Loads).To(HaveLen(1))
-			return x.out.Loads[0].Cause
+			Expect(x.out.CompletedLoads).To(HaveLen(1))
+			return x.out.CompletedLoads[0].Cause
 		}
 		Expect(causes("a", homeOf("a"))).To(Equal(decide.LoadFirst))
 		for _, m := range fleetMembers() {
 			x.hold(string(m.ID)) // all have unloaded it
 		}
-		Expect(causes("a", homeOf("a"))).To(Equal(decide.LoadAgain))
+		Expect(causes("a", homeOf("a"))).To(Equal(decide.LoadHeldBefore))
 		for _, m := range fleetMembers() {
 			x.hold(string(m.ID))
 		}
-		held := x.out.Asks[0].Upstream
+		held := x.out.LoadRequests[0].Upstream
 		report(held, 0, 20000)
 		Expect(causes("a", homeOf("a"))).To(Equal(decide.LoadMoved))
 	})
--- a/decide/homes.go
+++ b/decide/homes.go
@@ -111,7 +111,7 @@
 	}
 	return func(yield func(*Member) bool) {
 		for m := range inHomeOrder(key, list) {
-			if m.loads(now, key.Model) && !f.limits.Bounded(now, m.ID) && !yield(m) {
+			if m.canLoad(now, key.Model) && !f.limits.Bounded(now, m.ID) && !yield(m) {
 				return
 			}
 		}
--- a/decide/homes_internal_test.go
+++ b/decide/homes_internal_test.go
@@ -11,7 +11,7 @@
 )
 
 // The batches of inHomeOrder must give the same order as sorting all engines by score.
-func TestInOrderIsTheSortedOrder(t *testing.T) {
+func TestInHomeOrderMatchesSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hashes := rapid.SliceOfN(rapid.Uint64Range(0, 40), 0, 300).Draw(t, "hashes") // with some duplicates
 		var list []*Member
--- a/decide/leaving.go
+++ b/decide/leaving.go
@@ -12,7 +12,7 @@
 
 // Leaves records that an upstream has announced that it is leaving. The store's list may
 // show this much later, since the store is unavailable at times.
-func (f *Fleet) Leaves(now time.Time, id wardturn.UpstreamID, out *Moves) {
+func (f *Fleet) Leaves(now time.Time, id wardturn.UpstreamID, out *Actions) {
 	if _, known := f.leaving[id]; !known {
 		out.Leaving = append(out.Leaving, id)
 	}
--- a/decide/leaving_test.go
+++ b/decide/leaving_test.go
@@ -46,10 +46,10 @@
 		for _, list := range [][]wardturn.Member{fleetMembers(), fleetMembers()[1:], fleetMembers()} {
 			x.f.SetMembers(x.now, list)
 			Expect(x.takes(x.now, "n0")).To(BeFalse())
-			x.out.Asks = nil
+			x.out.LoadRequests = nil
 			x.admit("r1", "a")
 			x.tick(wishRepeatOver)
-			for _, ask := range x.out.Asks {
+			for _, ask := range x.out.LoadRequests {
 				Expect(ask.Upstream).NotTo(BeEquivalentTo("n0"))
 			}
 			Expect(x.got["r1"].Member.ID).NotTo(BeEquivalentTo("n0"))
@@ -84,7 +84,7 @@
 
 	It("is recognized by its keeper's report alone", func() {
 		x := newFleetRig()
-		x.f.SetHolding(x.now, "n0", decide.Holding{
+		x.f.ApplyEngineUpdate(x.now, "n0", decide.EngineUpdate{
 			Connected: true,
 			Known:     true,
 			Leaving:   true,
--- a/decide/limited.go
+++ b/decide/limited.go
@@ -10,7 +10,7 @@
 // turnedAway reports whether every upstream that could serve a request is excluded only by
 // its rate limit or its backoff, and when the caller should retry. Such a request is
 // refused at once, since waiting in the gateway would gain it nothing.
-func (f *Fleet) turnedAway(now time.Time, t *Ticket) (reason wardturn.Reason, retryAfter time.Duration, refused bool) {
+func (f *Fleet) turnedAway(now time.Time, t *PendingRequest) (reason wardturn.Reason, retryAfter time.Duration, refused bool) {
 	var soonest *Member
 	for _, m := range f.services[t.Service] {
 		if !m.available(now) || !f.inRegions(m, t.Regions) {
@@ -33,13 +33,13 @@
 		return "", 0, false
 	}
 	if soonest == nil {
-		return wardturn.ReasonLimited, maxComeBack, true
+		return wardturn.ReasonLimited, maxLoadRetryDelay, true
 	}
 	f.limits.ReserveRetry(now, soonest.ID)
 	if left := soonest.backoff.remaining(now); left > 0 {
 		return wardturn.ReasonBackoff, f.jitteredDelay(max(retryAfter, left)), true
 	}
-	return wardturn.ReasonLimited, min(max(retryAfter, minRetryDelay), maxComeBack), true
+	return wardturn.ReasonLimited, min(max(retryAfter, minRetryDelay), maxLoadRetryDelay), true
 }
 
 // retryDelay returns the delay after which a refused caller's retry may be sent to an
--- a/decide/limited_test.go
+++ b/decide/limited_test.go
@@ -38,8 +38,8 @@
 		announce("n0")
 		x.admit("r", "a")
 		Expect(x.got).To(BeEmpty())
-		Expect(x.out.Asks).To(HaveLen(1))
-		Expect(x.out.Asks[0].Upstream).NotTo(BeEquivalentTo("n0"))
+		Expect(x.out.LoadRequests).To(HaveLen(1))
+		Expect(x.out.LoadRequests[0].Upstream).NotTo(BeEquivalentTo("n0"))
 	})
 
 	It("sends requests up to the limit", func() {
--- a/decide/locations.go
+++ b/decide/locations.go
@@ -79,7 +79,7 @@
 )
 
 func candidateCost(t *target) float64 {
-	cost := waitingCost * float64(t.hint.Wants)
+	cost := waitingCost * float64(t.hint.WaitingAdapters)
 	if t.hint.Capacity == 0 {
 		return cost
 	}
--- a/decide/member.go
+++ b/decide/member.go
@@ -11,32 +11,32 @@
 // Member is an upstream together with the state that this gateway keeps of it.
 type Member struct {
 	wardturn.Member
-	hash          uint64
-	breaker       Breaker
-	failing       float64       // moving average of the share of its requests that failed
-	latency       float64       // moving average of its response time, in milliseconds; plain services only
-	latencyAt     time.Time     // when latency was last updated
-	running       int           // requests of this gateway in flight
-	bodies        int           // total size of their bodies, in bytes
-	prefillTokens int           // prompt tokens of those without a byte of response yet
-	reading       prefillCounts // long prompts being prefilled, of all gateways
-	rate          *prefillRate  // prefill rate of the engines of its service
-	holding       Holding
-	heldAt        time.Time // when the holding was received
-	atHold        int       // value of running when the holding was received
-	held          map[wardturn.ModelAdapter]heldAdapter
-	coming        int // adapters of held being loaded from the weight store
-	everHeld      map[wardturn.ModelAdapter]bool
-	asks          map[wardturn.ModelAdapter]bool // adapters that this gateway has asked it for
-	uses          map[wardturn.ModelAdapter]*AdapterCount
-	doubts        map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides the holding
-	replaced      bool                                // another incarnation answers at its address
-	refusedUntil  time.Time                           // set when it refuses a connection
-	backoff       *upstreamBackoff                    // a pause that it asked for, or nil
-	coldUntil     time.Time                           // according to its entry and its responses
-	coldSeen      wardturn.Position                   // position of the entry behind coldUntil; negative if none
-	watchUntil    time.Time                           // until when it may be cold without having reported it
-	evacuated     bool                                // its failure domain is being evacuated
+	hash            uint64
+	breaker         Breaker
+	failing         float64       // moving average of the share of its requests that failed
+	latency         float64       // moving average of its response time, in milliseconds; plain services only
+	latencyAt       time.Time     // when latency was last updated
+	running         int           // requests of this gateway in flight
+	bodies          int           // total size of their bodies, in bytes
+	prefillTokens   int           // prompt tokens of those without a byte of response yet
+	prefill         prefillCounts // long prompts being prefilled, of all gateways
+	prefillRate     *prefillRate  // prefill rate of the engines of its service
+	lastUpdate      EngineUpdate
+	updatedAt       time.Time // when the holding was received
+	runningAtUpdate int       // value of running when the holding was received
+	held            map[wardturn.ModelAdapter]heldAdapter
+	loadsInFlight   int // adapters of held being loaded from the weight store
+	everHeld        map[wardturn.ModelAdapter]bool
+	requested       map[wardturn.ModelAdapter]bool // adapters that this gateway has asked it for
+	uses            map[wardturn.ModelAdapter]*AdapterCount
+	notHeldUntil    map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides the holding
+	replaced        bool                                // another incarnation answers at its address
+	refusedUntil    time.Time                           // set when it refuses a connection
+	backoff         *upstreamBackoff                    // a pause that it asked for, or nil
+	coldUntil       time.Time                           // according to its entry and its responses
+	coldSeen        wardturn.Position                   // position of the entry behind coldUntil; negative if none
+	watchUntil      time.Time                           // until when it may be cold without having reported it
+	evacuated       bool                                // its failure domain is being evacuated
 }
 
 // Terms of the cost of sending a request to a member, in milliseconds of expected delay.
@@ -89,7 +89,7 @@
 
 // busyCost is cost without the part that depends on this gateway's failure domain.
 func (m *Member) busyCost(now time.Time) float64 {
-	c := m.rate.cost(m.toRead(now)) + perRequestCost*float64(m.load())
+	c := m.prefillRate.cost(m.pendingPrefill(now)) + perRequestCost*float64(m.load())
 	return c + failureCost*m.failing + m.decayedLatency(now)
 }
 
@@ -158,15 +158,15 @@
 // those that this gateway has sent since. Without a keeper only this gateway's requests
 // are known.
 func (m *Member) load() int {
-	if !m.holding.Known {
+	if !m.lastUpdate.Known {
 		return m.running
 	}
-	return max(m.running, m.holding.Running+m.holding.Queued+m.running-m.atHold)
+	return max(m.running, m.lastUpdate.Running+m.lastUpdate.Queued+m.running-m.runningAtUpdate)
 }
 
-// loads reports whether an engine can be asked to load adapters of a model.
-func (m *Member) loads(now time.Time, model wardturn.BaseModel) bool {
-	return m.open(now) && m.holding.Connected && m.holding.Known && slices.Contains(m.holding.Models, model)
+// canLoad reports whether an engine can be asked to load adapters of a model.
+func (m *Member) canLoad(now time.Time, model wardturn.BaseModel) bool {
+	return m.open(now) && m.lastUpdate.Connected && m.lastUpdate.Known && slices.Contains(m.lastUpdate.Models, model)
 }
 
 // Misplaced records that another incarnation answers at an upstream's address: this one
--- a/decide/old_version_test.go
+++ b/decide/old_version_test.go
@@ -54,7 +54,7 @@
 	})
 	tick := func(d time.Duration) {
 		x.now = x.now.Add(d)
-		x.out = decide.Moves{}
+		x.out = decide.Actions{}
 		x.f.Tick(x.now, &x.out)
 	}
 
@@ -96,9 +96,9 @@
 		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now, &x.out)
 		tick(2 * time.Second)
 		x.f.VersionAnnounced(x.now, adapterVersion("a", 3), x.now, &x.out)
-		x.out = decide.Moves{}
+		x.out = decide.Actions{}
 		tick(2 * time.Second)
-		Expect(x.out.Asks).To(ContainElement(HaveField("Upstream", BeEquivalentTo("n0"))))
+		Expect(x.out.LoadRequests).To(ContainElement(HaveField("Upstream", BeEquivalentTo("n0"))))
 	})
 })
 
--- a/decide/patience.go
+++ b/decide/patience.go
@@ -5,9 +5,9 @@
 )
 
 const (
-	// warmLoad is the time to load an adapter from the engine's own memory, as seen by
+	// warmLoadTime is the time to load an adapter from the engine's own memory, as seen by
 	// gateways, including the time to request it.
-	warmLoad = 50 * time.Millisecond
+	warmLoadTime = 50 * time.Millisecond
 	// refusalMargin is how long before its deadline a waiting request is refused, so that
 	// the refusal reaches the caller in time.
 	refusalMargin = 100 * time.Millisecond
@@ -21,21 +21,21 @@
 	minRetryDelay = 150 * time.Millisecond
 )
 
-// hopeless reports whether a waiting request should be refused now, because it can no
+// shouldRefuse reports whether a waiting request should be refused now, because it can no
 // longer be served within its objective and its adapter is not being loaded. While its
 // adapter is being loaded the request continues to wait, since a late answer is worth more
 // to the caller than none.
-func (f *Fleet) hopeless(now time.Time, w *want, t *Ticket) bool {
+func (f *Fleet) shouldRefuse(now time.Time, w *missingAdapter, t *PendingRequest) bool {
 	if !now.Before(t.Deadline.Add(-refusalMargin)) {
 		return true
 	}
-	if f.isComing(w) {
+	if f.homeIsLoading(w) {
 		return false
 	}
 	if f.noneHoldsModel(now, w) {
-		f.refilled[w.service] = now.Add(refillWait)
+		f.refilledBy[w.service] = now.Add(refillWait)
 	}
-	if now.Before(f.refilled[w.service]) {
+	if now.Before(f.refilledBy[w.service]) {
 		return false
 	}
 	return now.Add(f.minTimeToFirstToken(w, t)).After(t.Arrived.Add(t.Objective))
@@ -43,10 +43,10 @@
 
 // noneHoldsModel reports whether a service has engines but none of them holds the model of
 // a want, because all have restarted and are loading it.
-func (f *Fleet) noneHoldsModel(now time.Time, w *want) bool {
+func (f *Fleet) noneHoldsModel(now time.Time, w *missingAdapter) bool {
 	list := f.services[w.service]
 	for _, m := range list {
-		if m.loads(now, w.key.Model) {
+		if m.canLoad(now, w.key.Model) {
 			return false
 		}
 	}
@@ -56,25 +56,25 @@
 // minTimeToFirstToken returns the minimum time until the first token of a request: the
 // time to load its adapter, unless an engine already holds it and is merely full, and to
 // read its prompt.
-func (f *Fleet) minTimeToFirstToken(w *want, t *Ticket) time.Duration {
-	read := f.rateOf(t.Service).time(int(t.Prompt))
+func (f *Fleet) minTimeToFirstToken(w *missingAdapter, t *PendingRequest) time.Duration {
+	read := f.prefillRateOf(t.Service).time(int(t.Prompt))
 	switch {
 	case w.key.Adapter == "" || len(f.holders[w.key]) > 0:
 		return read
 	case w.warm:
-		return read + warmLoad
+		return read + warmLoadTime
 	}
-	return read + f.window.Typical()
+	return read + f.window.MedianLoadTime()
 }
 
-// comeBack returns the retry delay for a caller, from the estimated time until the adapter
+// loadRetryDelay returns the retry delay for a caller, from the estimated time until the adapter
 // is loaded.
-func (f *Fleet) comeBack(now time.Time, w *want) time.Duration {
-	typical := f.window.Typical()
-	if w.askedAt.IsZero() {
+func (f *Fleet) loadRetryDelay(now time.Time, w *missingAdapter) time.Duration {
+	typical := f.window.MedianLoadTime()
+	if w.firstRequestedAt.IsZero() {
 		return max(minRetryDelay, time.Duration(f.loadRounds()*float64(typical)))
 	}
-	return max(minRetryDelay, typical-now.Sub(w.askedAt))
+	return max(minRetryDelay, typical-now.Sub(w.firstRequestedAt))
 }
 
 // loadRounds estimates the time until an adapter that has not been requested is loaded, in
@@ -82,8 +82,8 @@
 // other gateways, which are assumed to have as many.
 func (f *Fleet) loadRounds() float64 {
 	pending := 0
-	for _, w := range f.wants {
-		if w.askedAt.IsZero() && w.key.Adapter != "" {
+	for _, w := range f.missing {
+		if w.firstRequestedAt.IsZero() && w.key.Adapter != "" {
 			pending++
 		}
 	}
--- a/decide/patience_test.go
+++ b/decide/patience_test.go
@@ -31,9 +31,9 @@
 		Expect(x.got["r"].Member.ID).To(BeEmpty())
 		Expect(x.got["r"].Reason).To(Equal(wardturn.ReasonLoading))
 		Expect(x.got["r"].RetryAfter).To(BeNumerically(">=", 150*time.Millisecond))
-		x.hold(string(x.out.Asks[0].Upstream), readyAdapter("a", 1))
+		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
 		x.admit("again", "a")
-		Expect(x.got["again"].Member.ID).To(Equal(x.out.Asks[0].Upstream))
+		Expect(x.got["again"].Member.ID).To(Equal(x.out.LoadRequests[0].Upstream))
 	})
 
 	It("is shorter for a long prompt, which takes time to read", func() {
@@ -48,7 +48,7 @@
 
 	It("continues beyond the objective while the load is in progress", func() {
 		x.admit("r", "a")
-		home := x.out.Asks[0].Upstream
+		home := x.out.LoadRequests[0].Upstream
 		x.hold(string(home), loading("a"))
 		x.tick(900 * time.Millisecond)
 		Expect(x.got).To(BeEmpty())
@@ -60,7 +60,7 @@
 		t := x.ticket("r", "a")
 		t.Deadline = x.now.Add(time.Second)
 		x.f.Admit(x.now, t, &x.out)
-		x.hold(string(x.out.Asks[0].Upstream), loading("a"))
+		x.hold(string(x.out.LoadRequests[0].Upstream), loading("a"))
 		x.tick(890 * time.Millisecond)
 		Expect(x.got).To(BeEmpty())
 		x.tick(20 * time.Millisecond)
@@ -70,7 +70,7 @@
 	It("continues when all engines are empty, until their slots have had time to fill", func() {
 		withoutAdapters := func(model ...wardturn.BaseModel) {
 			for _, m := range fleetMembers() {
-				x.f.SetHolding(x.now, m.ID, decide.Holding{
+				x.f.ApplyEngineUpdate(x.now, m.ID, decide.EngineUpdate{
 					Connected: true,
 					Known:     true,
 					Full:      true,
@@ -95,12 +95,12 @@
 
 	It("does not move a load in progress to another engine, however long it takes", func() {
 		x.admit("r", "a")
-		home := x.out.Asks[0].Upstream
+		home := x.out.LoadRequests[0].Upstream
 		x.hold(string(home), loading("a"))
 		for range 30 {
 			x.tick(100 * time.Millisecond)
 		}
-		for _, a := range x.out.Asks {
+		for _, a := range x.out.LoadRequests {
 			Expect(a.Upstream).To(Equal(home))
 		}
 	})
--- a/decide/pauses_test.go
+++ b/decide/pauses_test.go
@@ -61,10 +61,10 @@
 	for range gateways {
 		f := decide.NewFleet(decide.FleetConfig{
 			Domain: "near",
-			Draw:   func() float64 { return 0 },
+			Random: func() float64 { return 0 },
 			Window: decide.WindowConfig{
 				Start: 4,
-				Most:  4,
+				Max:   4,
 			},
 		})
 		f.SetTable(fleetTable(&wardturn.EngineSpec{
@@ -73,7 +73,7 @@
 		}))
 		f.SetMembers(h.now, members)
 		for range 100 {
-			f.Read(fleetService, hotPrompt, hotPrompt/readRate*time.Millisecond)
+			f.PrefillMeasured(fleetService, hotPrompt, hotPrompt/readRate*time.Millisecond)
 		}
 		h.gateways = append(h.gateways, f)
 	}
@@ -84,17 +84,17 @@
 func (h *hotAdapter) deliverHoldings() {
 	for _, f := range h.gateways {
 		for id, e := range h.engines {
-			holding := decide.Holding{
+			holding := decide.EngineUpdate{
 				Connected: true,
 				Known:     true,
 				Models:    []wardturn.BaseModel{"m"},
 				Full:      true,
 				Running:   e.running,
-				Free:      decide.MaxFree,
+				FreeSlots: decide.MaxFreeSlots,
 				Gateways:  len(h.gateways),
 			}
 			for _, tokens := range e.reading {
-				holding.Reading += tokens
+				holding.PrefillTokens += tokens
 			}
 			if e.adapter {
 				holding.Adapters = []decide.HeldVersion{
@@ -105,15 +105,15 @@
 					},
 				}
 			}
-			var out decide.Moves
-			f.SetHolding(h.now, id, holding, &out)
+			var out decide.Actions
+			f.ApplyEngineUpdate(h.now, id, holding, &out)
 			h.load(out)
 		}
 	}
 }
 
-func (h *hotAdapter) load(out decide.Moves) {
-	for _, ask := range out.Asks {
+func (h *hotAdapter) load(out decide.Actions) {
+	for _, ask := range out.LoadRequests {
 		if e := h.engines[ask.Upstream]; !e.adapter {
 			e.adapter = true
 			e.loadedAt = h.now.Add(hotLoad)
@@ -124,13 +124,13 @@
 // send sends a request through a gateway, and returns the events that end the reading of
 // its prompt and its answer.
 func (h *hotAdapter) send(f *decide.Fleet) (began, ended event) {
-	var out decide.Moves
-	f.Admit(h.now, &decide.Ticket{
+	var out decide.Actions
+	f.Admit(h.now, &decide.PendingRequest{
 		Service:   fleetService,
 		Key:       adapterKey("hot"),
 		Arrived:   h.now,
 		Objective: time.Second,
-		Pause:     h.pause,
+		MaxPause:  h.pause,
 		Deadline:  h.now.Add(5 * time.Second),
 		Prompt:    hotPrompt,
 		Assign: func(a decide.Assignment) {
@@ -164,7 +164,7 @@
 // deliverReadings delivers the gateways' reports of prompts being read to the keepers.
 func (h *hotAdapter) deliverReadings() {
 	for _, f := range h.gateways {
-		for _, n := range f.Readings() {
+		for _, n := range f.PrefillReports() {
 			h.engines[n.Upstream].reading[f] = n.Tokens
 		}
 	}
--- a/decide/permits.go
+++ b/decide/permits.go
@@ -6,14 +6,14 @@
 	"wardturn"
 )
 
-// Wish is an agent's permit request: the loads that it would start if the weight store
+// PermitRequest is an agent's permit request: the loads that it would start if the weight store
 // had capacity. It carries the full state, and each request replaces the previous one, so
 // a lost or late one only delays a load.
-type Wish struct {
+type PermitRequest struct {
 	Upstream wardturn.UpstreamID `msgpack:"u"`
 	Class    wardturn.Class      `msgpack:"c"`
 	Value    float64             `msgpack:"v"` // of the most valuable load
-	Want     int                 `msgpack:"w"` // loads waiting for a permit
+	Pending  int                 `msgpack:"w"` // loads waiting for a permit
 	Loading  int                 `msgpack:"l"` // loads in progress
 	Busy     int                 `msgpack:"b"` // loads refused by the store since the start
 	Misses   uint64              `msgpack:"m"` // adapter misses since the start, those of refused requests included
@@ -44,7 +44,7 @@
 type Permits interface {
 	// Take takes a permit for a load that starts now. If it returns false, the request is
 	// kept as pending.
-	Take(now time.Time, w Wish) bool
+	Take(now time.Time, w PermitRequest) bool
 	// Withdraw cancels the pending request.
 	Withdraw(now time.Time)
 	// Return returns a permit that was taken but not used.
@@ -54,7 +54,7 @@
 	// Granted applies an allocator's response.
 	Granted(now time.Time, g Grant)
 	// Pending returns the request to send to the allocator, if one is due.
-	Pending(now time.Time) (Wish, bool)
+	Pending(now time.Time) (PermitRequest, bool)
 	// Congestion returns the known state of the store. Own is the agent's own
 	// contribution, for implementations that know of no other agents.
 	Congestion(now time.Time, own Congestion) Congestion
@@ -79,15 +79,15 @@
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// bucket is a token bucket in virtual time.
-type bucket struct {
+// tokenBucket is a token bucket in virtual time.
+type tokenBucket struct {
 	rate   float64 // tokens per second
 	burst  float64
 	tokens float64
 	at     time.Time
 }
 
-func (b *bucket) fill(now time.Time) {
+func (b *tokenBucket) fill(now time.Time) {
 	if b.at.IsZero() {
 		b.at = now
 		b.tokens = b.burst
@@ -97,7 +97,7 @@
 	b.at = now
 }
 
-func (b *bucket) take(now time.Time) bool {
+func (b *tokenBucket) take(now time.Time) bool {
 	b.fill(now)
 	if b.tokens < 1 {
 		return false
@@ -108,7 +108,7 @@
 
 // StaticPermits gives each agent a fixed share of the store's rate.
 type StaticPermits struct {
-	bucket   bucket
+	bucket   tokenBucket
 	parallel int
 	loading  int
 }
@@ -117,7 +117,7 @@
 func NewStaticPermits(limit StoreLimit, agents int) *StaticPermits {
 	n := max(agents, 1)
 	return &StaticPermits{
-		bucket: bucket{
+		bucket: tokenBucket{
 			rate:  limit.Rate / float64(n),
 			burst: 1,
 		},
@@ -126,7 +126,7 @@
 }
 
 // Take implements Permits.
-func (p *StaticPermits) Take(now time.Time, _ Wish) bool {
+func (p *StaticPermits) Take(now time.Time, _ PermitRequest) bool {
 	if p.loading >= p.parallel || !p.bucket.take(now) {
 		return false
 	}
@@ -152,8 +152,8 @@
 func (p *StaticPermits) Granted(time.Time, Grant) {}
 
 // Pending implements Permits.
-func (p *StaticPermits) Pending(time.Time) (Wish, bool) {
-	return Wish{}, false
+func (p *StaticPermits) Pending(time.Time) (PermitRequest, bool) {
+	return PermitRequest{}, false
 }
 
 // Congestion implements Permits.
@@ -171,7 +171,7 @@
 // AdaptivePermits finds an agent's share by additive increase while loads
 // succeed and multiplicative decrease when the store refuses.
 type AdaptivePermits struct {
-	bucket  bucket
+	bucket  tokenBucket
 	limit   StoreLimit
 	loading int
 }
@@ -179,7 +179,7 @@
 // NewAdaptivePermits returns permits that start at an even share of the limit.
 func NewAdaptivePermits(limit StoreLimit, agents int) *AdaptivePermits {
 	return &AdaptivePermits{
-		bucket: bucket{
+		bucket: tokenBucket{
 			rate:  limit.Rate / float64(max(agents, 1)),
 			burst: 1,
 		},
@@ -188,7 +188,7 @@
 }
 
 // Take implements Permits.
-func (p *AdaptivePermits) Take(now time.Time, _ Wish) bool {
+func (p *AdaptivePermits) Take(now time.Time, _ PermitRequest) bool {
 	if p.loading >= p.limit.Parallel || !p.bucket.take(now) {
 		return false
 	}
@@ -220,8 +220,8 @@
 func (p *AdaptivePermits) Granted(time.Time, Grant) {}
 
 // Pending implements Permits.
-func (p *AdaptivePermits) Pending(time.Time) (Wish, bool) {
-	return Wish{}, false
+func (p *AdaptivePermits) Pending(time.Time) (PermitRequest, bool) {
+	return PermitRequest{}, false
 }
 
 // Congestion implements Permits.
--- a/decide/permits_allocated.go
+++ b/decide/permits_allocated.go
@@ -22,7 +22,7 @@
 // which host it is only slows loads down.
 type AllocatedPermits struct {
 	fallback        *AdaptivePermits
-	request         Wish
+	request         PermitRequest
 	requesting      bool
 	changed         bool
 	urgent          bool // the request is due at once: a load ended, so the store has capacity
@@ -56,24 +56,24 @@
 }
 
 // Take implements Permits.
-func (p *AllocatedPermits) Take(now time.Time, w Wish) bool {
+func (p *AllocatedPermits) Take(now time.Time, w PermitRequest) bool {
 	p.expire(now)
 	if p.total > p.used {
 		p.used++
 		p.loading++
-		p.setRequest(w, w.Want > 1)
+		p.setRequest(w, w.Pending > 1)
 		return true
 	}
 	p.setRequest(w, true)
 	if p.allocatorDown(now) && p.fallback.Take(now, w) {
 		p.loading++
-		p.setRequest(w, w.Want > 1)
+		p.setRequest(w, w.Pending > 1)
 		return true
 	}
 	return false
 }
 
-func (p *AllocatedPermits) setRequest(w Wish, requesting bool) {
+func (p *AllocatedPermits) setRequest(w PermitRequest, requesting bool) {
 	if requesting != p.requesting || w.Class != p.request.Class || differs(w.Value, p.request.Value) {
 		p.changed = true
 	}
@@ -166,7 +166,7 @@
 }
 
 // Pending implements Permits.
-func (p *AllocatedPermits) Pending(now time.Time) (Wish, bool) {
+func (p *AllocatedPermits) Pending(now time.Time) (PermitRequest, bool) {
 	p.expire(now)
 	due := permitRequestInterval
 	switch {
@@ -175,10 +175,10 @@
 	case p.changed:
 		due = permitRequestSpacing
 	case !p.requesting && p.loading == 0:
-		return Wish{}, false
+		return PermitRequest{}, false
 	}
 	if now.Sub(p.sentAt) < due {
-		return Wish{}, false
+		return PermitRequest{}, false
 	}
 	p.sentAt = now
 	p.changed = false
@@ -189,10 +189,10 @@
 	return p.currentRequest(), true
 }
 
-func (p *AllocatedPermits) currentRequest() Wish {
+func (p *AllocatedPermits) currentRequest() PermitRequest {
 	w := p.request
 	if !p.requesting {
-		w.Want = 0
+		w.Pending = 0
 	}
 	w.Loading = p.loading
 	w.Busy = p.storeBusy
--- a/decide/permits_test.go
+++ b/decide/permits_test.go
@@ -14,9 +14,9 @@
 		Rate:     10,
 		Parallel: 4,
 	}
-	request := decide.Wish{
+	request := decide.PermitRequest{
 		Upstream: "u",
-		Want:     2,
+		Pending:  2,
 	}
 	// takeAll takes all available permits and returns their number.
 	takeAll := func(p *decide.AllocatedPermits, now time.Time) int {
--- a/decide/places.go
+++ b/decide/places.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// MaxComing is the number of adapters that an engine may load concurrently, as set
+	// MaxConcurrentLoads is the number of adapters that an engine may load concurrently, as set
 	// by the platform's protocol.
-	MaxComing = 4
+	MaxConcurrentLoads = 4
 	// loadRequestLifetime is the lifetime of a load request that is not repeated.
 	// Gateways repeat theirs every loadRequestInterval.
 	loadRequestLifetime = 700 * time.Millisecond
@@ -27,7 +27,7 @@
 	minIdleTime = 250 * time.Millisecond
 )
 
-// Places decides which adapters occupy the adapter slots of one engine. Gateways send
+// Placement decides which adapters occupy the adapter slots of one engine. Gateways send
 // load requests for the adapters that their requests wait for, and Places returns the
 // load and unload orders.
 //
@@ -35,7 +35,7 @@
 // the sequence number of that report. An order without a response is either visible in
 // the next report or rejected as outdated once the engine has accepted another order, so
 // no state is kept for orders in flight.
-type Places struct {
+type Placement struct {
 	policy    wardturn.Policy
 	start     time.Time
 	spec      wardturn.EngineSpec
@@ -84,9 +84,9 @@
 	last    time.Time
 }
 
-// NewPlaces returns the placement for an engine that has not reported yet.
-func NewPlaces(now time.Time, p wardturn.Policy) *Places {
-	return &Places{
+// NewPlacement returns the placement for an engine that has not reported yet.
+func NewPlacement(now time.Time, p wardturn.Policy) *Placement {
+	return &Placement{
 		policy:   p,
 		start:    now,
 		pending:  make(map[wardturn.ModelAdapter]*pendingLoad),
@@ -98,12 +98,12 @@
 }
 
 // SetSpec sets the operator's specification of the engine.
-func (p *Places) SetSpec(spec wardturn.EngineSpec) {
+func (p *Placement) SetSpec(spec wardturn.EngineSpec) {
 	p.spec = spec
 }
 
-// Wish records or renews a gateway's load request for an adapter.
-func (p *Places) Wish(now time.Time, gateway wardturn.Incarnation, a wardturn.AdapterVersion, waiting int, oldest time.Duration) {
+// RequestLoad records or renews a gateway's load request for an adapter.
+func (p *Placement) RequestLoad(now time.Time, gateway wardturn.Incarnation, a wardturn.AdapterVersion, waiting int, oldest time.Duration) {
 	w := p.pending[a.Key()]
 	if w == nil {
 		w = &pendingLoad{
@@ -125,9 +125,9 @@
 	w.updatedAt = now
 }
 
-// Use records a gateway's request counts for an adapter: those started since its previous
+// ReportUse records a gateway's request counts for an adapter: those started since its previous
 // message, and those running now.
-func (p *Places) Use(now time.Time, gateway wardturn.Incarnation, key wardturn.ModelAdapter, started, running int) {
+func (p *Placement) ReportUse(now time.Time, gateway wardturn.Incarnation, key wardturn.ModelAdapter, started, running int) {
 	u := p.useOf(key)
 	for range started {
 		u.demand.Arrive(now)
@@ -141,7 +141,7 @@
 	}
 }
 
-func (p *Places) useOf(key wardturn.ModelAdapter) *adapterUse {
+func (p *Placement) useOf(key wardturn.ModelAdapter) *adapterUse {
 	u := p.uses[key]
 	if u == nil {
 		u = &adapterUse{
@@ -161,7 +161,7 @@
 // may only be partitioned from the keeper, so its requests are assumed to still run while
 // the engine runs more requests than the other gateways report. Unloading an adapter in
 // use would block all other orders of the engine until the requests end.
-func (p *Places) GatewayLost(gateway wardturn.Incarnation) {
+func (p *Placement) GatewayLost(gateway wardturn.Incarnation) {
 	for key, u := range p.uses {
 		if u.running[gateway] > 0 {
 			p.orphaned[key] = p.reportedAt.Add(orphanLifetime)
@@ -173,7 +173,7 @@
 
 // dropOrphaned drops the assumed requests of disconnected gateways once the engine runs no
 // more requests than the connected ones report.
-func (p *Places) dropOrphaned() {
+func (p *Placement) dropOrphaned() {
 	if len(p.orphaned) == 0 {
 		return
 	}
@@ -189,38 +189,38 @@
 }
 
 // Defer delays the next order until the given time.
-func (p *Places) Defer(until time.Time) {
+func (p *Placement) Defer(until time.Time) {
 	p.notBefore = until
 }
 
 // Leaving reports whether an adapter is about to be unloaded or replaced.
-func (p *Places) Leaving(key wardturn.ModelAdapter) bool {
+func (p *Placement) Leaving(key wardturn.ModelAdapter) bool {
 	_, ok := p.leaving[key]
 	return ok
 }
 
-// PlaceOrder is a load or unload order for an engine. An order without an adapter loads
+// PlacementOrder is a load or unload order for an engine. An order without an adapter loads
 // the model.
-type PlaceOrder struct {
+type PlacementOrder struct {
 	Unload  bool
 	Target  wardturn.ModelAdapter
 	Version wardturn.Version
 }
 
-// Wanting reports whether Next may have an order.
-func (p *Places) Wanting() bool {
+// MayHaveOrder reports whether Next may have an order.
+func (p *Placement) MayHaveOrder() bool {
 	return len(p.pending) > 0 || len(p.state.Loading) > 0 || len(p.leaving) > 0 || len(p.state.Models) == 0
 }
 
 // Next returns the order to give now, or false if there is none. A busy engine rejects
 // all orders, so none is returned for it.
-func (p *Places) Next(now time.Time) (PlaceOrder, bool) {
+func (p *Placement) Next(now time.Time) (PlacementOrder, bool) {
 	p.expire(now)
 	if !p.known || p.state.Busy || len(p.spec.Models) == 0 || now.Before(p.notBefore) {
-		return PlaceOrder{}, false
+		return PlacementOrder{}, false
 	}
 	if len(p.state.Models) == 0 {
-		return PlaceOrder{
+		return PlacementOrder{
 			Target: wardturn.ModelAdapter{
 				Model: p.spec.Models[0].Name,
 			},
@@ -231,12 +231,12 @@
 			return o, true
 		}
 	}
-	return PlaceOrder{}, false
+	return PlacementOrder{}, false
 }
 
 // expire drops load requests that are fulfilled or were not repeated, evictions that were
 // announced but not needed any more, and assumed requests of disconnected gateways.
-func (p *Places) expire(now time.Time) {
+func (p *Placement) expire(now time.Time) {
 	for key, w := range p.pending {
 		if now.Sub(w.updatedAt) > loadRequestLifetime || p.holds(key, w.version) {
 			delete(p.pending, key)
@@ -255,12 +255,12 @@
 }
 
 // holds reports whether an adapter is resident at version v or newer.
-func (p *Places) holds(key wardturn.ModelAdapter, v wardturn.Version) bool {
+func (p *Placement) holds(key wardturn.ModelAdapter, v wardturn.Version) bool {
 	have, ok := p.resident(key)
 	return ok && have >= v
 }
 
-func (p *Places) resident(key wardturn.ModelAdapter) (wardturn.Version, bool) {
+func (p *Placement) resident(key wardturn.ModelAdapter) (wardturn.Version, bool) {
 	for _, m := range p.state.Models {
 		if m.Name != key.Model {
 			continue
@@ -274,13 +274,13 @@
 	return 0, false
 }
 
-func (p *Places) isLoading(key wardturn.ModelAdapter) bool {
+func (p *Placement) isLoading(key wardturn.ModelAdapter) bool {
 	return slices.ContainsFunc(p.state.Loading, func(a wardturn.AdapterVersion) bool {
 		return a.Key() == key
 	})
 }
 
-func (p *Places) modelLoaded(m wardturn.BaseModel) bool {
+func (p *Placement) modelLoaded(m wardturn.BaseModel) bool {
 	return slices.ContainsFunc(p.state.Models, func(l wardturn.LoadedModel) bool {
 		return l.Name == m
 	})
@@ -289,7 +289,7 @@
 // occupied counts the adapter slots in use or reserved for loads. An adapter that is being
 // replaced by a newer version takes two, since the old version stays until the new one is
 // loaded.
-func (p *Places) occupied() int {
+func (p *Placement) occupied() int {
 	n := len(p.state.Loading)
 	for _, m := range p.state.Models {
 		n += len(m.Adapters)
@@ -298,7 +298,7 @@
 }
 
 // replacing counts the adapters that are being replaced by a newer version.
-func (p *Places) replacing() int {
+func (p *Placement) replacing() int {
 	n := 0
 	for _, a := range p.state.Loading {
 		if _, ok := p.resident(a.Key()); ok {
@@ -309,7 +309,7 @@
 }
 
 // byValue returns the adapters with load requests in descending order of value.
-func (p *Places) byValue(now time.Time) []wardturn.ModelAdapter {
+func (p *Placement) byValue(now time.Time) []wardturn.ModelAdapter {
 	type scored struct {
 		key   wardturn.ModelAdapter
 		value float64
@@ -338,7 +338,7 @@
 }
 
 // value returns the policy's value of a slot for an adapter.
-func (p *Places) value(now time.Time, key wardturn.ModelAdapter) float64 {
+func (p *Placement) value(now time.Time, key wardturn.ModelAdapter) float64 {
 	in := wardturn.SlotInput{
 		Adapter: key.Adapter,
 	}
@@ -358,12 +358,12 @@
 
 // nextOrderFor returns the next order needed to get an adapter loaded, if one can be
 // given now.
-func (p *Places) nextOrderFor(now time.Time, key wardturn.ModelAdapter) (PlaceOrder, bool) {
+func (p *Placement) nextOrderFor(now time.Time, key wardturn.ModelAdapter) (PlacementOrder, bool) {
 	w := p.pending[key]
 	if !p.modelLoaded(key.Model) || p.isLoading(key) {
-		return PlaceOrder{}, false
+		return PlacementOrder{}, false
 	}
-	load := PlaceOrder{
+	load := PlacementOrder{
 		Target:  key,
 		Version: w.version,
 	}
@@ -372,20 +372,20 @@
 		// of the engine until they end.
 		return load, p.announceEviction(now, key) && !p.hasRunning(key)
 	}
-	if len(p.state.Loading) >= MaxComing {
-		return PlaceOrder{}, false
+	if len(p.state.Loading) >= MaxConcurrentLoads {
+		return PlacementOrder{}, false
 	}
 	if p.occupied() < p.spec.AdapterSlots {
 		return load, true
 	}
 	if p.occupied()-p.replacing() < p.spec.AdapterSlots {
-		return PlaceOrder{}, false // a slot becomes free when the replacement is done
+		return PlacementOrder{}, false // a slot becomes free when the replacement is done
 	}
 	victim, ok := p.victim(now, p.value(now, key))
 	if !ok || !p.announceEviction(now, victim) {
-		return PlaceOrder{}, false
+		return PlacementOrder{}, false
 	}
-	return PlaceOrder{
+	return PlacementOrder{
 		Unload: true,
 		Target: victim,
 	}, true
@@ -393,7 +393,7 @@
 
 // announceEviction marks an adapter as leaving and reports whether the eviction notice
 // has passed since it was first marked.
-func (p *Places) announceEviction(now time.Time, key wardturn.ModelAdapter) bool {
+func (p *Placement) announceEviction(now time.Time, key wardturn.ModelAdapter) bool {
 	at, ok := p.leaving[key]
 	if !ok {
 		p.leaving[key] = now
--- a/decide/places_report.go
+++ b/decide/places_report.go
@@ -7,7 +7,7 @@
 )
 
 // Report applies a fresh report of the engine.
-func (p *Places) Report(now time.Time, st wardturn.EngineState) {
+func (p *Placement) Report(now time.Time, st wardturn.EngineState) {
 	p.state = st
 	p.known = true
 	p.reportedAt = now
@@ -29,9 +29,9 @@
 	}
 }
 
-// Restarted resets the state after a restart of the engine: it holds no adapters and runs
+// EngineRestarted resets the state after a restart of the engine: it holds no adapters and runs
 // no requests.
-func (p *Places) Restarted() {
+func (p *Placement) EngineRestarted() {
 	clear(p.leaving)
 	clear(p.readyAt)
 	clear(p.orphaned)
@@ -41,17 +41,17 @@
 	p.known = false
 }
 
-// Lost marks the state as unknown because the engine does not respond.
-func (p *Places) Lost() {
+// EngineLost marks the state as unknown because the engine does not respond.
+func (p *Placement) EngineLost() {
 	p.known = false
 }
 
 // Known reports whether the engine's state is known.
-func (p *Places) Known() bool {
+func (p *Placement) Known() bool {
 	return p.known
 }
 
 // State returns the latest report.
-func (p *Places) State() wardturn.EngineState {
+func (p *Placement) State() wardturn.EngineState {
 	return p.state
 }
--- a/decide/places_test.go
+++ b/decide/places_test.go
@@ -14,7 +14,7 @@
 
 var _ = Describe("Places", func() {
 	var (
-		p   *decide.Places
+		p   *decide.Placement
 		now time.Time
 	)
 	key := func(name string) wardturn.ModelAdapter {
@@ -47,9 +47,9 @@
 		p.Report(now, st)
 	}
 	request := func(name string, waiting int) {
-		p.Wish(now, "g1", version(name, 1), waiting, 0)
+		p.RequestLoad(now, "g1", version(name, 1), waiting, 0)
 	}
-	next := func() (decide.PlaceOrder, bool) {
+	next := func() (decide.PlacementOrder, bool) {
 		return p.Next(now)
 	}
 	expectNone := func() {
@@ -57,7 +57,7 @@
 		_, ok := next()
 		Expect(ok).To(BeFalse())
 	}
-	expectOrder := func(o decide.PlaceOrder) {
+	expectOrder := func(o decide.PlacementOrder) {
 		GinkgoHelper()
 		got, ok := next()
 		Expect(ok).To(BeTrue())
@@ -68,19 +68,19 @@
 	}
 
 	It("counts the slots that another adapter could take now", func() {
-		Expect(p.Free(now)).To(Equal(decide.MaxFree)) // all three slots are empty
+		Expect(p.FreeSlots(now)).To(Equal(decide.MaxFreeSlots)) // all three slots are empty
 		report([]string{"c"}, "a", "b")
-		Expect(p.Free(now)).To(BeZero()) // a and b were just loaded
+		Expect(p.FreeSlots(now)).To(BeZero()) // a and b were just loaded
 		advance(time.Second)
-		Expect(p.Free(now)).To(Equal(2)) // a and b are idle
-		p.Use(now, "g1", key("a"), 1, 1)
-		p.Use(now, "g1", key("b"), 1, 1)
-		Expect(p.Free(now)).To(BeZero())
-		p.Use(now, "g1", key("a"), 0, 0)
+		Expect(p.FreeSlots(now)).To(Equal(2)) // a and b are idle
+		p.ReportUse(now, "g1", key("a"), 1, 1)
+		p.ReportUse(now, "g1", key("b"), 1, 1)
+		Expect(p.FreeSlots(now)).To(BeZero())
+		p.ReportUse(now, "g1", key("a"), 0, 0)
 		advance(time.Second)
-		Expect(p.Free(now)).To(Equal(1)) // a may be evicted
+		Expect(p.FreeSlots(now)).To(Equal(1)) // a may be evicted
 		request("d", 1)
-		Expect(p.Free(now)).To(BeZero()) // its slot is for d
+		Expect(p.FreeSlots(now)).To(BeZero()) // its slot is for d
 	})
 
 	It("counts two slots for an adapter that is being replaced", func() {
@@ -90,7 +90,7 @@
 		advance(10 * time.Millisecond)
 		expectNone() // nothing is evicted for c either
 		report(nil, "a", "b")
-		expectOrder(decide.PlaceOrder{
+		expectOrder(decide.PlacementOrder{
 			Target:  key("c"),
 			Version: 1,
 		})
@@ -99,10 +99,10 @@
 	It("first loads the adapter with the most waiting requests over all gateways", func() {
 		report(nil)
 		for _, g := range []wardturn.Incarnation{"g1", "g2", "g3"} {
-			p.Wish(now, g, version("shared", 1), 2, 0)
+			p.RequestLoad(now, g, version("shared", 1), 2, 0)
 		}
 		request("single", 3)
-		expectOrder(decide.PlaceOrder{
+		expectOrder(decide.PlacementOrder{
 			Target:  key("shared"),
 			Version: 1,
 		})
@@ -110,7 +110,7 @@
 
 	BeforeEach(func() {
 		now = start
-		p = decide.NewPlaces(now, policy.Default{})
+		p = decide.NewPlacement(now, policy.Default{})
 		p.SetSpec(wardturn.EngineSpec{
 			AdapterSlots: 3,
 			Models: []wardturn.ModelSpec{
@@ -128,7 +128,7 @@
 
 	It("loads the model into an empty engine, unless the engine is busy", func() {
 		p.Report(now, wardturn.EngineState{})
-		expectOrder(decide.PlaceOrder{
+		expectOrder(decide.PlacementOrder{
 			Target: wardturn.ModelAdapter{
 				Model: "m",
 			},
@@ -142,7 +142,7 @@
 	It("loads a requested adapter into a free slot", func() {
 		report(nil, "a")
 		request("b", 1)
-		expectOrder(decide.PlaceOrder{
+		expectOrder(decide.PlacementOrder{
 			Target:  key("b"),
 			Version: 1,
 		})
@@ -177,15 +177,15 @@
 	It("evicts the least used adapter after announcing it to the gateways", func() {
 		report(nil, "a", "b", "c")
 		for range 10 {
-			p.Use(now, "g", key("a"), 1, 0)
-			p.Use(now, "g", key("c"), 1, 0)
+			p.ReportUse(now, "g", key("a"), 1, 0)
+			p.ReportUse(now, "g", key("c"), 1, 0)
 		}
 		advance(2 * time.Second)
 		request("d", 1)
 		expectNone()
 		Expect(p.Leaving(key("b"))).To(BeTrue())
 		advance(5 * time.Millisecond)
-		expectOrder(decide.PlaceOrder{
+		expectOrder(decide.PlacementOrder{
 			Unload: true,
 			Target: key("b"),
 		})
@@ -194,7 +194,7 @@
 	It("does not evict adapters that are in use or were just loaded", func() {
 		report(nil, "a", "b", "c")
 		for _, name := range []string{"a", "b", "c"} {
-			p.Use(now, "g", key(name), 1, 1)
+			p.ReportUse(now, "g", key(name), 1, 1)
 		}
 		advance(2 * time.Second)
 		request("d", 1)
@@ -217,9 +217,9 @@
 		}
 		report(nil, "a", "b", "c")
 		for _, name := range []string{"a", "b"} {
-			p.Use(now, "g", key(name), 1, 1)
+			p.ReportUse(now, "g", key(name), 1, 1)
 		}
-		p.Use(now, "other", key("c"), 1, 1)
+		p.ReportUse(now, "other", key("c"), 1, 1)
 		runs(3)
 		advance(2 * time.Second)
 		p.GatewayLost("g")
@@ -235,7 +235,7 @@
 	It("evicts adapters of a gateway that was partitioned for longer than its requests may take", func() {
 		report(nil, "a", "b", "c")
 		for _, name := range []string{"a", "b", "c"} {
-			p.Use(now, "g", key(name), 1, 1)
+			p.ReportUse(now, "g", key(name), 1, 1)
 		}
 		st := p.State()
 		st.Running = 3
@@ -249,8 +249,8 @@
 
 	It("keeps an adapter that is requested after its eviction was announced", func() {
 		report(nil, "a", "b", "c")
-		p.Use(now, "g", key("a"), 5, 0)
-		p.Use(now, "g", key("b"), 5, 0)
+		p.ReportUse(now, "g", key("a"), 5, 0)
+		p.ReportUse(now, "g", key("b"), 5, 0)
 		advance(2 * time.Second)
 		request("d", 1)
 		expectNone()
@@ -264,11 +264,11 @@
 
 	It("replaces an old version after announcing it to the gateways", func() {
 		report(nil, "a")
-		p.Wish(now, "g1", version("a", 2), 1, 0)
+		p.RequestLoad(now, "g1", version("a", 2), 1, 0)
 		expectNone()
 		Expect(p.Leaving(key("a"))).To(BeTrue())
 		advance(5 * time.Millisecond)
-		expectOrder(decide.PlaceOrder{
+		expectOrder(decide.PlacementOrder{
 			Target:  key("a"),
 			Version: 2,
 		})
@@ -277,9 +277,9 @@
 	It("does not replace a version in use, and loads other adapters meanwhile", func() {
 		report(nil, "a")
 		advance(time.Second)
-		p.Use(now, "g1", key("a"), 1, 1)
+		p.ReportUse(now, "g1", key("a"), 1, 1)
 		renew := func() {
-			p.Wish(now, "g1", version("a", 2), 5, 0)
+			p.RequestLoad(now, "g1", version("a", 2), 5, 0)
 		}
 		renew()
 		expectNone()
@@ -291,13 +291,13 @@
 			Expect(p.Leaving(key("a"))).To(BeTrue()) // so gateways send no new requests to it
 		}
 		request("b", 1)
-		expectOrder(decide.PlaceOrder{
+		expectOrder(decide.PlacementOrder{
 			Target:  key("b"),
 			Version: 1,
 		})
-		p.Use(now, "g1", key("a"), 0, 0)
+		p.ReportUse(now, "g1", key("a"), 0, 0)
 		report([]string{"b"}, "a")
-		expectOrder(decide.PlaceOrder{
+		expectOrder(decide.PlacementOrder{
 			Target:  key("a"),
 			Version: 2,
 		})
--- a/decide/plan.go
+++ b/decide/plan.go
@@ -24,7 +24,7 @@
 	if w, due := a.permits.Pending(now); due {
 		w.Upstream = a.cfg.Upstream
 		w.Misses = a.misses
-		out.Wish = append(out.Wish[:0], w)
+		out.PermitRequests = append(out.PermitRequests[:0], w)
 	}
 }
 
@@ -168,7 +168,7 @@
 
 // planLoads orders loads for the adapters that wait for a slot, the most valuable first.
 func (a *Agent) planLoads(now time.Time, out *Orders) {
-	if len(a.slots) == 0 || !a.informed {
+	if len(a.slots) == 0 || !a.reported {
 		return
 	}
 	for {
@@ -192,11 +192,11 @@
 	}
 }
 
-func (a *Agent) permitRequest(now time.Time, missing *adapter) Wish {
-	w := Wish{
-		Class: wardturn.Interactive,
-		Value: a.value(now, missing),
-		Want:  max(1, a.urgentWants(now)),
+func (a *Agent) permitRequest(now time.Time, missing *adapter) PermitRequest {
+	w := PermitRequest{
+		Class:   wardturn.Interactive,
+		Value:   a.value(now, missing),
+		Pending: max(1, a.urgentMissing(now)),
 	}
 	if !a.urgent(now, missing) {
 		// Batch loads prefer engines that already run batch work, so that the steps of
@@ -207,10 +207,10 @@
 	return w
 }
 
-// urgentWants counts the adapters without a slot for which urgent work waits.
-func (a *Agent) urgentWants(now time.Time) int {
+// urgentMissing counts the adapters without a slot for which urgent work waits.
+func (a *Agent) urgentMissing(now time.Time) int {
 	n := 0
-	for _, ad := range a.wanted {
+	for _, ad := range a.missing {
 		if a.urgent(now, ad) {
 			n++
 		}
@@ -228,7 +228,7 @@
 // value. Adapters in backoff after a failed load are skipped.
 func (a *Agent) nextLoad(now time.Time) *adapter {
 	var best *adapter
-	for _, ad := range a.wanted {
+	for _, ad := range a.missing {
 		if now.Before(ad.retryAt) || !a.loadable(now, ad) {
 			continue
 		}
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -36,7 +36,7 @@
 	missingAt    time.Time // when the agent last learned that the engine does not hold it
 	value        float64
 	valueAt      time.Time
-	missingIndex int // index in Agent.wanted, or notMissing
+	missingIndex int // index in Agent.missing, or notMissing
 }
 
 const notMissing = -1
@@ -134,8 +134,8 @@
 	a.trackMissing(it.adapter)
 }
 
-// enqueueAgain requeues an item that the engine refused, ahead of all others.
-func (a *Agent) enqueueAgain(it *item) {
+// requeue requeues an item that the engine refused, ahead of all others.
+func (a *Agent) requeue(it *item) {
 	if it.stalledSince.IsZero() {
 		it.stalledSince = it.startedAt
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-// trackMissing updates the adapter's membership in Agent.wanted, the adapters that have
+// trackMissing updates the adapter's membership in Agent.missing, the adapters that have
 // waiting requests and no slot.
 func (a *Agent) trackMissing(ad *adapter) {
 	if ad == nil {
@@ -170,20 +170,20 @@
 	wanted := ad.slot == noSlot && ad.waiting() > 0
 	switch {
 	case wanted && ad.missingIndex == notMissing:
-		ad.missingIndex = len(a.wanted)
-		a.wanted = append(a.wanted, ad)
+		ad.missingIndex = len(a.missing)
+		a.missing = append(a.missing, ad)
 	case !wanted && ad.missingIndex != notMissing:
 		a.removeMissing(ad)
 	}
 }
 
 func (a *Agent) removeMissing(ad *adapter) {
-	last := len(a.wanted) - 1
-	moved := a.wanted[last]
-	a.wanted[ad.missingIndex] = moved
+	last := len(a.missing) - 1
+	moved := a.missing[last]
+	a.missing[ad.missingIndex] = moved
 	moved.missingIndex = ad.missingIndex
-	a.wanted[last] = nil
-	a.wanted = a.wanted[:last]
+	a.missing[last] = nil
+	a.missing = a.missing[:last]
 	ad.missingIndex = notMissing
 }
 
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -9,7 +9,7 @@
 	Burst       float64
 	Concurrency int
 
-	bucket bucket
+	bucket tokenBucket
 	active int
 }
 
--- a/decide/reading.go
+++ b/decide/reading.go
@@ -31,91 +31,91 @@
 	reportDue        bool      // own has to be sent to the keeper
 }
 
-// ReadingNote tells a keeper how many tokens of this gateway's long prompts its engine is
+// PrefillReport tells a keeper how many tokens of this gateway's long prompts its engine is
 // prefilling.
-type ReadingNote struct {
+type PrefillReport struct {
 	Upstream wardturn.UpstreamID
 	Tokens   int
 }
 
-// reads adds the tokens of a prompt whose prefill starts at an engine. A negative number
+// addPrefill adds the tokens of a prompt whose prefill starts at an engine. A negative number
 // removes a prompt whose prefill has finished.
-func (f *Fleet) reads(m *Member, tokens wardturn.Tokens) {
+func (f *Fleet) addPrefill(m *Member, tokens wardturn.Tokens) {
 	m.prefillTokens = max(0, m.prefillTokens+int(tokens))
 	if tokens < minReportedPrompt && tokens > -minReportedPrompt {
 		return
 	}
-	m.reading.own = max(0, m.reading.own+int(tokens))
+	m.prefill.own = max(0, m.prefill.own+int(tokens))
 	f.queuePrefillReport(m)
 }
 
-// book counts the prompt of a waiting request at the engine that loads its adapter as if
+// reservePrefill counts the prompt of a waiting request at the engine that loads its adapter as if
 // the engine were already prefilling it. A nil member removes the prompt from the count.
 // Without this, an engine that loads adapters for several long prompts looks idle until
 // all of them arrive there at once.
-func (f *Fleet) book(t *Ticket, m *Member) {
-	if t.booked == m {
+func (f *Fleet) reservePrefill(t *PendingRequest, m *Member) {
+	if t.prefillAt == m {
 		return
 	}
-	if t.booked != nil {
-		f.reads(t.booked, -t.Prompt)
+	if t.prefillAt != nil {
+		f.addPrefill(t.prefillAt, -t.Prompt)
 	}
-	t.booked = m
+	t.prefillAt = m
 	if m != nil {
-		f.reads(m, t.Prompt)
+		f.addPrefill(m, t.Prompt)
 	}
 }
 
-func (f *Fleet) bookAll(w *want, m *Member) {
+func (f *Fleet) reserveAllPrefill(w *missingAdapter, m *Member) {
 	for _, t := range w.waiting {
-		f.book(t, m)
+		f.reservePrefill(t, m)
 	}
 }
 
 func (f *Fleet) queuePrefillReport(m *Member) {
-	if m.reading.reportDue {
+	if m.prefill.reportDue {
 		return
 	}
-	m.reading.reportDue = true
+	m.prefill.reportDue = true
 	f.reportsDue = append(f.reportsDue, m)
 }
 
-// Readings returns the counts that changed since they were last sent to the keepers, and
+// PrefillReports returns the counts that changed since they were last sent to the keepers, and
 // marks them as sent.
-func (f *Fleet) Readings() []ReadingNote {
-	var notes []ReadingNote
+func (f *Fleet) PrefillReports() []PrefillReport {
+	var notes []PrefillReport
 	for _, m := range f.reportsDue {
-		m.reading.reportDue = false
-		if m.reading.reported == m.reading.own {
+		m.prefill.reportDue = false
+		if m.prefill.reported == m.prefill.own {
 			continue
 		}
-		m.reading.reported = m.reading.own
-		notes = append(notes, ReadingNote{
+		m.prefill.reported = m.prefill.own
+		notes = append(notes, PrefillReport{
 			Upstream: m.ID,
-			Tokens:   m.reading.own,
+			Tokens:   m.prefill.own,
 		})
 	}
 	f.reportsDue = nil
 	return notes
 }
 
-// setReading records a keeper's report of all long prompts that its engine is prefilling.
-func (f *Fleet) setReading(now time.Time, m *Member, h Holding) {
+// setPrefill records a keeper's report of all long prompts that its engine is prefilling.
+func (f *Fleet) setPrefill(now time.Time, m *Member, h EngineUpdate) {
 	if h.Full { // new connection: the keeper has no counts of this gateway
-		m.reading.reported = 0
-		if m.reading.own > 0 {
+		m.prefill.reported = 0
+		if m.prefill.own > 0 {
 			f.queuePrefillReport(m)
 		}
 	}
-	m.reading.others = max(0, h.Reading-m.reading.reported)
-	m.reading.othersReportedAt = now
+	m.prefill.others = max(0, h.PrefillTokens-m.prefill.reported)
+	m.prefill.othersReportedAt = now
 }
 
-// toRead returns the known number of prompt tokens that an engine has to prefill before a
+// pendingPrefill returns the known number of prompt tokens that an engine has to prefill before a
 // new prompt.
-func (m *Member) toRead(now time.Time) int {
-	if now.Sub(m.reading.othersReportedAt) > prefillReportTTL {
+func (m *Member) pendingPrefill(now time.Time) int {
+	if now.Sub(m.prefill.othersReportedAt) > prefillReportTTL {
 		return m.prefillTokens
 	}
-	return m.prefillTokens + m.reading.others
+	return m.prefillTokens + m.prefill.others
 }
--- a/decide/readrate.go
+++ b/decide/readrate.go
@@ -59,8 +59,8 @@
 	return time.Duration(r.cost(tokens) * float64(time.Millisecond))
 }
 
-// rateOf returns the prefill rate estimate for the engines of a service.
-func (f *Fleet) rateOf(s wardturn.ServiceName) *prefillRate {
+// prefillRateOf returns the prefill rate estimate for the engines of a service.
+func (f *Fleet) prefillRateOf(s wardturn.ServiceName) *prefillRate {
 	r := f.prefillRates[s]
 	if r == nil {
 		r = newPrefillRate()
@@ -69,9 +69,9 @@
 	return r
 }
 
-// Read records the time from sending a request to an engine to the first token of its
+// PrefillMeasured records the time from sending a request to an engine to the first token of its
 // answer, with the number of tokens the engine had to prefill in that time: those of the
 // prompt and those known to be queued before it.
-func (f *Fleet) Read(s wardturn.ServiceName, tokens int, took time.Duration) {
-	f.rateOf(s).observe(tokens, took)
+func (f *Fleet) PrefillMeasured(s wardturn.ServiceName, tokens int, took time.Duration) {
+	f.prefillRateOf(s).observe(tokens, took)
 }
--- a/decide/regions_test.go
+++ b/decide/regions_test.go
@@ -16,10 +16,10 @@
 			"near": "north",
 			"far":  "south",
 		},
-		Draw: func() float64 { return 0 },
+		Random: func() float64 { return 0 },
 		Window: decide.WindowConfig{
 			Start: 4,
-			Most:  4,
+			Max:   4,
 		},
 	})
 	x.f.SetTable(fleetTable(&wardturn.EngineSpec{
@@ -57,14 +57,14 @@
 func TestRegionsOfLoads(t *testing.T) {
 	x := newRegionRig()
 	x.holdEverywhere("a")
-	x.out.Asks = nil
+	x.out.LoadRequests = nil
 	x.admitFor(fleetService, adapterKey("b"), wardturn.Regions{"south"})
 	x.admitFor(fleetService, adapterKey("b"), wardturn.Regions{"north"})
 	asked := make(map[byte]int)
-	for _, ask := range x.out.Asks {
+	for _, ask := range x.out.LoadRequests {
 		asked[ask.Upstream[0]]++
 	}
 	if asked['f'] != 1 || asked['n'] != 1 {
-		t.Errorf("loads requested: %v, want one in each region", x.out.Asks)
+		t.Errorf("loads requested: %v, want one in each region", x.out.LoadRequests)
 	}
 }
--- a/decide/rest.go
+++ b/decide/rest.go
@@ -96,7 +96,7 @@
 
 // allBackingOff reports whether all upstreams that may serve a request are backing off, and the
 // time until the first of them allows a request.
-func (f *Fleet) allBackingOff(now time.Time, t *Ticket) (left time.Duration, all bool) {
+func (f *Fleet) allBackingOff(now time.Time, t *PendingRequest) (left time.Duration, all bool) {
 	if len(f.backoffs) == 0 {
 		return 0, false
 	}
@@ -127,5 +127,5 @@
 // It adds jitter, since callers that all retried at the end would be refused together.
 func (f *Fleet) jitteredDelay(left time.Duration) time.Duration {
 	jitter := max(minBackoffJitter, time.Duration(backoffJitterPart*float64(left)))
-	return left + time.Duration(f.cfg.Draw()*float64(jitter))
+	return left + time.Duration(f.cfg.Random()*float64(jitter))
 }
--- a/decide/rest_test.go
+++ b/decide/rest_test.go
@@ -26,13 +26,13 @@
 	It("has its adapters loaded elsewhere at the first request", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.f.BackOff(x.now, "n0", 3*time.Second)
-		x.out.Asks = nil
+		x.out.LoadRequests = nil
 		x.admit("r", "a")
-		Expect(x.out.Asks).To(HaveLen(1))
-		Expect(x.out.Asks[0].Upstream).NotTo(BeEquivalentTo("n0"))
-		x.hold(string(x.out.Asks[0].Upstream), readyAdapter("a", 1))
+		Expect(x.out.LoadRequests).To(HaveLen(1))
+		Expect(x.out.LoadRequests[0].Upstream).NotTo(BeEquivalentTo("n0"))
+		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
 		x.tick(10 * time.Millisecond)
-		Expect(x.got["r"].Member.ID).To(Equal(x.out.Asks[0].Upstream))
+		Expect(x.got["r"].Member.ID).To(Equal(x.out.LoadRequests[0].Upstream))
 	})
 
 	It("keeps its backoff if it is missing from a list, asks for a shorter one, or restarts under its name", func() {
@@ -87,7 +87,7 @@
 		draw := 0.0
 		f := decide.NewFleet(decide.FleetConfig{
 			Domain: "near",
-			Draw:   func() float64 { return draw },
+			Random: func() float64 { return draw },
 		})
 		f.SetTable(fleetTable(nil))
 		f.SetMembers(x.now, fleetMembers())
--- a/decide/room.go
+++ b/decide/room.go
@@ -24,11 +24,11 @@
 	if share >= 1 {
 		return int(share)
 	}
-	if now.Sub(f.drawnAt) < drawInterval {
+	if now.Sub(f.lastDrawAt) < drawInterval {
 		return 0
 	}
-	f.drawnAt = now
-	if f.cfg.Draw() < share {
+	f.lastDrawAt = now
+	if f.cfg.Random() < share {
 		return 1
 	}
 	return 0
@@ -40,19 +40,19 @@
 // loads no share reaches one, and without the random case no adapter would ever get a
 // second engine.
 func (f *Fleet) hasSpareCapacity(now time.Time) bool {
-	return f.share(now) >= 1 || 2*f.coming < f.window.Size() && f.availableLoads(now) > 0
+	return f.share(now) >= 1 || 2*f.loadsInFlight < f.window.Size() && f.availableLoads(now) > 0
 }
 
 func (f *Fleet) share(now time.Time) float64 {
-	left := float64(f.window.Size() - f.coming)
+	left := float64(f.window.Size() - f.loadsInFlight)
 	return left/float64(f.Gateways()) - float64(f.unreportedLoads(now))
 }
 
 // unreportedLoads counts the recently requested loads that no keeper has reported yet.
 func (f *Fleet) unreportedLoads(now time.Time) int {
 	n := 0
-	for _, w := range f.wants {
-		if w.askedAt.IsZero() || w.warm || now.Sub(w.askedAt) > requestSettleTime {
+	for _, w := range f.missing {
+		if w.firstRequestedAt.IsZero() || w.warm || now.Sub(w.firstRequestedAt) > requestSettleTime {
 			continue
 		}
 		if m := f.members[w.home]; m == nil || !m.held[w.key].loading {
@@ -70,11 +70,11 @@
 			n++
 		}
 	}
-	f.coming += n - m.coming
-	m.coming = n
+	f.loadsInFlight += n - m.loadsInFlight
+	m.loadsInFlight = n
 }
 
-// Draw returns a uniformly distributed random number in [0, 1).
-func Draw() float64 {
+// RandomFloat returns a uniformly distributed random number in [0, 1).
+func RandomFloat() float64 {
 	return rand.Float64()
 }
--- a/decide/screen.go
+++ b/decide/screen.go
@@ -70,7 +70,7 @@
 
 func (a *Agent) congestion(now time.Time) Congestion {
 	return a.permits.Congestion(now, Congestion{
-		Backlog: a.urgentWants(now),
+		Backlog: a.urgentMissing(now),
 		Load:    a.missRate.rate(now),
 	})
 }
--- a/decide/shadow.go
+++ b/decide/shadow.go
@@ -9,11 +9,11 @@
 // ShadowStats counts the decisions of the active policy that a shadow policy would have
 // made differently.
 type ShadowStats struct {
-	Loads   int // loads that the active policy started
-	Wants   int // of Loads, those for which the shadow would have loaded another adapter
-	Victims int // of Loads, those for which the shadow would have unloaded another adapter
-	Holds   int // decisions whether to hold a batch request
-	Held    int // of Holds, those that the shadow would have made differently
+	Loads         int // loads that the active policy started
+	OtherAdapters int // of Loads, those for which the shadow would have loaded another adapter
+	Victims       int // of Loads, those for which the shadow would have unloaded another adapter
+	Holds         int // decisions whether to hold a batch request
+	OtherHolds    int // of Holds, those that the shadow would have made differently
 }
 
 // shadow is a policy that is evaluated on the same traffic without affecting it.
@@ -48,8 +48,8 @@
 	}
 	st := &a.shadow.stats
 	st.Loads++
-	if a.shadowWant(now) != want {
-		st.Wants++
+	if a.shadowMissing(now) != want {
+		st.OtherAdapters++
 	}
 	if a.slots[slot].state != SlotEmpty && a.shadowVictim(now) != slot {
 		st.Victims++
@@ -60,10 +60,10 @@
 	return a.shadow.policy.Slot(a.slotInput(now, ad))
 }
 
-func (a *Agent) shadowWant(now time.Time) *adapter {
+func (a *Agent) shadowMissing(now time.Time) *adapter {
 	var best *adapter
 	var bestValue float64
-	for _, ad := range a.wanted {
+	for _, ad := range a.missing {
 		if now.Before(ad.retryAt) || !a.loadable(now, ad) {
 			continue
 		}
@@ -108,6 +108,6 @@
 	}
 	a.shadow.stats.Holds++
 	if (in.Waited < a.shadow.policy.Hold(in)) != held {
-		a.shadow.stats.Held++
+		a.shadow.stats.OtherHolds++
 	}
 }
--- a/decide/slots.go
+++ b/decide/slots.go
@@ -226,7 +226,7 @@
 		return
 	}
 	a.lastReport = rep.At
-	a.informed = a.informed || !rep.At.Before(a.started)
+	a.reported = a.reported || !rep.At.Before(a.started)
 	for i := range a.slots {
 		a.reconcile(&a.slots[i], rep, now)
 	}
@@ -249,7 +249,7 @@
 		a.resolveUncertain(s, rep, resident, now)
 	case SlotReady:
 		if !resident {
-			a.lose(s, now)
+			a.slotLost(s, now)
 			return
 		}
 		if s.inherited && running == 0 {
@@ -272,9 +272,9 @@
 	a.release(s, now)
 }
 
-// lose empties a slot whose adapter the engine no longer holds. Requests in progress end
+// slotLost empties a slot whose adapter the engine no longer holds. Requests in progress end
 // with their own connections.
-func (a *Agent) lose(s *slot, now time.Time) {
+func (a *Agent) slotLost(s *slot, now time.Time) {
 	a.stats.Lost++
 	a.release(s, now)
 }
--- a/decide/trust.go
+++ b/decide/trust.go
@@ -32,7 +32,7 @@
 	if t.backoff == 0 || now.Sub(since) >= pathBackoffReset {
 		t.backoff = minPathBackoff
 	}
-	draw := Draw
+	draw := RandomFloat
 	if t.Draw != nil {
 		draw = t.Draw
 	}
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -9,7 +9,7 @@
 // sent records that a request is sent to an upstream.
 func (f *Fleet) sent(now time.Time, m *Member, key wardturn.ModelAdapter, prompt wardturn.Tokens) {
 	m.running++
-	f.reads(m, prompt)
+	f.addPrefill(m, prompt)
 	m.breaker.Tried(now)
 	m.backoff.sent(now)
 	f.limits.Sent(now, m.ID)
@@ -31,7 +31,7 @@
 // Began records that the answer to a request began, so its prompt has been read.
 func (f *Fleet) Began(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	if m := f.members[id]; m != nil {
-		f.reads(m, -prompt)
+		f.addPrefill(m, -prompt)
 	}
 }
 
@@ -62,7 +62,7 @@
 		u.changed = true
 	}
 	m.running = max(0, m.running-1)
-	m.atHold = max(0, m.atHold-1)
+	m.runningAtUpdate = max(0, m.runningAtUpdate-1)
 	switch outcome {
 	case EndedUnseen:
 		return
@@ -80,7 +80,7 @@
 
 // holds reports whether the body of a request fits within this gateway's share of
 // MostBodies at an upstream. A body that would be the only one there always fits.
-func (f *Fleet) holds(m *Member, t *Ticket) bool {
+func (f *Fleet) holds(m *Member, t *PendingRequest) bool {
 	return f.cfg.MostBodies == 0 || m.bodies == 0 || m.bodies+t.Body <= f.cfg.MostBodies/f.Gateways()
 }
 
--- a/decide/versions.go
+++ b/decide/versions.go
@@ -31,7 +31,7 @@
 // at the time known, so the bound on older versions runs from then. If it ran from the
 // time of receipt, late messages would postpone it. A zero known means that this gateway
 // had no earlier knowledge; then no older version serves.
-func (f *Fleet) VersionAnnounced(now time.Time, v wardturn.AdapterVersion, known time.Time, out *Moves) {
+func (f *Fleet) VersionAnnounced(now time.Time, v wardturn.AdapterVersion, known time.Time, out *Actions) {
 	key := v.Key()
 	if v.Version <= f.newest(key) {
 		return
@@ -56,7 +56,7 @@
 
 // advanceRollouts ends old versions whose time is over and continues the rollouts that
 // are due.
-func (f *Fleet) advanceRollouts(now time.Time, out *Moves) {
+func (f *Fleet) advanceRollouts(now time.Time, out *Actions) {
 	for key, r := range f.rollouts {
 		for len(r.pendingEnds) > 0 && !now.Before(r.pendingEnds[0].end) {
 			out.EnforcedVersions = append(out.EnforcedVersions, wardturn.AdapterVersion{
@@ -75,7 +75,7 @@
 
 // advanceRollout asks engines for the newest version: those whose old version no longer serves
 // at once, the others as soon as another engine has the newest.
-func (f *Fleet) advanceRollout(now time.Time, key wardturn.ModelAdapter, r *rollout, out *Moves) {
+func (f *Fleet) advanceRollout(now time.Time, key wardturn.ModelAdapter, r *rollout, out *Actions) {
 	r.nextAt = now.Add(rolloutInterval)
 	var serving, expired []*Member
 	newestHeld := false
@@ -102,17 +102,17 @@
 
 // loadOnAnotherEngine asks an engine that does not hold an adapter to load its newest
 // version. It reports whether a load is under way or was asked for.
-func (f *Fleet) loadOnAnotherEngine(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, out *Moves) bool {
-	if w := f.wants.anywhere(key); w != nil && !w.askedAt.IsZero() {
+func (f *Fleet) loadOnAnotherEngine(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, out *Actions) bool {
+	if w := f.missing.unrestricted(key); w != nil && !w.firstRequestedAt.IsZero() {
 		return true
 	}
 	for m := range f.homes(now, s, key, false) {
-		if _, holds := m.held[key]; holds || m.loading() >= MaxComing {
+		if _, holds := m.held[key]; holds || m.loading() >= MaxConcurrentLoads {
 			continue
 		}
-		w := f.wantOf(now, key, s, nil)
+		w := f.missingFor(now, key, s, nil)
 		w.cause = LoadVersion
-		f.ask(now, w, m, out)
+		f.requestLoad(now, w, m, out)
 		return true
 	}
 	return false
@@ -120,12 +120,12 @@
 
 // replaceOldVersions asks the engines in this gateway's failure domain that hold an old
 // version to load the newest.
-func (f *Fleet) replaceOldVersions(key wardturn.ModelAdapter, old []*Member, out *Moves) {
+func (f *Fleet) replaceOldVersions(key wardturn.ModelAdapter, old []*Member, out *Actions) {
 	for _, m := range old {
 		if m.Domain != f.cfg.Domain || m.Draining {
 			continue
 		}
-		out.Asks = append(out.Asks, LoadAsk{
+		out.LoadRequests = append(out.LoadRequests, LoadRequest{
 			Upstream: m.ID,
 			Adapter: wardturn.AdapterVersion{
 				Model:   key.Model,
--- a/decide/wait.go
+++ b/decide/wait.go
@@ -16,17 +16,17 @@
 	// fullRetryAfter is the retry time for requests that are refused because all
 	// upstreams are full. Capacity becomes free within the time of a few generations.
 	fullRetryAfter = 300 * time.Millisecond
-	// maxComeBack bounds the retry time reported to callers.
-	maxComeBack = 3 * time.Second
+	// maxLoadRetryDelay bounds the retry time reported to callers.
+	maxLoadRetryDelay = 3 * time.Second
 )
 
-// Ticket is a request that needs an upstream.
-type Ticket struct {
+// PendingRequest is a request that needs an upstream.
+type PendingRequest struct {
 	Service   wardturn.ServiceName
 	Key       wardturn.ModelAdapter // zero for a plain service
 	Arrived   time.Time
 	Objective time.Duration
-	Pause     time.Duration // longest gap allowed between two events of the response; zero: unlimited
+	MaxPause  time.Duration // longest gap allowed between two events of the response; zero: unlimited
 	Deadline  time.Time
 	Prompt    wardturn.Tokens
 	Body      int // bytes of the request body
@@ -35,9 +35,9 @@
 	Tried     []wardturn.UpstreamID
 	Assign    func(Assignment) // called once, under the fleet's lock
 
-	missing *want
-	booked  *Member // the engine whose adapter it waits for and for which its prompt is counted
-	settled bool    // accepts a slow engine instead of waiting longer
+	missing     *missingAdapter
+	prefillAt   *Member // the engine whose adapter it waits for and for which its prompt is counted
+	acceptsSlow bool    // accepts a slow engine instead of waiting longer
 }
 
 // Assignment is the upstream assigned to a request, or a refusal.
@@ -50,18 +50,18 @@
 	RetryAfter time.Duration
 }
 
-// LoadAsk is a load request: it asks the keeper of an engine to load an adapter.
-type LoadAsk struct {
+// LoadRequest is a load request: it asks the keeper of an engine to load an adapter.
+type LoadRequest struct {
 	Upstream wardturn.UpstreamID
 	Adapter  wardturn.AdapterVersion
 	Waiting  int
 	Oldest   time.Duration
 }
 
-// Moves collects the actions that result from a decision.
-type Moves struct {
-	Asks  []LoadAsk
-	Loads []LoadNote
+// Actions collects the actions that result from a decision.
+type Actions struct {
+	LoadRequests   []LoadRequest
+	CompletedLoads []CompletedLoad
 	// EnforcedVersions are versions whose older versions must not serve any more. Requests that were
 	// sent to an older version and have not begun must be cancelled.
 	EnforcedVersions []wardturn.AdapterVersion
@@ -69,22 +69,22 @@
 	Leaving []wardturn.UpstreamID
 }
 
-// LoadNote records that a requested adapter has been loaded.
-type LoadNote struct {
+// CompletedLoad records that a requested adapter has been loaded.
+type CompletedLoad struct {
 	Adapter  wardturn.AdapterVersion
 	Upstream wardturn.UpstreamID
 	Took     time.Duration // since the load request
 	Waited   time.Duration // since the first request began to wait
 	Warm     bool          // the engine held it before
 	Window   int           // loads that may be in flight
-	Under    int           // loads in flight
+	InFlight int           // loads in flight
 	Cause    LoadCause
 }
 
 // Admit assigns an upstream to a request, queues the request, or refuses it.
-func (f *Fleet) Admit(now time.Time, t *Ticket, out *Moves) {
+func (f *Fleet) Admit(now time.Time, t *PendingRequest, out *Actions) {
 	if reason, none := f.noneMay(t); none {
-		t.refuse(reason, maxComeBack)
+		t.refuse(reason, maxLoadRetryDelay)
 		return
 	}
 	spec := f.Engine(t.Service)
@@ -102,7 +102,7 @@
 	f.enqueue(now, t, out)
 }
 
-func (f *Fleet) admitPlain(now time.Time, t *Ticket) {
+func (f *Fleet) admitPlain(now time.Time, t *PendingRequest) {
 	m := f.plainMember(now, t, 1)
 	if m == nil {
 		m = f.plainMember(now, t, plainFillLimit)
@@ -120,7 +120,7 @@
 
 // plainMember returns the usable member of the least cost whose fill is below a limit, or
 // nil.
-func (f *Fleet) plainMember(now time.Time, t *Ticket, limit float64) *Member {
+func (f *Fleet) plainMember(now time.Time, t *PendingRequest, limit float64) *Member {
 	return f.best(now, f.services[t.Service], func(m *Member) bool {
 		return m.usable(now, t.Tried) && f.inRegions(m, t.Regions) && m.fill() < limit && f.holds(m, t) && f.limits.Allows(now, m.ID)
 	})
@@ -128,7 +128,7 @@
 
 // unavailableReason returns the reason for a refusal: the service is full, or it has no
 // usable upstream.
-func (f *Fleet) unavailableReason(now time.Time, t *Ticket) wardturn.Reason {
+func (f *Fleet) unavailableReason(now time.Time, t *PendingRequest) wardturn.Reason {
 	for _, m := range f.services[t.Service] {
 		if m.usable(now, t.Tried) {
 			return wardturn.ReasonQueueFull
@@ -137,19 +137,19 @@
 	return wardturn.ReasonNoUpstream
 }
 
-func (t *Ticket) refuse(reason wardturn.Reason, retryAfter time.Duration) {
+func (t *PendingRequest) refuse(reason wardturn.Reason, retryAfter time.Duration) {
 	t.Assign(Assignment{
 		Reason:     reason,
 		RetryAfter: retryAfter,
 	})
 }
 
-func (f *Fleet) assign(now time.Time, t *Ticket, m *Member, v wardturn.Version) {
+func (f *Fleet) assign(now time.Time, t *PendingRequest, m *Member, v wardturn.Version) {
 	a := Assignment{
 		Member:  m.Member,
 		Version: v,
 		Load:    m.load(),
-		Prefill: m.toRead(now),
+		Prefill: m.pendingPrefill(now),
 	}
 	m.bodies += t.Body
 	f.sent(now, m, t.Key, t.Prompt)
@@ -157,14 +157,14 @@
 }
 
 // tryAssign assigns a request to an engine that can run it now, and reports whether it did.
-func (f *Fleet) tryAssign(now time.Time, t *Ticket, out *Moves) bool {
+func (f *Fleet) tryAssign(now time.Time, t *PendingRequest, out *Actions) bool {
 	m := f.engineFor(now, t, f.newest(t.Key), anyMember)
 	if m == nil && f.oldVersionServes(now, t.Key) {
 		m = f.engineFor(now, t, 0, func(m *Member) bool {
 			return f.startsBeforeEnd(now, m, t)
 		})
 	}
-	if m == nil || f.waitsForQuicker(now, t, m) {
+	if m == nil || f.waitsForLoad(now, t, m) {
 		return false
 	}
 	version := wardturn.Version(0)
@@ -178,7 +178,7 @@
 
 // engineFor returns the cheapest matching engine that can run a request now and holds its
 // adapter at version least or newer, or nil.
-func (f *Fleet) engineFor(now time.Time, t *Ticket, least wardturn.Version, match func(*Member) bool) *Member {
+func (f *Fleet) engineFor(now time.Time, t *PendingRequest, least wardturn.Version, match func(*Member) bool) *Member {
 	list := f.services[t.Service]
 	if t.Key.Adapter != "" {
 		list = f.holders[t.Key]
@@ -197,38 +197,38 @@
 // if the key names no adapter.
 func (m *Member) serves(now time.Time, key wardturn.ModelAdapter, least wardturn.Version) bool {
 	if key.Adapter == "" {
-		for _, have := range m.holding.Models {
+		for _, have := range m.lastUpdate.Models {
 			if have == key.Model {
-				return m.holding.Known
+				return m.lastUpdate.Known
 			}
 		}
 		return false
 	}
 	h, ok := m.held[key]
-	return ok && h.ready && h.version >= least && !now.Before(m.doubts[key])
+	return ok && h.ready && h.version >= least && !now.Before(m.notHeldUntil[key])
 }
 
 // enqueue queues a request until its adapter is loaded, and requests the adapter if needed.
-func (f *Fleet) enqueue(now time.Time, t *Ticket, out *Moves) {
-	w := f.wantOf(now, t.Key, t.Service, t.Regions)
+func (f *Fleet) enqueue(now time.Time, t *PendingRequest, out *Actions) {
+	w := f.missingFor(now, t.Key, t.Service, t.Regions)
 	t.missing = w
 	w.waiting = append(w.waiting, t)
 	w.latestArrival = now
-	f.book(t, f.members[w.home])
-	if !w.askedAt.IsZero() || w.key.Adapter == "" {
+	f.reservePrefill(t, f.members[w.home])
+	if !w.firstRequestedAt.IsZero() || w.key.Adapter == "" {
 		return
 	}
 	if len(w.waiting) == 1 {
 		f.requestWithoutStore(now, w, out)
 	}
-	f.pump(now, out)
+	f.requestMissing(now, out)
 }
 
 // unservable reports whether no upstream may take a waiting request, whatever the
 // upstreams' load. If so, it returns the reason and the retry time for the caller.
-func (f *Fleet) unservable(now time.Time, t *Ticket) (reason wardturn.Reason, back time.Duration, none bool) {
+func (f *Fleet) unservable(now time.Time, t *PendingRequest) (reason wardturn.Reason, back time.Duration, none bool) {
 	if reason, none := f.noneMay(t); none {
-		return reason, maxComeBack, true
+		return reason, maxLoadRetryDelay, true
 	}
 	if left, all := f.allBackingOff(now, t); all {
 		return wardturn.ReasonBackoff, f.jitteredDelay(left), true
@@ -237,13 +237,13 @@
 }
 
 // Withdraw removes a waiting request whose caller has disconnected.
-func (f *Fleet) Withdraw(t *Ticket) {
+func (f *Fleet) Withdraw(t *PendingRequest) {
 	w := t.missing
 	if w == nil {
 		return
 	}
 	t.missing = nil
-	f.book(t, nil)
+	f.reservePrefill(t, nil)
 	for i, o := range w.waiting {
 		if o == t {
 			w.waiting = append(w.waiting[:i], w.waiting[i+1:]...)
@@ -254,28 +254,28 @@
 
 // Tick performs the work that is due at a time: it refuses requests that can't be served in
 // time any more, repeats load requests and advances rollouts.
-func (f *Fleet) Tick(now time.Time, out *Moves) {
+func (f *Fleet) Tick(now time.Time, out *Actions) {
 	f.countGateways(now)
-	for _, w := range f.wants {
+	for _, w := range f.missing {
 		f.assignWaiting(now, w, out)
 		f.expire(now, w, out)
 		f.renewRequest(now, w, out)
 	}
 	f.advanceRollouts(now, out)
-	f.pump(now, out)
+	f.requestMissing(now, out)
 }
 
 // assignWaiting tries to assign the requests that wait for an adapter: an engine that was
 // full may have capacity again.
-func (f *Fleet) assignWaiting(now time.Time, w *want, out *Moves) {
+func (f *Fleet) assignWaiting(now time.Time, w *missingAdapter, out *Actions) {
 	if len(w.waiting) == 0 || w.key.Adapter != "" && len(f.holders[w.key]) == 0 {
 		return
 	}
 	kept := w.waiting[:0]
 	for _, t := range w.waiting {
-		f.book(t, nil)
+		f.reservePrefill(t, nil)
 		if !f.tryAssign(now, t, out) {
-			f.book(t, f.members[w.home])
+			f.reservePrefill(t, f.members[w.home])
 			kept = append(kept, t)
 			continue
 		}
@@ -288,28 +288,28 @@
 // expire ends the wait of requests that can't be served in time any more. A request that
 // waited only for a faster engine is assigned to a slow one; the others are refused with a
 // retry time.
-func (f *Fleet) expire(now time.Time, w *want, out *Moves) {
+func (f *Fleet) expire(now time.Time, w *missingAdapter, out *Actions) {
 	kept := w.waiting[:0]
 	for _, t := range w.waiting {
 		reason, back, none := f.unservable(now, t)
-		if !none && !f.hopeless(now, w, t) {
+		if !none && !f.shouldRefuse(now, w, t) {
 			kept = append(kept, t)
 			continue
 		}
 		t.missing = nil
-		f.book(t, nil)
+		f.reservePrefill(t, nil)
 		if none {
 			t.refuse(reason, back)
 			continue
 		}
-		t.settled = true
+		t.acceptsSlow = true
 		if f.tryAssign(now, t, out) {
 			continue
 		}
-		back = f.comeBack(now, w)
-		w.owed++
-		w.owedTo = now.Add(min(back, maxComeBack) + t.Objective)
-		t.refuse(wardturn.ReasonLoading, min(back, maxComeBack))
+		back = f.loadRetryDelay(now, w)
+		w.expectedRetries++
+		w.retriesUntil = now.Add(min(back, maxLoadRetryDelay) + t.Objective)
+		t.refuse(wardturn.ReasonLoading, min(back, maxLoadRetryDelay))
 	}
 	clear(w.waiting[len(kept):])
 	w.waiting = kept
--- a/decide/want.go
+++ b/decide/want.go
@@ -12,29 +12,29 @@
 // message doesn't let the load request expire.
 const loadRequestInterval = 300 * time.Millisecond
 
-// want is a missing adapter: one that requests wait for, or that is loaded for requests
+// missingAdapter is a missing adapter: one that requests wait for, or that is loaded for requests
 // that were refused with a retry time. The engine that is asked to load it is its home.
-type want struct {
-	key           wardturn.ModelAdapter
-	service       wardturn.ServiceName
-	regions       wardturn.Regions // in which the requests may be served
-	waiting       []*Ticket
-	owed          int       // requests that were refused with a retry time
-	owedTo        time.Time // by when they are retried, if they are
-	latestArrival time.Time // arrival of the latest request
-	relieved      int       // requests at a busy engine that a copy elsewhere would relieve
-	waitingSince  time.Time // start of the wait
-	home          wardturn.UpstreamID
-	failedHome    wardturn.UpstreamID // a previous home that took too long
-	askedAt       time.Time           // of the first load request; zero if there is none
-	requestedAt   time.Time           // of the latest load request or attempt to send one
-	cause         LoadCause           // of the load request
-	warm          bool                // the home held it before: not loaded from the weight store
+type missingAdapter struct {
+	key              wardturn.ModelAdapter
+	service          wardturn.ServiceName
+	regions          wardturn.Regions // in which the requests may be served
+	waiting          []*PendingRequest
+	expectedRetries  int       // requests that were refused with a retry time
+	retriesUntil     time.Time // by when they are retried, if they are
+	latestArrival    time.Time // arrival of the latest request
+	relieved         int       // requests at a busy engine that a copy elsewhere would relieve
+	waitingSince     time.Time // start of the wait
+	home             wardturn.UpstreamID
+	failedHome       wardturn.UpstreamID // a previous home that took too long
+	firstRequestedAt time.Time           // of the first load request; zero if there is none
+	requestedAt      time.Time           // of the latest load request or attempt to send one
+	cause            LoadCause           // of the load request
+	warm             bool                // the home held it before: not loaded from the weight store
 }
 
-// wants are the missing adapters, by adapter and by the regions in which their requests may
+// missingAdapters are the missing adapters, by adapter and by the regions in which their requests may
 // be served.
-type wants map[missingKey]*want
+type missingAdapters map[missingKey]*missingAdapter
 
 type missingKey struct {
 	adapter wardturn.ModelAdapter
@@ -51,16 +51,16 @@
 	return k
 }
 
-// anywhere returns the entry of an adapter for requests without a region restriction, or
+// unrestricted returns the entry of an adapter for requests without a region restriction, or
 // nil.
-func (ws wants) anywhere(adapter wardturn.ModelAdapter) *want {
+func (ws missingAdapters) unrestricted(adapter wardturn.ModelAdapter) *missingAdapter {
 	return ws[missingKeyOf(adapter, nil)]
 }
 
 // all returns all entries of an adapter.
-func (ws wants) all(adapter wardturn.ModelAdapter) []*want {
-	var list []*want
-	if w := ws.anywhere(adapter); w != nil {
+func (ws missingAdapters) all(adapter wardturn.ModelAdapter) []*missingAdapter {
+	var list []*missingAdapter
+	if w := ws.unrestricted(adapter); w != nil {
 		list = append(list, w)
 	}
 	for k, w := range ws {
@@ -71,19 +71,19 @@
 	return list
 }
 
-// wantOf returns the entry of an adapter for requests that may be served in the regions r,
+// missingFor returns the entry of an adapter for requests that may be served in the regions r,
 // and creates it if there is none.
-func (f *Fleet) wantOf(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, r wardturn.Regions) *want {
+func (f *Fleet) missingFor(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, r wardturn.Regions) *missingAdapter {
 	k := missingKeyOf(key, r)
-	w := f.wants[k]
+	w := f.missing[k]
 	if w == nil {
-		w = &want{
+		w = &missingAdapter{
 			key:          key,
 			service:      s,
 			regions:      r,
 			waitingSince: now,
 		}
-		f.wants[k] = w
+		f.missing[k] = w
 	}
 	return w
 }
@@ -91,10 +91,10 @@
 // requestWithoutStore requests an adapter at once if that causes no load from the weight
 // store: its home held the adapter before and restores it from its own memory, or is
 // already loading it for another gateway.
-func (f *Fleet) requestWithoutStore(now time.Time, w *want, out *Moves) {
+func (f *Fleet) requestWithoutStore(now time.Time, w *missingAdapter, out *Actions) {
 	home := f.home(now, w)
 	if home != nil && (home.everHeld[w.key] || home.held[w.key].loading) {
-		f.ask(now, w, home, out)
+		f.requestLoad(now, w, home, out)
 	}
 }
 
@@ -103,7 +103,7 @@
 // first ones in home order that have a free slot. Engines that announce a rate limit are
 // used only if there is no other, since their limit may be used up when the adapter is
 // loaded.
-func (f *Fleet) home(now time.Time, w *want) *Member {
+func (f *Fleet) home(now time.Time, w *missingAdapter) *Member {
 	unlimited := func(m *Member) bool {
 		return !f.limits.Bounded(now, m.ID)
 	}
@@ -116,10 +116,10 @@
 }
 
 // homeAmong is like home but considers only the engines that match.
-func (f *Fleet) homeAmong(now time.Time, w *want, match func(*Member) bool) *Member {
+func (f *Fleet) homeAmong(now time.Time, w *missingAdapter, match func(*Member) bool) *Member {
 	newest := f.newest(w.key)
 	fits := func(m *Member) bool {
-		return m.Service == w.service && f.inRegions(m, w.regions) && m.ID != w.failedHome && m.loads(now, w.key.Model) && !m.serves(now, w.key, newest) && m.fill() < engineFillLimit && match(m)
+		return m.Service == w.service && f.inRegions(m, w.regions) && m.ID != w.failedHome && m.canLoad(now, w.key.Model) && !m.serves(now, w.key, newest) && m.fill() < engineFillLimit && match(m)
 	}
 	for m := range inHomeOrder(w.key, f.loaders[w.key]) {
 		if fits(m) {
@@ -133,12 +133,12 @@
 		}
 	}
 	for m := range inHomeOrder(w.key, f.services[w.service]) {
-		if !m.everHeld[w.key] && fits(m) && !c.add(m, m.placeFree(w.key)) {
+		if !m.everHeld[w.key] && fits(m) && !c.add(m, m.slotFree(w.key)) {
 			break
 		}
 	}
 	return cheapest(c.list(), anyMember, func(m *Member) float64 {
-		return m.busyCost(now) + milliseconds(f.bringTime(now, w, m))
+		return m.busyCost(now) + milliseconds(f.timeToAvailable(now, w, m))
 	})
 }
 
@@ -156,9 +156,9 @@
 	return n
 }
 
-// pump requests the missing adapters, the most needed first, while the load window has
+// requestMissing requests the missing adapters, the most needed first, while the load window has
 // room.
-func (f *Fleet) pump(now time.Time, out *Moves) {
+func (f *Fleet) requestMissing(now time.Time, out *Actions) {
 	for {
 		w := f.nextMissing(now)
 		if w == nil || f.availableLoads(now) == 0 {
@@ -169,15 +169,15 @@
 			w.requestedAt = now // try again after loadRequestInterval
 			continue
 		}
-		f.ask(now, w, home, out)
+		f.requestLoad(now, w, home, out)
 	}
 }
 
 // nextMissing returns the missing adapter to request next, or nil.
-func (f *Fleet) nextMissing(now time.Time) *want {
-	var best *want
-	for _, w := range f.wants {
-		if w.key.Adapter == "" || !w.askedAt.IsZero() || w.backlog(now) == 0 || now.Sub(w.requestedAt) < loadRequestInterval {
+func (f *Fleet) nextMissing(now time.Time) *missingAdapter {
+	var best *missingAdapter
+	for _, w := range f.missing {
+		if w.key.Adapter == "" || !w.firstRequestedAt.IsZero() || w.backlog(now) == 0 || now.Sub(w.requestedAt) < loadRequestInterval {
 			continue
 		}
 		if best == nil || w.before(now, best) {
@@ -189,23 +189,23 @@
 
 // backlog returns the number of requests that a load would still serve: those that wait and
 // those that were refused with a retry time and may still be retried.
-func (w *want) backlog(now time.Time) int {
-	if now.Before(w.owedTo) {
-		return len(w.waiting) + w.owed
+func (w *missingAdapter) backlog(now time.Time) int {
+	if now.Before(w.retriesUntil) {
+		return len(w.waiting) + w.expectedRetries
 	}
 	return len(w.waiting)
 }
 
 // abandoned reports whether no request waits and the refused ones were not retried in time.
-func (w *want) abandoned(now time.Time) bool {
-	return w.owed > 0 && w.backlog(now) == 0
+func (w *missingAdapter) abandoned(now time.Time) bool {
+	return w.expectedRetries > 0 && w.backlog(now) == 0
 }
 
 // before orders missing adapters: those with more requests first, then those whose latest
 // request arrived later. When loads fall behind, requests for the adapter that has waited
 // longest are refused before its load completes. Loading in order of arrival would make the
 // requests for all adapters late.
-func (w *want) before(now time.Time, o *want) bool {
+func (w *missingAdapter) before(now time.Time, o *missingAdapter) bool {
 	if x, y := w.backlog(now), o.backlog(now); x != y {
 		return x > y
 	}
@@ -215,11 +215,11 @@
 	return w.key.Adapter < o.key.Adapter
 }
 
-// ask sends a load request for a missing adapter to the keeper of an engine, which becomes
+// requestLoad sends a load request for a missing adapter to the keeper of an engine, which becomes
 // its home.
-func (f *Fleet) ask(now time.Time, w *want, home *Member, out *Moves) {
-	if w.askedAt.IsZero() {
-		w.askedAt = now
+func (f *Fleet) requestLoad(now time.Time, w *missingAdapter, home *Member, out *Actions) {
+	if w.firstRequestedAt.IsZero() {
+		w.firstRequestedAt = now
 		w.warm = home.everHeld[w.key]
 		if w.cause == "" {
 			w.cause = f.causeOf(w, home)
@@ -229,7 +229,7 @@
 		f.setHome(w, home)
 	}
 	w.requestedAt = now
-	out.Asks = append(out.Asks, LoadAsk{
+	out.LoadRequests = append(out.LoadRequests, LoadRequest{
 		Upstream: home.ID,
 		Adapter: wardturn.AdapterVersion{
 			Model:   w.key.Model,
@@ -243,29 +243,29 @@
 
 // adapterLoaded sends the requests that wait for an adapter to an engine that has loaded
 // it.
-func (f *Fleet) adapterLoaded(now time.Time, m *Member, a wardturn.AdapterVersion, out *Moves) {
+func (f *Fleet) adapterLoaded(now time.Time, m *Member, a wardturn.AdapterVersion, out *Actions) {
 	if a.Version < f.newest(a.Key()) {
 		return
 	}
-	for _, w := range f.wants.all(a.Key()) {
+	for _, w := range f.missing.all(a.Key()) {
 		f.adapterLoadedFor(now, w, m, a, out)
 	}
 }
 
 // adapterLoadedFor does the work of adapterLoaded for one entry of the adapter.
-func (f *Fleet) adapterLoadedFor(now time.Time, w *want, m *Member, a wardturn.AdapterVersion, out *Moves) {
+func (f *Fleet) adapterLoadedFor(now time.Time, w *missingAdapter, m *Member, a wardturn.AdapterVersion, out *Actions) {
 	if w.home != m.ID {
 		f.assignWaiting(now, w, out)
 		return
 	}
-	out.Loads = append(out.Loads, LoadNote{
+	out.CompletedLoads = append(out.CompletedLoads, CompletedLoad{
 		Adapter:  a,
 		Upstream: m.ID,
-		Took:     now.Sub(w.askedAt),
+		Took:     now.Sub(w.firstRequestedAt),
 		Warm:     w.warm,
 		Waited:   now.Sub(w.waitingSince),
 		Window:   f.window.Size(),
-		Under:    f.coming,
+		InFlight: f.loadsInFlight,
 		Cause:    w.cause,
 	})
 	waiting := w.waiting
@@ -275,7 +275,7 @@
 	}
 	for _, t := range waiting {
 		t.missing = nil
-		f.book(t, nil)
+		f.reservePrefill(t, nil)
 		if !f.tryAssign(now, t, out) {
 			f.enqueue(now, t, out)
 		}
@@ -283,21 +283,21 @@
 }
 
 // removeMissing removes a missing adapter.
-func (f *Fleet) removeMissing(w *want) {
+func (f *Fleet) removeMissing(w *missingAdapter) {
 	f.cancelRequest(w)
-	delete(f.wants, missingKeyOf(w.key, w.regions))
+	delete(f.missing, missingKeyOf(w.key, w.regions))
 }
 
 // renewRequest repeats the load request of a load in progress. It gives up a load that
 // takes far too long, so that another engine can be asked, and removes the missing
 // adapter if no request needs it any more.
-func (f *Fleet) renewRequest(now time.Time, w *want, out *Moves) {
-	late := now.Sub(w.askedAt) > loadTimeout && !f.isComing(w)
-	if w.abandoned(now) || len(w.waiting) == 0 && late && now.Sub(w.waitingSince) > maxComeBack {
+func (f *Fleet) renewRequest(now time.Time, w *missingAdapter, out *Actions) {
+	late := now.Sub(w.firstRequestedAt) > loadTimeout && !f.homeIsLoading(w)
+	if w.abandoned(now) || len(w.waiting) == 0 && late && now.Sub(w.waitingSince) > maxLoadRetryDelay {
 		f.removeMissing(w)
 		return
 	}
-	if w.askedAt.IsZero() {
+	if w.firstRequestedAt.IsZero() {
 		return
 	}
 	if late {
@@ -309,63 +309,63 @@
 		return
 	}
 	home := f.members[w.home]
-	if home == nil || !home.open(now) || !home.holding.Connected {
+	if home == nil || !home.open(now) || !home.lastUpdate.Connected {
 		f.cancelRequest(w)
 		return
 	}
-	f.ask(now, w, home, out)
+	f.requestLoad(now, w, home, out)
 }
 
-// isComing reports whether the home is loading the adapter. Giving up such a load would
+// homeIsLoading reports whether the home is loading the adapter. Giving up such a load would
 // only start it again elsewhere.
-func (f *Fleet) isComing(w *want) bool {
+func (f *Fleet) homeIsLoading(w *missingAdapter) bool {
 	m := f.members[w.home]
 	return m != nil && m.held[w.key].loading
 }
 
 // cancelRequest cancels the load request of a missing adapter, so that another engine can
 // be asked.
-func (f *Fleet) cancelRequest(w *want) {
-	w.askedAt = time.Time{}
+func (f *Fleet) cancelRequest(w *missingAdapter) {
+	w.firstRequestedAt = time.Time{}
 	w.requestedAt = time.Time{}
 	w.cause = ""
 	f.setHome(w, nil)
 }
 
 // setHome sets the home of a missing adapter; nil removes it.
-func (f *Fleet) setHome(w *want, home *Member) {
+func (f *Fleet) setHome(w *missingAdapter, home *Member) {
 	if old := f.members[w.home]; old != nil {
-		delete(old.asks, w.key)
+		delete(old.requested, w.key)
 	}
 	w.home = ""
 	if home != nil {
 		w.home = home.ID
-		home.asks[w.key] = true
+		home.requested[w.key] = true
 	}
-	f.bookAll(w, home)
+	f.reserveAllPrefill(w, home)
 }
 
 // loadTimeout is how long a load may take before another engine is asked. It is four times
 // the duration of a load without contention.
 const loadTimeout = time.Second
 
-// Levels are the current sizes of a fleet's queues and windows.
-type Levels struct {
-	Waiting int // requests waiting for an adapter
-	Under   int // loads from the weight store in flight, for all gateways
-	Window  int // loads that may be in flight
+// FleetLevels are the current sizes of a fleet's queues and windows.
+type FleetLevels struct {
+	Waiting       int // requests waiting for an adapter
+	LoadsInFlight int // loads from the weight store in flight, for all gateways
+	Window        int // loads that may be in flight
 	// Evacuated is the number of this gateway's requests at upstreams in evacuated failure
 	// domains.
 	Evacuated int
 }
 
 // Levels returns the current sizes.
-func (f *Fleet) Levels() Levels {
-	l := Levels{
-		Under:  f.coming,
-		Window: f.window.Size(),
+func (f *Fleet) Levels() FleetLevels {
+	l := FleetLevels{
+		LoadsInFlight: f.loadsInFlight,
+		Window:        f.window.Size(),
 	}
-	for _, w := range f.wants {
+	for _, w := range f.missing {
 		l.Waiting += len(w.waiting)
 	}
 	for _, m := range f.members {
--- a/decide/window.go
+++ b/decide/window.go
@@ -9,8 +9,8 @@
 // WindowConfig holds the limits of a LoadWindow.
 type WindowConfig struct {
 	Start float64 // initial number of concurrent loads
-	Least float64
-	Most  float64
+	Min   float64
+	Max   float64
 }
 
 // The defaults of WindowConfig.
@@ -18,15 +18,15 @@
 	// DefaultWindowStart is what the smallest known weight store serves at full speed.
 	// With many engines the window starts at windowStartRatio of their number instead.
 	DefaultWindowStart = 8
-	DefaultWindowLeast = 4
-	// DefaultWindowMost is over ten times the parallel loads of the largest known store.
-	DefaultWindowMost = 1024
+	DefaultWindowMin   = 4
+	// DefaultWindowMax is over ten times the parallel loads of the largest known store.
+	DefaultWindowMax = 1024
 )
 
 func (c WindowConfig) withDefaults() WindowConfig {
 	c.Start = cmp.Or(c.Start, DefaultWindowStart)
-	c.Least = cmp.Or(c.Least, DefaultWindowLeast)
-	c.Most = cmp.Or(c.Most, DefaultWindowMost)
+	c.Min = cmp.Or(c.Min, DefaultWindowMin)
+	c.Max = cmp.Or(c.Max, DefaultWindowMax)
 	return c
 }
 
@@ -106,25 +106,25 @@
 	}
 }
 
-// Retune changes the limits and clamps the current size to them.
-func (w *LoadWindow) Retune(cfg WindowConfig) {
+// ApplySettings changes the limits and clamps the current size to them.
+func (w *LoadWindow) ApplySettings(cfg WindowConfig) {
 	w.cfg = cfg.withDefaults()
-	w.size = min(max(w.size, w.cfg.Least), w.cfg.Most)
+	w.size = min(max(w.size, w.cfg.Min), w.cfg.Max)
 }
 
-// Expect sets the number of engines. It affects the size until a load is observed.
-func (w *LoadWindow) Expect(engines int) {
+// SetEngineCount sets the number of engines. It affects the size until a load is observed.
+func (w *LoadWindow) SetEngineCount(engines int) {
 	if !w.learned {
-		w.size = min(max(w.cfg.Start, windowStartRatio*float64(engines), w.restored), w.cfg.Most)
+		w.size = min(max(w.cfg.Start, windowStartRatio*float64(engines), w.restored), w.cfg.Max)
 	}
 }
 
-// Recall restores a size that earlier processes learned. The window starts from it if it is
+// Restore restores a size that earlier processes learned. The window starts from it if it is
 // larger than the initial size.
-func (w *LoadWindow) Recall(size int) {
+func (w *LoadWindow) Restore(size int) {
 	w.restored = float64(size)
 	if !w.learned {
-		w.size = min(max(w.size, w.restored), w.cfg.Most)
+		w.size = min(max(w.size, w.restored), w.cfg.Max)
 	}
 }
 
@@ -138,14 +138,14 @@
 	return int(w.size)
 }
 
-// Typical returns the median duration of recent loads.
-func (w *LoadWindow) Typical() time.Duration {
+// MedianLoadTime returns the median duration of recent loads.
+func (w *LoadWindow) MedianLoadTime() time.Duration {
 	return w.median
 }
 
-// Loaded records the duration of a load and the number of loads that were in flight when it
+// ObserveLoad records the duration of a load and the number of loads that were in flight when it
 // ended, including itself.
-func (w *LoadWindow) Loaded(now time.Time, d time.Duration, under int) {
+func (w *LoadWindow) ObserveLoad(now time.Time, d time.Duration, under int) {
 	if w.fromMemory(d) {
 		return
 	}
@@ -171,9 +171,9 @@
 	case float64(under) < windowMinUse*w.size:
 		// A window that is not used up gives no evidence for a larger one.
 	case w.probing:
-		w.size = min(w.cfg.Most, w.size+windowProbe)
+		w.size = min(w.cfg.Max, w.size+windowProbe)
 	default:
-		w.size = min(w.cfg.Most, w.size+1/w.size)
+		w.size = min(w.cfg.Max, w.size+1/w.size)
 	}
 }
 
@@ -225,5 +225,5 @@
 		return
 	}
 	w.shrunkAt = now
-	w.size = max(w.cfg.Least, w.size*windowShrink)
+	w.size = max(w.cfg.Min, w.size*windowShrink)
 }
--- a/decide/window_test.go
+++ b/decide/window_test.go
@@ -32,7 +32,7 @@
 			d := s.load(n)
 			now = now.Add(d)
 			for range n {
-				w.Loaded(now, d, n)
+				w.ObserveLoad(now, d, n)
 			}
 		}
 		return now
@@ -40,19 +40,19 @@
 
 	It("starts from the size that earlier processes learned, if that is larger, until loads are observed", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{})
-		w.Recall(104)
-		w.Expect(47)
+		w.Restore(104)
+		w.SetEngineCount(47)
 		Expect(w.Size()).To(Equal(104))
 		_, learned := w.Learned()
 		Expect(learned).To(BeFalse())
 		less := decide.NewLoadWindow(decide.WindowConfig{})
-		less.Expect(47)
-		less.Recall(5)
+		less.SetEngineCount(47)
+		less.Restore(5)
 		Expect(less.Size()).To(Equal(23))
 		now := start
 		for range 60 {
 			now = now.Add(time.Second)
-			w.Loaded(now, 2*time.Second, 104)
+			w.ObserveLoad(now, 2*time.Second, 104)
 		}
 		size, learned := w.Learned()
 		Expect(learned).To(BeTrue())
@@ -71,7 +71,7 @@
 	It("starts at a size for the number of engines and shrinks to the store's capacity", func() {
 		for _, tc := range []struct{ engines, atOnce int }{{74, 72}, {48, 16}, {12, 8}, {50, 88}} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
-			w.Expect(tc.engines)
+			w.SetEngineCount(tc.engines)
 			now := use(&w, store{parallel: tc.atOnce}, start, 2)
 			Expect(w.Size()).To(BeNumerically(">=", min(tc.engines, tc.atOnce)*9/10), fmt.Sprint(tc))
 			use(&w, store{parallel: tc.atOnce}, now, 20)
@@ -83,7 +83,7 @@
 		w := decide.NewLoadWindow(decide.WindowConfig{})
 		use(&w, store{parallel: 8}, start, 20)
 		size := w.Size()
-		w.Expect(100)
+		w.SetEngineCount(100)
 		Expect(w.Size()).To(Equal(size))
 	})
 
@@ -99,20 +99,20 @@
 	It("shrinks while loads are slow and grows while they are fast", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{
 			Start: 10,
-			Most:  12,
+			Max:   12,
 		})
 		now := start
 		for range 20 {
 			now = now.Add(usualLoad)
-			w.Loaded(now, usualLoad, 10)
+			w.ObserveLoad(now, usualLoad, 10)
 		}
 		for range 20 {
 			now = now.Add(time.Second)
-			w.Loaded(now, time.Second, 10)
+			w.ObserveLoad(now, time.Second, 10)
 		}
 		Expect(w.Size()).To(BeNumerically("<", 5))
 		for range 200 {
-			w.Loaded(now, usualLoad, 10)
+			w.ObserveLoad(now, usualLoad, 10)
 		}
 		Expect(w.Size()).To(Equal(12))
 	})
@@ -120,7 +120,7 @@
 	It("does not shrink for single slow loads", func() {
 		w := decide.NewLoadWindow(decide.WindowConfig{
 			Start: 10,
-			Most:  12,
+			Max:   12,
 		})
 		now := start
 		for i := range 60 {
@@ -129,7 +129,7 @@
 			if i%4 == 0 {
 				d = 5 * time.Second
 			}
-			w.Loaded(now, d, 10)
+			w.ObserveLoad(now, d, 10)
 		}
 		Expect(w.Size()).To(BeNumerically(">=", 10))
 	})
@@ -143,19 +143,19 @@
 			if i%3 > 0 {
 				d = usualLoad / 10
 			}
-			w.Loaded(now, d, w.Size())
+			w.ObserveLoad(now, d, w.Size())
 		}
 		Expect(w.Size()).To(BeNumerically(">", 30))
-		Expect(w.Typical()).To(Equal(usualLoad))
+		Expect(w.MedianLoadTime()).To(Equal(usualLoad))
 	})
 
 	It("learns the speed of a store that is much faster or slower than expected", func() {
 		for _, d := range []time.Duration{40 * time.Millisecond, 900 * time.Millisecond} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
 			for i := range 60 {
-				w.Loaded(start.Add(time.Duration(i)*time.Second), d, w.Size())
+				w.ObserveLoad(start.Add(time.Duration(i)*time.Second), d, w.Size())
 			}
-			Expect(w.Typical()).To(Equal(d))
+			Expect(w.MedianLoadTime()).To(Equal(d))
 			Expect(w.Size()).To(BeNumerically(">", 15))
 		}
 	})
@@ -165,7 +165,7 @@
 			Start: 10,
 		})
 		for range 100 {
-			w.Loaded(start, usualLoad, 3)
+			w.ObserveLoad(start, usualLoad, 3)
 		}
 		Expect(w.Size()).To(Equal(10))
 	})
@@ -217,7 +217,7 @@
 	for range gateways {
 		f := decide.NewFleet(decide.FleetConfig{
 			Domain: "d",
-			Draw:   draw,
+			Random: draw,
 		})
 		f.SetTable(fleetTable(&wardturn.EngineSpec{
 			Batch:        64,
@@ -227,28 +227,28 @@
 		x.fleets = append(x.fleets, f)
 	}
 	for _, m := range x.members {
-		x.report(m.ID, decide.Holding{
+		x.report(m.ID, decide.EngineUpdate{
 			Full: true,
 		})
 	}
 	return x
 }
 
-func (x *storeRig) report(id wardturn.UpstreamID, h decide.Holding) {
+func (x *storeRig) report(id wardturn.UpstreamID, h decide.EngineUpdate) {
 	h.Connected = true
 	h.Known = true
 	h.Models = []wardturn.BaseModel{"m"}
 	h.Gateways = len(x.fleets)
 	for _, f := range x.fleets {
-		var out decide.Moves
-		f.SetHolding(x.now, id, h, &out)
+		var out decide.Actions
+		f.ApplyEngineUpdate(x.now, id, h, &out)
 		x.recordRequests(out)
 	}
 }
 
 // recordRequests records the requested loads, which start at the next step.
-func (x *storeRig) recordRequests(out decide.Moves) {
-	for _, a := range out.Asks {
+func (x *storeRig) recordRequests(out decide.Actions) {
+	for _, a := range out.LoadRequests {
 		if _, ok := x.loading[a.Upstream][a.Adapter.Key()]; !ok {
 			x.loading[a.Upstream][a.Adapter.Key()] = time.Time{}
 		}
@@ -261,9 +261,9 @@
 	for end := x.now.Add(d); x.now.Before(end); {
 		x.now = x.now.Add(step)
 		for _, f := range x.fleets {
-			var out decide.Moves
+			var out decide.Actions
 			x.requested++
-			f.Admit(x.now, &decide.Ticket{
+			f.Admit(x.now, &decide.PendingRequest{
 				Service:   fleetService,
 				Key:       adapterKey(fmt.Sprint("a", x.requested)),
 				Arrived:   x.now,
@@ -289,7 +289,7 @@
 // advance starts an engine's requested loads, completes those that have run for the store's
 // current load duration, and reports both to the gateways.
 func (x *storeRig) advance(id wardturn.UpstreamID, takes time.Duration) {
-	var h decide.Holding
+	var h decide.EngineUpdate
 	for key, began := range x.loading[id] {
 		v := decide.HeldVersion{
 			Adapter: adapterVersion(string(key.Adapter), 1),
--- a/experiment/node.go
+++ b/experiment/node.go
@@ -43,7 +43,7 @@
 	for _, st := range out.Run {
 		n.start(st)
 	}
-	for _, w := range out.Wish {
+	for _, w := range out.PermitRequests {
 		n.wish(w)
 	}
 }
@@ -144,11 +144,11 @@
 	n.sim.clock.AfterFunc(reportEvery, n.report)
 }
 
-func (n *node) wish(w decide.Wish) {
+func (n *node) wish(w decide.PermitRequest) {
 	if n.alloc == nil {
 		return
 	}
 	n.sim.clock.AfterFunc(n.sim.setup.Hop, func() {
-		n.alloc.send(n.alloc.core.Wish(n.sim.clock.Now(), w, nil))
+		n.alloc.send(n.alloc.core.Request(n.sim.clock.Now(), w, nil))
 	})
 }
--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -11,12 +11,12 @@
 // upstream can take the request or the caller is gone.
 func (x *exchange) acquire(ctx context.Context) (assignment, bool) {
 	got := make(chan assignment, 1)
-	t := &decide.Ticket{
+	t := &decide.PendingRequest{
 		Service:   x.service,
 		Key:       x.key,
 		Arrived:   x.arrived,
 		Objective: cmp.Or(x.route.Objective, defaultObjective),
-		Pause:     x.route.MaxPause,
+		MaxPause:  x.route.MaxPause,
 		Deadline:  x.deadline,
 		Prompt:    x.prompt,
 		Body:      len(x.body),
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -57,7 +57,7 @@
 		x.g.crashes.ended(a.Member.ID)
 		return
 	}
-	x.g.notHeld(a.Member.ID, x.key)
+	x.g.recordNotHeld(a.Member.ID, x.key)
 }
 
 // drain reads the rest of a response that is not forwarded, so that its connection can be
--- a/gateway/budget_internal_test.go
+++ b/gateway/budget_internal_test.go
@@ -28,7 +28,7 @@
 	if got := gateways * perWindow(); got > allowed {
 		t.Errorf("before any keeper has reported: %.0f retries by all gateways, want at most %.0f", got, allowed)
 	}
-	var out decide.Moves
+	var out decide.Actions
 	id := wardturn.UpstreamID("e")
 	now := g.clock.Now()
 	g.fleet.SetMembers(now, []wardturn.Member{
@@ -37,7 +37,7 @@
 			Addr: "e:1",
 		},
 	})
-	g.fleet.SetHolding(now, id, decide.Holding{
+	g.fleet.ApplyEngineUpdate(now, id, decide.EngineUpdate{
 		Connected: true,
 		Gateways:  gateways,
 	}, &out)
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -8,27 +8,27 @@
 )
 
 func (g *Gateway) tick() {
-	g.decide(func(now time.Time, out *decide.Moves) {
+	g.decide(func(now time.Time, out *decide.Actions) {
 		g.fleet.Tick(now, out)
 	})
 }
 
 // decide runs f with g.mu held and carries out the resulting moves.
-func (g *Gateway) decide(f func(now time.Time, out *decide.Moves)) {
-	var out decide.Moves
+func (g *Gateway) decide(f func(now time.Time, out *decide.Actions)) {
+	var out decide.Actions
 	g.mu.Lock()
 	f(g.clock.Now(), &out)
-	readings := g.fleet.Readings()
+	readings := g.fleet.PrefillReports()
 	g.mu.Unlock()
-	g.links.sendReadings(readings)
+	g.links.sendPrefillReports(readings)
 	g.execute(out)
 }
 
 // execute carries out the moves of a decision. It must be called without g.mu held.
-func (g *Gateway) execute(out decide.Moves) {
-	for _, n := range out.Loads {
+func (g *Gateway) execute(out decide.Actions) {
+	for _, n := range out.CompletedLoads {
 		g.metrics.loadDone(n)
-		g.logger.Info("adapter there", "adapter", n.Adapter.Adapter, "version", n.Adapter.Version, "upstream", n.Upstream, "took", n.Took, "waited", n.Waited, "warm", n.Warm, "cause", n.Cause, "window", n.Window, "under_way", n.Under)
+		g.logger.Info("adapter there", "adapter", n.Adapter.Adapter, "version", n.Adapter.Version, "upstream", n.Upstream, "took", n.Took, "waited", n.Waited, "warm", n.Warm, "cause", n.Cause, "window", n.Window, "under_way", n.InFlight)
 	}
 	for _, v := range out.EnforcedVersions {
 		g.retireOlder(v)
@@ -39,13 +39,13 @@
 	g.links.sendLoadRequests(out)
 }
 
-func (g *Gateway) admit(t *decide.Ticket) {
-	g.decide(func(now time.Time, out *decide.Moves) {
+func (g *Gateway) admit(t *decide.PendingRequest) {
+	g.decide(func(now time.Time, out *decide.Actions) {
 		g.fleet.Admit(now, t, out)
 	})
 }
 
-func (g *Gateway) withdraw(t *decide.Ticket) {
+func (g *Gateway) withdraw(t *decide.PendingRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fleet.Withdraw(t)
@@ -54,16 +54,16 @@
 func (g *Gateway) began(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	g.mu.Lock()
 	g.fleet.Began(id, prompt)
-	readings := g.fleet.Readings()
+	readings := g.fleet.PrefillReports()
 	g.mu.Unlock()
-	g.links.sendReadings(readings)
+	g.links.sendPrefillReports(readings)
 }
 
-// readPrompt records how long an upstream took to process prompts.
-func (g *Gateway) readPrompt(s wardturn.ServiceName, tokens int, took time.Duration) {
+// recordPrefill records how long an upstream took to process prompts.
+func (g *Gateway) recordPrefill(s wardturn.ServiceName, tokens int, took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.Read(s, tokens, took)
+	g.fleet.PrefillMeasured(s, tokens, took)
 }
 
 // ended records the end of a send to an upstream.
@@ -106,7 +106,7 @@
 	g.markMembersStale()
 }
 
-func (g *Gateway) notHeld(id wardturn.UpstreamID, key wardturn.ModelAdapter) {
+func (g *Gateway) recordNotHeld(id wardturn.UpstreamID, key wardturn.ModelAdapter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fleet.NotHeld(g.clock.Now(), id, key)
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -30,7 +30,7 @@
 
 // applyEvacuations applies the evacuations in a configuration change. The caller must hold
 // g.mu.
-func (g *Gateway) applyEvacuations(now time.Time, c wardturn.ConfigChange, out *decide.Moves) {
+func (g *Gateway) applyEvacuations(now time.Time, c wardturn.ConfigChange, out *decide.Actions) {
 	if c.Restored {
 		g.evacuations.retained = g.evacuations.inForce()
 		g.evacuations.retainedUntil = now.Add(g.cfg.ExpiryGrace)
@@ -43,7 +43,7 @@
 }
 
 // setEvacuations applies the evacuations in force to the fleet. The caller must hold g.mu.
-func (g *Gateway) setEvacuations(now time.Time, out *decide.Moves) {
+func (g *Gateway) setEvacuations(now time.Time, out *decide.Actions) {
 	domains := g.evacuations.inForce()
 	g.fleet.SetEvacuated(now, domains, out)
 	g.logger.Info("evacuations in force", "domains", slices.Sorted(maps.Keys(domains)))
@@ -52,7 +52,7 @@
 // endRetainedEvacuations drops the retained evacuations once the operator has had time to
 // write them again.
 func (g *Gateway) endRetainedEvacuations() {
-	g.decide(func(now time.Time, out *decide.Moves) {
+	g.decide(func(now time.Time, out *decide.Actions) {
 		e := &g.evacuations
 		if e.retained == nil || now.Before(e.retainedUntil) {
 			return
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -253,7 +253,7 @@
 // endPrefill.
 func (x *exchange) recordPrefill(a assignment) {
 	if x.prefilling == a.Member.ID && x.prompt > 0 {
-		x.g.readPrompt(x.service, a.Prefill+int(x.prompt), x.g.clock.Now().Sub(x.send.sent))
+		x.g.recordPrefill(x.service, a.Prefill+int(x.prompt), x.g.clock.Now().Sub(x.send.sent))
 	}
 }
 
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -88,7 +88,7 @@
 // known before.
 func (g *Gateway) apply(c wardturn.ConfigChange, known time.Time) {
 	now := g.clock.Now()
-	var out decide.Moves
+	var out decide.Actions
 	g.mu.Lock()
 	for _, v := range c.Versions {
 		g.fleet.VersionAnnounced(now, v, known, &out)
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -17,59 +17,59 @@
 	client   *peer.Client
 	updateMu sync.Mutex // serializes the handling of updates, to keep them in order
 
-	mu             sync.Mutex
-	member         wardturn.Member
-	notice         peer.EngineNotice
-	noticeSent     bool // the notice was sent on the current connection
-	conn           *peer.Conn
-	createdAt      time.Time          // when the link was created
-	relay          *link              // the relay; nil if there is none
-	subscribedConn *peer.Conn         // relay connection that carries the subscription; nil if not subscribed
-	relaySince     time.Time          // when the relay was selected
-	relayBackoff   decide.PathBackoff // backoff after a relay failed
-	relaySuspended bool               // a relay failed; updates come directly until the backoff ends
-	synced         bool               // a full state was received
-	seq            uint64             // of the latest update
-	syncStartedAt  time.Time          // when a full state was last requested
-	pendingMark    peer.Mark          // mark that the relay had not reached when it arrived; zero if none
-	pendingMarkAt  time.Time
+	mu               sync.Mutex
+	member           wardturn.Member
+	engineConfig     peer.EngineConfig
+	engineConfigSent bool // the notice was sent on the current connection
+	conn             *peer.Conn
+	createdAt        time.Time          // when the link was created
+	relay            *link              // the relay; nil if there is none
+	subscribedConn   *peer.Conn         // relay connection that carries the subscription; nil if not subscribed
+	relaySince       time.Time          // when the relay was selected
+	relayBackoff     decide.PathBackoff // backoff after a relay failed
+	relaySuspended   bool               // a relay failed; updates come directly until the backoff ends
+	synced           bool               // a full state was received
+	seq              uint64             // of the latest update
+	syncStartedAt    time.Time          // when a full state was last requested
+	pendingMark      peer.Mark          // mark that the relay had not reached when it arrived; zero if none
+	pendingMarkAt    time.Time
 }
 
-// setNotice sets the notice for the keeper, and sends it unless the keeper already has one
+// setEngineConfig sets the notice for the keeper, and sends it unless the keeper already has one
 // with the same engine specification. Most configuration changes do not affect an engine,
 // and sending a notice for each would cost one message per gateway and engine.
-func (l *link) setNotice(m wardturn.Member, n peer.EngineNotice) {
+func (l *link) setEngineConfig(m wardturn.Member, n peer.EngineConfig) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m.ID != l.member.ID {
 		l.requestFullState()
 	}
 	l.member = m
-	n.Relayed = l.notice.Relayed
-	n.Announcements = l.notice.Announcements
-	l.noticeSent = l.noticeSent && l.notice.Upstream == n.Upstream && l.notice.Spec.Equal(n.Spec)
-	l.notice = n
-	l.sendNotice()
+	n.ViaRelay = l.engineConfig.ViaRelay
+	n.Announcements = l.engineConfig.Announcements
+	l.engineConfigSent = l.engineConfigSent && l.engineConfig.Upstream == n.Upstream && l.engineConfig.Spec.Equal(n.Spec)
+	l.engineConfig = n
+	l.sendEngineConfig()
 }
 
-// sendNotice sends the notice if it has not been sent on the current connection. The
+// sendEngineConfig sends the notice if it has not been sent on the current connection. The
 // caller must hold l.mu.
-func (l *link) sendNotice() {
-	if l.conn == nil || l.noticeSent || l.notice.Upstream == "" {
+func (l *link) sendEngineConfig() {
+	if l.conn == nil || l.engineConfigSent || l.engineConfig.Upstream == "" {
 		return
 	}
-	n := l.notice
-	l.noticeSent = l.conn.Send(&n) == nil
+	n := l.engineConfig
+	l.engineConfigSent = l.conn.Send(&n) == nil
 }
 
 // Connected implements peer.ClientHandler.
 func (l *link) Connected(c *peer.Conn) {
 	l.mu.Lock()
 	l.conn = c
-	l.noticeSent = false
+	l.engineConfigSent = false
 	l.requestFullState()
 	l.seq = 0 // the keeper may have restarted
-	l.sendNotice()
+	l.sendEngineConfig()
 	id := l.member.ID
 	l.mu.Unlock()
 	l.links.g.logger.Info("keeper connected", "upstream", id)
@@ -86,7 +86,7 @@
 	id := l.member.ID
 	l.mu.Unlock()
 	l.links.g.logger.Info("keeper lost", "upstream", id, "error", err)
-	l.links.g.decide(func(time.Time, *decide.Moves) {
+	l.links.g.decide(func(time.Time, *decide.Actions) {
 		l.links.g.fleet.KeeperLost(id)
 	})
 	l.updateMu.Unlock()
@@ -107,9 +107,9 @@
 		l.links.g.limits.receive(m)
 	case *peer.StartedReport:
 		l.links.g.pendingSends.markStarted(m.Upstream, m.IDs)
-	case *peer.Holding:
+	case *peer.EngineUpdate:
 		l.handleUpdate(c.Peer().Process, m, false)
-	case *peer.Relayed:
+	case *peer.RelayedUpdate:
 		l.links.handleRelayed(m)
 	case *peer.Mark:
 		l.handleMark(*m)
@@ -118,7 +118,7 @@
 
 // handleUpdate handles an engine state update of a keeper process. Relayed reports whether the
 // update came through a relay.
-func (l *link) handleUpdate(process wardturn.Incarnation, h *peer.Holding, relayed bool) {
+func (l *link) handleUpdate(process wardturn.Incarnation, h *peer.EngineUpdate, relayed bool) {
 	l.updateMu.Lock()
 	defer l.updateMu.Unlock()
 	id, ok := l.accept(process, h)
@@ -126,26 +126,26 @@
 		return
 	}
 	g := l.links.g
-	g.metrics.keeperUpdate(relayed, h.Answer)
+	g.metrics.keeperUpdate(relayed, h.Requested)
 	if h.Limit > 0 {
 		g.limits.seen.Store(true)
 	}
-	g.decide(func(now time.Time, out *decide.Moves) {
-		g.fleet.SetHolding(now, id, holdingOf(h), out)
+	g.decide(func(now time.Time, out *decide.Actions) {
+		g.fleet.ApplyEngineUpdate(now, id, holdingOf(h), out)
 	})
 }
 
 // accept reports whether an update is to be applied, and to which upstream. It rejects
 // updates of another incarnation of the engine or its keeper, changes that arrive before
 // the full state, and duplicates. After a gap in the sequence it requests the full state.
-func (l *link) accept(process wardturn.Incarnation, h *peer.Holding) (wardturn.UpstreamID, bool) {
+func (l *link) accept(process wardturn.Incarnation, h *peer.EngineUpdate) (wardturn.UpstreamID, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conn == nil || l.conn.Peer().Process != process || h.Upstream != l.member.ID {
 		return "", false
 	}
 	switch {
-	case h.Answer:
+	case h.Requested:
 		return l.member.ID, l.synced && h.Seq >= l.seq
 	case h.Full:
 		if l.synced && h.Seq < l.seq {
@@ -155,7 +155,7 @@
 		return "", false
 	case h.Seq > l.seq+1:
 		l.requestFullState()
-		l.sendNotice()
+		l.sendEngineConfig()
 		return "", false
 	}
 	l.synced = true
@@ -163,20 +163,20 @@
 	return l.member.ID, true
 }
 
-func holdingOf(h *peer.Holding) decide.Holding {
-	out := decide.Holding{
-		Connected: true,
-		Full:      h.Full,
-		Gone:      h.Gone,
-		Known:     h.Known,
-		Models:    h.Models,
-		Running:   h.Running,
-		Queued:    h.Queued,
-		Reading:   h.Reading,
-		Free:      h.Free,
-		Gateways:  h.Gateways,
-		Limit:     h.Limit,
-		Leaving:   h.Leaving,
+func holdingOf(h *peer.EngineUpdate) decide.EngineUpdate {
+	out := decide.EngineUpdate{
+		Connected:     true,
+		Full:          h.Full,
+		Unloaded:      h.Unloaded,
+		Known:         h.Known,
+		Models:        h.Models,
+		Running:       h.Running,
+		Queued:        h.Queued,
+		PrefillTokens: h.PrefillTokens,
+		FreeSlots:     h.FreeSlots,
+		Gateways:      h.Gateways,
+		Limit:         h.Limit,
+		Leaving:       h.Leaving,
 	}
 	for _, a := range h.Adapters {
 		out.Adapters = append(out.Adapters, decide.HeldVersion{
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -61,16 +61,16 @@
 // A link applies each update once and in order, whether it arrives directly or through a
 // relay, and none of another incarnation of the engine or its keeper.
 func TestLinkAccepts(t *testing.T) {
-	update := func(seq uint64, full bool) *peer.Holding {
-		return &peer.Holding{
+	update := func(seq uint64, full bool) *peer.EngineUpdate {
+		return &peer.EngineUpdate{
 			Seq:      seq,
 			Full:     full,
 			Upstream: "i-1",
 		}
 	}
-	answer := func(seq uint64) *peer.Holding {
+	answer := func(seq uint64) *peer.EngineUpdate {
 		h := update(seq, false)
-		h.Answer = true
+		h.Requested = true
 		return h
 	}
 	other := update(9, true)
@@ -79,7 +79,7 @@
 	for i, step := range []struct {
 		name    string
 		process wardturn.Incarnation
-		update  *peer.Holding
+		update  *peer.EngineUpdate
 		want    bool
 	}{
 		{name: "a change before the full state", process: "k", update: update(4, false)},
@@ -144,31 +144,31 @@
 	larger := spec
 	larger.AdapterSlots = 3
 	l := newTestLink(t)
-	sent := func(n peer.EngineNotice) bool {
+	sent := func(n peer.EngineConfig) bool {
 		conn := l.conn
 		l.conn = nil // without a connection, a notice to be sent stays pending
-		l.noticeSent = true
-		l.setNotice(wardturn.Member{
+		l.engineConfigSent = true
+		l.setEngineConfig(wardturn.Member{
 			ID: n.Upstream,
 		}, n)
 		l.conn = conn
-		return !l.noticeSent
+		return !l.engineConfigSent
 	}
 	for _, c := range []struct {
 		name   string
-		notice peer.EngineNotice
+		notice peer.EngineConfig
 		want   bool
 	}{
-		{"the first", peer.EngineNotice{Config: 1, Upstream: "i-1", Spec: spec}, true},
-		{"a version that changes nothing", peer.EngineNotice{Config: 2, Upstream: "i-1", Spec: spec}, false},
-		{"another specification", peer.EngineNotice{Config: 3, Upstream: "i-1", Spec: larger}, true},
-		{"another incarnation", peer.EngineNotice{Config: 3, Upstream: "i-2", Spec: larger}, true},
+		{"the first", peer.EngineConfig{Config: 1, Upstream: "i-1", Spec: spec}, true},
+		{"a version that changes nothing", peer.EngineConfig{Config: 2, Upstream: "i-1", Spec: spec}, false},
+		{"another specification", peer.EngineConfig{Config: 3, Upstream: "i-1", Spec: larger}, true},
+		{"another incarnation", peer.EngineConfig{Config: 3, Upstream: "i-2", Spec: larger}, true},
 	} {
 		if got := sent(c.notice); got != c.want {
 			t.Errorf("%s: notice to be sent: %v, want %v", c.name, got, c.want)
 		}
 	}
-	if l.notice.Config != 3 {
-		t.Errorf("notice for the next connection has version %d, want 3", l.notice.Config)
+	if l.engineConfig.Config != 3 {
+		t.Errorf("notice for the next connection has version %d, want 3", l.engineConfig.Config)
 	}
 }
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -63,10 +63,10 @@
 			l = ls.connect(m)
 		}
 		ls.byID[m.ID] = l
-		l.setNotice(m, peer.EngineNotice{
+		l.setEngineConfig(m, peer.EngineConfig{
 			Config:   rs.table.Version,
 			Upstream: m.ID,
-			Seen:     m.Seen,
+			Position: m.Seen,
 			Spec:     *rs.table.Services[m.Service].Engine,
 		})
 	}
@@ -116,11 +116,11 @@
 	return wardturn.Offset(rs.table.Version)
 }
 
-// sendReadings reports to keepers the long prompts that their engines are processing.
-func (ls *links) sendReadings(notes []decide.ReadingNote) {
+// sendPrefillReports reports to keepers the long prompts that their engines are processing.
+func (ls *links) sendPrefillReports(notes []decide.PrefillReport) {
 	for _, n := range notes {
 		if l := ls.of(n.Upstream); l != nil {
-			l.send(&peer.Reading{
+			l.send(&peer.PrefillReport{
 				Tokens: n.Tokens,
 			})
 		}
@@ -128,16 +128,16 @@
 }
 
 // sendLoadRequests sends the adapter load requests of a decision to the keepers.
-func (ls *links) sendLoadRequests(out decide.Moves) {
-	for _, a := range out.Asks {
+func (ls *links) sendLoadRequests(out decide.Actions) {
+	for _, a := range out.LoadRequests {
 		l := ls.of(a.Upstream)
 		if l == nil {
 			continue
 		}
-		l.send(&peer.LoadWish{
-			Adapter: a.Adapter,
-			Waiting: a.Waiting,
-			Oldest:  a.Oldest,
+		l.send(&peer.LoadRequest{
+			Adapter:    a.Adapter,
+			Waiting:    a.Waiting,
+			OldestWait: a.Oldest,
 		})
 	}
 }
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -27,7 +27,7 @@
 		facts, err := g.factStore.ReadFleetFacts()
 		if err == nil {
 			g.mu.Lock()
-			g.fleet.RecallWindow(facts.LoadWindow)
+			g.fleet.RestoreWindow(facts.LoadWindow)
 			g.limits.state.SetPreviousGateways(g.clock.Now(), facts.Gateways)
 			g.mu.Unlock()
 			g.caps.recall(facts.Gateways)
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -189,7 +189,7 @@
 }
 
 // loadDone records the load time of an adapter.
-func (m *Metrics) loadDone(n decide.LoadNote) {
+func (m *Metrics) loadDone(n decide.CompletedLoad) {
 	if n.Warm {
 		m.warmLoads.RecordDuration(n.Took)
 		return
@@ -198,9 +198,9 @@
 }
 
 // updateLevels updates the gauges of queue and window sizes.
-func (m *Metrics) updateLevels(l decide.Levels) {
+func (m *Metrics) updateLevels(l decide.FleetLevels) {
 	m.waiting.Update(float64(l.Waiting))
-	m.loading.Update(float64(l.Under))
+	m.loading.Update(float64(l.LoadsInFlight))
 	m.evacuated.Update(float64(l.Evacuated))
 	m.window.Update(float64(l.Window))
 }
--- a/gateway/newsways.go
+++ b/gateway/newsways.go
@@ -109,9 +109,9 @@
 func (l *link) setAnnouncements(domains []wardturn.FailureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if news := slices.Contains(domains, l.member.Domain); l.notice.Announcements != news {
-		l.notice.Announcements = news
-		l.noticeSent = false
-		l.sendNotice()
+	if news := slices.Contains(domains, l.member.Domain); l.engineConfig.Announcements != news {
+		l.engineConfig.Announcements = news
+		l.engineConfigSent = false
+		l.sendEngineConfig()
 	}
 }
--- a/gateway/newsways_internal_test.go
+++ b/gateway/newsways_internal_test.go
@@ -102,7 +102,7 @@
 			t.Errorf("with %v keepers, announcements come from %v, want %d domains", c.keepers, ls.announcementDomains, c.want)
 		}
 		for _, l := range ls.byAddr {
-			if domain := l.domain(); domain == "d0" && !l.notice.Announcements {
+			if domain := l.domain(); domain == "d0" && !l.engineConfig.Announcements {
 				t.Errorf("with %v keepers, no announcements come from the own failure domain", c.keepers)
 			}
 		}
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -27,7 +27,7 @@
 		}
 	}
 	if head.Leaving {
-		g.decide(func(now time.Time, out *decide.Moves) {
+		g.decide(func(now time.Time, out *decide.Actions) {
 			g.fleet.Leaves(now, id, out)
 		})
 	}
--- a/gateway/oldversion_internal_test.go
+++ b/gateway/oldversion_internal_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	publish := func(v wardturn.Version, known time.Time) {
-		var out decide.Moves
+		var out decide.Actions
 		g.fleet.VersionAnnounced(g.clock.Now(), wardturn.AdapterVersion{
 			Model:   key.Model,
 			Adapter: key.Adapter,
--- a/gateway/relays.go
+++ b/gateway/relays.go
@@ -152,10 +152,10 @@
 	if relay != nil {
 		l.subscribe()
 	}
-	if relayed := relay != nil; l.notice.Relayed != relayed {
-		l.notice.Relayed = relayed
-		l.noticeSent = false
-		l.sendNotice()
+	if relayed := relay != nil; l.engineConfig.ViaRelay != relayed {
+		l.engineConfig.ViaRelay = relayed
+		l.engineConfigSent = false
+		l.sendEngineConfig()
 	}
 }
 
@@ -165,7 +165,7 @@
 		// Errors are ignored: the subscription ends with its connection.
 		_ = l.subscribedConn.Send(&peer.Follow{
 			Keeper: l.addr(),
-			End:    true,
+			Stop:   true,
 		})
 	}
 	l.subscribedConn = nil
@@ -193,12 +193,12 @@
 		l.subscribe()
 		return
 	}
-	l.noticeSent = false
+	l.engineConfigSent = false
 }
 
 // handleRelayed handles a keeper's update that came through a relay. If the relay has lost its
 // connection to the keeper, the gateway switches to direct updates.
-func (ls *links) handleRelayed(m *peer.Relayed) {
+func (ls *links) handleRelayed(m *peer.RelayedUpdate) {
 	ls.mu.Lock()
 	l := ls.keepers[m.Keeper]
 	ls.mu.Unlock()
@@ -210,7 +210,7 @@
 		ls.updateRelay(l)
 		return
 	}
-	l.handleUpdate(m.Process, &m.Holding, true)
+	l.handleUpdate(m.Process, &m.Update, true)
 }
 
 func (l *link) relayLost(process wardturn.Incarnation) {
--- a/keeper/gateways_test.go
+++ b/keeper/gateways_test.go
@@ -13,7 +13,7 @@
 		_, addr := startKeeper("k", emptyEngine())
 		gateway, conn := connect(addr)
 		Expect(conn.Send(engineNotice(false))).To(Succeed())
-		Expect(next[*peer.Holding](gateway).Full).To(BeTrue())
+		Expect(next[*peer.EngineUpdate](gateway).Full).To(BeTrue())
 		for range others {
 			_, c := connect(addr)
 			Expect(c.Send(engineNotice(true))).To(Succeed())
@@ -21,7 +21,7 @@
 		updates := 0
 		Eventually(func() int {
 			updates++
-			return next[*peer.Holding](gateway).Gateways
+			return next[*peer.EngineUpdate](gateway).Gateways
 		}, eventTimeout).Should(Equal(1 + others))
 		Consistently(gateway.messages, "300ms").ShouldNot(Receive())
 		Expect(updates).To(BeNumerically("<=", 4))
@@ -32,7 +32,7 @@
 		gateway, conn := connect(addr)
 		Expect(conn.Send(engineNotice(false))).To(Succeed())
 		gateways := func() int {
-			return next[*peer.Holding](gateway).Gateways
+			return next[*peer.EngineUpdate](gateway).Gateways
 		}
 		Eventually(gateways, eventTimeout).Should(Equal(1))
 		for _, host := range []string{"h", "h", "other"} {
--- a/keeper/holding.go
+++ b/keeper/holding.go
@@ -45,7 +45,7 @@
 		s.prefill += tokens
 	}
 	st := k.placement.State()
-	s.freeSlots = k.placement.Free(k.clock.Now())
+	s.freeSlots = k.placement.FreeSlots(k.clock.Now())
 	s.running = st.Running
 	s.queued = st.Queued
 	s.limit = st.Limit
@@ -58,7 +58,7 @@
 		s.models = append(s.models, m.Name)
 		for _, a := range m.Adapters {
 			if k.placement.Leaving(a.Key()) {
-				s.add(a, peer.HeldLeaving)
+				s.add(a, peer.HeldUnloading)
 				continue
 			}
 			s.add(a, peer.HeldReady)
@@ -75,24 +75,24 @@
 }
 
 // update returns a state update without adapters.
-func (s *engineSnapshot) update() *peer.Holding {
-	return &peer.Holding{
-		Seq:      s.seq,
-		Known:    s.known,
-		Upstream: s.upstream,
-		Models:   s.models,
-		Running:  s.running,
-		Queued:   s.queued,
-		Reading:  s.prefill,
-		Free:     s.freeSlots,
-		Gateways: s.gateways,
-		Limit:    s.limit,
-		Leaving:  s.leaving,
+func (s *engineSnapshot) update() *peer.EngineUpdate {
+	return &peer.EngineUpdate{
+		Seq:           s.seq,
+		Known:         s.known,
+		Upstream:      s.upstream,
+		Models:        s.models,
+		Running:       s.running,
+		Queued:        s.queued,
+		PrefillTokens: s.prefill,
+		FreeSlots:     s.freeSlots,
+		Gateways:      s.gateways,
+		Limit:         s.limit,
+		Leaving:       s.leaving,
 	}
 }
 
 // fullUpdate returns the full state, for a gateway without any.
-func (s *engineSnapshot) fullUpdate() *peer.Holding {
+func (s *engineSnapshot) fullUpdate() *peer.EngineUpdate {
 	m := s.update()
 	m.Full = true
 	for _, a := range s.adapters {
@@ -104,7 +104,7 @@
 
 // updateSince returns the update for gateways that have an earlier snapshot, or nil if no
 // change is large enough to be sent.
-func (s *engineSnapshot) updateSince(old *engineSnapshot) *peer.Holding {
+func (s *engineSnapshot) updateSince(old *engineSnapshot) *peer.EngineUpdate {
 	m := s.update()
 	for key, a := range s.adapters {
 		if old.adapters[key] != a {
@@ -113,15 +113,15 @@
 	}
 	for key := range old.adapters {
 		if _, ok := s.adapters[key]; !ok {
-			m.Gone = append(m.Gone, key)
+			m.Unloaded = append(m.Unloaded, key)
 		}
 	}
-	if len(m.Adapters)+len(m.Gone) == 0 && s.known == old.known && s.upstream == old.upstream && s.freeSlots == old.freeSlots && s.limit == old.limit && s.leaving == old.leaving &&
+	if len(m.Adapters)+len(m.Unloaded) == 0 && s.known == old.known && s.upstream == old.upstream && s.freeSlots == old.freeSlots && s.limit == old.limit && s.leaving == old.leaving &&
 		slices.Equal(s.models, old.models) && !s.loadChanged(old) {
 		return nil
 	}
 	slices.SortFunc(m.Adapters, peer.CompareHeld)
-	slices.SortFunc(m.Gone, func(x, y wardturn.ModelAdapter) int {
+	slices.SortFunc(m.Unloaded, func(x, y wardturn.ModelAdapter) int {
 		return strings.Compare(string(x.Adapter), string(y.Adapter))
 	})
 	return m
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -62,13 +62,13 @@
 	wake   chan struct{}
 
 	mu               sync.Mutex
-	placement        *decide.Places
+	placement        *decide.Placement
 	configVersion    int64               // version of the configuration in the latest notice
 	upstream         wardturn.UpstreamID // the engine's current lifetime, from gateways and reports
 	upstreamPosition wardturn.Position   // position of the list entry with this lifetime
 	fence            wardturn.Fence
 	takingFence      bool                // a goroutine is writing a start record
-	registered       map[*peer.Conn]bool // connections that have sent an EngineNotice
+	registered       map[*peer.Conn]bool // connections that have sent an EngineConfig
 	gateways         map[string]int      // number of these connections, by the gateway's host
 	forwardTo        map[*peer.Conn]bool // connections that get messages between gateways
 	prefill          map[*peer.Conn]int  // tokens of long prompts in prefill, by gateway
@@ -94,7 +94,7 @@
 		gateways:       make(map[string]int),
 		forwardTo:      make(map[*peer.Conn]bool),
 		prefill:        make(map[*peer.Conn]int),
-		placement:      decide.NewPlaces(d.Clock.Now(), d.Policy),
+		placement:      decide.NewPlacement(d.Clock.Now(), d.Policy),
 		sent:           &engineSnapshot{},
 		listeners:      newListeners(),
 		startedQueries: newStartedQueries(),
@@ -180,7 +180,7 @@
 func (k *Keeper) waitForPoll() {
 	k.mu.Lock()
 	wait := idlePoll
-	if k.placement.Wanting() {
+	if k.placement.MayHaveOrder() {
 		wait = busyPoll
 	}
 	k.mu.Unlock()
@@ -205,7 +205,7 @@
 		if k.placement.Known() {
 			k.logger.Warn("engine gives no report", "error", err)
 		}
-		k.placement.Lost()
+		k.placement.EngineLost()
 		k.sendUpdate()
 		return
 	}
@@ -286,17 +286,17 @@
 	defer k.mu.Unlock()
 	now := k.clock.Now()
 	switch m := m.(type) {
-	case *peer.EngineNotice:
-		k.handleNotice(c, m)
-	case *peer.LoadWish:
-		k.placement.Wish(now, c.Peer().Process, m.Adapter, m.Waiting, m.Oldest)
+	case *peer.EngineConfig:
+		k.handleEngineConfig(c, m)
+	case *peer.LoadRequest:
+		k.placement.RequestLoad(now, c.Peer().Process, m.Adapter, m.Waiting, m.OldestWait)
 		k.subscribeAdapter(c, m.Adapter.Key())
 		k.wakeUp()
-	case *peer.Listen:
+	case *peer.Subscribe:
 		k.addListener(c)
 	case *peer.Ping:
 		k.listeners.sendMark(c, k.sent.seq)
-	case *peer.Reading:
+	case *peer.PrefillReport:
 		k.prefill[c] = m.Tokens
 		k.sendUpdate()
 	case *peer.ReadAnnouncement, *peer.CrashAnnouncement:
@@ -313,23 +313,23 @@
 		k.startedQueries.add(c, m.IDs)
 	case *peer.Usage:
 		for _, u := range m.Uses {
-			k.placement.Use(now, c.Peer().Process, u.Adapter, u.Started, u.Running)
+			k.placement.ReportUse(now, c.Peer().Process, u.Adapter, u.Started, u.Running)
 		}
 		k.listeners.sendMark(c, k.sent.seq)
 	}
 }
 
-// handleNotice handles a gateway's notice about the engine and replies with the full state,
+// handleEngineConfig handles a gateway's notice about the engine and replies with the full state,
 // unless the gateway gets it through a relay. An older configuration than the latest is
 // ignored, and so is an earlier lifetime of the engine: after a restart some gateways know
 // only the earlier one. The lock must be held.
-func (k *Keeper) handleNotice(c *peer.Conn, m *peer.EngineNotice) {
+func (k *Keeper) handleEngineConfig(c *peer.Conn, m *peer.EngineConfig) {
 	if m.Config >= k.configVersion {
 		k.configVersion = m.Config
 		k.placement.SetSpec(m.Spec)
 	}
-	if m.Seen >= k.upstreamPosition {
-		k.upstreamPosition = m.Seen
+	if m.Position >= k.upstreamPosition {
+		k.upstreamPosition = m.Position
 		k.observeLifetime(m.Upstream)
 	}
 	if !k.registered[c] {
@@ -341,7 +341,7 @@
 	} else {
 		delete(k.forwardTo, c)
 	}
-	if m.Relayed {
+	if m.ViaRelay {
 		delete(k.listeners.allUpdates, c)
 	} else {
 		k.addListener(c)
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -106,13 +106,13 @@
 // fakeGateway is the gateway's side of a connection to a keeper.
 type fakeGateway struct {
 	conn    chan *peer.Conn
-	updates chan *peer.Holding
+	updates chan *peer.EngineUpdate
 }
 
 func (g *fakeGateway) Connected(c *peer.Conn)   { g.conn <- c }
 func (g *fakeGateway) Closed(*peer.Conn, error) {}
 func (g *fakeGateway) Handle(_ *peer.Conn, m peer.Message) {
-	if h, ok := m.(*peer.Holding); ok {
+	if h, ok := m.(*peer.EngineUpdate); ok {
 		g.updates <- h
 	}
 }
@@ -147,7 +147,7 @@
 		DeferCleanup(k.Close)
 		g = &fakeGateway{
 			conn:    make(chan *peer.Conn, 8),
-			updates: make(chan *peer.Holding, 100),
+			updates: make(chan *peer.EngineUpdate, 100),
 		}
 		c := peer.NewClient(ln.Addr().String(), nil, process.Clock{}, peer.Identity{
 			Role:    peer.RoleEntry,
@@ -160,10 +160,10 @@
 		Eventually(g.conn, eventTimeout).Should(Receive(&conn))
 	}
 	sendNotice := func(upstream wardturn.UpstreamID, position wardturn.Position) {
-		Expect(conn.Send(&peer.EngineNotice{
+		Expect(conn.Send(&peer.EngineConfig{
 			Config:   1,
 			Upstream: upstream,
-			Seen:     position,
+			Position: position,
 			Spec: wardturn.EngineSpec{
 				AdapterSlots: 4,
 				Models: []wardturn.ModelSpec{
@@ -178,7 +178,7 @@
 		sendNotice("i-1", 1)
 	}
 	requestLoad := func() {
-		Expect(conn.Send(&peer.LoadWish{
+		Expect(conn.Send(&peer.LoadRequest{
 			Adapter: adapter,
 			Waiting: 1,
 		})).To(Succeed())
@@ -213,7 +213,7 @@
 	It("sends the full state first and then changes", func() {
 		start()
 		sendDefaultNotice()
-		var h *peer.Holding
+		var h *peer.EngineUpdate
 		Eventually(g.updates, eventTimeout).Should(Receive(&h))
 		Expect(h.Full).To(BeTrue())
 		requestLoad()
@@ -228,7 +228,7 @@
 		e.blockReports = make(chan struct{})
 		start()
 		sendDefaultNotice()
-		var h *peer.Holding
+		var h *peer.EngineUpdate
 		Eventually(g.updates, eventTimeout).Should(Receive(&h))
 		Expect(h.Known).To(BeFalse())
 		close(e.blockReports)
@@ -242,12 +242,12 @@
 		start()
 		sendDefaultNotice()
 		prefill := func() int {
-			var h *peer.Holding
+			var h *peer.EngineUpdate
 			Eventually(g.updates, eventTimeout).Should(Receive(&h))
-			return h.Reading
+			return h.PrefillTokens
 		}
 		sendPrefill := func(tokens int) {
-			Expect(conn.Send(&peer.Reading{
+			Expect(conn.Send(&peer.PrefillReport{
 				Tokens: tokens,
 			})).To(Succeed())
 		}
@@ -266,7 +266,7 @@
 	It("sends the number of gateways", func() {
 		start()
 		sendDefaultNotice()
-		var h *peer.Holding
+		var h *peer.EngineUpdate
 		Eventually(g.updates, eventTimeout).Should(Receive(&h))
 		Expect(h.Gateways).To(Equal(1))
 		conn.Close()
@@ -279,7 +279,7 @@
 	It("sends the limit in the engine's reports, and that it has ended", func() {
 		start()
 		sendDefaultNotice()
-		var h *peer.Holding
+		var h *peer.EngineUpdate
 		Eventually(g.updates, eventTimeout).Should(Receive(&h))
 		Expect(h.Limit).To(BeZero())
 		for _, limit := range []wardturn.RequestRate{4.5, 0} {
--- a/keeper/lifetime.go
+++ b/keeper/lifetime.go
@@ -20,7 +20,7 @@
 func (k *Keeper) startLifetime(id wardturn.UpstreamID) {
 	if k.upstream.Born() != 0 && k.upstream.Before(id) {
 		k.logger.Info("engine has started again", "upstream", id, "before", k.upstream)
-		k.placement.Restarted()
+		k.placement.EngineRestarted()
 	}
 	k.upstream = id
 }
--- a/keeper/listeners.go
+++ b/keeper/listeners.go
@@ -41,7 +41,7 @@
 }
 
 // sendRequested sends the changes of adapters to the gateways that requested them.
-func (l *listeners) sendRequested(now time.Time, m *peer.Holding) {
+func (l *listeners) sendRequested(now time.Time, m *peer.EngineUpdate) {
 	for _, a := range m.Adapters {
 		key := a.Adapter.Key()
 		for c, at := range l.requested[key] {
@@ -71,11 +71,11 @@
 }
 
 // adapterUpdate returns the part of an update that is about one adapter.
-func adapterUpdate(m *peer.Holding, a peer.HeldAdapter) *peer.Holding {
+func adapterUpdate(m *peer.EngineUpdate, a peer.HeldAdapter) *peer.EngineUpdate {
 	part := *m
 	part.Full = false
-	part.Answer = true
-	part.Gone = nil
+	part.Requested = true
+	part.Unloaded = nil
 	part.Adapters = []peer.HeldAdapter{a}
 	return &part
 }
--- a/keeper/news_test.go
+++ b/keeper/news_test.go
@@ -26,8 +26,8 @@
 	}
 	// sync waits until everything sent to a gateway before has arrived.
 	sync := func(g *gatewayClient, c *peer.Conn) {
-		Expect(c.Send(&peer.Listen{})).To(Succeed())
-		next[*peer.Holding](g)
+		Expect(c.Send(&peer.Subscribe{})).To(Succeed())
+		next[*peer.EngineUpdate](g)
 	}
 	announce := func(position wardturn.Position) {
 		Expect(senderConn.Send(&peer.ReadAnnouncement{
--- a/keeper/relay.go
+++ b/keeper/relay.go
@@ -62,7 +62,7 @@
 func (rs *relays) follow(c *peer.Conn, m *peer.Follow) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	if m.End {
+	if m.Stop {
 		rs.unfollow(c, m.Keeper)
 		return
 	}
@@ -155,19 +155,19 @@
 	r.relays.mu.Lock()
 	defer r.relays.mu.Unlock()
 	r.process = c.Peer().Process
-	_ = c.Send(&peer.Listen{})
+	_ = c.Send(&peer.Subscribe{})
 }
 
 // Handle implements peer.Handler.
 func (r *relay) Handle(c *peer.Conn, m peer.Message) {
-	update, ok := m.(*peer.Holding)
+	update, ok := m.(*peer.EngineUpdate)
 	if !ok {
 		return
 	}
 	r.relays.mu.Lock()
 	defer r.relays.mu.Unlock()
-	if !r.mirror.Take(update) {
-		_ = c.Send(&peer.Listen{})
+	if !r.mirror.Apply(update) {
+		_ = c.Send(&peer.Subscribe{})
 		return
 	}
 	for f := range r.followers {
@@ -180,13 +180,13 @@
 func (r *relay) Closed(_ *peer.Conn, err error) {
 	r.relays.mu.Lock()
 	defer r.relays.mu.Unlock()
-	r.mirror.Forget()
+	r.mirror.Reset()
 	if r.relays.closed || len(r.followers) == 0 {
 		return // closed by end or close
 	}
 	r.relays.logger.Info("keeper that is relayed was lost", "keeper", r.keeper, "followers", len(r.followers), "error", err)
 	for f := range r.followers {
-		_ = f.Send(&peer.Relayed{
+		_ = f.Send(&peer.RelayedUpdate{
 			Keeper:  r.keeper,
 			Process: r.process,
 			Lost:    true,
@@ -196,10 +196,10 @@
 
 // send forwards a state update. A follower that misses it learns from the Mark after its
 // next heartbeat that it is behind. The lock must be held.
-func (r *relay) send(c *peer.Conn, update peer.Holding) {
-	_ = c.Send(&peer.Relayed{
+func (r *relay) send(c *peer.Conn, update peer.EngineUpdate) {
+	_ = c.Send(&peer.RelayedUpdate{
 		Keeper:  r.keeper,
 		Process: r.process,
-		Holding: update,
+		Update:  update,
 	})
 }
