--- a/keeper/relay_test.go
+++ b/keeper/relay_test.go
@@ -88,12 +88,12 @@
 	}
 }
 
-func engineNotice(relayed bool) *peer.EngineNotice {
-	return &peer.EngineNotice{
+func engineNotice(relayed bool) *peer.EngineConfig {
+	return &peer.EngineConfig{
 		Config:   1,
 		Upstream: "i-1",
-		Seen:     1,
-		Relayed:  relayed,
+		Position: 1,
+		ViaRelay: relayed,
 		Spec: wardturn.EngineSpec{
 			AdapterSlots: 4,
 			Models: []wardturn.ModelSpec{
@@ -105,8 +105,8 @@
 	}
 }
 
-func loadRequest(adapter wardturn.AdapterID) *peer.LoadWish {
-	return &peer.LoadWish{
+func loadRequest(adapter wardturn.AdapterID) *peer.LoadRequest {
+	return &peer.LoadRequest{
 		Adapter: wardturn.AdapterVersion{
 			Model:   "m",
 			Adapter: adapter,
@@ -143,19 +143,19 @@
 		gateway, conn = connect(addr)
 		otherGateway, otherConn = connect(addr)
 		Expect(otherConn.Send(engineNotice(false))).To(Succeed())
-		Expect(next[*peer.Holding](otherGateway).Full).To(BeTrue())
+		Expect(next[*peer.EngineUpdate](otherGateway).Full).To(BeTrue())
 		Expect(conn.Send(engineNotice(true))).To(Succeed())
 	})
 
 	It("sends that gateway only the adapters that it requested", func() {
 		Expect(otherConn.Send(loadRequest("b"))).To(Succeed())
 		Eventually(func() bool {
-			h := next[*peer.Holding](otherGateway)
+			h := next[*peer.EngineUpdate](otherGateway)
 			return len(h.Adapters) == 1 && h.Adapters[0].State == peer.HeldReady
 		}, eventTimeout).Should(BeTrue())
 		Expect(conn.Send(loadRequest("a"))).To(Succeed())
-		h := next[*peer.Holding](gateway)
-		Expect(h.Answer).To(BeTrue())
+		h := next[*peer.EngineUpdate](gateway)
+		Expect(h.Requested).To(BeTrue())
 		Expect(h.Adapters).To(HaveLen(1))
 		Expect(h.Adapters[0].Adapter.Adapter).To(BeEquivalentTo("a"))
 	})
@@ -163,17 +163,17 @@
 	It("responds without delay if the adapter is already loaded", func() {
 		Expect(otherConn.Send(loadRequest("a"))).To(Succeed())
 		Eventually(func() int {
-			return len(next[*peer.Holding](otherGateway).Adapters)
+			return len(next[*peer.EngineUpdate](otherGateway).Adapters)
 		}, eventTimeout).Should(Equal(1))
 		Expect(conn.Send(loadRequest("a"))).To(Succeed())
-		h := next[*peer.Holding](gateway)
-		Expect(h.Answer).To(BeTrue())
+		h := next[*peer.EngineUpdate](gateway)
+		Expect(h.Requested).To(BeTrue())
 		Expect(h.Adapters[0].State).To(Equal(peer.HeldReady))
 	})
 
 	It("sends its sequence number when the gateway reports usage", func() {
 		Expect(otherConn.Send(loadRequest("a"))).To(Succeed())
-		h := next[*peer.Holding](otherGateway)
+		h := next[*peer.EngineUpdate](otherGateway)
 		Expect(conn.Send(&peer.Usage{})).To(Succeed())
 		Expect(next[*peer.Mark](gateway).Seq).To(BeNumerically(">=", h.Seq))
 	})
@@ -194,20 +194,20 @@
 		_, relayedConn = connect(addr)
 		Expect(relayedConn.Send(engineNotice(true))).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
-		m := next[*peer.Relayed](gateway)
+		m := next[*peer.RelayedUpdate](gateway)
 		Expect(m.Keeper).To(Equal(addr))
 		Expect(m.Process).To(BeEquivalentTo("far"))
-		Expect(m.Holding.Full).To(BeTrue())
+		Expect(m.Update.Full).To(BeTrue())
 	})
 
 	It("forwards each change, and the full state to gateways that follow later", func() {
 		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
 		Eventually(func() bool {
-			h := next[*peer.Relayed](gateway).Holding
+			h := next[*peer.RelayedUpdate](gateway).Update
 			return len(h.Adapters) == 1 && h.Adapters[0].State == peer.HeldReady
 		}, eventTimeout).Should(BeTrue())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
-		h := next[*peer.Relayed](gateway).Holding
+		h := next[*peer.RelayedUpdate](gateway).Update
 		Expect(h.Full).To(BeTrue())
 		Expect(h.Adapters).To(HaveLen(1))
 	})
@@ -215,22 +215,22 @@
 	It("reports that the connection to the keeper is lost", func() {
 		relayed.Close()
 		Eventually(func() bool {
-			return next[*peer.Relayed](gateway).Lost
+			return next[*peer.RelayedUpdate](gateway).Lost
 		}, eventTimeout).Should(BeTrue())
 	})
 
 	It("sends nothing more to a gateway that stops following", func() {
 		_, second := startKeeper("second", emptyEngine())
-		Expect(conn.Send(&peer.Follow{Keeper: addr, End: true})).To(Succeed())
+		Expect(conn.Send(&peer.Follow{Keeper: addr, Stop: true})).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: second})).To(Succeed())
 		Eventually(func() string { // updates sent before the end have arrived by then
-			return next[*peer.Relayed](gateway).Keeper
+			return next[*peer.RelayedUpdate](gateway).Keeper
 		}, eventTimeout).Should(Equal(second))
 		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
 		Consistently(func() bool {
 			select {
 			case m := <-gateway.messages:
-				r, ok := m.(*peer.Relayed)
+				r, ok := m.(*peer.RelayedUpdate)
 				return ok && r.Keeper == addr
 			default:
 				return false
--- a/peer/message.go
+++ b/peer/message.go
@@ -25,21 +25,21 @@
 	KindCredit
 	KindCancel
 	KindHint
-	KindWish
+	KindPermitRequest
 	KindGrant
 	KindPing
 	KindPong
 	KindConfigPull
 	KindConfigPage
-	KindHolding
-	KindEngineNotice
-	KindLoadWish
+	KindEngineUpdate
+	KindEngineConfig
+	KindLoadRequest
 	KindUsage
 	KindReadAnnouncement
-	KindReading
-	KindListen
+	KindPrefillReport
+	KindSubscribe
 	KindFollow
-	KindRelayed
+	KindRelayedUpdate
 	KindMark
 	KindTeamUsageReports
 	KindCrashAnnouncement
@@ -160,9 +160,9 @@
 	Hint     decide.Hint
 }
 
-// Wish is an agent's permit request to its allocator.
-type Wish struct {
-	Wish decide.Wish
+// PermitRequest is an agent's permit request to its allocator.
+type PermitRequest struct {
+	Request decide.PermitRequest
 }
 
 // Grant is an allocator's reply to a permit request.
@@ -224,7 +224,7 @@
 func (*Hint) Kind() Kind { return KindHint }
 
 // Kind implements Message.
-func (*Wish) Kind() Kind { return KindWish }
+func (*PermitRequest) Kind() Kind { return KindPermitRequest }
 
 // Kind implements Message.
 func (*Grant) Kind() Kind { return KindGrant }
@@ -262,8 +262,8 @@
 		return &Cancel{}
 	case KindHint:
 		return &Hint{}
-	case KindWish:
-		return &Wish{}
+	case KindPermitRequest:
+		return &PermitRequest{}
 	case KindGrant:
 		return &Grant{}
 	case KindPing:
@@ -274,24 +274,24 @@
 		return &ConfigPull{}
 	case KindConfigPage:
 		return &ConfigPage{}
-	case KindHolding:
-		return &Holding{}
-	case KindEngineNotice:
-		return &EngineNotice{}
-	case KindLoadWish:
-		return &LoadWish{}
+	case KindEngineUpdate:
+		return &EngineUpdate{}
+	case KindEngineConfig:
+		return &EngineConfig{}
+	case KindLoadRequest:
+		return &LoadRequest{}
 	case KindUsage:
 		return &Usage{}
-	case KindReading:
-		return &Reading{}
+	case KindPrefillReport:
+		return &PrefillReport{}
 	case KindReadAnnouncement:
 		return &ReadAnnouncement{}
-	case KindListen:
-		return &Listen{}
+	case KindSubscribe:
+		return &Subscribe{}
 	case KindFollow:
 		return &Follow{}
-	case KindRelayed:
-		return &Relayed{}
+	case KindRelayedUpdate:
+		return &RelayedUpdate{}
 	case KindMark:
 		return &Mark{}
 	case KindTeamUsageReports:
--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -10,13 +10,13 @@
 
 // Mirror maintains the full state of an engine from the state updates of its keeper.
 type Mirror struct {
-	latest   Holding // without Adapters and Gone
+	latest   EngineUpdate // without Adapters and Gone
 	adapters map[wardturn.ModelAdapter]HeldAdapter
 }
 
-// Take applies a state update. It returns false for an incremental update that does not
+// Apply applies a state update. It returns false for an incremental update that does not
 // directly follow the last applied one; the full state has to be requested then.
-func (m *Mirror) Take(h *Holding) bool {
+func (m *Mirror) Apply(h *EngineUpdate) bool {
 	switch {
 	case h.Full:
 		m.adapters = make(map[wardturn.ModelAdapter]HeldAdapter, len(h.Adapters))
@@ -26,12 +26,12 @@
 	for _, a := range h.Adapters {
 		m.adapters[a.Adapter.Key()] = a
 	}
-	for _, key := range h.Gone {
+	for _, key := range h.Unloaded {
 		delete(m.adapters, key)
 	}
 	m.latest = *h
 	m.latest.Adapters = nil
-	m.latest.Gone = nil
+	m.latest.Unloaded = nil
 	return true
 }
 
@@ -40,13 +40,13 @@
 	return m.adapters != nil
 }
 
-// Forget discards the state. The next update has to be full.
-func (m *Mirror) Forget() {
+// Reset discards the state. The next update has to be full.
+func (m *Mirror) Reset() {
 	m.adapters = nil
 }
 
 // Full returns the current full state.
-func (m *Mirror) Full() Holding {
+func (m *Mirror) Full() EngineUpdate {
 	h := m.latest
 	h.Full = true
 	h.Adapters = slices.SortedFunc(maps.Values(m.adapters), CompareHeld)
--- a/peer/mirror_test.go
+++ b/peer/mirror_test.go
@@ -16,8 +16,8 @@
 	adapters map[wardturn.ModelAdapter]peer.HeldAdapter
 }
 
-func (s *keeperState) full() *peer.Holding {
-	m := &peer.Holding{
+func (s *keeperState) full() *peer.EngineUpdate {
+	m := &peer.EngineUpdate{
 		Seq:  s.seq,
 		Full: true,
 	}
@@ -28,18 +28,18 @@
 }
 
 // change changes one adapter and returns the incremental state update.
-func (s *keeperState) change(t *rapid.T) *peer.Holding {
+func (s *keeperState) change(t *rapid.T) *peer.EngineUpdate {
 	key := wardturn.ModelAdapter{
 		Model:   "m",
 		Adapter: wardturn.AdapterID(fmt.Sprint("a", rapid.IntRange(0, 4).Draw(t, "adapter"))),
 	}
 	s.seq++
-	m := &peer.Holding{
+	m := &peer.EngineUpdate{
 		Seq: s.seq,
 	}
 	if rapid.Bool().Draw(t, "gone") {
 		delete(s.adapters, key)
-		m.Gone = append(m.Gone, key)
+		m.Unloaded = append(m.Unloaded, key)
 		return m
 	}
 	s.adapters[key] = peer.HeldAdapter{
@@ -63,7 +63,7 @@
 			adapters: make(map[wardturn.ModelAdapter]peer.HeldAdapter),
 		}
 		var m peer.Mirror
-		var sent []*peer.Holding // updates that may be delivered again
+		var sent []*peer.EngineUpdate // updates that may be delivered again
 		for range rapid.IntRange(1, 60).Draw(t, "updates") {
 			update := keeper.change(t)
 			sent = append(sent, update)
@@ -74,10 +74,10 @@
 				update = keeper.full()
 			case 2:
 				if old := rapid.SampledFrom(sent).Draw(t, "late"); old.Seq < keeper.seq {
-					m.Take(old)
+					m.Apply(old)
 				}
 			}
-			if !m.Take(update) {
+			if !m.Apply(update) {
 				continue
 			}
 			got := m.Full()
@@ -90,7 +90,7 @@
 				}
 			}
 		}
-		if !m.Take(keeper.full()) || m.Full().Seq != keeper.seq {
+		if !m.Apply(keeper.full()) || m.Full().Seq != keeper.seq {
 			t.Fatal("a full state was not applied")
 		}
 	})
--- a/peer/placement.go
+++ b/peer/placement.go
@@ -19,9 +19,9 @@
 	HeldReady HeldState = iota
 	// HeldLoading is an adapter that is being loaded.
 	HeldLoading
-	// HeldLeaving is an adapter that is about to be unloaded or replaced. It gets no
+	// HeldUnloading is an adapter that is about to be unloaded or replaced. It gets no
 	// new requests.
-	HeldLeaving
+	HeldUnloading
 )
 
 // HeldAdapter is an adapter that an engine holds or loads.
@@ -30,58 +30,58 @@
 	State   HeldState
 }
 
-// Holding is a keeper's state update on its engine: the adapters that the engine
+// EngineUpdate is a keeper's state update on its engine: the adapters that the engine
 // holds and its load. The first update that a subscriber gets is the full state; the
 // following ones contain the changes since the previous one.
-type Holding struct {
+type EngineUpdate struct {
 	// Seq numbers the changes since the keeper's start. A full state has the number
 	// of the latest change that it includes.
-	Seq      uint64
-	Full     bool
-	Answer   bool // only an adapter that a gateway requested; earlier changes may be missing
-	Known    bool // the keeper has a report of the engine
-	Upstream wardturn.UpstreamID
-	Models   []wardturn.BaseModel
-	Adapters []HeldAdapter           // all if full, otherwise the new and changed ones
-	Gone     []wardturn.ModelAdapter // no longer held; empty if full
-	Running  int
-	Queued   int
-	Reading  int // tokens of long prompts in prefill at the engine, as reported by gateways
-	Free     int // free adapter slots, counted up to decide.MaxFree
-	Gateways int // connected to the keeper
+	Seq           uint64
+	Full          bool
+	Requested     bool // only an adapter that a gateway requested; earlier changes may be missing
+	Known         bool // the keeper has a report of the engine
+	Upstream      wardturn.UpstreamID
+	Models        []wardturn.BaseModel
+	Adapters      []HeldAdapter           // all if full, otherwise the new and changed ones
+	Unloaded      []wardturn.ModelAdapter // no longer held; empty if full
+	Running       int
+	Queued        int
+	PrefillTokens int // tokens of long prompts in prefill at the engine, as reported by gateways
+	FreeSlots     int // free adapter slots, counted up to decide.MaxFreeSlots
+	Gateways      int // connected to the keeper
 	// Limit is the limit on requests per second that the engine announced; zero means
 	// none.
 	Limit   wardturn.RequestRate
 	Leaving bool // the engine announced that it is shutting down
 }
 
-// EngineNotice passes the operator's configuration of an engine to its keeper,
+// EngineConfig passes the operator's configuration of an engine to its keeper,
 // together with what the gateway wants to receive on this connection.
-type EngineNotice struct {
+type EngineConfig struct {
 	Config        int64 // version of the configuration
 	Upstream      wardturn.UpstreamID
-	Seen          wardturn.Position // of the upstream's entry in the list; higher for later lifetimes
+	Position      wardturn.Position // of the upstream's entry in the list; higher for later lifetimes
 	Spec          wardturn.EngineSpec
-	Relayed       bool // a relay sends the updates to the gateway; send only adapters that it requests
+	ViaRelay      bool // a relay sends the updates to the gateway; send only adapters that it requests
 	Announcements bool // send the announcements of other gateways to this gateway
 }
 
-// Listen subscribes to a keeper's state updates.
-type Listen struct{}
+// Subscribe subscribes to a keeper's state updates.
+type Subscribe struct{}
 
 // Follow asks a keeper to start or stop relaying the state updates of another keeper.
 // The reply to each request to start is the full state, as soon as the relay has it.
 type Follow struct {
 	Keeper string // address, IP:port
-	End    bool
+	Stop   bool
 }
 
-// Relayed is a relayed state update of another keeper.
-type Relayed struct {
+// RelayedUpdate is a relayed state update of another keeper.
+type RelayedUpdate struct {
 	Keeper  string               // address, IP:port
 	Process wardturn.Incarnation // of that keeper
 	Lost    bool                 // the relay lost its connection to the keeper; there is no update
-	Holding Holding
+	Update  EngineUpdate
 }
 
 // Mark gives a gateway the sequence number of a keeper's latest state update, so that
@@ -90,12 +90,12 @@
 	Seq uint64
 }
 
-// LoadWish is a gateway's load request: it asks a keeper to load an adapter. It is
+// LoadRequest is a gateway's load request: it asks a keeper to load an adapter. It is
 // repeated while requests wait, and expires if it is not repeated.
-type LoadWish struct {
-	Adapter wardturn.AdapterVersion // version zero: the newest
-	Waiting int                     // number of waiting requests
-	Oldest  time.Duration           // how long the oldest of them has waited
+type LoadRequest struct {
+	Adapter    wardturn.AdapterVersion // version zero: the newest
+	Waiting    int                     // number of waiting requests
+	OldestWait time.Duration           // how long the oldest of them has waited
 }
 
 // ReadAnnouncement announces that a gateway has read a topic of the platform's store, so
@@ -125,9 +125,9 @@
 	Change  *wardturn.CrashChange // nil: nothing new was read
 }
 
-// Reading reports to a keeper how many tokens of a gateway's long prompts are in
+// PrefillReport reports to a keeper how many tokens of a gateway's long prompts are in
 // prefill at its engine.
-type Reading struct {
+type PrefillReport struct {
 	Tokens int
 }
 
@@ -182,13 +182,13 @@
 func (*StartedReport) Kind() Kind { return KindStartedReport }
 
 // Kind implements Message.
-func (*Holding) Kind() Kind { return KindHolding }
+func (*EngineUpdate) Kind() Kind { return KindEngineUpdate }
 
 // Kind implements Message.
-func (*EngineNotice) Kind() Kind { return KindEngineNotice }
+func (*EngineConfig) Kind() Kind { return KindEngineConfig }
 
 // Kind implements Message.
-func (*LoadWish) Kind() Kind { return KindLoadWish }
+func (*LoadRequest) Kind() Kind { return KindLoadRequest }
 
 // Kind implements Message.
 func (*ReadAnnouncement) Kind() Kind { return KindReadAnnouncement }
@@ -197,19 +197,19 @@
 func (*CrashAnnouncement) Kind() Kind { return KindCrashAnnouncement }
 
 // Kind implements Message.
-func (*Reading) Kind() Kind { return KindReading }
+func (*PrefillReport) Kind() Kind { return KindPrefillReport }
 
 // Kind implements Message.
 func (*Usage) Kind() Kind { return KindUsage }
 
 // Kind implements Message.
-func (*Listen) Kind() Kind { return KindListen }
+func (*Subscribe) Kind() Kind { return KindSubscribe }
 
 // Kind implements Message.
 func (*Follow) Kind() Kind { return KindFollow }
 
 // Kind implements Message.
-func (*Relayed) Kind() Kind { return KindRelayed }
+func (*RelayedUpdate) Kind() Kind { return KindRelayedUpdate }
 
 // Kind implements Message.
 func (*Mark) Kind() Kind { return KindMark }
