--- a/cli/fleet/gateway.go
+++ b/cli/fleet/gateway.go
@@ -79,19 +79,19 @@
 
 func (c *gatewayCmd) config() gateway.Config {
 	return gateway.Config{
-		Process:     process.NewIncarnation(),
-		Host:        c.Node,
-		Domain:      wardturn.FailureDomain(c.Domain),
-		KeeperPort:  c.Port,
-		Drain:       c.Drain,
-		ExpiryGrace: c.LapseGrace,
-		MaxBody:     c.MaxBody,
-		MaxHeld:     c.MemoryMB << 20 / heldPart,
-		RetryShare:  c.RetryShare,
-		RetryExtra:  c.RetryExtra,
-		RetryWindow: c.RetryWindow,
-		LeaveAfter:  c.LeaveAfter,
-		KeyBound:    c.KeyBound,
+		Process:       process.NewIncarnation(),
+		Host:          c.Node,
+		Domain:        wardturn.FailureDomain(c.Domain),
+		KeeperPort:    c.Port,
+		Drain:         c.Drain,
+		ExpiryGrace:   c.LapseGrace,
+		MaxBody:       c.MaxBody,
+		MaxHeld:       c.MemoryMB << 20 / heldPart,
+		RetryShare:    c.RetryShare,
+		RetryExtra:    c.RetryExtra,
+		RetryWindow:   c.RetryWindow,
+		ShutdownDelay: c.LeaveAfter,
+		KeyBound:      c.KeyBound,
 
 		EqualCapShares: c.EqualCaps,
 		Crashes: decide.CrashConfig{
@@ -123,7 +123,7 @@
 	}
 	logger.SetLevel(hclog.LevelFromString(n.LogLevel))
 	t := n.config()
-	g.Retune(t)
+	g.ApplySettings(t)
 	logger.Info("settings read again", "log_level", n.LogLevel, "retry_share", t.RetryShare, "retry_extra", t.RetryExtra, "retry_window", t.RetryWindow, "cross_bytes", t.Fleet.CrossBytes, "loads_at_most", t.Fleet.Window.Max)
 }
 
@@ -165,7 +165,7 @@
 		})
 		limit, cancel := wardturn.WithLimit(context.Background(), clock, c.Grace-leaveMargin)
 		defer cancel()
-		g.Leave(limit)
+		g.Shutdown(limit)
 		g.Close()
 		d.logs.Close()
 	})
@@ -174,19 +174,19 @@
 func (c *gatewayCmd) newGateway(front, ready net.Listener) any {
 	return func(clock wardturn.Clock, logger hclog.Logger, m *gateway.Metrics, s *platform.Store) *gateway.Gateway {
 		return gateway.New(gateway.Deps{
-			Config:    c.config(),
-			Clock:     clock,
-			Logger:    logger,
-			Metrics:   m,
-			Names:     platform.Headers(),
-			Heads:     platform.Answers{},
-			Source:    platform.NewConfigReader(s, logger),
-			Members:   platform.NewMemberReader(s, clock, logger),
-			Memory:    s,
-			Crashes:   platform.NewCrashStore(s, logger),
-			Front:     front,
-			Ready:     ready,
-			ReadyPath: platform.ReadyPath,
+			Config:         c.config(),
+			Clock:          clock,
+			Logger:         logger,
+			Metrics:        m,
+			Names:          platform.Headers(),
+			ResponseReader: platform.Responses{},
+			Source:         platform.NewConfigReader(s, logger),
+			Members:        platform.NewMemberReader(s, clock, logger),
+			Memory:         s,
+			Crashes:        platform.NewCrashStore(s, logger),
+			Listener:       front,
+			ReadyListener:  ready,
+			ReadyPath:      platform.ReadyPath,
 		})
 	}
 }
--- a/decide/evacuation_test.go
+++ b/decide/evacuation_test.go
@@ -90,7 +90,7 @@
 			if !ok || a.Member.Domain != "far" {
 				t.Fatalf("round %d: request was sent to %q in %q", round, a.Member.ID, a.Member.Domain)
 			}
-			x.f.Ended(x.now, a.Member.ID, adapterKey("a"), decide.EndedWell)
+			x.f.RequestEnded(x.now, a.Member.ID, adapterKey("a"), decide.OutcomeOK)
 		}
 		x.out.LoadRequests = nil
 		x.admitFor(fleetService, adapterKey("b"), nil)
@@ -154,7 +154,7 @@
 			if ok && a.Member.Domain == "near" {
 				near++
 			}
-			x.f.Ended(x.now, a.Member.ID, adapterKey("a"), decide.EndedWell)
+			x.f.RequestEnded(x.now, a.Member.ID, adapterKey("a"), decide.OutcomeOK)
 		}
 		return near
 	}
@@ -198,7 +198,7 @@
 		for range 16 {
 			if a, ok := x.admitFor(fleetService, adapterKey("a"), nil); ok && a.Member.ID != "" {
 				n++
-				x.f.Ended(x.now, a.Member.ID, adapterKey("a"), decide.EndedWell)
+				x.f.RequestEnded(x.now, a.Member.ID, adapterKey("a"), decide.OutcomeOK)
 			}
 		}
 		return n
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -105,7 +105,7 @@
 	if !served {
 		panic("not served")
 	}
-	x.f.Ended(x.now, id, adapterKey(name), decide.EndedWell)
+	x.f.RequestEnded(x.now, id, adapterKey(name), decide.OutcomeOK)
 	x.setHolding(id, decide.EngineUpdate{
 		Unloaded: []wardturn.ModelAdapter{adapterKey(name)},
 	})
@@ -143,8 +143,8 @@
 		Objective: time.Second,
 		Deadline:  x.now.Add(time.Second),
 		Assign: func(a decide.Assignment) {
-			x.f.Began(a.Member.ID, 0)
-			x.f.Ended(x.now, a.Member.ID, adapterKey(name), decide.EndedWell)
+			x.f.ResponseStarted(a.Member.ID, 0)
+			x.f.RequestEnded(x.now, a.Member.ID, adapterKey(name), decide.OutcomeOK)
 		},
 	}, &out)
 }
--- a/decide/fleet_loads_test.go
+++ b/decide/fleet_loads_test.go
@@ -165,7 +165,7 @@
 		x.hold("f0", readyAdapter("a", 1))
 		for range 4 {
 			t := x.admit("r", "a")
-			x.f.Ended(x.now, x.got["r"].Member.ID, t.Key, decide.EndedWell)
+			x.f.RequestEnded(x.now, x.got["r"].Member.ID, t.Key, decide.OutcomeOK)
 		}
 		Expect(x.out.LoadRequests).To(BeEmpty())
 		x.admit("r", "a")
--- a/decide/fleet_prompts_test.go
+++ b/decide/fleet_prompts_test.go
@@ -31,7 +31,7 @@
 		reading(9000)
 		x.admit("there", "a")
 		Expect(x.got["there"].Member.ID).To(BeEquivalentTo("n1"))
-		x.f.Ended(x.now, "n1", adapterKey("a"), decide.EndedWell)
+		x.f.RequestEnded(x.now, "n1", adapterKey("a"), decide.OutcomeOK)
 		x.now = x.now.Add(2 * time.Second)
 		x.admit("later", "a")
 		Expect(x.got["later"].Member.ID).To(BeEquivalentTo("n0"))
@@ -56,7 +56,7 @@
 		}, &x.out)
 		x.admit("short", "a")
 		Expect(x.got["short"].Prefill).To(Equal(9000))
-		x.f.Began("n0", 9000)
+		x.f.ResponseStarted("n0", 9000)
 		Expect(x.f.PrefillReports()).To(Equal([]decide.PrefillReport{
 			{
 				Upstream: "n0",
@@ -93,7 +93,7 @@
 			}
 			x.admit(id, "a")
 			at := x.got[id].Member.ID
-			x.f.Ended(x.now, at, adapterKey("a"), decide.EndedWell)
+			x.f.RequestEnded(x.now, at, adapterKey("a"), decide.OutcomeOK)
 			return at
 		}
 		Expect(choose("before")).To(BeEquivalentTo("n1"))
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -39,7 +39,7 @@
 	It("skips engines that leave or were replaced by another incarnation", func() {
 		x.hold("n0", readyAdapter("a", 1))
 		x.hold("n1", readyAdapter("a", 1))
-		x.f.Misplaced("n0")
+		x.f.IncarnationReplaced("n0")
 		x.admit("r1", "a")
 		Expect(x.got["r1"].Member.ID).To(BeEquivalentTo("n1"))
 		list := fleetMembers()
@@ -102,7 +102,7 @@
 		Expect(counts[0].Started).To(Equal(1))
 		Expect(counts[0].Running).To(Equal(1))
 		Expect(x.f.Usage("n0")).To(BeEmpty())
-		x.f.Ended(x.now, "n0", adapterKey("a"), decide.EndedWell)
+		x.f.RequestEnded(x.now, "n0", adapterKey("a"), decide.OutcomeOK)
 		Expect(x.f.Usage("n0")[0].Running).To(BeZero())
 	})
 
@@ -131,8 +131,8 @@
 					if string(id)[0] == 'n' {
 						took = 200 * time.Millisecond
 					}
-					x.f.Timed(x.now, id, took)
-					x.f.Ended(x.now, id, adapterKey(""), decide.EndedWell)
+					x.f.ResponseTimed(x.now, id, took)
+					x.f.RequestEnded(x.now, id, adapterKey(""), decide.OutcomeOK)
 				}
 				return n
 			}
@@ -148,16 +148,16 @@
 			for range 30 {
 				x.admit("r", "")
 				id := x.got["r"].Member.ID
-				ending := decide.EndedWell
+				ending := decide.OutcomeOK
 				if id == "n0" {
-					ending = decide.EndedInError
+					ending = decide.OutcomeError
 				}
-				x.f.Ended(x.now, id, adapterKey(""), ending)
+				x.f.RequestEnded(x.now, id, adapterKey(""), ending)
 			}
 			for range 5 {
 				x.admit("r", "")
 				Expect(x.got["r"].Member.ID).NotTo(BeEquivalentTo("n0"))
-				x.f.Ended(x.now, x.got["r"].Member.ID, adapterKey(""), decide.EndedWell)
+				x.f.RequestEnded(x.now, x.got["r"].Member.ID, adapterKey(""), decide.OutcomeOK)
 			}
 		})
 
--- a/decide/leaving_test.go
+++ b/decide/leaving_test.go
@@ -28,7 +28,7 @@
 			}
 			x.admit("r", "a")
 			Expect(string(x.got["r"].Member.ID)).To(HavePrefix("f"))
-			x.f.Ended(x.now, x.got["r"].Member.ID, adapterKey("a"), 0)
+			x.f.RequestEnded(x.now, x.got["r"].Member.ID, adapterKey("a"), 0)
 		}
 	})
 })
--- a/decide/limited_test.go
+++ b/decide/limited_test.go
@@ -53,8 +53,8 @@
 			for _, a := range x.got {
 				if a.Member.ID == "n0" {
 					sent++
-					x.f.Began("n0", 0)
-					x.f.Ended(x.now, "n0", adapterKey("a"), decide.EndedWell)
+					x.f.ResponseStarted("n0", 0)
+					x.f.RequestEnded(x.now, "n0", adapterKey("a"), decide.OutcomeOK)
 				}
 			}
 			clear(x.got)
--- a/decide/member.go
+++ b/decide/member.go
@@ -104,8 +104,8 @@
 	queueFullLatency = 100.0
 )
 
-// Timed records the response time of a plain upstream.
-func (f *Fleet) Timed(now time.Time, id wardturn.UpstreamID, took time.Duration) {
+// ResponseTimed records the response time of a plain upstream.
+func (f *Fleet) ResponseTimed(now time.Time, id wardturn.UpstreamID, took time.Duration) {
 	f.observeLatency(now, id, float64(took)/float64(time.Millisecond))
 }
 
@@ -169,9 +169,9 @@
 	return m.open(now) && m.lastUpdate.Connected && m.lastUpdate.Known && slices.Contains(m.lastUpdate.Models, model)
 }
 
-// Misplaced records that another incarnation answers at an upstream's address: this one
+// IncarnationReplaced records that another incarnation answers at an upstream's address: this one
 // has ended, even if it is still listed.
-func (f *Fleet) Misplaced(id wardturn.UpstreamID) {
+func (f *Fleet) IncarnationReplaced(id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
 		m.replaced = true
 	}
--- a/decide/old_version_test.go
+++ b/decide/old_version_test.go
@@ -33,7 +33,7 @@
 				t := x.admit(id, "a")
 				servedOldAt[x.now.Sub(first)] = x.got[id].Version == 1
 				x.f.Withdraw(t)
-				x.f.Ended(x.now, x.got[id].Member.ID, adapterKey("a"), decide.EndedWell)
+				x.f.RequestEnded(x.now, x.got[id].Member.ID, adapterKey("a"), decide.OutcomeOK)
 				x.now = x.now.Add(500 * time.Millisecond)
 			}
 		}
--- a/decide/pauses_test.go
+++ b/decide/pauses_test.go
@@ -144,13 +144,13 @@
 			began = event{
 				at: e.readUntil,
 				do: func() {
-					f.Began(a.Member.ID, hotPrompt)
+					f.ResponseStarted(a.Member.ID, hotPrompt)
 				},
 			}
 			ended = event{
 				at: e.readUntil.Add(2 * time.Second),
 				do: func() {
-					f.Ended(h.now, a.Member.ID, adapterKey("hot"), decide.EndedWell)
+					f.RequestEnded(h.now, a.Member.ID, adapterKey("hot"), decide.OutcomeOK)
 					e.running--
 				},
 			}
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -28,31 +28,31 @@
 	u.changed = true
 }
 
-// Began records that the answer to a request began, so its prompt has been read.
-func (f *Fleet) Began(id wardturn.UpstreamID, prompt wardturn.Tokens) {
+// ResponseStarted records that the answer to a request began, so its prompt has been read.
+func (f *Fleet) ResponseStarted(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	if m := f.members[id]; m != nil {
 		f.addPrefill(m, -prompt)
 	}
 }
 
-// Ending classifies the end of a request by what it indicates about the health of the
+// Outcome classifies the end of a request by what it indicates about the health of the
 // upstream.
-type Ending uint8
+type Outcome uint8
 
 const (
-	// EndedWell is a complete answer, or a refusal that says the request was not run.
-	EndedWell Ending = iota
-	// EndedInError is an answer that reports a failure of the upstream.
-	EndedInError
-	// EndedBroken is a missing or incomplete answer.
-	EndedBroken
-	// EndedUnseen is an end that says nothing about the upstream.
-	EndedUnseen
+	// OutcomeOK is a complete answer, or a refusal that says the request was not run.
+	OutcomeOK Outcome = iota
+	// OutcomeError is an answer that reports a failure of the upstream.
+	OutcomeError
+	// OutcomeBroken is a missing or incomplete answer.
+	OutcomeBroken
+	// OutcomeUnknown is an end that says nothing about the upstream.
+	OutcomeUnknown
 )
 
-// Ended records the end of a request at an upstream. Began must be called first, even if
+// RequestEnded records the end of a request at an upstream. Began must be called first, even if
 // the request had no answer.
-func (f *Fleet) Ended(now time.Time, id wardturn.UpstreamID, key wardturn.ModelAdapter, outcome Ending) {
+func (f *Fleet) RequestEnded(now time.Time, id wardturn.UpstreamID, key wardturn.ModelAdapter, outcome Outcome) {
 	m := f.members[id]
 	if m == nil {
 		return
@@ -64,15 +64,15 @@
 	m.running = max(0, m.running-1)
 	m.runningAtUpdate = max(0, m.runningAtUpdate-1)
 	switch outcome {
-	case EndedUnseen:
+	case OutcomeUnknown:
 		return
-	case EndedBroken:
+	case OutcomeBroken:
 		m.breaker.Fail(now)
 	default:
 		m.breaker.Succeed()
 	}
 	bad := 0.0
-	if outcome != EndedWell {
+	if outcome != OutcomeOK {
 		bad = 1
 	}
 	m.failing += failWeight * (bad - m.failing)
--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -48,7 +48,7 @@
 // releaseAssignment releases an assignment to whose upstream nothing was sent.
 func (x *exchange) releaseAssignment(a assignment) {
 	x.endPrefill(a)
-	x.g.ended(a.Member.ID, x.key, len(x.body), decide.EndedUnseen)
+	x.g.endSend(a.Member.ID, x.key, len(x.body), decide.OutcomeUnknown)
 }
 
 // handleAssignment records the assignment, or the reason why no upstream was assigned. It
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -24,15 +24,15 @@
 	case res.StatusCode < http.StatusMultipleChoices && !resp.head.Receipt:
 		x.g.logger.Warn("success response without the upstream's receipt header", "id", x.attempt, "upstream", a.Member.ID)
 		resp.discard()
-		return unknown
+		return resultUnknown
 	case res.StatusCode == http.StatusServiceUnavailable, res.StatusCode == http.StatusTooManyRequests, res.StatusCode == http.StatusRequestTimeout:
 		// The caller would take these statuses to mean that the request did not run,
 		// which the upstream has not confirmed.
 		resp.discard()
-		return unknown
+		return resultUnknown
 	case x.headerWritten && res.StatusCode != http.StatusOK:
 		x.drain(resp)
-		return cut
+		return resultTruncated
 	case res.StatusCode >= http.StatusInternalServerError && x.mayRetryFailed():
 		x.drain(resp)
 		return resultFailed
@@ -50,11 +50,11 @@
 
 // handleMisdirected handles a 421 response: either another instance now listens at the
 // address, or the upstream does not hold the adapter.
-func (x *exchange) handleMisdirected(a assignment, head wardturn.AnswerHead) {
+func (x *exchange) handleMisdirected(a assignment, head wardturn.ResponseHead) {
 	if got := head.Instance; got != "" && got != a.Member.ID.Instance() {
 		x.g.logger.Info("another upstream at the address", "upstream", a.Member.ID, "found", got, "addr", a.Member.Addr)
-		x.g.misplaced(a.Member.ID)
-		x.g.crashes.ended(a.Member.ID)
+		x.g.recordMisdirected(a.Member.ID)
+		x.g.crashes.disappeared(a.Member.ID)
 		return
 	}
 	x.g.recordNotHeld(a.Member.ID, x.key)
@@ -81,9 +81,9 @@
 	if err != nil || len(body) > maxBufferedResponse {
 		resp.discard()
 		if x.r.Context().Err() != nil {
-			return left
+			return resultCallerGone
 		}
-		return unknown
+		return resultUnknown
 	}
 	resp.release()
 	x.recordBytes()
@@ -94,7 +94,7 @@
 	if res.StatusCode >= http.StatusInternalServerError {
 		return resultErrorForwarded
 	}
-	return passed
+	return resultForwarded
 }
 
 // copyHeader copies the headers of a response for the caller, without the hop-by-hop ones.
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// Retune applies the retry and adapter load limits of new settings. Other settings take
+// ApplySettings applies the retry and adapter load limits of new settings. Other settings take
 // effect at the next start.
-func (g *Gateway) Retune(c Config) {
+func (g *Gateway) ApplySettings(c Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cfg.RetryShare = c.RetryShare
@@ -72,7 +72,7 @@
 	if ok {
 		g.metrics.resends.Inc(1)
 	} else {
-		g.metrics.denied.Inc(1)
+		g.metrics.resendsDenied.Inc(1)
 	}
 	return ok
 }
--- a/gateway/caps.go
+++ b/gateway/caps.go
@@ -152,7 +152,7 @@
 // rejectOverCap rejects a request that exceeds its team's cap. Left is the remainder of the
 // cap, in seconds of its rate.
 func (x *exchange) rejectOverCap(retryAfter time.Duration, left float64) {
-	x.comeBack(retryAfter)
+	x.setRetryAfter(retryAfter)
 	x.g.metrics.finished(x, "beyond_cap")
 	x.g.metrics.beyondCap(x.team.ID)
 	x.g.logger.Info("beyond the cap", "id", x.attempt, "team", x.team.ID, "units", x.units, "left_s", strconv.FormatFloat(left, 'f', 3, 64), "retry_after", retryAfter)
--- a/gateway/caps_test.go
+++ b/gateway/caps_test.go
@@ -21,35 +21,35 @@
 var _ = Describe("Usage caps of teams", func() {
 	var x *rig
 	try := func(front, key, tokens string) (string, reply) {
-		h := bearer(key)
+		h := bearerHeader(key)
 		h["X-Wardturn-Token-Count"] = []string{tokens}
-		return x.with(front, "/look/a", "", h)
+		return x.sendWithHeaders(front, "/look/a", "", h)
 	}
 	BeforeEach(func() {
 		x = newRig()
 		x.store.PutConfig(configWithTeams(2, capped+","+free))
 		Eventually(func() int {
-			_, r := try(x.front, "key-a", "1,1")
+			_, r := try(x.frontURL, "key-a", "1,1")
 			return r.status
-		}, soon, often).Should(Equal(http.StatusOK))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	})
 
 	It("reject requests over the cap with 429 and the time after which they are served", func() {
 		Eventually(func() int {
-			_, r := try(x.front, "key-a", "1500,500")
+			_, r := try(x.frontURL, "key-a", "1500,500")
 			return r.status
-		}, soon, often).Should(Equal(http.StatusOK))
-		id, r := try(x.front, "key-a", "10,10")
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
+		id, r := try(x.frontURL, "key-a", "10,10")
 		Expect(r.status).To(Equal(http.StatusTooManyRequests))
 		Expect(r.body).To(Equal("quota"))
 		Expect(x.runs(id)).To(BeZero())
-		_, other := try(x.front, "key-c", "9000,9000")
+		_, other := try(x.frontURL, "key-c", "9000,9000")
 		Expect(other.status).To(Equal(http.StatusOK))
 		back, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(back).To(BeNumerically(">", 0.1))
 		time.Sleep(time.Duration((back + 0.01) * float64(time.Second)))
-		_, again := try(x.front, "key-a", "10,10")
+		_, again := try(x.frontURL, "key-a", "10,10")
 		Expect(again.status).To(Equal(http.StatusOK))
 		Expect(x.log.String()).To(ContainSubstring("beyond the cap"))
 	})
@@ -63,11 +63,11 @@
 				return r.status
 			}
 		}
-		Eventually(status(second), soon, often).Should(Equal(http.StatusOK))
+		Eventually(status(second), eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		time.Sleep(1200 * time.Millisecond) // both have received each other's messages and refilled
-		_, r := try(x.front, "key-a", "9000,0")
+		_, r := try(x.frontURL, "key-a", "9000,0")
 		Expect(r.status).To(Equal(http.StatusOK))
-		Eventually(status(second), soon, often).Should(Equal(http.StatusTooManyRequests))
+		Eventually(status(second), eventTimeout, pollInterval).Should(Equal(http.StatusTooManyRequests))
 		Consistently(status(second), 500*time.Millisecond, 50*time.Millisecond).Should(Equal(http.StatusTooManyRequests))
 	})
 
@@ -79,15 +79,15 @@
 			})
 		}
 		for range 5 {
-			_, r := try(x.front, "key-a", "700,700")
+			_, r := try(x.frontURL, "key-a", "700,700")
 			Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		}
 		for _, m := range x.apps {
 			m.SetFaults(standin.WorkerFaults{})
 		}
 		Eventually(func() int {
-			_, r := try(x.front, "key-a", "1,1")
+			_, r := try(x.frontURL, "key-a", "1,1")
 			return r.status
-		}, 500*time.Millisecond, often).Should(Equal(http.StatusOK))
+		}, 500*time.Millisecond, pollInterval).Should(Equal(http.StatusOK))
 	})
 })
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -53,7 +53,7 @@
 	x.addrs[m.worker] = ln.Addr().String()
 	x.domains[m.worker] = "d"
 	m.serve(ln)
-	x.list(m.worker, service, cfg.ID, "ready")
+	x.putEntry(m.worker, service, cfg.ID, "ready")
 	DeferCleanup(func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -91,7 +91,7 @@
 	m.id = fmt.Sprintf("%s-%d", m.worker.ID(), m.restarts)
 	m.worker.Restart(m.id)
 	m.serve(ln)
-	m.x.list(m.worker, m.service, m.id, "ready")
+	m.x.putEntry(m.worker, m.service, m.id, "ready")
 	m.x.store.DropServer(old)
 }
 
@@ -120,19 +120,19 @@
 	}
 	for _, m := range x.apps {
 		x.store.DropServer(m.ID())
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("upstream left the list: upstream=" + m.ID()))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("upstream left the list: upstream=" + m.ID()))
 	}
 	second, front, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
 	x.second = second
-	x.fronts = []string{x.front, front}
+	x.fronts = []string{x.frontURL, front}
 	for i := range x.fronts {
 		x.awaitServing(i)
 		// An engine serves once its keeper is connected; gateways also exchange messages
 		// through the keepers.
 		Eventually(func() int {
-			x.rig.front = x.fronts[i]
+			x.rig.frontURL = x.fronts[i]
 			return x.get("warm", "/ask/x", "m0").status
-		}, soon, often).Should(Equal(http.StatusOK))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	}
 	return x
 }
@@ -140,7 +140,7 @@
 // sendThrough sends a request through one of the gateways.
 func (x *crashRig) sendThrough(i int, path, body string) reply {
 	own := *x.rig
-	own.front = x.fronts[i]
+	own.frontURL = x.fronts[i]
 	return own.send("POST", fmt.Sprintf("crash-%d", attempts.Add(1)), path, "", body)
 }
 
@@ -148,7 +148,7 @@
 func (x *crashRig) awaitServing(i int) {
 	Eventually(func() string {
 		return x.sendThrough(i, "/look/", "sound").body
-	}, soon, often).Should(Equal("echo:sound"))
+	}, eventTimeout, pollInterval).Should(Equal("echo:sound"))
 }
 
 // setAllFaults sets the faults of all upstreams.
@@ -222,18 +222,18 @@
 		Eventually(func() string {
 			x.awaitServing(i)
 			return x.sendThrough(i, "/charge/", crashBody).body
-		}, soon, 50*time.Millisecond).Should(Equal(string(wardturn.ReasonCrashes)))
+		}, eventTimeout, 50*time.Millisecond).Should(Equal(string(wardturn.ReasonCrashes)))
 	}
 
 	It("is rejected by a gateway that starts after all others have stopped", func() {
 		crashUntilRejected(0)
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("crashes recorded"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("crashes recorded"))
 		x.gateway.Close()
 		x.second.Close()
 		_, front, _ := x.startGateway("third", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = []string{front}
 		x.awaitServing(0)
-		Eventually(x.log.String, rejectTimeout, often).Should(ContainSubstring("third: request is refused"))
+		Eventually(x.log.String, rejectTimeout, pollInterval).Should(ContainSubstring("third: request is refused"))
 		Expect(x.sendThrough(0, "/charge/", crashBody).body).To(Equal(string(wardturn.ReasonCrashes)))
 		Expect(x.crashes()).To(Equal(maxCrashes))
 	})
@@ -243,46 +243,46 @@
 		recorded := func() int {
 			return strings.Count(x.log.String(), "crashes recorded")
 		}
-		Eventually(recorded, soon, often).Should(Equal(2))
+		Eventually(recorded, eventTimeout, pollInterval).Should(Equal(2))
 		x.second.Close() // it would record what it has not read
 		old := x.store.Copy()
 		delete(old, "keyed.wardturn.crashes")
 		x.store.ComeBack(old)
-		Eventually(recorded, soon, often).Should(BeNumerically(">", 2))
+		Eventually(recorded, eventTimeout, pollInterval).Should(BeNumerically(">", 2))
 		x.gateway.Close()
 		_, front, _ := x.startGateway("third", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = []string{front}
 		x.awaitServing(0)
-		Eventually(x.log.String, rejectTimeout, often).Should(ContainSubstring("third: request is refused"))
+		Eventually(x.log.String, rejectTimeout, pollInterval).Should(ContainSubstring("third: request is refused"))
 		Expect(x.sendThrough(0, "/charge/", crashBody).body).To(Equal(string(wardturn.ReasonCrashes)))
 		Expect(x.crashes()).To(Equal(maxCrashes))
 	})
 
 	It("is rejected by a gateway that reaches the others only through the store", func() {
-		x.keeper = "1" // no keeper listens there
+		x.keeperPort = "1" // no keeper listens there
 		_, front, _ := x.startGateway("alone", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = append(x.fronts, front)
 		x.awaitServing(2)
 		crashUntilRejected(0)
-		Eventually(x.log.String, rejectTimeout, often).Should(ContainSubstring("alone: request is refused"))
+		Eventually(x.log.String, rejectTimeout, pollInterval).Should(ContainSubstring("alone: request is refused"))
 		Expect(x.sendThrough(2, "/charge/", crashBody).body).To(Equal(string(wardturn.ReasonCrashes)))
 		Expect(x.crashes()).To(Equal(maxCrashes))
 	})
 
 	It("is recorded for the others from its first crash by a gateway that reaches no keeper", func() {
-		x.keeper = "1"
+		x.keeperPort = "1"
 		_, front, _ := x.startGateway("alone", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = append(x.fronts, front)
 		x.awaitServing(2)
 		x.sendThrough(2, "/charge/", crashBody)
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("alone: crashes recorded: crashes=1"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("alone: crashes recorded: crashes=1"))
 		time.Sleep(1500 * time.Millisecond) // one of the others reads the record for both
 		crashUntilRejected(0)
 		Expect(x.crashes()).To(Equal(maxCrashes))
 	})
 
 	It("is recorded from its first crash even if the store was unavailable then", func() {
-		x.keeper = "1"
+		x.keeperPort = "1"
 		_, front, _ := x.startGateway("alone", platform.NewStore(x.storeAddr, x.metrics))
 		x.fronts = append(x.fronts, front)
 		x.awaitServing(2)
@@ -290,9 +290,9 @@
 			Away: true,
 		})
 		x.sendThrough(2, "/charge/", crashBody)
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("alone: crashes not recorded: crashes=1"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("alone: crashes not recorded: crashes=1"))
 		x.store.SetFaults(standin.MetaFaults{})
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("alone: crashes recorded: crashes=1"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("alone: crashes recorded: crashes=1"))
 	})
 
 	It("does not cause other requests at the same upstreams to be rejected", func() {
@@ -344,7 +344,7 @@
 	It("is aborted at an upstream that has not started it", func() {
 		for _, m := range x.engines {
 			m.SetFaults(standin.WorkerFaults{
-				HoldUp: soon,
+				HoldUp: eventTimeout,
 			})
 		}
 		held := make(chan reply, 1)
@@ -355,9 +355,9 @@
 		heldNow := func() int {
 			return x.engines[0].Held() + x.engines[1].Held()
 		}
-		Eventually(heldNow, soon, often).Should(Equal(1))
+		Eventually(heldNow, eventTimeout, pollInterval).Should(Equal(1))
 		recordCrashes("/ask/x", "held")
-		Eventually(heldNow, 2*time.Second, often).Should(BeZero())
+		Eventually(heldNow, 2*time.Second, pollInterval).Should(BeZero())
 		Expect((<-held).status).To(Equal(http.StatusBadGateway))
 		Expect(x.log.String()).To(ContainSubstring("broken_off=1"))
 	})
@@ -377,14 +377,14 @@
 
 	It("is forwarded again after its records were removed from the store", func() {
 		crashUntilRejected(0)
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("crashes recorded"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("crashes recorded"))
 		for _, m := range x.upstreams {
 			m.worker.SetFaults(standin.WorkerFaults{})
 		}
 		x.store.DropAll("keyed.wardturn.crashes")
 		Eventually(func() int {
 			return x.sendThrough(1, "/charge/", crashBody).status
-		}, soon, 50*time.Millisecond).Should(Equal(http.StatusOK))
+		}, eventTimeout, 50*time.Millisecond).Should(Equal(http.StatusOK))
 	})
 })
 
@@ -392,10 +392,10 @@
 	It("are read by one gateway on behalf of all, even while the configuration changes", func() {
 		x := newRig()
 		_, second, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
-		x.front = second
+		x.frontURL = second
 		Eventually(func() int {
 			return x.get("warm", "/ask/x", "m0").status
-		}, soon, often).Should(Equal(http.StatusOK))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		calls := func() int64 {
 			return x.metrics.Snapshot().Counters()["store_calls+purpose=crashes,result=answered"].Value()
 		}
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -104,12 +104,12 @@
 	if !c.g.tasks.Pause(crashCheckPause) || c.g.pool.listens(c.g.tasks.Context(), m.Addr) {
 		return
 	}
-	c.g.refused(m.ID)
-	c.ended(m.ID)
+	c.g.recordRefused(m.ID)
+	c.disappeared(m.ID)
 }
 
-// ended records that upstreams have disappeared without draining.
-func (c *crashes) ended(ids ...wardturn.UpstreamID) {
+// disappeared records that upstreams have disappeared without draining.
+func (c *crashes) disappeared(ids ...wardturn.UpstreamID) {
 	var fresh []wardturn.Crash
 	c.mu.Lock()
 	now := c.g.clock.Now()
@@ -193,17 +193,17 @@
 	return rejected
 }
 
-// noteContent records what the end of a send shows about the request's content. A complete
+// recordContent records what the end of a send shows about the request's content. A complete
 // response clears the content. An error response of the upstream does not, since a faulty
 // upstream returns errors whatever the request: if those cleared it, any upstream that fails
 // occasionally would let a request that crashes upstreams pass again.
-func (x *exchange) noteContent(a assignment, res result, limit error) {
+func (x *exchange) recordContent(a assignment, res result, limit error) {
 	switch res {
-	case passed:
+	case resultForwarded:
 		x.g.crashes.completed(x.content)
-	case unknown, cut, left:
+	case resultUnknown, resultTruncated, resultCallerGone:
 		if !x.send.aborted && !x.slowCaller() {
-			x.g.crashes.interrupted(a.Member, x.content, res != left && limit == nil)
+			x.g.crashes.interrupted(a.Member, x.content, res != resultCallerGone && limit == nil)
 		}
 	}
 }
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -51,9 +51,9 @@
 	g.fleet.Withdraw(t)
 }
 
-func (g *Gateway) began(id wardturn.UpstreamID, prompt wardturn.Tokens) {
+func (g *Gateway) endPrefill(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	g.mu.Lock()
-	g.fleet.Began(id, prompt)
+	g.fleet.ResponseStarted(id, prompt)
 	readings := g.fleet.PrefillReports()
 	g.mu.Unlock()
 	g.links.sendPrefillReports(readings)
@@ -66,40 +66,40 @@
 	g.fleet.PrefillMeasured(s, tokens, took)
 }
 
-// ended records the end of a send to an upstream.
-func (g *Gateway) ended(id wardturn.UpstreamID, key wardturn.ModelAdapter, body int, how decide.Ending) {
+// endSend records the end of a send to an upstream.
+func (g *Gateway) endSend(id wardturn.UpstreamID, key wardturn.ModelAdapter, body int, how decide.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.Ended(g.clock.Now(), id, key, how)
+	g.fleet.RequestEnded(g.clock.Now(), id, key, how)
 	g.fleet.Freed(id, body)
 }
 
-func (g *Gateway) misplaced(id wardturn.UpstreamID) {
+func (g *Gateway) recordMisdirected(id wardturn.UpstreamID) {
 	g.mu.Lock()
-	g.fleet.Misplaced(id)
+	g.fleet.IncarnationReplaced(id)
 	g.mu.Unlock()
 	g.markMembersStale()
 }
 
-// timed records the response time of a plain upstream, or that it was at capacity.
-func (g *Gateway) timed(id wardturn.UpstreamID, took time.Duration, full bool) {
+// recordLatency records the response time of a plain upstream, or that it was at capacity.
+func (g *Gateway) recordLatency(id wardturn.UpstreamID, took time.Duration, full bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if full {
 		g.fleet.Full(g.clock.Now(), id)
 		return
 	}
-	g.fleet.Timed(g.clock.Now(), id, took)
+	g.fleet.ResponseTimed(g.clock.Now(), id, took)
 }
 
-// takes reports whether a request that was assigned to an upstream may still be sent to it.
-func (g *Gateway) takes(u wardturn.Member) bool {
+// accepts reports whether a request that was assigned to an upstream may still be sent to it.
+func (g *Gateway) accepts(u wardturn.Member) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fleet.Takes(g.clock.Now(), u)
 }
 
-func (g *Gateway) refused(id wardturn.UpstreamID) {
+func (g *Gateway) recordRefused(id wardturn.UpstreamID) {
 	g.mu.Lock()
 	g.fleet.Refused(g.clock.Now(), id)
 	g.mu.Unlock()
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -50,8 +50,8 @@
 	BeforeEach(func() {
 		x = newRigIn("d", "e")
 		g, second, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
-		Eventually(g.Ready, soon, often).Should(BeTrue())
-		fronts = []string{x.front, second}
+		Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
+		fronts = []string{x.frontURL, second}
 	})
 	// expectEmpty sends requests to all gateways and expects that none reach the upstreams of
 	// a failure domain after the given time.
@@ -68,7 +68,7 @@
 		expectEmpty("d", after, 3*time.Second)
 		x.store.CompactConfig()
 		g, third, _ := x.startGateway("third", platform.NewStore(x.storeAddr, x.metrics))
-		Eventually(g.Ready, soon, often).Should(BeTrue())
+		Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		fronts = append(fronts, third)
 		expectEmpty("d", after, time.Second)
 	})
@@ -82,13 +82,13 @@
 
 	It("receives requests again once the evacuation is revoked", func() {
 		x.evacuate("d")
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("evacuations in force: domains=[\"d\"]"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("evacuations in force: domains=[\"d\"]"))
 		x.revokeEvacuation("d")
 		back := time.Now()
 		Eventually(func() int {
 			x.callAll(fronts, "/look/a", "", 2, 10*time.Millisecond, 50*time.Millisecond)
 			return x.domainArrivalsAfter("d", back)
-		}, soon, often).Should(BeNumerically(">", 5))
+		}, eventTimeout, pollInterval).Should(BeNumerically(">", 5))
 	})
 
 	It("has its requests rejected immediately if no other domain has upstreams", func() {
@@ -96,12 +96,12 @@
 		x.evacuate("e")
 		var refused reply
 		Eventually(func() int {
-			_, refused = x.with(x.front, "/charge/a", "", nil)
+			_, refused = x.sendWithHeaders(x.frontURL, "/charge/a", "", nil)
 			return refused.status
-		}, soon, often).Should(Equal(http.StatusServiceUnavailable))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusServiceUnavailable))
 		Expect(refused.body).To(Equal("domains_evacuated"))
 		began := time.Now()
-		id, again := x.with(x.front, "/ask/a", "m0/a1", nil)
+		id, again := x.sendWithHeaders(x.frontURL, "/ask/a", "m0/a1", nil)
 		Expect(again.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(time.Since(began)).To(BeNumerically("<", 500*time.Millisecond))
 		Expect(x.runs(id)).To(BeZero())
@@ -140,12 +140,12 @@
 {"name":"none","host":"h.example","path_prefix":"/none/","type":"idempotent","timeout_ms":1000,"slo_ms":150,"service":"app","max_attempts":2,"regions_allowed":["west"]}`
 		x.store.PutConfig(config(2, restricted))
 		g, front, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
-		Eventually(g.Ready, soon, often).Should(BeTrue())
+		Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		began := time.Now()
 		statuses := x.callAll([]string{front}, "/local/a", "", 2, 10*time.Millisecond, 500*time.Millisecond)
 		Expect(statuses[http.StatusOK]).To(BeNumerically(">", 20))
 		Expect(x.domainArrivalsAfter("d", began)).To(BeZero())
-		id, r := x.with(front, "/none/a", "", nil)
+		id, r := x.sendWithHeaders(front, "/none/a", "", nil)
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.body).To(Equal("no_upstream_in_regions"))
 		Expect(x.runs(id)).To(BeZero())
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -22,20 +22,20 @@
 	eventData = []byte("data:")
 )
 
-// misplacement is the reason why a response that resumes a stream does not continue after the
+// resumeMismatch is the reason why a response that resumes a stream does not continue after the
 // caller's last event. It is empty if the response does.
-type misplacement string
+type resumeMismatch string
 
 const (
 	// mismatchMissing: events between the caller's last one and this one are missing.
-	mismatchMissing misplacement = "missing"
+	mismatchMissing resumeMismatch = "missing"
 	// mismatchOtherRun: a repeated event differs from the one the caller has, so the
 	// response is from another run of the request.
-	mismatchOtherRun misplacement = "other_run"
+	mismatchOtherRun resumeMismatch = "other_run"
 	// mismatchNoNumber: the event has no number, so its position is unknown.
-	mismatchNoNumber misplacement = "no_number"
-	// repeated: the caller already has the event. It is dropped and the stream continues.
-	repeated misplacement = "repeated"
+	mismatchNoNumber resumeMismatch = "no_number"
+	// mismatchRepeated: the caller already has the event. It is dropped and the stream continues.
+	mismatchRepeated resumeMismatch = "repeated"
 )
 
 // events forwards a resumable stream of server-sent events event by event, so that it can
@@ -81,9 +81,9 @@
 	return true
 }
 
-// take adds received data and returns the events that may be forwarded. After a misplaced
+// feed adds received data and returns the events that may be forwarded. After a misplaced
 // event the rest of the response must be discarded.
-func (e *events) take(data []byte) ([]byte, misplacement) {
+func (e *events) feed(data []byte) ([]byte, resumeMismatch) {
 	e.part = append(e.part, data...)
 	var out []byte
 	for {
@@ -104,7 +104,7 @@
 }
 
 // overflow appends the incomplete event to out if it is too long to be buffered further.
-func (e *events) overflow(out []byte) ([]byte, misplacement) {
+func (e *events) overflow(out []byte) ([]byte, resumeMismatch) {
 	if len(e.part) < maxEventSize {
 		return out, ""
 	}
@@ -121,8 +121,8 @@
 	return out, ""
 }
 
-// rest returns the data after the last complete event, at the end of the stream.
-func (e *events) rest() ([]byte, misplacement) {
+// finish returns the data after the last complete event, at the end of the stream.
+func (e *events) finish() ([]byte, resumeMismatch) {
 	data := e.part
 	e.part = nil
 	if len(data) == 0 {
@@ -137,7 +137,7 @@
 
 // check records an event and reports whether it is to be forwarded, or why it does not
 // belong to the stream.
-func (e *events) check(event []byte) (bool, misplacement) {
+func (e *events) check(event []byte) (bool, resumeMismatch) {
 	if e.overflowed {
 		e.overflowed = false // end of an event whose first part was recorded
 		return true, ""
@@ -158,7 +158,7 @@
 
 // follows reports whether an event of a resumed response is the next one, or else why not.
 // For a duplicate that is to be dropped, it returns false without a reason.
-func (e *events) follows(event []byte, n int64, ok bool) (bool, misplacement) {
+func (e *events) follows(event []byte, n int64, ok bool) (bool, resumeMismatch) {
 	switch {
 	case !ok:
 		return false, mismatchNoNumber
--- a/gateway/events_internal_test.go
+++ b/gateway/events_internal_test.go
@@ -7,16 +7,16 @@
 )
 
 // feedAll feeds the pieces of a response to e and returns what the caller receives.
-func feedAll(e *events, pieces ...string) (string, misplacement) {
+func feedAll(e *events, pieces ...string) (string, resumeMismatch) {
 	var got strings.Builder
 	for _, p := range pieces {
-		data, why := e.take([]byte(p))
+		data, why := e.feed([]byte(p))
 		got.Write(data)
 		if why != "" {
 			return got.String(), why
 		}
 	}
-	data, why := e.rest()
+	data, why := e.finish()
 	got.Write(data)
 	return got.String(), why
 }
@@ -33,7 +33,7 @@
 		name   string
 		answer string
 		want   string
-		why    misplacement
+		why    resumeMismatch
 	}{
 		{"next", three, three, ""},
 		{"end of stream", "", "", ""},
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -97,41 +97,41 @@
 type result uint8
 
 const (
-	// passed: the complete response was forwarded.
-	passed result = iota
+	// resultForwarded: the complete response was forwarded.
+	resultForwarded result = iota
 	// resultNotRun: the upstream did not run the request.
 	resultNotRun
 	// resultNotSent: nothing was sent, because since the upstream was chosen the adapter
 	// version was retired or the upstream stopped accepting requests.
 	resultNotSent
-	// unknown: the request may have run, and the caller has no byte of a response.
-	unknown
+	// resultUnknown: the request may have run, and the caller has no byte of a response.
+	resultUnknown
 	// resultFailed: the request ran and the upstream responded with an error of its own.
 	// It may run once more; the retry budget has been charged.
 	resultFailed
-	// cut: the response ended early, after a part of it was forwarded.
-	cut
-	// left: the caller closed its connection.
-	left
+	// resultTruncated: the response ended early, after a part of it was forwarded.
+	resultTruncated
+	// resultCallerGone: the caller closed its connection.
+	resultCallerGone
 	// resultErrorForwarded: the upstream's error response was forwarded.
 	resultErrorForwarded
 )
 
 // ending returns what the result of the latest send says about its upstream: nothing if
 // the gateway aborted the send.
-func (x *exchange) ending(r result) decide.Ending {
-	if x.send.aborted || r == cut && x.slowCaller() {
-		return decide.EndedUnseen
+func (x *exchange) ending(r result) decide.Outcome {
+	if x.send.aborted || r == resultTruncated && x.slowCaller() {
+		return decide.OutcomeUnknown
 	}
 	switch r {
 	case resultFailed, resultErrorForwarded:
-		return decide.EndedInError
-	case unknown, cut:
-		return decide.EndedBroken
-	case left, resultNotSent:
-		return decide.EndedUnseen
+		return decide.OutcomeError
+	case resultUnknown, resultTruncated:
+		return decide.OutcomeBroken
+	case resultCallerGone, resultNotSent:
+		return decide.OutcomeUnknown
 	}
-	return decide.EndedWell
+	return decide.OutcomeOK
 }
 
 // ServeHTTP implements http.Handler.
@@ -141,7 +141,7 @@
 		w:       w,
 		r:       r,
 		arrived: g.clock.Now(),
-		attempt: r.Header.Get(g.names.Attempt),
+		attempt: r.Header.Get(g.names.AttemptID),
 	}
 	g.open.Add(1)
 	defer g.open.Add(-1)
@@ -150,7 +150,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	defer func() {
-		g.held.release(x.reservedBody)
+		g.bodyLimiter.release(x.reservedBody)
 	}()
 	if !x.resolve() || !x.readBody() {
 		return
@@ -187,25 +187,25 @@
 		outcome := x.trySend(ctx, a)
 		x.endPrefill(a)
 		x.logOldVersion(a)
-		x.noteContent(a, outcome, ctx.Err())
-		x.g.ended(a.Member.ID, x.key, len(x.body), x.ending(outcome))
+		x.recordContent(a, outcome, ctx.Err())
+		x.g.endSend(a.Member.ID, x.key, len(x.body), x.ending(outcome))
 		if outcome == resultNotSent {
 			continue
 		}
 		x.mayHaveRun = x.mayHaveRun || outcome != resultNotRun
 		x.tried = append(x.tried, a.Member.ID)
 		switch outcome {
-		case passed:
+		case resultForwarded:
 			x.logLate(a)
 			x.g.metrics.finished(x, "done")
 			return
 		case resultErrorForwarded:
 			x.g.metrics.finished(x, "upstream_error")
 			return
-		case left:
+		case resultCallerGone:
 			x.g.metrics.finished(x, "caller_left")
 			return
-		case cut:
+		case resultTruncated:
 			x.possibleRuns++
 			if x.mayResume() {
 				continue
@@ -216,7 +216,7 @@
 		case resultFailed:
 			x.possibleRuns++
 			continue
-		case unknown:
+		case resultUnknown:
 			x.possibleRuns++
 			if !x.mayRunAgain() {
 				x.failUnknown(ctx)
@@ -245,7 +245,7 @@
 func (x *exchange) endPrefill(a assignment) {
 	if x.prefilling == a.Member.ID {
 		x.prefilling = ""
-		x.g.began(a.Member.ID, x.prompt)
+		x.g.endPrefill(a.Member.ID, x.prompt)
 	}
 }
 
@@ -348,7 +348,7 @@
 	}
 	rejected := resp.head.NotExecuted && resp.res.StatusCode != http.StatusMisdirectedRequest
 	if !x.engine || rejected {
-		x.g.timed(a.Member.ID, x.g.clock.Now().Sub(now), rejected)
+		x.g.recordLatency(a.Member.ID, x.g.clock.Now().Sub(now), rejected)
 	}
 	return x.handleResponse(a, resp)
 }
@@ -356,18 +356,18 @@
 // sendFailed classifies and logs an error of a send.
 func (x *exchange) sendFailed(a assignment, err error) result {
 	if x.r.Context().Err() != nil {
-		return left
+		return resultCallerGone
 	}
 	if x.headerWritten && !errors.Is(err, errNotSent) {
-		return cut
+		return resultTruncated
 	}
 	x.g.logger.Info("send failed", "id", x.attempt, "upstream", a.Member.ID, "addr", a.Member.Addr, "content", x.content, "sent_ago", x.g.clock.Now().Sub(x.send.sent), "error", err)
 	if errors.Is(err, errRefused) {
-		x.g.refused(a.Member.ID)
-		x.g.crashes.ended(a.Member.ID)
+		x.g.recordRefused(a.Member.ID)
+		x.g.crashes.disappeared(a.Member.ID)
 	}
 	if errors.Is(err, errNotSent) {
 		return resultNotRun
 	}
-	return unknown
+	return resultUnknown
 }
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -189,7 +189,7 @@
 	g.partialMembers = nil
 	lost := g.fleet.SetMembers(g.clock.Now(), view.members)
 	g.mu.Unlock()
-	g.crashes.ended(lost...)
+	g.crashes.disappeared(lost...)
 	g.links.update()
 	if len(view.members) > 0 && !g.hadUpstreams.Swap(true) {
 		g.crashes.readIfStale(g.reads.readsForAll())
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -47,18 +47,18 @@
 
 // Config holds the settings of a gateway.
 type Config struct {
-	Process     wardturn.Incarnation
-	Host        string // host name
-	Domain      wardturn.FailureDomain
-	KeeperPort  string        // port of the keeper beside each engine
-	Drain       time.Duration // after which a draining upstream must receive no new requests
-	ExpiryGrace time.Duration // how long to retain entries that expired while the store was unavailable
-	MaxBody     int           // limit of a request body in bytes unless the configuration sets one
-	MaxHeld     int64         // limit of buffered request bodies in bytes, over all requests; zero means none
-	RetryShare  float64       // retries allowed over all gateways, as a fraction of a service's requests
-	RetryExtra  float64       // additional retries allowed per RetryWindow
-	RetryWindow time.Duration
-	LeaveAfter  time.Duration // how long a gateway that shuts down still accepts requests
+	Process       wardturn.Incarnation
+	Host          string // host name
+	Domain        wardturn.FailureDomain
+	KeeperPort    string        // port of the keeper beside each engine
+	Drain         time.Duration // after which a draining upstream must receive no new requests
+	ExpiryGrace   time.Duration // how long to retain entries that expired while the store was unavailable
+	MaxBody       int           // limit of a request body in bytes unless the configuration sets one
+	MaxHeld       int64         // limit of buffered request bodies in bytes, over all requests; zero means none
+	RetryShare    float64       // retries allowed over all gateways, as a fraction of a service's requests
+	RetryExtra    float64       // additional retries allowed per RetryWindow
+	RetryWindow   time.Duration
+	ShutdownDelay time.Duration // how long a gateway that shuts down still accepts requests
 	// KeyBound limits how long after an API key was revoked in the store requests with
 	// that key may still be sent, on any host. Zero means no limit.
 	KeyBound time.Duration
@@ -71,33 +71,33 @@
 
 // Deps holds the dependencies of a gateway.
 type Deps struct {
-	Config  Config
-	Clock   wardturn.Clock
-	Logger  hclog.Logger
-	Metrics *Metrics
-	Names   wardturn.HeaderNames
-	Heads   wardturn.AnswerReader
-	Source  wardturn.ConfigSource
-	Members wardturn.MemberSource
-	Memory  wardturn.FleetFactStore
-	Crashes wardturn.CrashStore
-	Front   net.Listener // for callers
-	Ready   net.Listener // for the load balancer's readiness probe; may be nil
+	Config         Config
+	Clock          wardturn.Clock
+	Logger         hclog.Logger
+	Metrics        *Metrics
+	Names          wardturn.HeaderNames
+	ResponseReader wardturn.ResponseReader
+	Source         wardturn.ConfigSource
+	Members        wardturn.MemberSource
+	Memory         wardturn.FleetFactStore
+	Crashes        wardturn.CrashStore
+	Listener       net.Listener // for callers
+	ReadyListener  net.Listener // for the load balancer's readiness probe; may be nil
 	// ReadyPath is the path of the readiness probe.
 	ReadyPath string
 }
 
 // Gateway serves callers on one entry host.
 type Gateway struct {
-	cfg       Config
-	clock     wardturn.Clock
-	logger    hclog.Logger
-	metrics   *Metrics
-	prompts   *prompts
-	names     wardturn.HeaderNames
-	heads     wardturn.AnswerReader
-	source    wardturn.ConfigSource
-	factStore wardturn.FleetFactStore
+	cfg            Config
+	clock          wardturn.Clock
+	logger         hclog.Logger
+	metrics        *Metrics
+	promptCounts   *promptCounts
+	names          wardturn.HeaderNames
+	responseReader wardturn.ResponseReader
+	source         wardturn.ConfigSource
+	factStore      wardturn.FleetFactStore
 	// savedFacts is the latest state saved to memory; used by a single goroutine.
 	savedFacts        wardturn.FleetFacts
 	storeRestored     atomic.Bool // the store was restored from an older copy and may have lost saved state
@@ -105,7 +105,7 @@
 	reads             *readCoordinator
 	caps              *caps
 	limits            *limits
-	unread            unreadHeaders
+	unknownHeaders    unknownHeaders
 	backoffsRequested atomic.Bool // an upstream has asked to be sent no requests for a while
 	crashes           *crashes
 	routes            atomic.Pointer[routes]
@@ -116,7 +116,7 @@
 	ready             *http.Server
 	front             net.Listener
 	open              atomic.Int64
-	held              heldBytes
+	bodyLimiter       byteLimiter
 	leaving           atomic.Bool
 	membersRead       atomic.Bool // the list of upstreams has been read
 	hadUpstreams      atomic.Bool // the list has contained an upstream
@@ -135,22 +135,22 @@
 // second without one.
 func New(d Deps) *Gateway {
 	g := &Gateway{
-		cfg:          d.Config,
-		clock:        d.Clock,
-		logger:       d.Logger,
-		metrics:      d.Metrics,
-		prompts:      newPrompts(),
-		names:        d.Names,
-		heads:        d.Heads,
-		source:       d.Source,
-		factStore:    d.Memory,
-		pool:         newPool(d.Clock),
-		front:        d.Front,
-		pendingSends: newPendingSends(),
-		tasks:        process.NewTasks(d.Clock),
-		budgets:      make(map[wardturn.ServiceName]*decide.RetryBudget),
+		cfg:            d.Config,
+		clock:          d.Clock,
+		logger:         d.Logger,
+		metrics:        d.Metrics,
+		promptCounts:   newPromptCounts(),
+		names:          d.Names,
+		responseReader: d.ResponseReader,
+		source:         d.Source,
+		factStore:      d.Memory,
+		pool:           newPool(d.Clock),
+		front:          d.Listener,
+		pendingSends:   newPendingSends(),
+		tasks:          process.NewTasks(d.Clock),
+		budgets:        make(map[wardturn.ServiceName]*decide.RetryBudget),
 	}
-	g.held.most = d.Config.MaxHeld
+	g.bodyLimiter.limit = d.Config.MaxHeld
 	g.membership = newMembership(d.Members, d.Clock, d.Logger, d.Config.ExpiryGrace)
 	g.reads = newReadCoordinator(g)
 	g.caps = newCaps(g)
@@ -166,8 +166,8 @@
 		MaxHeaderBytes:    defaultMaxHeaderBytes,
 		ErrorLog:          d.Logger.StandardLogger(&hclog.StandardLoggerOptions{}),
 	}
-	if d.Ready != nil {
-		g.serveReadiness(d.Ready, d.ReadyPath)
+	if d.ReadyListener != nil {
+		g.serveReadiness(d.ReadyListener, d.ReadyPath)
 	}
 	g.tasks.Go(g.followConfig)
 	g.tasks.Go(g.followMembers)
@@ -193,8 +193,8 @@
 	g.tasks.Every(limitInterval, g.limits.announce)
 	g.tasks.Every(startedQueryInterval, g.queryStarted)
 	g.tasks.Every(sweepInterval, g.sweep)
-	g.tasks.Every(promptsEvery, g.logPrompts)
-	g.logger.Info("gateway started", "front", d.Front.Addr(), "process", d.Config.Process, "domain", d.Config.Domain)
+	g.tasks.Every(promptLogInterval, g.logPromptCounts)
+	g.logger.Info("gateway started", "front", d.Listener.Addr(), "process", d.Config.Process, "domain", d.Config.Domain)
 	return g
 }
 
@@ -248,17 +248,17 @@
 	})
 }
 
-// Leave shuts the gateway down gracefully. It fails the readiness probe and keeps
-// accepting requests for Config.LeaveAfter, so that the load balancer stops sending them.
+// Shutdown shuts the gateway down gracefully. It fails the readiness probe and keeps
+// accepting requests for Config.ShutdownDelay, so that the load balancer stops sending them.
 // It then closes the listener and returns when all requests have completed or ctx is done.
-func (g *Gateway) Leave(ctx context.Context) {
+func (g *Gateway) Shutdown(ctx context.Context) {
 	g.leaving.Store(true)
 	g.logger.Info("leaving", "requests", g.open.Load())
-	wardturn.Sleep(ctx, g.clock, g.cfg.LeaveAfter)
+	wardturn.Sleep(ctx, g.clock, g.cfg.ShutdownDelay)
 	if err := g.server.Shutdown(ctx); err != nil {
 		g.logger.Warn("graceful shutdown timed out with open requests", "requests", g.open.Load(), "error", err)
 	}
-	g.logPrompts()
+	g.logPromptCounts()
 	g.logger.Info("left", "requests", g.open.Load())
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -191,14 +191,14 @@
 	})
 
 	It("sends nothing to a draining worker", func() {
-		x.list(x.apps[0], "app", "a0", "draining")
+		x.putEntry(x.apps[0], "app", "a0", "draining")
 		Eventually(func() int {
 			before := x.apps[0].Total()
 			for range 4 {
 				x.get("drain", "/charge/", "")
 			}
 			return x.apps[0].Total() - before
-		}, soon, often).Should(BeZero())
+		}, eventTimeout, pollInterval).Should(BeZero())
 	})
 
 	It("sends nothing to another worker at a reused address", func() {
@@ -214,7 +214,7 @@
 		x.store.PutConfig(config(2, newRoute))
 		Eventually(func() int {
 			return x.get("new", "/new/", "").status
-		}, soon, often).Should(Equal(http.StatusOK))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
@@ -232,7 +232,7 @@
 		x.store.PutConfig(config(3, newRoute))
 		Eventually(func() int {
 			return x.get("new", "/new/", "").status
-		}, 3*time.Second, often).Should(Equal(http.StatusOK))
+		}, 3*time.Second, pollInterval).Should(Equal(http.StatusOK))
 	})
 
 	It("keeps the last valid configuration when a new one cannot be parsed", func() {
@@ -247,7 +247,7 @@
 		x.store.PutConfig(config(4, `,{"name":"late","host":"h.example","path_prefix":"/late/","type":"mutating","timeout_ms":1000,"slo_ms":150,"service":"app","max_attempts":1}`))
 		Eventually(func() int {
 			return x.get("late", "/late/", "").status
-		}, soon, often).Should(Equal(http.StatusOK))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	})
 
 	It("keeps upstreams whose entries expired while the store was unavailable for a grace period", func() {
@@ -262,7 +262,7 @@
 		Expect(x.get("lapsed", "/charge/", "").status).To(Equal(http.StatusOK))
 		Eventually(func() int {
 			return x.get("lapsed", "/charge/", "").status
-		}, soon, often).Should(Equal(http.StatusServiceUnavailable))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusServiceUnavailable))
 	})
 
 	It("serves a new version of an adapter once it is published", func() {
@@ -280,28 +280,28 @@
 		for i, e := range x.engines {
 			e.Restart(fmt.Sprintf("e%d-again", i))
 			x.store.DropServer(fmt.Sprintf("e%d", i))
-			x.list(e, "llm", fmt.Sprintf("e%d-again", i), "ready")
+			x.putEntry(e, "llm", fmt.Sprintf("e%d-again", i), "ready")
 		}
 		Eventually(func() int {
 			return x.get("r", "/ask/x", "m0/a5").status
-		}, soon, often).Should(Equal(http.StatusOK))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	})
 
 	It("uses an engine that restarted under the same id, and treats it as empty", func() {
 		for i, e := range x.engines {
 			e.StartAgain(int64(1000 + i))
-			x.list(e, "llm", fmt.Sprintf("e%d", i), "ready")
+			x.putEntry(e, "llm", fmt.Sprintf("e%d", i), "ready")
 		}
 		Eventually(func() int {
 			return x.get("b", "/ask/x", "m0/a5").status
-		}, soon, often).Should(Equal(http.StatusOK))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		for i, e := range x.engines {
 			e.StartAgain(int64(2000 + i))
-			x.list(e, "llm", fmt.Sprintf("e%d", i), "ready")
+			x.putEntry(e, "llm", fmt.Sprintf("e%d", i), "ready")
 		}
 		Eventually(func() bool {
 			return strings.Count(x.log.String(), "upstream listed: upstream=e0~2000")+strings.Count(x.log.String(), "upstream listed: upstream=e1~2001") == 2
-		}, soon, often).Should(BeTrue())
+		}, eventTimeout, pollInterval).Should(BeTrue())
 		r := x.get("b", "/ask/x", "m0/a5") // waits for the adapter, which no engine holds since the restart
 		Expect(r.status).To(Equal(http.StatusOK))
 	})
@@ -309,7 +309,7 @@
 	It("starts with the window of adapter loads that earlier gateways had learned", func() {
 		x.store.Put("keyed.wardturn", "loads", []byte(`{"window":77}`))
 		x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("window of loads recalled: window=77"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("window of loads recalled: window=77"))
 		Eventually(func() bool {
 			for _, g := range x.metrics.Snapshot().Gauges() {
 				if g.Name() == "load_window" && g.Value() == 77 {
@@ -317,7 +317,7 @@
 				}
 			}
 			return false
-		}, soon, often).Should(BeTrue())
+		}, eventTimeout, pollInterval).Should(BeTrue())
 	})
 
 	It("completes the open requests before it leaves, and is not ready meanwhile", func() {
@@ -327,9 +327,9 @@
 			done <- x.get("last", "/ask/x", "m0/a9")
 		}()
 		time.Sleep(8 * time.Millisecond)
-		limit, cancel := context.WithTimeout(context.Background(), soon)
+		limit, cancel := context.WithTimeout(context.Background(), eventTimeout)
 		defer cancel()
-		x.gateway.Leave(limit)
+		x.gateway.Shutdown(limit)
 		Expect(x.gateway.Ready()).To(BeFalse())
 		r := <-done
 		Expect(r.err).NotTo(HaveOccurred())
@@ -337,7 +337,7 @@
 	})
 
 	It("responds to readiness checks of the load balancer", func() {
-		res, err := x.client.Get(x.ready)
+		res, err := x.client.Get(x.readyURL)
 		Expect(err).NotTo(HaveOccurred())
 		res.Body.Close()
 		Expect(res.StatusCode).To(Equal(http.StatusOK))
--- a/gateway/gone_test.go
+++ b/gateway/gone_test.go
@@ -30,7 +30,7 @@
 	// response. The returned function closes the caller's connection.
 	call := func(path, model string, read int) context.CancelFunc {
 		ctx, disconnect := context.WithCancel(context.Background())
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, x.front+path, strings.NewReader("prompt"))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, x.frontURL+path, strings.NewReader("prompt"))
 		Expect(err).NotTo(HaveOccurred())
 		req.Host = "h.example"
 		req.Header.Set("X-Wardturn-Attempt-Id", "leaves")
@@ -54,7 +54,7 @@
 			_, _ = io.Copy(io.Discard, res.Body)
 		}()
 		if read > 0 {
-			Eventually(begun, soon).Should(BeClosed())
+			Eventually(begun, eventTimeout).Should(BeClosed())
 		}
 		DeferCleanup(disconnect)
 		return disconnect
@@ -71,27 +71,27 @@
 	for _, path := range []string{"/ask/x", "/resume/x", "/look/"} {
 		It("is canceled at its upstream before the first byte, on "+path, func() {
 			faults(standin.WorkerFaults{
-				Think: soon,
+				Think: eventTimeout,
 			})
 			model := "m0"
 			if path == "/look/" {
 				model = ""
 			}
 			disconnect := call(path, model, 0)
-			Eventually(active, soon, often).Should(Equal(1))
+			Eventually(active, eventTimeout, pollInterval).Should(Equal(1))
 			disconnect()
-			Eventually(active, stopTimeout, often).Should(BeZero())
+			Eventually(active, stopTimeout, pollInterval).Should(BeZero())
 		})
 	}
 
 	It("is canceled at its engine in the middle of a stream", func() {
 		faults(standin.WorkerFaults{
-			Linger: soon,
+			Linger: eventTimeout,
 		})
 		disconnect := call("/ask/x", "m0", 5)
 		Expect(active()).To(Equal(1))
 		disconnect()
-		Eventually(active, stopTimeout, often).Should(BeZero())
+		Eventually(active, stopTimeout, pollInterval).Should(BeZero())
 	})
 
 	It("reaches no engine if its adapter is loaded later", func() {
@@ -105,6 +105,6 @@
 		faults(standin.WorkerFaults{})
 		Consistently(func() int {
 			return x.runs("leaves")
-		}, stopTimeout, often).Should(BeZero())
+		}, stopTimeout, pollInterval).Should(BeZero())
 	})
 })
--- a/gateway/headers_test.go
+++ b/gateway/headers_test.go
@@ -19,7 +19,7 @@
 
 	// raw sends a request whose header lines are written verbatim.
 	raw := func(id, path string, lines ...string) int {
-		c, err := net.Dial("tcp", strings.TrimPrefix(x.front, "http://"))
+		c, err := net.Dial("tcp", strings.TrimPrefix(x.frontURL, "http://"))
 		Expect(err).NotTo(HaveOccurred())
 		defer c.Close()
 		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h.example\r\nX-Wardturn-Attempt-Id: %s\r\nContent-Length: 4\r\n%s\r\n\r\nbody", path, id, strings.Join(lines, "\r\n"))
--- a/gateway/held.go
+++ b/gateway/held.go
@@ -5,16 +5,16 @@
 	"sync/atomic"
 )
 
-// heldBytes limits the bytes of request bodies that the process buffers. Without the
+// byteLimiter limits the bytes of request bodies that the process buffers. Without the
 // limit, many callers that send long bodies slowly could exhaust the memory of the host.
-type heldBytes struct {
-	most     int64 // zero: no limit
+type byteLimiter struct {
+	limit    int64 // zero: no limit
 	reserved atomic.Int64
 }
 
 // reserve reserves bytes and reports whether they fit in the limit.
-func (l *heldBytes) reserve(n int64) bool {
-	if reserved := l.reserved.Add(n); l.most == 0 || reserved <= l.most {
+func (l *byteLimiter) reserve(n int64) bool {
+	if reserved := l.reserved.Add(n); l.limit == 0 || reserved <= l.limit {
 		return true
 	}
 	l.reserved.Add(-n)
@@ -22,7 +22,7 @@
 }
 
 // release releases reserved bytes.
-func (l *heldBytes) release(n int64) {
+func (l *byteLimiter) release(n int64) {
 	l.reserved.Add(-n)
 }
 
@@ -32,7 +32,7 @@
 // reservingReader reads a body of unknown length and reserves bytes for it as it grows.
 type reservingReader struct {
 	r         io.Reader
-	limiter   *heldBytes
+	limiter   *byteLimiter
 	reserved  int64 // bytes reserved for this body
 	read      int64
 	exhausted bool // the limit was reached
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -14,7 +14,7 @@
 // openSlowBodies opens n connections that announce a body of the given size and send a
 // part of it. It returns a function that closes them.
 func (x *rig) openSlowBodies(n, size int, chunked bool) (end func()) {
-	front, err := url.Parse(x.front)
+	front, err := url.Parse(x.frontURL)
 	Expect(err).NotTo(HaveOccurred())
 	var conns []net.Conn
 	for i := range n {
@@ -46,7 +46,7 @@
 			body := strings.Repeat("y", 60<<10)
 			Eventually(func() string {
 				return x.send("POST", fmt.Sprintf("big-%d", attempts.Add(1)), "/look/a", "", body).body
-			}, soon, often).Should(Equal("queue_full"))
+			}, eventTimeout, pollInterval).Should(Equal("queue_full"))
 			id := fmt.Sprintf("big-%d", attempts.Add(1))
 			r := x.send("POST", id, "/look/a", "", body)
 			Expect(r.status).To(Equal(http.StatusServiceUnavailable))
@@ -55,7 +55,7 @@
 			end()
 			Eventually(func() int {
 				return x.send("POST", fmt.Sprintf("big-%d", attempts.Add(1)), "/look/a", "", body).status
-			}, soon, often).Should(Equal(http.StatusOK))
+			}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		})
 	}
 })
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -25,8 +25,8 @@
 	robots = `{"name":"robots","api_keys":["key-c"],"priority":7}`
 )
 
-// with sends a request with the given headers, without canonicalizing their names.
-func (x *rig) with(front, path, model string, headers http.Header) (id string, r reply) {
+// sendWithHeaders sends a request with the given headers, without canonicalizing their names.
+func (x *rig) sendWithHeaders(front, path, model string, headers http.Header) (id string, r reply) {
 	id = fmt.Sprintf("keyed-%d", attempts.Add(1))
 	req, err := http.NewRequest("POST", front+path, strings.NewReader("prompt"))
 	Expect(err).NotTo(HaveOccurred())
@@ -51,7 +51,7 @@
 	}
 }
 
-func bearer(keys ...string) http.Header {
+func bearerHeader(keys ...string) http.Header {
 	h := http.Header{}
 	for _, k := range keys {
 		h["Authorization"] = append(h["Authorization"], "Bearer "+k)
@@ -62,7 +62,7 @@
 var _ = Describe("Keys of teams", func() {
 	var x *rig
 	status := func(path string, h http.Header) int {
-		_, r := x.with(x.front, path, "", h)
+		_, r := x.sendWithHeaders(x.frontURL, path, "", h)
 		return r.status
 	}
 	BeforeEach(func() {
@@ -70,22 +70,22 @@
 		x.store.PutConfig(configWithTeams(2, clerks+","+robots))
 		Eventually(func() int {
 			return status("/look/a", nil)
-		}, soon, often).Should(Equal(http.StatusUnauthorized))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusUnauthorized))
 	})
 
 	It("are required: a request without a valid one is refused and not forwarded", func() {
 		for _, h := range []http.Header{
 			nil,
-			bearer("key-x"),
-			bearer("key"),
-			bearer("key-a " + "key-b"),
-			bearer("key-a", "key-a"),
+			bearerHeader("key-x"),
+			bearerHeader("key"),
+			bearerHeader("key-a " + "key-b"),
+			bearerHeader("key-a", "key-a"),
 			{"Authorization": {"Basic key-a"}},
 			{"Authorization": {"Bearer"}},
 			{"Authorization": {"key-a"}},
 			{"X-Wardturn-Tenant": {"clerks"}},
 		} {
-			id, r := x.with(x.front, "/look/a", "", h)
+			id, r := x.sendWithHeaders(x.frontURL, "/look/a", "", h)
 			Expect(r.status).To(Equal(http.StatusUnauthorized), "%v", h)
 			Expect(r.header.Get("WWW-Authenticate")).To(Equal("Bearer"))
 			Expect(x.runs(id)).To(BeZero())
@@ -93,12 +93,12 @@
 	})
 
 	It("determine the team and priority headers, whatever the caller sends, and are not forwarded", func() {
-		h := bearer("key-c")
+		h := bearerHeader("key-c")
 		h["authorization"] = nil
 		h["X-Wardturn-Tenant"] = []string{"clerks", "other"}
 		h["x-wardturn-tenant"] = []string{"clerks"}
 		h["Priority"] = []string{"0"}
-		id, r := x.with(x.front, "/ask/a", "m0", h)
+		id, r := x.sendWithHeaders(x.frontURL, "/ask/a", "m0", h)
 		Expect(r.status).To(Equal(http.StatusOK))
 		got := x.headersOf(id)
 		Expect(got.Values("X-Wardturn-Tenant")).To(Equal([]string{"robots"}))
@@ -108,16 +108,16 @@
 	})
 
 	It("are not forwarded on a public route, and set no team there", func() {
-		h := bearer("key-a")
+		h := bearerHeader("key-a")
 		h["X-Wardturn-Tenant"] = []string{"clerks"}
-		id, r := x.with(x.front, "/open/a", "", h)
+		id, r := x.sendWithHeaders(x.frontURL, "/open/a", "", h)
 		Expect(r.status).To(Equal(http.StatusOK))
 		Expect(x.headersOf(id).Values("Authorization")).To(BeEmpty())
 		Expect(x.headersOf(id).Values("X-Wardturn-Tenant")).To(BeEmpty())
 	})
 
 	It("order requests by the team's priority before the route's", func() {
-		first, _ := x.with(x.front, "/ask/a", "m0", bearer("key-b"))
+		first, _ := x.sendWithHeaders(x.frontURL, "/ask/a", "m0", bearerHeader("key-b"))
 		Expect(x.headersOf(first).Get("Priority")).To(Equal("3")) // team priority 1 with two route levels, plus route priority 1
 	})
 
@@ -127,7 +127,7 @@
 				CutFresh: 2,
 			})
 		}
-		id, r := x.with(x.front, "/resume/a", "m0", bearer("key-b"))
+		id, r := x.sendWithHeaders(x.frontURL, "/resume/a", "m0", bearerHeader("key-b"))
 		Expect(r.status).To(Equal(http.StatusOK))
 		Expect(x.runs(id)).To(Equal(2))
 		for _, m := range x.engines {
@@ -137,23 +137,23 @@
 	})
 
 	It("are valid once added, and no longer once revoked", func() {
-		Expect(status("/look/a", bearer("key-a"))).To(Equal(http.StatusOK))
+		Expect(status("/look/a", bearerHeader("key-a"))).To(Equal(http.StatusOK))
 		x.store.PutConfig(configWithTeams(3, `{"name":"clerks","api_keys":["key-b","key-n"]}`))
 		Eventually(func() int {
-			return status("/look/a", bearer("key-n"))
-		}, soon, often).Should(Equal(http.StatusOK))
-		Expect(status("/look/a", bearer("key-a"))).To(Equal(http.StatusUnauthorized))
-		Expect(status("/look/a", bearer("key-c"))).To(Equal(http.StatusUnauthorized))
+			return status("/look/a", bearerHeader("key-n"))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
+		Expect(status("/look/a", bearerHeader("key-a"))).To(Equal(http.StatusUnauthorized))
+		Expect(status("/look/a", bearerHeader("key-c"))).To(Equal(http.StatusUnauthorized))
 	})
 
 	It("stay valid if other fields of their team's record are malformed", func() {
 		x.store.PutConfig(configWithTeams(3, `{"name":"clerks","api_keys":["key-n",7,"key-b"],"rate_per_s":"many"},{"api_keys":["key-z"]},`+robots))
 		Eventually(func() int {
-			return status("/look/a", bearer("key-n"))
-		}, soon, often).Should(Equal(http.StatusOK))
-		Expect(status("/look/a", bearer("key-b"))).To(Equal(http.StatusOK))
-		Expect(status("/look/a", bearer("key-c"))).To(Equal(http.StatusOK))
-		Expect(status("/look/a", bearer("key-z"))).To(Equal(http.StatusUnauthorized))
+			return status("/look/a", bearerHeader("key-n"))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
+		Expect(status("/look/a", bearerHeader("key-b"))).To(Equal(http.StatusOK))
+		Expect(status("/look/a", bearerHeader("key-c"))).To(Equal(http.StatusOK))
+		Expect(status("/look/a", bearerHeader("key-z"))).To(Equal(http.StatusUnauthorized))
 		Expect(x.log.String()).To(ContainSubstring("field of a team passed over"))
 		Expect(x.log.String()).NotTo(ContainSubstring("key-n"))
 	})
@@ -165,12 +165,12 @@
 		x.store.PutConfig(configWithTeams(2, clerks))
 		x.keyBound = 2 * time.Second
 		g, front, _ := x.startGateway("late", platform.NewStore(x.storeAddr, x.metrics))
-		Eventually(g.Ready, soon, often).Should(BeTrue())
+		Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		status := func() int {
-			_, r := x.with(front, "/look/a", "", bearer("key-a"))
+			_, r := x.sendWithHeaders(front, "/look/a", "", bearerHeader("key-a"))
 			return r.status
 		}
-		Eventually(status, soon, often).Should(Equal(http.StatusOK))
+		Eventually(status, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
@@ -182,13 +182,13 @@
 				lastServed = time.Now()
 			}
 			return s
-		}, soon, often).Should(Equal(http.StatusServiceUnavailable))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusServiceUnavailable))
 		Expect(lastServed.Sub(unavailableSince)).To(BeNumerically("<", x.keyBound))
-		id, r := x.with(front, "/look/a", "", bearer("key-x"))
+		id, r := x.sendWithHeaders(front, "/look/a", "", bearerHeader("key-x"))
 		Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(r.header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(x.runs(id)).To(BeZero())
 		x.store.SetFaults(standin.MetaFaults{})
-		Eventually(status, soon, often).Should(Equal(http.StatusOK))
+		Eventually(status, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	})
 })
--- a/gateway/lapse_test.go
+++ b/gateway/lapse_test.go
@@ -14,17 +14,17 @@
 // would receive requests beyond the drain time.
 var _ = Describe("Entries that expired while the store was unavailable", func() {
 	It("are removed at the end of the grace period, without a read of the list", func() {
-		x := newRigDraining(6*time.Second, "d", "d") // the list is read every 3 s
+		x := newRigWithDrain(6*time.Second, "d", "d") // the list is read every 3 s
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("store unavailable, keeping the current list"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("store unavailable, keeping the current list"))
 		x.store.DropServer("a0")
 		x.store.DropServer("a1")
 		x.store.SetFaults(standin.MetaFaults{})
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("upstream left the list: upstream=a0"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("upstream left the list: upstream=a0"))
 		Expect(x.get("lapsed", "/charge/", "").status).To(Equal(http.StatusOK))
-		time.Sleep(lapseGrace + 200*time.Millisecond)
+		time.Sleep(expiryGrace + 200*time.Millisecond)
 		Expect(x.get("lapsed", "/charge/", "").status).To(Equal(http.StatusServiceUnavailable))
 	})
 })
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -30,7 +30,7 @@
 	nc, err := net.Dial("tcp", strings.TrimPrefix(front, "http://"))
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(nc.Close)
-	Expect(nc.SetDeadline(time.Now().Add(2 * soon))).To(Succeed())
+	Expect(nc.SetDeadline(time.Now().Add(2 * eventTimeout))).To(Succeed())
 	return &callerConn{
 		Conn: nc,
 		br:   bufio.NewReader(nc),
@@ -59,9 +59,9 @@
 
 // closed reports whether the gateway has closed the connection.
 func (c *callerConn) closed() bool {
-	Expect(c.SetReadDeadline(time.Now().Add(often))).To(Succeed())
+	Expect(c.SetReadDeadline(time.Now().Add(pollInterval))).To(Succeed())
 	_, err := c.br.Peek(1)
-	Expect(c.SetReadDeadline(time.Now().Add(2 * soon))).To(Succeed())
+	Expect(c.SetReadDeadline(time.Now().Add(2 * eventTimeout))).To(Succeed())
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
@@ -71,33 +71,33 @@
 	BeforeEach(func() {
 		x = newRig()
 		x.leaveAfter = 1500 * time.Millisecond
-		x.gateway, x.front, x.ready = x.startGateway("leaver", platform.NewStore(x.storeAddr, tally.NoopScope))
-		Eventually(x.gateway.Ready, soon, often).Should(BeTrue())
+		x.gateway, x.frontURL, x.readyURL = x.startGateway("leaver", platform.NewStore(x.storeAddr, tally.NoopScope))
+		Eventually(x.gateway.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		Eventually(func() int {
 			return x.get("warm", "/ask/x", "m0/a1").status
-		}, soon, often).Should(Equal(http.StatusOK))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	})
 	leave := func() {
 		stopped = make(chan struct{})
 		go func() {
 			defer close(stopped)
-			limit, cancel := context.WithTimeout(context.Background(), 2*soon)
+			limit, cancel := context.WithTimeout(context.Background(), 2*eventTimeout)
 			defer cancel()
-			x.gateway.Leave(limit)
+			x.gateway.Shutdown(limit)
 		}()
-		Eventually(x.gateway.Ready, soon, often).Should(BeFalse())
+		Eventually(x.gateway.Ready, eventTimeout, pollInterval).Should(BeFalse())
 		DeferCleanup(func() {
-			Eventually(stopped, 2*soon, often).Should(BeClosed())
+			Eventually(stopped, 2*eventTimeout, pollInterval).Should(BeClosed())
 		})
 	}
 	expectNotReady := func() {
-		res, err := x.client.Get(x.ready)
+		res, err := x.client.Get(x.readyURL)
 		Expect(err).NotTo(HaveOccurred())
 		res.Body.Close()
 		Expect(res.StatusCode).To(Equal(http.StatusServiceUnavailable))
 	}
 	usedConn := func() *callerConn {
-		c := openCallerConn(x.front)
+		c := openCallerConn(x.frontURL)
 		c.sendRequest("/charge/", "")
 		Expect(c.readResponse().status).To(Equal(http.StatusOK))
 		return c
@@ -108,7 +108,7 @@
 		leave()
 		for _, c := range []*callerConn{first, second} {
 			expectNotReady()
-			Consistently(c.closed, 300*time.Millisecond, often).Should(BeFalse())
+			Consistently(c.closed, 300*time.Millisecond, pollInterval).Should(BeFalse())
 			c.sendRequest("/charge/", "")
 			r := c.readResponse()
 			Expect(r.status).To(Equal(http.StatusOK))
@@ -122,13 +122,13 @@
 				Linger: 600 * time.Millisecond,
 			})
 		}
-		c := openCallerConn(x.front)
+		c := openCallerConn(x.frontURL)
 		c.sendRequest("/ask/x", "m0/a1")
 		_, err := c.br.Peek(1)
 		Expect(err).NotTo(HaveOccurred())
 		idle := usedConn()
 		leave()
-		Eventually(idle.closed, soon, often).Should(BeTrue())
+		Eventually(idle.closed, eventTimeout, pollInterval).Should(BeTrue())
 		Expect(stopped).NotTo(BeClosed())
 		r := c.readResponse()
 		Expect(r.err).NotTo(HaveOccurred())
--- a/gateway/leavinganswers_test.go
+++ b/gateway/leavinganswers_test.go
@@ -35,8 +35,8 @@
 	BeforeEach(func() {
 		x = newRig()
 		g, second, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
-		Eventually(g.Ready, soon, often).Should(BeTrue())
-		fronts = []string{x.front, second}
+		Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
+		fronts = []string{x.frontURL, second}
 	})
 	setLeaving := func(m *standin.ModelWorker) time.Time {
 		m.SetFaults(standin.WorkerFaults{
@@ -76,7 +76,7 @@
 		})
 		Eventually(func() int {
 			return strings.Count(x.log.String(), "upstream says that it leaves")
-		}, soon, often).Should(BeNumerically(">=", len(fronts)))
+		}, eventTimeout, pollInterval).Should(BeNumerically(">=", len(fronts)))
 		before := len(x.engines[0].Arrivals())
 		x.callAll(fronts, "/ask/a", "m0", 3, 20*time.Millisecond, 500*time.Millisecond)
 		Expect(x.engines[0].Arrivals()).To(HaveLen(before))
@@ -87,7 +87,7 @@
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, 500*time.Millisecond)
 		x.store.DropServer("a0")
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, time.Second)
-		x.list(x.apps[0], "app", "a0", "ready")
+		x.putEntry(x.apps[0], "app", "a0", "ready")
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, time.Second)
 		Expect(arrivalsAfter(x.apps[0], after)).To(BeZero())
 	})
@@ -97,12 +97,12 @@
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, 500*time.Millisecond)
 		x.apps[0].SetFaults(standin.WorkerFaults{})
 		x.apps[0].StartAgain(time.Now().UnixMilli())
-		x.list(x.apps[0], "app", "a0", "ready")
+		x.putEntry(x.apps[0], "app", "a0", "ready")
 		before := len(x.apps[0].Arrivals())
 		Eventually(func() int {
 			x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, 100*time.Millisecond)
 			return len(x.apps[0].Arrivals())
-		}, soon, often).Should(BeNumerically(">", before))
+		}, eventTimeout, pollInterval).Should(BeNumerically(">", before))
 	})
 
 	It("stays in use if the header is malformed", func() {
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -30,7 +30,7 @@
 }
 
 // observe records a response that carries a limit.
-func (l *limits) observe(id wardturn.UpstreamID, limit wardturn.Figure[wardturn.RequestRate], status int) {
+func (l *limits) observe(id wardturn.UpstreamID, limit wardturn.HeaderValue[wardturn.RequestRate], status int) {
 	l.seen.Store(true)
 	now := l.g.clock.Now()
 	l.g.mu.Lock()
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -53,7 +53,7 @@
 			wg.Go(func() {
 				defer GinkgoRecover()
 				for time.Now().Before(end) {
-					_, r := x.with(front, path, model, nil)
+					_, r := x.sendWithHeaders(front, path, model, nil)
 					mu.Lock()
 					statuses[r.status]++
 					mu.Unlock()
@@ -74,8 +74,8 @@
 	BeforeEach(func() {
 		x = newRig()
 		g, second, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
-		Eventually(g.Ready, soon, often).Should(BeTrue())
-		fronts = []string{x.front, second}
+		Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
+		fronts = []string{x.frontURL, second}
 	})
 	// expectWithinLimit expects that a worker receives no more than its limit after it
 	// announced it, and not much less.
@@ -141,7 +141,7 @@
 			Limit: "2",
 		})
 		x.callAll(fronts[:1], "/look/a", "", 2, 20*time.Millisecond, 500*time.Millisecond)
-		Eventually(x.log.String, soon, often).Should(ContainSubstring("limit of an upstream heard"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("limit of an upstream heard"))
 		before := len(x.apps[0].Arrivals())
 		x.callAll(fronts[1:], "/look/a", "", 4, 20*time.Millisecond, time.Second)
 		Expect(len(x.apps[0].Arrivals()) - before).To(BeNumerically("<=", 3))
@@ -159,10 +159,10 @@
 		var took time.Duration
 		Eventually(func() int {
 			began := time.Now()
-			id, refused = x.with(x.front, "/charge/a", "", nil)
+			id, refused = x.sendWithHeaders(x.frontURL, "/charge/a", "", nil)
 			took = time.Since(began)
 			return refused.status
-		}, soon, often).Should(Equal(http.StatusServiceUnavailable))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusServiceUnavailable))
 		Expect(refused.body).To(Equal("upstream_limit"))
 		Expect(took).To(BeNumerically("<", 500*time.Millisecond))
 		Expect(x.runs(id)).To(BeZero())
@@ -190,7 +190,7 @@
 		named := time.Now()
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, time.Second)
 		g, third, _ := x.startGateway("third", platform.NewStore(x.storeAddr, x.metrics))
-		Eventually(g.Ready, soon, often).Should(BeTrue())
+		Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		x.callAll(append(fronts, third), "/look/a", "", 2, 20*time.Millisecond, 4*time.Second)
 		expectWithinLimit(x.apps[0], named, 4)
 	})
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -119,7 +119,7 @@
 // sendPrefillReports reports to keepers the long prompts that their engines are processing.
 func (ls *links) sendPrefillReports(notes []decide.PrefillReport) {
 	for _, n := range notes {
-		if l := ls.of(n.Upstream); l != nil {
+		if l := ls.linkTo(n.Upstream); l != nil {
 			l.send(&peer.PrefillReport{
 				Tokens: n.Tokens,
 			})
@@ -130,7 +130,7 @@
 // sendLoadRequests sends the adapter load requests of a decision to the keepers.
 func (ls *links) sendLoadRequests(out decide.Actions) {
 	for _, a := range out.LoadRequests {
-		l := ls.of(a.Upstream)
+		l := ls.linkTo(a.Upstream)
 		if l == nil {
 			continue
 		}
@@ -142,7 +142,7 @@
 	}
 }
 
-func (ls *links) of(id wardturn.UpstreamID) *link {
+func (ls *links) linkTo(id wardturn.UpstreamID) *link {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	return ls.byID[id]
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -15,7 +15,7 @@
 type Metrics struct {
 	scope             tally.Scope
 	resends           tally.Counter
-	denied            tally.Counter
+	resendsDenied     tally.Counter
 	coldLoads         tally.Histogram
 	warmLoads         tally.Histogram
 	waiting           tally.Gauge
@@ -97,7 +97,7 @@
 	return &Metrics{
 		scope:             scope,
 		resends:           scope.Counter("resends"),
-		denied:            scope.Counter("resends_denied"),
+		resendsDenied:     scope.Counter("resends_denied"),
 		coldLoads:         loadTime("store"),
 		warmLoads:         loadTime("memory"),
 		waiting:           scope.Gauge("requests_waiting"),
@@ -126,8 +126,8 @@
 	}).Counter("keeper_words")
 }
 
-// misplaced counts a response that did not resume its stream at the right event.
-func (m *Metrics) misplaced(why misplacement) {
+// resumeMismatch counts a response that did not resume its stream at the right event.
+func (m *Metrics) resumeMismatch(why resumeMismatch) {
 	m.scope.Tagged(map[string]string{
 		"reason": string(why),
 	}).Counter("streams_misplaced").Inc(1)
--- a/gateway/misplaced_test.go
+++ b/gateway/misplaced_test.go
@@ -23,7 +23,7 @@
 	Eventually(func() bool {
 		x.get("hold", "/resume/x", "m0/a1")
 		return x.engines[0].Adapters() > 0 || x.engines[1].Adapters() > 0
-	}, soon, often).Should(BeTrue())
+	}, eventTimeout, pollInterval).Should(BeTrue())
 	for _, e := range x.engines {
 		e.SetFaults(f)
 	}
@@ -42,7 +42,7 @@
 
 // resumeFrom sends a request of a caller that has the events up to last.
 func (x *rig) resumeFrom(last string) reply {
-	req, err := http.NewRequest("POST", x.front+"/resume/x", strings.NewReader("prompt"))
+	req, err := http.NewRequest("POST", x.frontURL+"/resume/x", strings.NewReader("prompt"))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "h.example"
 	req.Header.Set("X-Wardturn-Attempt-Id", fmt.Sprintf("caller-%d", attempts.Add(1)))
@@ -189,6 +189,6 @@
 			Expect(r.err).NotTo(HaveOccurred())
 			Expect(r.body).To(Equal(lastTwo))
 			return x.resumeMismatches("missing")
-		}, soon, often).Should(BeNumerically(">", 0))
+		}, eventTimeout, pollInterval).Should(BeNumerically(">", 0))
 	})
 })
--- a/gateway/news_relays_test.go
+++ b/gateway/news_relays_test.go
@@ -34,12 +34,12 @@
 	var proxies []*standin.Relay
 	for i, host := range hosts {
 		list[i].Close()
-		proxy, err := standin.NewRelayAt(net.JoinHostPort(host, port), net.JoinHostPort(host, x.keeper))
+		proxy, err := standin.NewRelayAt(net.JoinHostPort(host, port), net.JoinHostPort(host, x.keeperPort))
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(proxy.Close)
 		proxies = append(proxies, proxy)
 	}
-	x.keeper = port
+	x.keeperPort = port
 	return proxies
 }
 
@@ -61,11 +61,11 @@
 	x.domain = second
 	x.proxies = x.proxyKeepers()
 	other, front, ready := x.startGateway("second", platform.NewStore(ln.Addr().String(), tally.NoopScope))
-	x.front, x.ready = front, ready
-	Eventually(other.Ready, soon, often).Should(BeTrue())
+	x.frontURL, x.readyURL = front, ready
+	Eventually(other.Ready, eventTimeout, pollInterval).Should(BeTrue())
 	Eventually(func() int {
 		return x.get("ready", "/ask/x", "m0").status
-	}, soon, often).Should(Equal(http.StatusOK))
+	}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	return x
 }
 
@@ -75,7 +75,7 @@
 	x.store.PutConfig(config(2, newRoute))
 	Eventually(func() int {
 		return x.get("new", "/new/", "").status
-	}, announcedConfigBound, often).Should(Equal(http.StatusOK))
+	}, announcedConfigBound, pollInterval).Should(Equal(http.StatusOK))
 }
 
 var _ = Describe("Announcements of store reads", func() {
@@ -86,22 +86,22 @@
 			x.awaitNewRoute()
 			x.unavailable.Store(true)
 			time.Sleep(300 * time.Millisecond) // calls in progress have ended
-			x.list(x.apps[0], "app", "a0", "draining")
+			x.putEntry(x.apps[0], "app", "a0", "draining")
 			Eventually(func() int {
 				before := x.apps[0].Total()
 				for range 4 {
 					x.get("leave", "/charge/", "")
 				}
 				return x.apps[0].Total() - before
-			}, announcedConfigBound, often).Should(BeZero())
+			}, announcedConfigBound, pollInterval).Should(BeZero())
 			Expect(x.apps[1].Total()).To(BeNumerically(">", 0))
 		},
 		Entry("through two keepers in its failure domain", []string{"d", "d"}, wardturn.FailureDomain("d"), func(*secondGatewayRig) {}),
 		Entry("when one of them is unreachable", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
-			x.way.Block(true)
+			x.relay.Block(true)
 		}),
 		Entry("when one of them is frozen", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
-			x.way.Freeze(true)
+			x.relay.Freeze(true)
 		}),
 		Entry("when the other one is frozen for this gateway only", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
 			x.proxies[1].Freeze(true)
@@ -116,7 +116,7 @@
 		}),
 		Entry("in a failure domain without keepers", []string{"f", "f"}, wardturn.FailureDomain("g"), func(*secondGatewayRig) {}),
 		Entry("when the keepers of its failure domain are unreachable", []string{"d", "f"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
-			x.way.Block(true)
+			x.relay.Block(true)
 		}),
 	)
 
--- a/gateway/news_test.go
+++ b/gateway/news_test.go
@@ -30,11 +30,11 @@
 			x.store.ServeHTTP(w, r)
 		}))
 		// Its ID is higher, so the first gateway reads for both.
-		other, x.front, x.ready = x.startGateway("second", platform.NewStore(ln.Addr().String(), x.metrics))
-		Eventually(other.Ready, soon, often).Should(BeTrue())
+		other, x.frontURL, x.readyURL = x.startGateway("second", platform.NewStore(ln.Addr().String(), x.metrics))
+		Eventually(other.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		Eventually(func() int {
 			return x.get("ready", "/ask/x", "m0").status
-		}, soon, often).Should(Equal(http.StatusOK))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	})
 
 	It("read it about as often as a single gateway", func() {
@@ -55,14 +55,14 @@
 		time.Sleep(600 * time.Millisecond)
 		unavailable.Store(true)
 		time.Sleep(300 * time.Millisecond)
-		x.list(x.apps[0], "app", "a0", "draining")
+		x.putEntry(x.apps[0], "app", "a0", "draining")
 		Eventually(func() int {
 			before := x.apps[0].Total()
 			for range 4 {
 				x.get("leave", "/charge/", "")
 			}
 			return x.apps[0].Total() - before
-		}, soon, often).Should(BeZero())
+		}, eventTimeout, pollInterval).Should(BeZero())
 		Expect(x.apps[1].Total()).To(BeNumerically(">", 0))
 	})
 
@@ -71,7 +71,7 @@
 		x.store.PutConfig(config(2, newRoute))
 		Eventually(func() int {
 			return x.get("new", "/new/", "").status
-		}, 400*time.Millisecond, often).Should(Equal(http.StatusOK))
+		}, 400*time.Millisecond, pollInterval).Should(Equal(http.StatusOK))
 	})
 
 	It("read the store themselves if they receive no announcements", func() {
@@ -80,6 +80,6 @@
 		x.store.PutConfig(config(2, newRoute))
 		Eventually(func() int {
 			return x.get("new", "/new/", "").status
-		}, 2*time.Second, often).Should(Equal(http.StatusOK))
+		}, 2*time.Second, pollInterval).Should(Equal(http.StatusOK))
 	})
 })
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -12,10 +12,10 @@
 // responses that are not forwarded. own reports whether it is the response to this
 // request. Any other may be old, so it ends no back-off or limit that the upstream asked
 // for before.
-func (x *exchange) observe(m wardturn.Member, head wardturn.AnswerHead, status int, own bool) {
+func (x *exchange) observe(m wardturn.Member, head wardturn.ResponseHead, status int, own bool) {
 	g := x.g
-	for _, name := range head.Unread {
-		if g.unread.shouldLog(name) {
+	for _, name := range head.Unknown {
+		if g.unknownHeaders.shouldLog(name) {
 			g.logger.Info("header of upstreams is not read", "header", name, "status", status, "upstream", m.ID)
 		}
 	}
@@ -31,16 +31,16 @@
 			g.fleet.Leaves(now, id, out)
 		})
 	}
-	if head.Rest.Named {
-		g.observeBackoff(id, head.Rest)
+	if head.RetryAfter.Present {
+		g.observeBackoff(id, head.RetryAfter)
 	} else if own && g.backoffsRequested.Load() {
 		g.endBackoff(id, x.send.sent)
 	}
-	if head.Cold.Named && own {
+	if head.Cold.Present && own {
 		g.observeCold(id, head.Cold)
 	}
 	switch {
-	case head.Limit.Named:
+	case head.Limit.Present:
 		g.limits.observe(id, head.Limit, status)
 	case own && g.limits.seen.Load():
 		g.limits.observeNone(id, x.send.sent, status)
@@ -56,7 +56,7 @@
 }
 
 // observeBackoff processes a Retry-After: the upstream asks this gateway to back off.
-func (g *Gateway) observeBackoff(id wardturn.UpstreamID, backoff wardturn.Figure[time.Duration]) {
+func (g *Gateway) observeBackoff(id wardturn.UpstreamID, backoff wardturn.HeaderValue[time.Duration]) {
 	g.backoffsRequested.Store(true)
 	g.mu.Lock()
 	now := g.clock.Now()
@@ -81,7 +81,7 @@
 }
 
 // observeCold processes for how much longer a cold upstream takes only few requests.
-func (g *Gateway) observeCold(id wardturn.UpstreamID, cold wardturn.Figure[time.Duration]) {
+func (g *Gateway) observeCold(id wardturn.UpstreamID, cold wardturn.HeaderValue[time.Duration]) {
 	if cold.Err != nil {
 		g.logger.Warn("malformed warm-up time of a cold upstream", "upstream", id, "error", cold.Err)
 		return
@@ -94,15 +94,15 @@
 // maxUnknownHeaders bounds the header names that are kept as logged.
 const maxUnknownHeaders = 32
 
-// unreadHeaders is the set of response headers of upstreams that the gateway does not
+// unknownHeaders is the set of response headers of upstreams that the gateway does not
 // know and has logged. The zero value is an empty set.
-type unreadHeaders struct {
+type unknownHeaders struct {
 	mu     sync.Mutex
 	logged map[string]bool
 }
 
 // shouldLog reports whether a header has to be logged: once for each name.
-func (u *unreadHeaders) shouldLog(name string) bool {
+func (u *unknownHeaders) shouldLog(name string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.logged[name] || len(u.logged) >= maxUnknownHeaders {
--- a/gateway/old_version_test.go
+++ b/gateway/old_version_test.go
@@ -32,7 +32,7 @@
 	x.store.PutConfig(config(2, longRoute+longBufferedRoute))
 	Eventually(func() int {
 		return x.get("first", "/long/x", "m0/a1").status
-	}, soon, often).Should(Equal(http.StatusOK))
+	}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	return x
 }
 
@@ -61,7 +61,7 @@
 
 // sendLong sends a request with a deadline of 20 s. The response arrives on the channel.
 func (x *rig) sendLong(id, path, model string) <-chan reply {
-	req, err := http.NewRequest(http.MethodPost, x.front+path, strings.NewReader("prompt"))
+	req, err := http.NewRequest(http.MethodPost, x.frontURL+path, strings.NewReader("prompt"))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "h.example"
 	req.Header.Set("X-Wardturn-Attempt-Id", id)
@@ -95,9 +95,9 @@
 		LoseOrders: true, // the newer version is never loaded
 	})
 	got := x.sendLong(id, path, "m0/a1")
-	Eventually(x.delayed, soon, often).Should(Equal(1))
+	Eventually(x.delayed, eventTimeout, pollInterval).Should(Equal(1))
 	x.publishNewer()
-	Eventually(got, 4*soon).Should(Receive())
+	Eventually(got, 4*eventTimeout).Should(Receive())
 	Expect(x.runs(id)).To(Equal(0))
 }
 
@@ -139,16 +139,16 @@
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
-		Eventually(x.configAge, 3*soon, often).Should(BeNumerically(">", oldVersionLimit.Seconds()))
+		Eventually(x.configAge, 3*eventTimeout, pollInterval).Should(BeNumerically(">", oldVersionLimit.Seconds()))
 		x.setFaults(standin.WorkerFaults{
 			HoldUp:     2 * time.Second, // gateways read again at least once a second
 			LoseOrders: true,
 		})
 		got := x.sendLong("waits-away", "/long/x", "m0/a1")
-		Eventually(x.delayed, soon, often).Should(Equal(1))
+		Eventually(x.delayed, eventTimeout, pollInterval).Should(Equal(1))
 		x.store.SetFaults(standin.MetaFaults{})
 		x.publishNewer()
-		Eventually(got, 2*soon).Should(Receive(haveStatus(http.StatusOK)))
+		Eventually(got, 2*eventTimeout).Should(Receive(haveStatus(http.StatusOK)))
 		Expect(x.runs("waits-away")).To(Equal(1))
 		// Later requests wait for the newer version.
 		x.setFaults(standin.WorkerFaults{
@@ -170,9 +170,9 @@
 		got := x.sendLong("begun", "/long/x", "m0/a1")
 		Eventually(func() int {
 			return x.runs("begun")
-		}, soon, often).Should(Equal(1))
+		}, eventTimeout, pollInterval).Should(Equal(1))
 		x.publishNewer()
-		Eventually(got, 4*soon).Should(Receive(haveBody("piece 4")))
+		Eventually(got, 4*eventTimeout).Should(Receive(haveBody("piece 4")))
 	})
 })
 
@@ -189,10 +189,10 @@
 		for i := range sent {
 			x.sendLong(fmt.Sprint("held-up-", i), "/long/x", "m0/a1")
 		}
-		Eventually(x.delayed, soon, often).Should(BeNumerically(">", 2))
+		Eventually(x.delayed, eventTimeout, pollInterval).Should(BeNumerically(">", 2))
 		perEngine := []int{x.engines[0].Held(), x.engines[1].Held()}
 		x.publishNewer()
-		Eventually(x.delayed, 4*soon, often).Should(Equal(0))
+		Eventually(x.delayed, 4*eventTimeout, pollInterval).Should(Equal(0))
 		for i, e := range x.engines {
 			// An engine that got none of the requests is full, so that the next ones have
 			// to go to the others.
@@ -227,12 +227,12 @@
 				}
 			}
 			return ""
-		}, soon, often).Should(Equal("2"))
+		}, eventTimeout, pollInterval).Should(Equal("2"))
 		x.setFaults(standin.WorkerFaults{
 			HoldUp: oldVersionLimit,
 		})
 		got := x.sendLong("waits-newest", "/long/x", "m0/a1")
-		Eventually(got, 2*oldVersionLimit+soon).Should(Receive(haveStatus(http.StatusOK)))
+		Eventually(got, 2*oldVersionLimit+eventTimeout).Should(Receive(haveStatus(http.StatusOK)))
 	})
 })
 
@@ -249,7 +249,7 @@
 		x.store.PutConfig(config(3, longRoute+longOnceRoute))
 		Eventually(func() int {
 			return x.get("first-once", "/once/x", "m0/a1").status
-		}, soon, often).Should(Equal(http.StatusOK))
+		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		x.expectNoLateStart("held-up-once", "/once/x")
 	})
 })
--- a/gateway/parts_test.go
+++ b/gateway/parts_test.go
@@ -27,12 +27,12 @@
 		serve(ln, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			q := r.URL.Query()
 			for q.Get("after") != "" && !secondPage.Load() || q.Get("topic") == "keyed.op" && !configReady.Load() {
-				time.Sleep(often)
+				time.Sleep(pollInterval)
 			}
 			x.store.ServeHTTP(w, r)
 		}))
 		x.store.SetPage(3)
-		late, x.front, x.ready = x.startGateway("late", platform.NewStore(ln.Addr().String(), tally.NoopScope))
+		late, x.frontURL, x.readyURL = x.startGateway("late", platform.NewStore(ln.Addr().String(), tally.NoopScope))
 	}
 	status := func(path, model string) func() int {
 		return func() int {
@@ -51,7 +51,7 @@
 
 	It("serves requests for plain services before the list is complete", func() {
 		start()
-		Eventually(status("/charge/", ""), soon, often).Should(Equal(http.StatusOK))
+		Eventually(status("/charge/", ""), eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		Expect(late.Ready()).To(BeFalse())
 	})
 
@@ -60,18 +60,18 @@
 		start()
 		time.Sleep(100 * time.Millisecond)
 		configReady.Store(true)
-		Eventually(status("/charge/", ""), soon, often).Should(Equal(http.StatusOK))
+		Eventually(status("/charge/", ""), eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		Expect(late.Ready()).To(BeFalse())
 	})
 
 	It("uses no engine before the list is complete", func() {
 		start()
-		Eventually(status("/charge/", ""), soon, often).Should(Equal(http.StatusOK))
+		Eventually(status("/charge/", ""), eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		before := x.engines[0].Total()
 		Expect(status("/ask/x", "m0")()).NotTo(Equal(http.StatusOK))
 		Expect(x.engines[0].Total()).To(Equal(before))
 		secondPage.Store(true)
-		Eventually(late.Ready, soon, often).Should(BeTrue())
-		Eventually(status("/ask/x", "m0"), soon, often).Should(Equal(http.StatusOK))
+		Eventually(late.Ready, eventTimeout, pollInterval).Should(BeTrue())
+		Eventually(status("/ask/x", "m0"), eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	})
 })
--- a/gateway/problem.go
+++ b/gateway/problem.go
@@ -11,7 +11,7 @@
 // refuse responds that the request was not run and when to retry; extra are additional
 // fields of the log line.
 func (x *exchange) refuse(reason wardturn.Reason, retryAfter time.Duration, extra ...any) {
-	x.comeBack(retryAfter)
+	x.setRetryAfter(retryAfter)
 	x.g.metrics.finished(x, "refused_"+string(reason))
 	fields := []any{"id", x.attempt, "reason", reason, "retry_after", retryAfter, "adapter", x.key.Adapter, "waited", x.g.clock.Now().Sub(x.arrived)}
 	if x.prompt > 0 {
@@ -21,8 +21,8 @@
 	x.write(http.StatusServiceUnavailable, string(reason))
 }
 
-// comeBack sets the Retry-After header.
-func (x *exchange) comeBack(retryAfter time.Duration) {
+// setRetryAfter sets the Retry-After header.
+func (x *exchange) setRetryAfter(retryAfter time.Duration) {
 	x.w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 }
 
--- a/gateway/prompts.go
+++ b/gateway/prompts.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// promptsEvery is the interval at which a gateway logs the sizes of the prompts it
+	// promptLogInterval is the interval at which a gateway logs the sizes of the prompts it
 	// received: a line for each route that had any. A gateway that is killed loses the
 	// counts of one interval.
-	promptsEvery = 5 * time.Second
+	promptLogInterval = 5 * time.Second
 	// promptBuckets is the number of buckets in each doubling of the size. With eight, the
 	// lower bound of a bucket is at most an eighth below the sizes in it.
 	promptBuckets = 8
@@ -25,22 +25,22 @@
 	maxPromptRoutes = 20
 )
 
-// prompts counts the requests of each route by prompt size since they were logged last.
+// promptCounts counts the requests of each route by prompt size since they were logged last.
 // Requests that were served in time have no log lines of their own; without these counts
 // the logs would not show which of the lost requests were the largest of their route.
-type prompts struct {
+type promptCounts struct {
 	mu     sync.Mutex
 	routes map[string]map[int]int // counts by route and lower bound of the bucket
 }
 
-func newPrompts() *prompts {
-	return &prompts{
+func newPromptCounts() *promptCounts {
+	return &promptCounts{
 		routes: make(map[string]map[int]int),
 	}
 }
 
 // add counts a request whose caller states the size of its prompt.
-func (p *prompts) add(route string, prompt wardturn.Tokens) {
+func (p *promptCounts) add(route string, prompt wardturn.Tokens) {
 	if prompt <= 0 {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // reset returns the counts and resets them.
-func (p *prompts) reset() map[string]map[int]int {
+func (p *promptCounts) reset() map[string]map[int]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	routes := p.routes
@@ -72,9 +72,9 @@
 	return size / width * width
 }
 
-// logPrompts logs the counts since they were logged last.
-func (g *Gateway) logPrompts() {
-	for route, sizes := range g.prompts.reset() {
+// logPromptCounts logs the counts since they were logged last.
+func (g *Gateway) logPromptCounts() {
+	for route, sizes := range g.promptCounts.reset() {
 		g.logger.Info("prompts of a route", "route", route, "sizes", formatPromptCounts(sizes))
 	}
 }
--- a/gateway/prompts_internal_test.go
+++ b/gateway/prompts_internal_test.go
@@ -29,7 +29,7 @@
 	})
 
 	It("hold what was added since the last reset", func() {
-		p := newPrompts()
+		p := newPromptCounts()
 		for _, size := range []wardturn.Tokens{9153, 700, 9100, 0, 3} {
 			p.add("r", size)
 		}
@@ -41,7 +41,7 @@
 	})
 
 	It("hold a bounded number of routes", func() {
-		p := newPrompts()
+		p := newPromptCounts()
 		for i := range 3 * maxPromptRoutes {
 			p.add(fmt.Sprint(i), 100)
 		}
--- a/gateway/prompts_test.go
+++ b/gateway/prompts_test.go
@@ -34,7 +34,7 @@
 // sendPrompt sends a request that states the size of its prompt, and returns the
 // response's status.
 func (x *rig) sendPrompt(id, model, tokens string) int {
-	req, err := http.NewRequest(http.MethodPost, x.front+"/ask/x", strings.NewReader("prompt"))
+	req, err := http.NewRequest(http.MethodPost, x.frontURL+"/ask/x", strings.NewReader("prompt"))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "h.example"
 	req.Header.Set("X-Wardturn-Attempt-Id", id)
@@ -59,7 +59,7 @@
 		Expect(x.sendPrompt("lost", "m0/a1", "9153,80")).To(Equal(http.StatusServiceUnavailable))
 		Expect(x.log.String()).To(MatchRegexp(`refused: id=lost reason=adapter_loading .* route=ask prompt=9153`))
 
-		x.gateway.Leave(context.Background())
+		x.gateway.Shutdown(context.Background())
 		Expect(x.log.String()).To(ContainSubstring(`prompts of a route: route=ask sizes="640:1,8192:1"`))
 	})
 })
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -29,10 +29,10 @@
 	// engine.
 	loads := 0
 	loadAdapters := func() {
-		own := x.front
-		x.front = front
+		own := x.frontURL
+		x.frontURL = front
 		defer func() {
-			x.front = own
+			x.frontURL = own
 		}()
 		for range 4 {
 			loads++
@@ -41,62 +41,62 @@
 	}
 	BeforeEach(func() {
 		x = newRigIn("d", "f")
-		own := x.front
+		own := x.frontURL
 		x.domain = "f"
 		// Separate metrics, so that x.metrics counts only the first gateway's updates.
 		metrics := x.metrics
 		x.metrics = newTestScope()
 		other, front, _ = x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
 		x.metrics = metrics
-		x.front = own
-		Eventually(other.Ready, soon, often).Should(BeTrue())
+		x.frontURL = own
+		Eventually(other.Ready, eventTimeout, pollInterval).Should(BeTrue())
 	})
 
 	It("is received through a relay in the own failure domain", func() {
 		Eventually(func() int64 {
 			loadAdapters()
 			return updates("relay")
-		}, soon, often).Should(BeNumerically(">", 5))
+		}, eventTimeout, pollInterval).Should(BeNumerically(">", 5))
 	})
 
 	It("is received directly when the relay is unreachable", func() {
 		Eventually(func() int64 {
 			loadAdapters()
 			return updates("relay")
-		}, soon, often).Should(BeNumerically(">", 0))
-		x.way.Block(true)
+		}, eventTimeout, pollInterval).Should(BeNumerically(">", 0))
+		x.relay.Block(true)
 		before := updates("direct")
 		Eventually(func() int64 {
 			loadAdapters()
 			return updates("direct")
-		}, soon, often).Should(BeNumerically(">", before+3))
+		}, eventTimeout, pollInterval).Should(BeNumerically(">", before+3))
 	})
 
 	It("is received directly when the relay is frozen", func() {
 		Eventually(func() int64 {
 			loadAdapters()
 			return updates("relay")
-		}, soon, often).Should(BeNumerically(">", 0))
-		x.way.Freeze(true)
+		}, eventTimeout, pollInterval).Should(BeNumerically(">", 0))
+		x.relay.Freeze(true)
 		frozen := time.Now()
 		before := updates("direct")
 		Eventually(func() int64 {
 			loadAdapters()
 			x.get("use", "/ask/x", fmt.Sprintf("m0/l%d", loads)) // an adapter that one of the engines holds
 			return updates("direct")
-		}, soon, often).Should(BeNumerically(">", before+3))
+		}, eventTimeout, pollInterval).Should(BeNumerically(">", before+3))
 		Expect(time.Since(frozen)).To(BeNumerically("<", 3*time.Second)) // a missing heartbeat is noticed after 5 s
 	})
 
 	It("is received through the relay again once it is reachable", func() {
-		x.way.Block(true)
+		x.relay.Block(true)
 		loadAdapters()
-		x.way.Block(false)
+		x.relay.Block(false)
 		before := updates("relay")
 		Eventually(func() int64 {
 			loadAdapters()
 			return updates("relay")
-		}, 2*soon, often).Should(BeNumerically(">", before+3))
+		}, 2*eventTimeout, pollInterval).Should(BeNumerically(">", before+3))
 		Expect(x.get("after", "/ask/x", "m0").status).To(Equal(http.StatusOK))
 	})
 })
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -36,7 +36,7 @@
 	if x.team != nil {
 		x.regions = x.regions.Both(x.team.Regions)
 	}
-	x.service = target(x.route, x.attempt)
+	x.service = selectService(x.route, x.attempt)
 	spec := rs.table.Services[x.service]
 	x.engine = spec.Engine != nil
 	timeout := x.route.Timeout
@@ -48,7 +48,7 @@
 	}
 	x.deadline = x.arrived.Add(timeout)
 	if x.route.Resumable {
-		x.events.startAfter(x.r.Header.Get(x.g.names.LastEvent))
+		x.events.startAfter(x.r.Header.Get(x.g.names.LastEventID))
 	}
 	if x.engine {
 		model, adapter, _ := strings.Cut(x.r.Header.Get(x.g.names.Adapter), "/")
@@ -59,7 +59,7 @@
 		prompt, _, _ := strings.Cut(x.r.Header.Get(x.g.names.TokenCount), ",")
 		if n, err := strconv.Atoi(prompt); err == nil && n > 0 {
 			x.prompt = wardturn.Tokens(n)
-			x.g.prompts.add(x.route.Name, x.prompt)
+			x.g.promptCounts.add(x.route.Name, x.prompt)
 		}
 	}
 	return true
@@ -82,7 +82,7 @@
 	body, exhausted, err := x.bufferBody(limit)
 	if exhausted {
 		x.w.Header().Set("Connection", "close") // the rest of the body stays unread
-		x.refuse(wardturn.ReasonQueueFull, unreadyRetryAfter, "held", x.g.held.reserved.Load())
+		x.refuse(wardturn.ReasonQueueFull, unreadyRetryAfter, "held", x.g.bodyLimiter.reserved.Load())
 		return false
 	}
 	if err != nil {
@@ -100,7 +100,7 @@
 // reports that no space is left.
 func (x *exchange) bufferBody(limit int64) (body []byte, exhausted bool, err error) {
 	if n := x.r.ContentLength; n > 0 {
-		if !x.g.held.reserve(n) {
+		if !x.g.bodyLimiter.reserve(n) {
 			return nil, true, nil
 		}
 		x.reservedBody = n
@@ -110,7 +110,7 @@
 	}
 	r := &reservingReader{
 		r:       io.LimitReader(x.r.Body, limit+1),
-		limiter: &x.g.held,
+		limiter: &x.g.bodyLimiter,
 	}
 	body, err = io.ReadAll(r)
 	x.reservedBody = r.reserved
--- a/gateway/rest_test.go
+++ b/gateway/rest_test.go
@@ -27,8 +27,8 @@
 	BeforeEach(func() {
 		x = newRig()
 		g, second, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
-		Eventually(g.Ready, soon, often).Should(BeTrue())
-		fronts = []string{x.front, second}
+		Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
+		fronts = []string{x.frontURL, second}
 	})
 	setBackoff := func(m *standin.ModelWorker, values ...string) time.Time {
 		m.SetFaults(standin.WorkerFaults{
@@ -50,7 +50,7 @@
 		setBackoff(x.apps[1], "2.5")
 		x.callAll(fronts, "/charge/a", "", 4, 10*time.Millisecond, 400*time.Millisecond)
 		began := time.Now()
-		id, refused := x.with(x.front, "/charge/a", "", nil)
+		id, refused := x.sendWithHeaders(x.frontURL, "/charge/a", "", nil)
 		Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
 		Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(refused.body).To(Equal("upstream_resting"))
@@ -70,7 +70,7 @@
 		x.callAll(fronts, "/ask/a", "m0", 3, 10*time.Millisecond, 400*time.Millisecond)
 		for _, model := range []string{"m0", "m0/a1"} {
 			began := time.Now()
-			_, refused := x.with(x.front, "/ask/a", model, nil)
+			_, refused := x.sendWithHeaders(x.frontURL, "/ask/a", model, nil)
 			Expect(time.Since(began)).To(BeNumerically("<", 100*time.Millisecond))
 			Expect(refused.body).To(Equal("upstream_resting"))
 		}
@@ -127,7 +127,7 @@
 		x.engines[0].SetFaults(standin.WorkerFaults{
 			Full: true,
 		})
-		statuses := x.callAll([]string{x.front}, "/ask/a", "m0", 4, 5*time.Millisecond, 2*time.Second)
+		statuses := x.callAll([]string{x.frontURL}, "/ask/a", "m0", 4, 5*time.Millisecond, 2*time.Second)
 		Expect(statuses[http.StatusOK]).To(BeNumerically(">", 100))
 		Expect(len(x.engines[0].Arrivals())).To(BeNumerically("<", statuses[http.StatusOK]/3), "%v", statuses)
 	})
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -31,13 +31,13 @@
 }
 
 const (
-	soon  = 5 * time.Second      // how long tests wait for an event
-	often = 5 * time.Millisecond // how often they poll for it
+	eventTimeout = 5 * time.Second      // how long tests wait for an event
+	pollInterval = 5 * time.Millisecond // how often they poll for it
 )
 
-// lapseGrace is how long gateways keep upstreams whose entries expired while the store was
+// expiryGrace is how long gateways keep upstreams whose entries expired while the store was
 // unavailable.
-const lapseGrace = 900 * time.Millisecond
+const expiryGrace = 900 * time.Millisecond
 
 // testLogger returns a logger that writes to GinkgoWriter, which shows the lines if the
 // test fails, and to others.
@@ -56,22 +56,22 @@
 // rig is a gateway with a store, two engines with keepers and two application
 // workers, all in this process on loopback addresses.
 type rig struct {
-	store     *standin.MetaStore
-	storeAddr string
-	engines   []*standin.ModelWorker
-	apps      []*standin.ModelWorker
-	addrs     map[*standin.ModelWorker]string
-	domains   map[*standin.ModelWorker]string
-	gateway   *gateway.Gateway
-	front     string
-	ready     string
-	keeper    string // port of the keepers
-	keepers   []*keeper.Keeper
-	way       *standin.Relay         // in front of the first keeper
-	domain    wardturn.FailureDomain // of gateways that are started
-	metrics   tally.TestScope
-	client    *http.Client
-	log       *logBuffer // of gateways
+	store      *standin.MetaStore
+	storeAddr  string
+	engines    []*standin.ModelWorker
+	apps       []*standin.ModelWorker
+	addrs      map[*standin.ModelWorker]string
+	domains    map[*standin.ModelWorker]string
+	gateway    *gateway.Gateway
+	frontURL   string
+	readyURL   string
+	keeperPort string // port of the keepers
+	keepers    []*keeper.Keeper
+	relay      *standin.Relay         // in front of the first keeper
+	domain     wardturn.FailureDomain // of gateways that are started
+	metrics    tally.TestScope
+	client     *http.Client
+	log        *logBuffer // of gateways
 	// leaveAfter is how long gateways that are started accept requests after they begin to
 	// leave.
 	leaveAfter time.Duration
@@ -120,12 +120,12 @@
 	serve(ln, m)
 	x.addrs[m] = ln.Addr().String()
 	x.domains[m] = domain
-	x.list(m, service, cfg.ID, "ready")
+	x.putEntry(m, service, cfg.ID, "ready")
 	return m
 }
 
-// list puts the entry of a worker into the list of upstreams.
-func (x *rig) list(m *standin.ModelWorker, service, id, state string) {
+// putEntry puts the entry of a worker into the list of upstreams.
+func (x *rig) putEntry(m *standin.ModelWorker, service, id, state string) {
 	x.store.PutServer(id, m.Entry(service, x.addrs[m], x.domains[m], state))
 }
 
@@ -190,12 +190,12 @@
 // newRigIn returns a rig whose two engines are in the given failure domains. The gateway
 // is in domain d.
 func newRigIn(domains ...string) *rig {
-	return newRigDraining(500*time.Millisecond, domains...)
+	return newRigWithDrain(500*time.Millisecond, domains...)
 }
 
-// newRigDraining is newRigIn with another drain time, in which a leaving upstream may
+// newRigWithDrain is newRigIn with another drain time, in which a leaving upstream may
 // still get new requests. Gateways read the list of upstreams twice in that time.
-func newRigDraining(drain time.Duration, domains ...string) *rig {
+func newRigWithDrain(drain time.Duration, domains ...string) *rig {
 	x := &rig{
 		drain:      drain,
 		domain:     "d",
@@ -206,7 +206,7 @@
 		leaveAfter: 50 * time.Millisecond,
 		log:        &logBuffer{},
 		client: &http.Client{
-			Timeout:   soon,
+			Timeout:   eventTimeout,
 			Transport: &http.Transport{},
 		},
 	}
@@ -217,7 +217,7 @@
 	store := platform.NewStore(x.storeAddr, x.metrics)
 	hosts := []string{"127.0.0.11", "127.0.0.12"}
 	keepers, port := listenAll(hosts...)
-	x.keeper = port
+	x.keeperPort = port
 	for i, host := range hosts {
 		m := x.addWorker("llm", host, domains[i], standin.ModelWorkerConfig{
 			ID:       fmt.Sprintf("e%d", i),
@@ -230,19 +230,19 @@
 		x.engines = append(x.engines, m)
 		ln := keepers[i]
 		if i == 0 {
-			x.way, ln = behindRelay(ln)
+			x.relay, ln = behindRelay(ln)
 		}
 		x.startKeeper(host, ln, m, store)
 		x.apps = append(x.apps, x.addWorker("app", host, domains[i], standin.ModelWorkerConfig{
 			ID: fmt.Sprintf("a%d", i),
 		}))
 	}
-	x.gateway, x.front, x.ready = x.startGateway("gateway", store)
-	Eventually(x.gateway.Ready, soon, often).Should(BeTrue())
+	x.gateway, x.frontURL, x.readyURL = x.startGateway("gateway", store)
+	Eventually(x.gateway.Ready, eventTimeout, pollInterval).Should(BeTrue())
 	// A request without an adapter is served once an engine's keeper is connected.
 	Eventually(func() int {
 		return x.get("warm", "/ask/x", "m0").status
-	}, soon, often).Should(Equal(http.StatusOK))
+	}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	return x
 }
 
@@ -257,18 +257,18 @@
 	logger := testLogger(string(name), x.log)
 	g = gateway.New(gateway.Deps{
 		Config: gateway.Config{
-			Process:     name,
-			Domain:      x.domain,
-			KeeperPort:  x.keeper,
-			Drain:       x.drain,
-			ExpiryGrace: lapseGrace,
-			MaxBody:     1 << 20,
-			MaxHeld:     rigMaxBuffered,
-			RetryShare:  0.2,
-			RetryExtra:  52,
-			RetryWindow: 10 * time.Second,
-			LeaveAfter:  x.leaveAfter,
-			KeyBound:    x.keyBound,
+			Process:       name,
+			Domain:        x.domain,
+			KeeperPort:    x.keeperPort,
+			Drain:         x.drain,
+			ExpiryGrace:   expiryGrace,
+			MaxBody:       1 << 20,
+			MaxHeld:       rigMaxBuffered,
+			RetryShare:    0.2,
+			RetryExtra:    52,
+			RetryWindow:   10 * time.Second,
+			ShutdownDelay: x.leaveAfter,
+			KeyBound:      x.keyBound,
 			Crashes: decide.CrashConfig{
 				Limit:  3,
 				Memory: 24 * time.Hour,
@@ -280,18 +280,18 @@
 				VersionBound: oldVersionLimit,
 			},
 		},
-		Clock:     process.Clock{},
-		Logger:    logger,
-		Metrics:   gateway.NewMetrics(x.metrics),
-		Names:     platform.Headers(),
-		Heads:     platform.Answers{},
-		Source:    platform.NewConfigReader(store, logger),
-		Members:   platform.NewMemberReader(store, process.Clock{}, logger),
-		Memory:    store,
-		Crashes:   platform.NewCrashStore(store, logger),
-		Front:     frontListener,
-		Ready:     readyListener,
-		ReadyPath: platform.ReadyPath,
+		Clock:          process.Clock{},
+		Logger:         logger,
+		Metrics:        gateway.NewMetrics(x.metrics),
+		Names:          platform.Headers(),
+		ResponseReader: platform.Responses{},
+		Source:         platform.NewConfigReader(store, logger),
+		Members:        platform.NewMemberReader(store, process.Clock{}, logger),
+		Memory:         store,
+		Crashes:        platform.NewCrashStore(store, logger),
+		Listener:       frontListener,
+		ReadyListener:  readyListener,
+		ReadyPath:      platform.ReadyPath,
 	})
 	DeferCleanup(g.Close)
 	return g, "http://" + frontListener.Addr().String(), "http://" + readyListener.Addr().String() + platform.ReadyPath
@@ -310,7 +310,7 @@
 
 // send sends a request to the gateway and reads the response.
 func (x *rig) send(method, id, path, model, body string) reply {
-	req, err := http.NewRequest(method, x.front+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, x.frontURL+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Host = "h.example"
 	req.Header.Set("X-Wardturn-Attempt-Id", id)
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -45,7 +45,7 @@
 type response struct {
 	conn *upstreamConn
 	res  *http.Response
-	head wardturn.AnswerHead
+	head wardturn.ResponseHead
 	stop func() bool
 	pool *pool
 }
@@ -63,7 +63,7 @@
 	}
 	// Checked only after the dial, which may take as long as the time in which a leaving
 	// upstream may still get new requests.
-	if !g.takes(a) {
+	if !g.accepts(a) {
 		c.returnUnused(g.pool)
 		return nil, errNotAccepting
 	}
@@ -96,7 +96,7 @@
 		if err != nil {
 			return nil, errors.Wrap(err, "answer")
 		}
-		head := x.g.heads.ReadAnswer(res.StatusCode, res.Header)
+		head := x.g.responseReader.ReadResponse(res.StatusCode, res.Header)
 		own := res.StatusCode >= http.StatusOK && head.Attempt == x.attempt
 		x.observe(m, head, res.StatusCode, own)
 		if own {
@@ -155,7 +155,7 @@
 	b = appendHeader(b, n.DeadlineMS, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	b = appendHeader(b, n.ExpectInstance, a.Member.ID.Instance())
 	if x.events.last != "" {
-		b = appendHeader(b, n.LastEvent, x.events.last)
+		b = appendHeader(b, n.LastEventID, x.events.last)
 	}
 	if x.team != nil {
 		b = appendHeader(b, n.Team, string(x.team.ID))
@@ -188,7 +188,7 @@
 		return true
 	case headerAuthorization:
 		return x.teamsConfigured
-	case http.CanonicalHeaderKey(n.LastEvent):
+	case http.CanonicalHeaderKey(n.LastEventID):
 		return x.events.last != ""
 	}
 	// A caller that reserves memory of an upstream would take it from other callers, whose
--- a/gateway/startedquery.go
+++ b/gateway/startedquery.go
@@ -32,7 +32,7 @@
 		g.logger.Info("begins not told in time", "broken_off", n)
 	}
 	for id, ids := range g.unconfirmedStarts() {
-		if l := g.links.of(id); l != nil {
+		if l := g.links.linkTo(id); l != nil {
 			l.send(&peer.StartedQuery{
 				IDs: ids,
 			})
--- a/gateway/startedquery_test.go
+++ b/gateway/startedquery_test.go
@@ -16,7 +16,7 @@
 	x.store.PutConfig(config(3, longRoute+longBufferedRoute+longOnceRoute))
 	Eventually(func() int {
 		return x.get("first-once", "/once/x", "m0/a1").status
-	}, soon, often).Should(Equal(http.StatusOK))
+	}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	return x
 }
 
@@ -29,9 +29,9 @@
 	got := x.sendLong(id, path, "m0/a1")
 	Eventually(func() int {
 		return x.runs(id)
-	}, soon, often).Should(Equal(1))
+	}, eventTimeout, pollInterval).Should(Equal(1))
 	x.publishNewer()
-	Eventually(got, 4*soon).Should(Receive(haveStatus(http.StatusOK)))
+	Eventually(got, 4*eventTimeout).Should(Receive(haveStatus(http.StatusOK)))
 	Expect(x.runs(id)).To(Equal(1))
 }
 
@@ -55,12 +55,12 @@
 		got := x.sendLong("begun-head", "/once/x", "m0/a1")
 		Eventually(func() int {
 			return x.runs("begun-head")
-		}, soon, often).Should(Equal(1))
+		}, eventTimeout, pollInterval).Should(Equal(1))
 		x.publishNewer()
 		for _, k := range x.keepers {
 			k.Close()
 		}
-		Eventually(got, 4*soon).Should(Receive(haveBody("piece 4")))
+		Eventually(got, 4*eventTimeout).Should(Receive(haveBody("piece 4")))
 	})
 
 	// The gateway cannot see the start of a request without a streamed response. If
@@ -82,12 +82,12 @@
 			LoseOrders: true, // the newer version is never loaded
 		})
 		got := x.sendLong("held-up-silent", "/once/x", "m0/a1")
-		Eventually(x.delayed, soon, often).Should(Equal(1))
+		Eventually(x.delayed, eventTimeout, pollInterval).Should(Equal(1))
 		x.publishNewer()
 		for _, k := range x.keepers {
 			k.Close()
 		}
-		Eventually(got, 4*soon).Should(Receive())
+		Eventually(got, 4*eventTimeout).Should(Receive())
 		Expect(x.runs("held-up-silent")).To(Equal(0))
 	})
 })
--- a/gateway/storecalls_test.go
+++ b/gateway/storecalls_test.go
@@ -33,12 +33,12 @@
 		Expect(store.ReadsOf(topicOperator)).To(BeNumerically("<=", 3))
 		Expect(store.ReadsOf(topicCrashes)).To(BeZero())
 		store.PutConfig(config(2, newRoute))
-		Eventually(x.log.String, 500*time.Millisecond, often).Should(ContainSubstring("configuration in force: version=2"), "a change is applied immediately")
+		Eventually(x.log.String, 500*time.Millisecond, pollInterval).Should(ContainSubstring("configuration in force: version=2"), "a change is applied immediately")
 		m := x.apps[0]
 		store.PutServer(m.ID(), m.Entry("app", x.addrs[m], "d", "ready"))
 		Eventually(func() int {
 			return store.ReadsOf(topicCrashes)
-		}, soon, often).Should(Equal(1))
+		}, eventTimeout, pollInterval).Should(Equal(1))
 	})
 })
 
@@ -52,10 +52,10 @@
 			span          = 3 * time.Second
 			extraGateways = 5
 		)
-		x := newRigDraining(drain, "d", "d")
+		x := newRigWithDrain(drain, "d", "d")
 		for i := range extraGateways {
 			g, _, _ := x.startGateway(wardturn.Incarnation(fmt.Sprint("more", i)), platform.NewStore(x.storeAddr, x.metrics))
-			Eventually(g.Ready, soon, often).Should(BeTrue())
+			Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		}
 		time.Sleep(drain) // all have received announcements of the one that reads
 		before := x.store.ReadsOf(topicServers)
--- a/gateway/storereturn_test.go
+++ b/gateway/storereturn_test.go
@@ -30,15 +30,15 @@
 	BeforeEach(func() {
 		x = newRig()
 		version = 1
-		fronts = []string{x.front}
+		fronts = []string{x.frontURL}
 		for _, name := range []wardturn.Incarnation{"second", "third", "fourth"} {
 			g, front, _ := x.startGateway(name, platform.NewStore(x.storeAddr, x.metrics))
-			Eventually(g.Ready, soon, often).Should(BeTrue())
+			Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
 			fronts = append(fronts, front)
 		}
 	})
 	serves := func(front, path string) bool {
-		_, r := x.with(front, path, "", nil)
+		_, r := x.sendWithHeaders(front, path, "", nil)
 		return r.status == http.StatusOK
 	}
 	// expectInForce expects that a route that was just added is served within configBound.
@@ -48,7 +48,7 @@
 		for _, front := range fronts {
 			Eventually(func() bool {
 				return serves(front, path)
-			}, time.Until(deadline), often).Should(BeTrue(), front)
+			}, time.Until(deadline), pollInterval).Should(BeTrue(), front)
 		}
 	}
 
@@ -86,10 +86,10 @@
 		old := x.store.Copy()
 		putConfig(newRoute)
 		expectInForce("/new/a")
-		x.list(x.apps[0], "app", "a0", "draining")
+		x.putEntry(x.apps[0], "app", "a0", "draining")
 		time.Sleep(configBound)
 		x.store.DropServer("a0")
-		x.list(x.apps[1], "app", "a1", "ready")
+		x.putEntry(x.apps[1], "app", "a1", "ready")
 		time.Sleep(configBound)
 		x.store.ComeBack(old)
 		began := time.Now()
@@ -107,9 +107,9 @@
 		after := x.evacuate("d")
 		time.Sleep(time.Until(after))
 		x.store.ComeBack(old)
-		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, lapseGrace/2)
+		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, expiryGrace/2)
 		x.evacuate("d")
-		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, 2*lapseGrace+configBound)
+		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, 2*expiryGrace+configBound)
 		Expect(x.domainArrivalsAfter("d", after)).To(BeZero())
 	})
 
@@ -118,7 +118,7 @@
 		after := x.evacuate("d")
 		time.Sleep(time.Until(after))
 		x.store.ComeBack(old)
-		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, configBound+lapseGrace+time.Second)
+		x.callAll(fronts, "/look/a", "", 1, 20*time.Millisecond, configBound+expiryGrace+time.Second)
 		Expect(x.domainArrivalsAfter("d", after)).To(BeNumerically(">", 0))
 	})
 
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -29,7 +29,7 @@
 
 // lastEvent returns the id of the last event that the caller received.
 func (x *exchange) lastEvent() string {
-	return cmp.Or(x.events.last, x.r.Header.Get(x.g.names.LastEvent))
+	return cmp.Or(x.events.last, x.r.Header.Get(x.g.names.LastEventID))
 }
 
 // forwardStream forwards a response as it comes. A response that resumes a stream is
@@ -60,9 +60,9 @@
 		if err != nil {
 			resp.discard()
 			if x.r.Context().Err() != nil {
-				return left
+				return resultCallerGone
 			}
-			return cut
+			return resultTruncated
 		}
 	}
 }
@@ -112,9 +112,9 @@
 // streamResult returns the result of a stream whose events could not be forwarded.
 func streamResult(err error) result {
 	if errors.Is(err, errResumeMismatch) {
-		return cut
+		return resultTruncated
 	}
-	return left
+	return resultCallerGone
 }
 
 // forwardBytes forwards bytes of a response to the caller; of a resumable stream, only
@@ -124,7 +124,7 @@
 		_, err := x.w.Write(data)
 		return err
 	}
-	events, mismatch := x.events.take(data)
+	events, mismatch := x.events.feed(data)
 	return x.writeEvents(a, events, mismatch)
 }
 
@@ -132,25 +132,25 @@
 func (x *exchange) finishStream(a assignment, resp *response) result {
 	resp.release()
 	if !x.route.Resumable {
-		return passed
+		return resultForwarded
 	}
-	events, mismatch := x.events.rest()
+	events, mismatch := x.events.finish()
 	if err := x.writeEvents(a, events, mismatch); err != nil {
 		return streamResult(err)
 	}
-	return passed
+	return resultForwarded
 }
 
 // writeEvents forwards events. It returns errResumeMismatch if what follows does not
 // continue the caller's stream, for the reason that mismatch gives.
-func (x *exchange) writeEvents(a assignment, events []byte, mismatch misplacement) error {
+func (x *exchange) writeEvents(a assignment, events []byte, mismatch resumeMismatch) error {
 	if _, err := x.w.Write(events); err != nil {
 		return err
 	}
 	if mismatch == "" {
 		return nil
 	}
-	x.g.metrics.misplaced(mismatch)
+	x.g.metrics.resumeMismatch(mismatch)
 	x.g.logger.Warn("resumed stream begins elsewhere", "id", x.attempt, "route", x.route.Name, "upstream", a.Member.ID, "after", x.lastEvent(), "reason", mismatch)
 	return errResumeMismatch
 }
@@ -161,6 +161,6 @@
 	if x.events.skipped == 0 {
 		return
 	}
-	x.g.metrics.misplaced(repeated)
-	x.g.logger.Warn("resumed stream begins elsewhere", "id", x.attempt, "route", x.route.Name, "upstream", a.Member.ID, "left_out", x.events.skipped, "reason", repeated)
+	x.g.metrics.resumeMismatch(mismatchRepeated)
+	x.g.logger.Warn("resumed stream begins elsewhere", "id", x.attempt, "route", x.route.Name, "upstream", a.Member.ID, "left_out", x.events.skipped, "reason", mismatchRepeated)
 }
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// target selects a service from the route's targets by weight. The selection is a
+// selectService selects a service from the route's targets by weight. The selection is a
 // deterministic function of the attempt ID.
-func target(r *wardturn.Route, attempt string) wardturn.ServiceName {
+func selectService(r *wardturn.Route, attempt string) wardturn.ServiceName {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
--- a/routes.go
+++ b/routes.go
@@ -225,12 +225,12 @@
 
 // HeaderNames are the names of request headers.
 type HeaderNames struct {
-	Attempt        string // ID of the caller's attempt
+	AttemptID      string // ID of the caller's attempt
 	DeadlineMS     string // how long the sender waits, in milliseconds
 	Adapter        string // model, or model/adapter
 	TokenCount     string // tokens of the prompt and maximum number of output tokens
 	Prompt         string // parts of the prompt that other prompts may share
-	LastEvent      string // last event of a stream that the caller has received
+	LastEventID    string // last event of a stream that the caller has received
 	ExpectInstance string // instance of the upstream that may run the request
 	ExpectVersion  string // version of the weights that may run it
 	Priority       string // priority at the upstream; 0 is the most urgent
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -116,7 +116,7 @@
 		return 0
 	}
 	req.Host = "h"
-	req.Header.Set(names.Attempt, id)
+	req.Header.Set(names.AttemptID, id)
 	req.Header.Set(names.DeadlineMS, deadlineMS)
 	if k.model {
 		req.Header.Set(names.Adapter, fmt.Sprintf("m0/a%d", int(draw*adapterSpread)))
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -53,7 +53,7 @@
 		return 0
 	}
 	req.Host = "h"
-	req.Header.Set(names.Attempt, id)
+	req.Header.Set(names.AttemptID, id)
 	req.Header.Set(names.DeadlineMS, deadlineMS)
 	req.Header.Set("Authorization", "Bearer "+stayKey)
 	res, err := client.Do(req)
