--- a/agent/agent.go
+++ b/agent/agent.go
@@ -260,7 +260,7 @@
 		a.dropOldest()
 	}
 	a.ledger.Sweep(now)
-	a.ledger.SweepMarks(now)
+	a.ledger.SweepHighWaterMarks(now)
 	a.metrics.observe(a.core, len(a.attempts))
 }
 
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -229,15 +229,15 @@
 
 func TestDuplicateSubmitRunsOnce(t *testing.T) {
 	x := newTester(t, agent.Config{})
-	x.submit(1, peer.Window)
+	x.submit(1, peer.CreditWindow)
 	run := <-x.engine.runs
-	x.submit(1, peer.Window)
+	x.submit(1, peer.CreditWindow)
 	run.answer <- []byte("answer")
 	close(run.answer)
 	if e, data := x.end(); e.Outcome.Kind != wardturn.Done || data != "answer" {
 		t.Fatalf("%+v %q", e.Outcome, data)
 	}
-	x.submit(1, peer.Window) // late
+	x.submit(1, peer.CreditWindow) // late
 	x.quiet(99)
 	if len(x.engine.runs) != 0 {
 		t.Fatal("a copy ran")
@@ -253,7 +253,7 @@
 	if e, _ := x.end(); e.Outcome.Kind != wardturn.NotRun {
 		t.Fatalf("%+v", e.Outcome)
 	}
-	x.submit(7, peer.Window) // delayed on its way
+	x.submit(7, peer.CreditWindow) // delayed on its way
 	if e, _ := x.end(); e.Outcome.Kind != wardturn.NotRun {
 		t.Fatalf("delayed copy: %+v", e.Outcome)
 	}
@@ -297,7 +297,7 @@
 
 func TestResumeFromOffset(t *testing.T) {
 	x := newTester(t, agent.Config{})
-	x.submit(1, peer.Window)
+	x.submit(1, peer.CreditWindow)
 	run := <-x.engine.runs
 	run.answer <- []byte("0123456789")
 	x.next() // head
@@ -308,7 +308,7 @@
 		Attempt: attempt(1),
 		Process: agentProcess,
 		From:    6,
-		Credit:  peer.Window,
+		Credit:  peer.CreditWindow,
 	})
 	run.answer <- []byte("ab")
 	close(run.answer)
@@ -326,7 +326,7 @@
 	run.answer <- []byte("01234567")
 	run.answer <- []byte("89") // blocks: the buffer is full
 	x.next()                   // head
-	x.submit(2, peer.Window)
+	x.submit(2, peer.CreditWindow)
 	<-x.engine.runs // the other runs meanwhile,
 	x.send(&peer.Cancel{
 		Attempt: attempt(1),
@@ -343,7 +343,7 @@
 		KeepBytes: 15,
 	})
 	for seq := uint64(1); seq <= 2; seq++ {
-		x.submit(seq, peer.Window)
+		x.submit(seq, peer.CreditWindow)
 		run := <-x.engine.runs
 		run.answer <- []byte("0123456789")
 		close(run.answer)
@@ -353,7 +353,7 @@
 		x.send(&peer.Attach{
 			Attempt: attempt(seq),
 			Process: agentProcess,
-			Credit:  peer.Window,
+			Credit:  peer.CreditWindow,
 		})
 		if e, _ := x.end(); e.Outcome.Kind != want {
 			t.Fatalf("attempt %d: %+v, want %v", seq, e.Outcome, want)
@@ -374,9 +374,9 @@
 			Version: 1,
 		},
 		Repeatable: true,
-		Credit:     peer.Window,
+		Credit:     peer.CreditWindow,
 	})
-	x.submit(2, peer.Window)
+	x.submit(2, peer.CreditWindow)
 	run := <-x.engine.runs // what is loaded is served
 	close(run.answer)
 	if e, _ := x.end(); e.Attempt != attempt(2) || e.Outcome.Kind != wardturn.Done {
--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -99,7 +99,7 @@
 		Length:        t.end(),
 		Hint:          a.core.Hint(),
 		Config:        t.replaced,
-		First:         t.first.Claim.Attempt,
+		FirstAttempt:  t.first.Claim.Attempt,
 		FirstUpstream: t.first.Upstream,
 		FirstProcess:  t.first.Process,
 	})
@@ -165,7 +165,7 @@
 // trim drops the bytes that the entry has passed on: all but the last window
 // before its credit.
 func (a *Agent) trim(t *attempt) {
-	passed := min(t.credit-peer.Window, t.sent)
+	passed := min(t.credit-peer.CreditWindow, t.sent)
 	if n := passed - t.base; n > 0 {
 		t.buf = append(t.buf[:0], t.buf[n:]...)
 		t.base = passed
--- a/agent/behind_internal_test.go
+++ b/agent/behind_internal_test.go
@@ -50,7 +50,7 @@
 				Method:     "POST",
 				Key:        "k",
 				KeyCreated: clock.Now(),
-				Left:       time.Hour,
+				TimeLeft:   time.Hour,
 				Config:     c.config,
 			})
 			g.Eventually(func() wardturn.Outcome {
--- a/agent/claim_internal_test.go
+++ b/agent/claim_internal_test.go
@@ -73,7 +73,7 @@
 		Method:     "POST",
 		Key:        "k",
 		KeyCreated: clock.Now(),
-		Left:       left,
+		TimeLeft:   left,
 	}, clock.Now(), true)
 	gomega.NewWithT(t).Eventually(func() int {
 		clock.Advance(time.Millisecond) // the claim waits a moment for others
--- a/agent/inbound.go
+++ b/agent/inbound.go
@@ -156,8 +156,8 @@
 		Header:     m.Header,
 		Body:       m.Body,
 	}
-	if m.Left > 0 {
-		r.Deadline = came.Add(m.Left)
+	if m.TimeLeft > 0 {
+		r.Deadline = came.Add(m.TimeLeft)
 	}
 	return r
 }
@@ -180,7 +180,7 @@
 		a.replyEnd(c, m.Attempt, wardturn.Uncertain(wardturn.ReasonAgentRestarted))
 		return
 	}
-	_, outcome := a.ledger.Attach(a.clock.Now(), m.Attempt)
+	_, outcome := a.ledger.Lookup(a.clock.Now(), m.Attempt)
 	t := a.attempts[m.Attempt]
 	switch {
 	case t != nil && m.Follow:
--- a/agent/late_test.go
+++ b/agent/late_test.go
@@ -34,8 +34,8 @@
 		Adapter:    adapterA,
 		Repeatable: true,
 		Config:     x.agent.Status().Config + 1,
-		Left:       left,
-		Credit:     peer.Window,
+		TimeLeft:   left,
+		Credit:     peer.CreditWindow,
 	})
 	x.quiet(99) // the agent has it
 	clock.Advance(behind)
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -81,7 +81,7 @@
 	if sh, ok := core.Shadow(); ok {
 		m.shadowLoads.Update(float64(sh.Loads))
 		m.shadowWants.Update(float64(sh.OtherAdapters))
-		m.shadowVictims.Update(float64(sh.Victims))
+		m.shadowVictims.Update(float64(sh.OtherVictims))
 		m.shadowHolds.Update(float64(sh.Holds))
 		m.shadowHeld.Update(float64(sh.OtherHolds))
 	}
--- a/agent/run.go
+++ b/agent/run.go
@@ -84,11 +84,11 @@
 // sendHead starts the answer; the lock is held.
 func (a *Agent) sendHead(t *attempt, status int, header []wardturn.HeaderField) {
 	t.head = &peer.Head{
-		Attempt: t.id,
-		Status:  status,
-		Header:  header,
-		Stalled: t.stalled,
-		Queued:  a.clock.Now().Sub(t.arrived),
+		Attempt:     t.id,
+		Status:      status,
+		Header:      header,
+		AdapterWait: t.stalled,
+		TotalWait:   a.clock.Now().Sub(t.arrived),
 	}
 	a.flush(t)
 }
@@ -149,7 +149,7 @@
 	if len(t.buf) > 0 || a.leaving {
 		return false
 	}
-	a.ledger.Unsend(t.id)
+	a.ledger.Requeue(t.id)
 	t.head = nil
 	t.headSent = false
 	a.do(func(now time.Time, out *decide.Orders) {
--- a/cli/entryd.go
+++ b/cli/entryd.go
@@ -166,7 +166,7 @@
 	}
 	return c.Invoke(func(e *entry.Entry, clock wardturn.Clock) {
 		<-ctx.Done()
-		limit, cancel := wardturn.WithLimit(context.Background(), clock, set.ShutdownLimit)
+		limit, cancel := wardturn.WithTimeout(context.Background(), clock, set.ShutdownLimit)
 		defer cancel()
 		e.Leave(limit)
 		e.Close()
--- a/cli/fleet/gateway.go
+++ b/cli/fleet/gateway.go
@@ -99,11 +99,11 @@
 			Memory: c.CrashMemory,
 		},
 		Fleet: decide.FleetConfig{
-			Domain:       wardturn.FailureDomain(c.Domain),
-			Regions:      c.Regions,
-			CrossBytes:   c.CrossBytes,
-			MostBodies:   c.UpstreamMB << 20,
-			VersionBound: c.VersionBound,
+			Domain:              wardturn.FailureDomain(c.Domain),
+			Regions:             c.Regions,
+			MaxCrossDomainBytes: c.CrossBytes,
+			MaxBodyBytes:        c.UpstreamMB << 20,
+			VersionBound:        c.VersionBound,
 			Cold: decide.ColdConfig{
 				Overage: c.ColdOverage,
 				Slack:   c.ColdSlack,
@@ -124,7 +124,7 @@
 	logger.SetLevel(hclog.LevelFromString(n.LogLevel))
 	t := n.config()
 	g.ApplySettings(t)
-	logger.Info("settings read again", "log_level", n.LogLevel, "retry_share", t.RetryShare, "retry_extra", t.RetryExtra, "retry_window", t.RetryWindow, "cross_bytes", t.Fleet.CrossBytes, "loads_at_most", t.Fleet.Window.Max)
+	logger.Info("settings read again", "log_level", n.LogLevel, "retry_share", t.RetryShare, "retry_extra", t.RetryExtra, "retry_window", t.RetryWindow, "cross_bytes", t.Fleet.MaxCrossDomainBytes, "loads_at_most", t.Fleet.Window.Max)
 }
 
 // leaveMargin is kept before SIGKILL to end the answers under way visibly and to
@@ -163,7 +163,7 @@
 		watchSettings(ctx, args, logger, func(root *commands) {
 			c.retune(g, logger, &root.Gateway)
 		})
-		limit, cancel := wardturn.WithLimit(context.Background(), clock, c.Grace-leaveMargin)
+		limit, cancel := wardturn.WithTimeout(context.Background(), clock, c.Grace-leaveMargin)
 		defer cancel()
 		g.Shutdown(limit)
 		g.Close()
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -310,7 +310,7 @@
 			age = fmt.Sprintf("%.1f", u.HintAge)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%v\n", u.Upstream, serves, u.Domain, state,
-			u.Hint.Running, u.Hint.Queued, u.Hint.WaitingAdapters, u.Hint.Spare, age, u.Open)
+			u.Hint.Running, u.Hint.Queued, u.Hint.WaitingAdapters, u.Hint.SpareSlots, age, u.Open)
 	}
 }
 
--- a/control/claims.go
+++ b/control/claims.go
@@ -61,7 +61,7 @@
 		claim: claim,
 		ready: make(chan struct{}),
 	}
-	ctx, cancel := wardturn.WithLimit(ctx, c.clock, claimLimit)
+	ctx, cancel := wardturn.WithTimeout(ctx, c.clock, claimLimit)
 	defer cancel()
 	c.enqueue(p)
 	select {
@@ -155,7 +155,7 @@
 	if err != nil {
 		return 0, err
 	}
-	ctx, cancel := wardturn.WithLimit(context.Background(), c.clock, claimLimit)
+	ctx, cancel := wardturn.WithTimeout(context.Background(), c.clock, claimLimit)
 	defer cancel()
 	return c.replica.log.Append(ctx, data)
 }
--- a/decide/agent.go
+++ b/decide/agent.go
@@ -16,7 +16,7 @@
 	DefaultLoadTime     = 400 * time.Millisecond
 	DefaultReserveSlots = 2
 	DefaultServiceTime  = 2 * time.Second
-	DefaultForgetAfter  = 10 * time.Minute
+	DefaultHistoryTTL   = 10 * time.Minute
 	DefaultStarveAfter  = 20 * time.Second
 	DefaultDrainAfter   = 2 * time.Second
 )
@@ -37,7 +37,7 @@
 	ReserveSlots int           // slots that batch requests may not occupy
 	LoadTime     time.Duration // initial estimate
 	ServiceTime  time.Duration // initial estimate
-	ForgetAfter  time.Duration // idle time after which the history of an adapter is dropped
+	HistoryTTL   time.Duration // idle time after which the history of an adapter is dropped
 	StarveAfter  time.Duration // waiting time after which requests are served by age alone
 	DrainAfter   time.Duration // waiting time after which a busy slot is drained
 	AdmitAll     bool          // refuse nothing before its deadline, like a system without admission control
@@ -48,7 +48,7 @@
 	c.LoadTime = cmp.Or(c.LoadTime, DefaultLoadTime)
 	c.ReserveSlots = cmp.Or(c.ReserveSlots, DefaultReserveSlots)
 	c.ServiceTime = cmp.Or(c.ServiceTime, DefaultServiceTime)
-	c.ForgetAfter = cmp.Or(c.ForgetAfter, DefaultForgetAfter)
+	c.HistoryTTL = cmp.Or(c.HistoryTTL, DefaultHistoryTTL)
 	c.StarveAfter = cmp.Or(c.StarveAfter, DefaultStarveAfter)
 	c.DrainAfter = cmp.Or(c.DrainAfter, DefaultDrainAfter)
 	return c
@@ -106,7 +106,7 @@
 type AgentStats struct {
 	Loads     int
 	Evictions int
-	Lost      int // adapters that the engine dropped without an order
+	Dropped   int // adapters that the engine dropped without an order
 }
 
 // Agent is the scheduler of one upstream: it queues requests, starts them, and assigns
@@ -320,7 +320,7 @@
 		return
 	}
 	late := func(it *item) bool {
-		return it.late(now)
+		return it.pastDeadline(now)
 	}
 	a.refuseWaiting(late, wardturn.ReasonDeadline, a.queueDelay(), out)
 }
@@ -337,7 +337,7 @@
 func (a *Agent) sweep(now time.Time) {
 	for ref, ad := range a.adapters {
 		idle := now.Sub(ad.demand.Last())
-		if ad.slot == noSlot && ad.waiting() == 0 && ad.running == 0 && idle > a.cfg.ForgetAfter {
+		if ad.slot == noSlot && ad.waiting() == 0 && ad.running == 0 && idle > a.cfg.HistoryTTL {
 			delete(a.adapters, ref)
 		}
 	}
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -54,7 +54,7 @@
 				for b.Loop() {
 					i++
 					now = now.Add(time.Millisecond)
-					id, _ := r.Pick(now, decide.Ask{
+					id, _ := r.Pick(now, decide.RouteRequest{
 						Adapter: refs[(i*c.step)%c.of],
 					})
 					r.Sent(id)
--- a/decide/bodies_test.go
+++ b/decide/bodies_test.go
@@ -14,9 +14,9 @@
 		maxBytes = 4 << 20
 		longBody = 1 << 20
 	)
-	x := newFleetRig()
-	x.f.Retune(decide.FleetConfig{
-		MostBodies: maxBytes,
+	x := newFleetFixture()
+	x.f.ApplySettings(decide.FleetConfig{
+		MaxBodyBytes: maxBytes,
 	})
 	for _, m := range fleetMembers() {
 		x.f.ApplyEngineUpdate(x.now, m.ID, decide.EngineUpdate{
@@ -34,14 +34,14 @@
 		x.f.Admit(x.now, request, &x.out)
 	}
 	admit("alone", 2*maxBytes) // over the bound, but the only one there
-	first := x.got["alone"].Member.ID
+	first := x.assigned["alone"].Member.ID
 	if first == "" {
 		t.Fatal("a single long request is not sent")
 	}
 	bytesAt := make(map[string]int)
 	for _, id := range []string{"1", "2", "3", "4", "5", "6", "7", "8"} {
 		admit(id, longBody)
-		if a, ok := x.got[id]; ok {
+		if a, ok := x.assigned[id]; ok {
 			bytesAt[string(a.Member.ID)] += longBody
 		}
 	}
@@ -53,12 +53,12 @@
 			t.Errorf("%s got %d bytes from one of two gateways, want at most %d", id, bytes, maxBytes/2)
 		}
 	}
-	if len(x.got) != 7 {
-		t.Errorf("%d requests sent, want 7: two at each of three engines and the long one", len(x.got))
+	if len(x.assigned) != 7 {
+		t.Errorf("%d requests sent, want 7: two at each of three engines and the long one", len(x.assigned))
 	}
-	x.f.Freed(first, 2*maxBytes)
+	x.f.ReleaseBody(first, 2*maxBytes)
 	x.tick(0)
-	if len(x.got) != 9 {
-		t.Errorf("%d requests sent after the long one ended, want 9", len(x.got))
+	if len(x.assigned) != 9 {
+		t.Errorf("%d requests sent after the long one ended, want 9", len(x.assigned))
 	}
 }
--- a/decide/copies.go
+++ b/decide/copies.go
@@ -24,13 +24,13 @@
 // considerCopy requests a copy of an adapter on another engine if m, the engine that
 // serves it, is more loaded than others, if the streams there would pause for the prefill
 // of the request's prompt, or if m is in another failure domain and the traffic sent
-// there exceeds FleetConfig.CrossBytes, the equivalent of a load.
+// there exceeds FleetConfig.MaxCrossDomainBytes, the equivalent of a load.
 func (f *Fleet) considerCopy(now time.Time, t *PendingRequest, m *Member, out *Actions) {
 	near := m.Domain == f.cfg.Domain
 	if !near {
-		f.crossed[t.Key] += t.Bytes
+		f.crossDomainBytes[t.Key] += t.Bytes
 	}
-	costly := !near && f.crossed[t.Key] >= f.cfg.CrossBytes
+	costly := !near && f.crossDomainBytes[t.Key] >= f.cfg.MaxCrossDomainBytes
 	busy := f.overloaded(t, m) || f.pausesStreams(now, t, m)
 	if !costly && !busy {
 		return
@@ -42,7 +42,7 @@
 	if home == nil {
 		return
 	}
-	f.crossed[t.Key] = 0
+	f.crossDomainBytes[t.Key] = 0
 	w := f.missingFor(now, t.Key, t.Service, nil)
 	w.cause = LoadLocal
 	if busy {
@@ -60,7 +60,7 @@
 	if (m.runningOf(t.Key)+1)*f.Gateways() < copyMinRequests {
 		return false
 	}
-	return m.pauseCost(now, t) >= spreadPause
+	return m.pauseCost(now, t) >= spreadPauseCost
 }
 
 // overloaded reports whether an engine has far more load than others and this gateway's
@@ -82,12 +82,12 @@
 // the first in the gateway's own failure domain. Gateways that need a copy at the same
 // time thus choose the same engine.
 func (f *Fleet) copyHome(now time.Time, t *PendingRequest, m *Member, near bool) *Member {
-	maxCost := f.costOf(now, t, m) - copyMinSaving
+	maxCost := f.costForRequest(now, t, m) - copyMinSaving
 	for o := range f.homes(now, t.Service, t.Key, near) {
 		if _, holds := o.held[t.Key]; holds || o.loading() >= MaxConcurrentLoads {
 			continue
 		}
-		if near || f.costOf(now, t, o) <= maxCost {
+		if near || f.costForRequest(now, t, o) <= maxCost {
 			return o
 		}
 	}
--- a/decide/demand.go
+++ b/decide/demand.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Arrive records one request.
-func (d *Demand) Arrive(now time.Time) {
+// Record records one request.
+func (d *Demand) Record(now time.Time) {
 	d.decay(now)
 	d.longCount++
 	d.shortCount++
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -7,26 +7,26 @@
 	"wardturn"
 )
 
-// coldWatch is how long an upstream that may have become cold unnoticed is presumed cold,
+// presumedCold is how long an upstream that may have become cold unnoticed is presumed cold,
 // whatever its entry says. By then it has written a new entry and the list has been read.
-const coldWatch = 3500 * time.Millisecond
+const presumedCold = 3500 * time.Millisecond
 
 // preloadWantedFor is how long an adapter that was in use in an evacuated failure domain
 // is wanted elsewhere although no request waits for it.
 const preloadWantedFor = 3 * time.Second
 
 // SetEvacuated sets the failure domains whose upstreams get no requests. The upstreams of a
-// domain whose evacuation is withdrawn are presumed cold for coldWatch.
+// domain whose evacuation is withdrawn are presumed cold for presumedCold.
 func (f *Fleet) SetEvacuated(now time.Time, domains wardturn.Evacuations, out *Actions) {
 	before := f.evacuated
 	f.evacuated = domains
 	for _, m := range f.members {
 		if m.evacuated && !domains[m.Domain] {
-			m.watchUntil = now.Add(coldWatch)
+			m.presumedColdUntil = now.Add(presumedCold)
 		}
 		m.evacuated = domains[m.Domain]
 	}
-	f.limitCold(now)
+	f.updateColdLimits(now)
 	for _, m := range f.members {
 		if m.evacuated && !before[m.Domain] {
 			f.preloadElsewhere(now, m)
@@ -57,33 +57,33 @@
 // availableInRegions reports whether any available upstream of a service is in the regions.
 func (f *Fleet) availableInRegions(now time.Time, s wardturn.ServiceName, r wardturn.Regions) bool {
 	return slices.ContainsFunc(f.services[s], func(m *Member) bool {
-		return m.open(now) && f.inRegions(m, r)
+		return m.eligible(now) && f.inRegions(m, r)
 	})
 }
 
 // heldByAvailable reports whether any available engine holds an adapter.
 func (f *Fleet) heldByAvailable(now time.Time, key wardturn.ModelAdapter) bool {
 	return slices.ContainsFunc(f.holders[key], func(m *Member) bool {
-		return m.open(now)
+		return m.eligible(now)
 	})
 }
 
-// SawCold records an upstream's statement, in an answer, that it stays cold for the given
+// ObserveCold records an upstream's statement, in an answer, that it stays cold for the given
 // time.
-func (f *Fleet) SawCold(now time.Time, id wardturn.UpstreamID, left time.Duration) {
+func (f *Fleet) ObserveCold(now time.Time, id wardturn.UpstreamID, left time.Duration) {
 	m := f.members[id]
 	if m == nil || left <= 0 {
 		return
 	}
 	m.coldUntil = latest(m.coldUntil, now.Add(left))
-	f.limitCold(now)
+	f.updateColdLimits(now)
 }
 
-// limitCold updates the rate limits of cold upstreams.
-func (f *Fleet) limitCold(now time.Time) {
+// updateColdLimits updates the rate limits of cold upstreams.
+func (f *Fleet) updateColdLimits(now time.Time) {
 	cold := false
 	for _, m := range f.members {
-		until := latest(m.coldUntil, m.watchUntil)
+		until := latest(m.coldUntil, m.presumedColdUntil)
 		rate := 0.0
 		if f.table != nil {
 			rate = f.table.Services[m.Service].ColdRate
@@ -94,23 +94,23 @@
 	f.limits.ExpectCold(cold || len(f.evacuated) > 0)
 }
 
-// noteCold updates the cold state of a member from its entry. The time in an entry counts
+// updateCold updates the cold state of a member from its entry. The time in an entry counts
 // from when the entry was first read, so an entry that was read before is ignored.
-func (m *Member) noteCold(now time.Time, e wardturn.Member) {
-	if e.Seen <= m.coldSeen {
+func (m *Member) updateCold(now time.Time, e wardturn.Member) {
+	if e.Position <= m.coldEntry {
 		return
 	}
-	m.coldSeen = e.Seen
+	m.coldEntry = e.Position
 	m.coldUntil = time.Time{}
-	if e.Cold > 0 {
-		m.coldUntil = now.Add(e.Cold)
+	if e.ColdFor > 0 {
+		m.coldUntil = now.Add(e.ColdFor)
 	}
 }
 
-// noneMay reports whether no upstream of a request's service is eligible for it, whatever
+// noneEligible reports whether no upstream of a request's service is eligible for it, whatever
 // their load, and why. Such a request is refused at once, since waiting in the gateway
 // would gain it nothing.
-func (f *Fleet) noneMay(t *PendingRequest) (wardturn.Reason, bool) {
+func (f *Fleet) noneEligible(t *PendingRequest) (wardturn.Reason, bool) {
 	if t.Regions == nil && len(f.evacuated) == 0 {
 		return "", false
 	}
--- a/decide/evacuation_test.go
+++ b/decide/evacuation_test.go
@@ -10,11 +10,11 @@
 
 const plainService = wardturn.ServiceName("app")
 
-// newEvacuationRig is newFleetRig with a rate limit for cold engines and a plain service
+// newEvacuationRig is newFleetFixture with a rate limit for cold engines and a plain service
 // whose only upstream is in the failure domain near.
-func newEvacuationRig() (x *fleetRig, members []wardturn.Member) {
+func newEvacuationRig() (x *fleetFixture, members []wardturn.Member) {
 	limits := decide.NewLimits(start, "p")
-	x = newLimitedRig(limits)
+	x = newLimitedFixture(limits)
 	table := fleetTable(&wardturn.EngineSpec{
 		Batch:        4,
 		AdapterSlots: 4,
@@ -44,7 +44,7 @@
 }
 
 // admitFor admits a request and returns its assignment if it was decided at once.
-func (x *fleetRig) admitFor(service wardturn.ServiceName, key wardturn.ModelAdapter, regions wardturn.Regions) (a decide.Assignment, decided bool) {
+func (x *fleetFixture) admitFor(service wardturn.ServiceName, key wardturn.ModelAdapter, regions wardturn.Regions) (a decide.Assignment, decided bool) {
 	x.f.Admit(x.now, &decide.PendingRequest{
 		Service:   service,
 		Key:       key,
@@ -61,7 +61,7 @@
 }
 
 // holdEverywhere makes all engines report an adapter as ready.
-func (x *fleetRig) holdEverywhere(name string) {
+func (x *fleetFixture) holdEverywhere(name string) {
 	for _, id := range []wardturn.UpstreamID{"n0", "n1", "f0", "f1"} {
 		x.f.ApplyEngineUpdate(x.now, id, decide.EngineUpdate{
 			Connected: true,
@@ -169,7 +169,7 @@
 		t.Errorf("%d requests at once to engines presumed cold", got)
 	}
 	for i := range members { // written before they turned cold
-		members[i].Seen = 7
+		members[i].Position = 7
 	}
 	x.f.SetMembers(x.now, members)
 	if got := count(); got > 2 {
@@ -188,8 +188,8 @@
 	x.holdEverywhere("a")
 	cold := func(seen wardturn.Position, left time.Duration) {
 		for i := range members {
-			members[i].Seen = seen
-			members[i].Cold = left
+			members[i].Position = seen
+			members[i].ColdFor = left
 		}
 		x.f.SetMembers(x.now, members)
 	}
@@ -219,8 +219,8 @@
 	if got := served(); got != 16 {
 		t.Errorf("%d of 16 requests served after an older entry", got)
 	}
-	x.f.SawCold(x.now, "n0", time.Second)
-	x.f.SawCold(x.now, "n1", time.Second)
+	x.f.ObserveCold(x.now, "n0", time.Second)
+	x.f.ObserveCold(x.now, "n1", time.Second)
 	if a, _ := x.admitFor(fleetService, adapterKey("a"), nil); a.Member.Domain == "near" {
 		t.Errorf("a request was sent to %s, which has just reported that it is cold", a.Member.ID)
 	}
@@ -230,8 +230,8 @@
 // the next requests for all of them would wait for loads that begin at the same time.
 func TestAdaptersInUseAreLoadedElsewhere(t *testing.T) {
 	x, _ := newEvacuationRig()
-	x.hold("n0", readyAdapter("used", 1), readyAdapter("idle", 1), readyAdapter("spread", 1))
-	x.hold("f0", readyAdapter("spread", 1))
+	x.setAdapters("n0", readyAdapter("used", 1), readyAdapter("idle", 1), readyAdapter("spread", 1))
+	x.setAdapters("f0", readyAdapter("spread", 1))
 	for _, name := range []string{"used", "spread"} {
 		if a, _ := x.admitFor(fleetService, adapterKey(name), nil); a.Member.ID != "n0" {
 			t.Fatalf("%s: %+v", name, a)
@@ -248,7 +248,7 @@
 	if home != "f0" && home != "f1" {
 		t.Errorf("load requested at %s", home)
 	}
-	x.hold(string(home), readyAdapter("used", 1))
+	x.setAdapters(string(home), readyAdapter("used", 1))
 	if a, ok := x.admitFor(fleetService, adapterKey("used"), nil); !ok || a.Member.ID != home {
 		t.Errorf("next request: %+v", a)
 	}
--- a/decide/finish_test.go
+++ b/decide/finish_test.go
@@ -13,10 +13,10 @@
 
 var _ = Describe("Copies of an adapter for waiting prompts", func() {
 	const longPrompt wardturn.Tokens = 8400 // 210 ms of prefill
-	var x *fleetRig
+	var x *fleetFixture
 	BeforeEach(func() {
-		x = newFleetRig()
-		x.hold("n0", readyAdapter("hot", 1))
+		x = newFleetFixture()
+		x.setAdapters("n0", readyAdapter("hot", 1))
 	})
 	admit := func(id, adapter string, prompt wardturn.Tokens) {
 		t := x.ticket(id, adapter)
@@ -27,15 +27,15 @@
 	It("are made for a long prompt that would miss its objective where its adapter is, and it waits for the copy", func() {
 		admit("first", "hot", longPrompt)
 		admit("second", "hot", longPrompt)
-		Expect(x.got["second"].Member.ID).To(BeEquivalentTo("n0")) // 420 ms of prefill, with an objective of 600 ms
+		Expect(x.assigned["second"].Member.ID).To(BeEquivalentTo("n0")) // 420 ms of prefill, with an objective of 600 ms
 		admit("third", "hot", longPrompt)
-		Expect(x.got).NotTo(HaveKey("third"))
+		Expect(x.assigned).NotTo(HaveKey("third"))
 		Expect(x.out.LoadRequests).To(HaveLen(1))
 		copyEngine := x.out.LoadRequests[0].Upstream
 		Expect(copyEngine).NotTo(BeEquivalentTo("n0"))
 		x.tick(250 * time.Millisecond)
-		x.hold(string(copyEngine), readyAdapter("hot", 1))
-		Expect(x.got["third"].Member.ID).To(Equal(copyEngine))
+		x.setAdapters(string(copyEngine), readyAdapter("hot", 1))
+		Expect(x.assigned["third"].Member.ID).To(Equal(copyEngine))
 	})
 
 	It("are made while the load window has any space, however many gateways share it", func() {
@@ -48,7 +48,7 @@
 		for i := range 3 {
 			admit(fmt.Sprint("r", i), "hot", longPrompt)
 		}
-		Expect(x.got).To(HaveLen(2))
+		Expect(x.assigned).To(HaveLen(2))
 		Expect(x.out.LoadRequests).To(HaveLen(1))
 	})
 
@@ -56,7 +56,7 @@
 		for i := range 4 {
 			admit(fmt.Sprint("r", i), "hot", 500)
 		}
-		Expect(x.got).To(HaveLen(4))
+		Expect(x.assigned).To(HaveLen(4))
 		Expect(x.out.LoadRequests).To(BeEmpty())
 	})
 
@@ -64,7 +64,7 @@
 		admit("first", "hot", longPrompt)
 		admit("second", "hot", longPrompt)
 		admit("huge", "hot", 20000) // 500 ms of prefill, and 300 ms for a load
-		Expect(x.got["huge"].Member.ID).To(BeEquivalentTo("n0"))
+		Expect(x.assigned["huge"].Member.ID).To(BeEquivalentTo("n0"))
 		Expect(x.out.LoadRequests).To(BeEmpty())
 	})
 
@@ -80,7 +80,7 @@
 			},
 		}))
 		x.tick(400 * time.Millisecond) // none could meet its objective any more
-		Expect(x.got).To(HaveLen(3))
+		Expect(x.assigned).To(HaveLen(3))
 		Expect(x.f.PrefillReports()).To(Equal([]decide.PrefillReport{
 			{
 				Upstream: home,
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -13,44 +13,44 @@
 // available engine holds. Its state comes from the platform's list of upstreams, from the
 // keepers beside the engines and from responses to requests. It is not persisted.
 type Fleet struct {
-	cfg           FleetConfig
-	table         *wardturn.RouteTable
-	announcements map[wardturn.ModelAdapter][]announcement // announced versions of each adapter, oldest first
-	rollouts      map[wardturn.ModelAdapter]*rollout
-	members       map[wardturn.UpstreamID]*Member
-	services      map[wardturn.ServiceName][]*Member // sorted by ID
-	near          map[wardturn.ServiceName][]*Member // those of services in this gateway's failure domain
-	leaving       map[wardturn.UpstreamID]time.Time  // upstreams that announced that they are leaving, and when the list last had them
-	holders       engineIndex                        // engines that hold an adapter ready
-	loaders       engineIndex                        // engines that are loading it
-	heldBefore    engineIndex                        // engines that have held it since they started
-	missing       missingAdapters
-	gateways      int       // as reported by keepers
-	gatewaysAt    time.Time // when gateways was last updated
-	window        LoadWindow
-	refilledBy    map[wardturn.ServiceName]time.Time // when services whose engines were all empty are expected to hold adapters again
-	reportsDue    []*Member                          // members whose keepers have to be sent changed prefill counts
-	loadsInFlight int                                // loads under way from the weight store, of all gateways
-	lastDrawAt    time.Time                          // latest random draw for a share of the window below one
-	crossed       map[wardturn.ModelAdapter]int      // bytes sent to other failure domains
-	limits        *Limits
-	prefillRates  map[wardturn.ServiceName]*prefillRate // prefill rates of engines
-	evacuated     wardturn.Evacuations
-	backoffs      map[string]*upstreamBackoff // pauses requested by upstreams, by instance
+	cfg              FleetConfig
+	table            *wardturn.RouteTable
+	announcements    map[wardturn.ModelAdapter][]announcement // announced versions of each adapter, oldest first
+	rollouts         map[wardturn.ModelAdapter]*rollout
+	members          map[wardturn.UpstreamID]*Member
+	services         map[wardturn.ServiceName][]*Member // sorted by ID
+	local            map[wardturn.ServiceName][]*Member // those of services in this gateway's failure domain
+	leaving          map[wardturn.UpstreamID]time.Time  // upstreams that announced that they are leaving, and when the list last had them
+	holders          engineIndex                        // engines that hold an adapter ready
+	loaders          engineIndex                        // engines that are loading it
+	heldBefore       engineIndex                        // engines that have held it since they started
+	missing          missingAdapters
+	gateways         int       // as reported by keepers
+	gatewaysAt       time.Time // when gateways was last updated
+	window           LoadWindow
+	refilledBy       map[wardturn.ServiceName]time.Time // when services whose engines were all empty are expected to hold adapters again
+	reportsDue       []*Member                          // members whose keepers have to be sent changed prefill counts
+	loadsInFlight    int                                // loads under way from the weight store, of all gateways
+	lastDrawAt       time.Time                          // latest random draw for a share of the window below one
+	crossDomainBytes map[wardturn.ModelAdapter]int      // bytes sent to other failure domains
+	limits           *Limits
+	prefillRates     map[wardturn.ServiceName]*prefillRate // prefill rates of engines
+	evacuated        wardturn.Evacuations
+	backoffs         map[string]*upstreamBackoff // pauses requested by upstreams, by instance
 }
 
 // FleetConfig holds the limits of a Fleet.
 type FleetConfig struct {
 	Domain  wardturn.FailureDomain
 	Regions map[wardturn.FailureDomain]wardturn.Region
-	// CrossBytes is how many bytes may be sent for an adapter to other failure domains
+	// MaxCrossDomainBytes is how many bytes may be sent for an adapter to other failure domains
 	// before it is also loaded in this one.
-	CrossBytes int
-	// MostBodies bounds the total size in bytes of the request bodies that all gateways
+	MaxCrossDomainBytes int
+	// MaxBodyBytes bounds the total size in bytes of the request bodies that all gateways
 	// together may have at one upstream, which crashes when they outgrow its memory. Zero
 	// means no bound.
-	MostBodies int
-	Window     WindowConfig
+	MaxBodyBytes int
+	Window       WindowConfig
 	// VersionBound is how long requests may start on an older version of an adapter after
 	// the store announced a newer one.
 	VersionBound time.Duration
@@ -69,29 +69,29 @@
 	}
 	cfg.Limits.SetColdConfig(cfg.Cold)
 	return &Fleet{
-		cfg:           cfg,
-		announcements: make(map[wardturn.ModelAdapter][]announcement),
-		rollouts:      make(map[wardturn.ModelAdapter]*rollout),
-		members:       make(map[wardturn.UpstreamID]*Member),
-		services:      make(map[wardturn.ServiceName][]*Member),
-		leaving:       make(map[wardturn.UpstreamID]time.Time),
-		holders:       make(engineIndex),
-		loaders:       make(engineIndex),
-		heldBefore:    make(engineIndex),
-		missing:       make(missingAdapters),
-		window:        NewLoadWindow(cfg.Window),
-		refilledBy:    make(map[wardturn.ServiceName]time.Time),
-		crossed:       make(map[wardturn.ModelAdapter]int),
-		limits:        cfg.Limits,
-		prefillRates:  make(map[wardturn.ServiceName]*prefillRate),
-		backoffs:      make(map[string]*upstreamBackoff),
+		cfg:              cfg,
+		announcements:    make(map[wardturn.ModelAdapter][]announcement),
+		rollouts:         make(map[wardturn.ModelAdapter]*rollout),
+		members:          make(map[wardturn.UpstreamID]*Member),
+		services:         make(map[wardturn.ServiceName][]*Member),
+		leaving:          make(map[wardturn.UpstreamID]time.Time),
+		holders:          make(engineIndex),
+		loaders:          make(engineIndex),
+		heldBefore:       make(engineIndex),
+		missing:          make(missingAdapters),
+		window:           NewLoadWindow(cfg.Window),
+		refilledBy:       make(map[wardturn.ServiceName]time.Time),
+		crossDomainBytes: make(map[wardturn.ModelAdapter]int),
+		limits:           cfg.Limits,
+		prefillRates:     make(map[wardturn.ServiceName]*prefillRate),
+		backoffs:         make(map[string]*upstreamBackoff),
 	}
 }
 
-// Retune changes the limits. The failure domain stays the same.
-func (f *Fleet) Retune(cfg FleetConfig) {
-	f.cfg.CrossBytes = cfg.CrossBytes
-	f.cfg.MostBodies = cfg.MostBodies
+// ApplySettings changes the limits. The failure domain stays the same.
+func (f *Fleet) ApplySettings(cfg FleetConfig) {
+	f.cfg.MaxCrossDomainBytes = cfg.MaxCrossDomainBytes
+	f.cfg.MaxBodyBytes = cfg.MaxBodyBytes
 	f.window.ApplySettings(cfg.Window)
 	f.cfg.Cold = cfg.Cold
 	f.limits.SetColdConfig(cfg.Cold)
@@ -117,10 +117,10 @@
 func currentEntries(list []wardturn.Member) []wardturn.Member {
 	latest := make(map[string]wardturn.Position, len(list))
 	for _, e := range list {
-		latest[e.Addr] = max(latest[e.Addr], e.Seen)
+		latest[e.Addr] = max(latest[e.Addr], e.Position)
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(e wardturn.Member) bool {
-		return e.Seen < latest[e.Addr]
+		return e.Position < latest[e.Addr]
 	})
 }
 
@@ -130,13 +130,13 @@
 	members := make(map[wardturn.UpstreamID]*Member, len(list))
 	services := make(map[wardturn.ServiceName][]*Member)
 	list = currentEntries(list)
-	f.keepLeaving(now, list)
+	f.markKnownLeaving(now, list)
 	f.dropEndedBackoffs(now)
 	for _, e := range list {
 		m := f.members[e.ID]
 		if m == nil {
 			m = &Member{
-				coldSeen:     -1,
+				coldEntry:    -1,
 				hash:         hashString(string(e.ID)),
 				held:         make(map[wardturn.ModelAdapter]heldAdapter),
 				everHeld:     make(map[wardturn.ModelAdapter]bool),
@@ -145,7 +145,7 @@
 				uses:         make(map[wardturn.ModelAdapter]*AdapterCount),
 			}
 		}
-		m.noteCold(now, e)
+		m.updateCold(now, e)
 		m.Member = e
 		m.prefillRate = f.prefillRateOf(e.Service)
 		m.evacuated = f.evacuated[e.Domain]
@@ -169,9 +169,9 @@
 	}
 	f.members = members
 	f.limits.Retain(now, listedInstances(list))
-	f.limitCold(now)
+	f.updateColdLimits(now)
 	f.services = services
-	f.near = membersByServiceIn(services, f.cfg.Domain)
+	f.local = membersByServiceIn(services, f.cfg.Domain)
 	f.updateEngineCount()
 	return lost
 }
@@ -231,9 +231,9 @@
 	return max(f.gateways, 1)
 }
 
-// CountedGateways returns the number of gateways reported by keepers, or zero if no
+// ReportedGateways returns the number of gateways reported by keepers, or zero if no
 // keeper is connected.
-func (f *Fleet) CountedGateways() int {
+func (f *Fleet) ReportedGateways() int {
 	return f.gateways
 }
 
--- a/decide/fleet_loads_test.go
+++ b/decide/fleet_loads_test.go
@@ -12,9 +12,9 @@
 )
 
 var _ = Describe("Loads requested by a fleet", func() {
-	var x *fleetRig
+	var x *fleetFixture
 	BeforeEach(func() {
-		x = newFleetRig()
+		x = newFleetFixture()
 	})
 
 	It("asks one engine for an adapter that no engine holds, and has all its requests wait", func() {
@@ -22,12 +22,12 @@
 			x.admit(fmt.Sprint("r", i), "a")
 		}
 		Expect(x.out.LoadRequests).To(HaveLen(1))
-		Expect(x.got).To(BeEmpty())
+		Expect(x.assigned).To(BeEmpty())
 		x.now = x.now.Add(250 * time.Millisecond)
-		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
-		Expect(x.got).To(HaveLen(4)) // the batch of the engine is full
+		x.setAdapters(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
+		Expect(x.assigned).To(HaveLen(4)) // the batch of the engine is full
 		x.tick(100 * time.Millisecond)
-		for _, a := range x.got {
+		for _, a := range x.assigned {
 			Expect(a.Member.ID).To(Equal(x.out.LoadRequests[0].Upstream))
 		}
 	})
@@ -67,7 +67,7 @@
 		x.now = x.now.Add(10 * time.Millisecond)
 		x.admit("late", "late")
 		Expect(x.out.LoadRequests).To(HaveLen(4))
-		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter(string(x.out.LoadRequests[0].Adapter.Adapter), 1))
+		x.setAdapters(string(x.out.LoadRequests[0].Upstream), readyAdapter(string(x.out.LoadRequests[0].Adapter.Adapter), 1))
 		Expect(x.out.LoadRequests).To(HaveLen(5))
 		Expect(x.out.LoadRequests[4].Adapter.Adapter).To(BeEquivalentTo("late"))
 	})
@@ -75,7 +75,7 @@
 	It("gives up a load whose callers have not retried", func() {
 		x.admit("r", "a")
 		x.tick(430 * time.Millisecond)
-		Expect(x.got["r"].Reason).To(Equal(wardturn.ReasonLoading))
+		Expect(x.assigned["r"].Reason).To(Equal(wardturn.ReasonLoading))
 		for range 4 {
 			x.tick(300 * time.Millisecond)
 		}
@@ -88,7 +88,7 @@
 	It("joins a load that another gateway requested", func() {
 		for i, m := range fleetMembers() {
 			name := fmt.Sprint("a", i)
-			x.hold(string(m.ID), decide.HeldVersion{
+			x.setAdapters(string(m.ID), decide.HeldVersion{
 				Adapter: adapterVersion(name, 1),
 				Loading: true,
 			})
@@ -101,7 +101,7 @@
 		x.admit("first", "a")
 		home := x.out.LoadRequests[0].Upstream
 		x.tick(2 * time.Second) // its request has ended
-		x.f.Retune(decide.FleetConfig{
+		x.f.ApplySettings(decide.FleetConfig{
 			Window: decide.WindowConfig{
 				Min: 2 * decide.MaxConcurrentLoads,
 				Max: 2 * decide.MaxConcurrentLoads,
@@ -115,7 +115,7 @@
 				Loading: true,
 			})
 		}
-		x.hold(string(home), coming...)
+		x.setAdapters(string(home), coming...)
 		for range 4 {
 			x.tick(time.Second)
 		}
@@ -131,18 +131,18 @@
 		x.admit("two", "wanted")
 		x.admit("three", "wanted")
 		Expect(x.out.LoadRequests).To(HaveLen(4))
-		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter(string(x.out.LoadRequests[0].Adapter.Adapter), 1))
+		x.setAdapters(string(x.out.LoadRequests[0].Upstream), readyAdapter(string(x.out.LoadRequests[0].Adapter.Adapter), 1))
 		Expect(x.out.LoadRequests).To(HaveLen(5))
 		Expect(x.out.LoadRequests[4].Adapter.Adapter).To(BeEquivalentTo("wanted"))
 	})
 
 	It("does not count a load from the engine's own memory in the load window", func() {
-		x.hold("n0", readyAdapter("a", 1))
-		x.hold("n1", readyAdapter("a", 1))
-		x.hold("f0", readyAdapter("a", 1))
-		x.hold("f1", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
+		x.setAdapters("n1", readyAdapter("a", 1))
+		x.setAdapters("f0", readyAdapter("a", 1))
+		x.setAdapters("f1", readyAdapter("a", 1))
 		for _, m := range fleetMembers() {
-			x.hold(string(m.ID))
+			x.setAdapters(string(m.ID))
 		}
 		for i := range 4 {
 			x.admit(fmt.Sprint("r", i), fmt.Sprint("b", i))
@@ -162,10 +162,10 @@
 	})
 
 	It("loads an adapter in its own failure domain once many bytes were sent to another one", func() {
-		x.hold("f0", readyAdapter("a", 1))
+		x.setAdapters("f0", readyAdapter("a", 1))
 		for range 4 {
 			t := x.admit("r", "a")
-			x.f.RequestEnded(x.now, x.got["r"].Member.ID, t.Key, decide.OutcomeOK)
+			x.f.RequestEnded(x.now, x.assigned["r"].Member.ID, t.Key, decide.OutcomeOK)
 		}
 		Expect(x.out.LoadRequests).To(BeEmpty())
 		x.admit("r", "a")
@@ -174,10 +174,10 @@
 	})
 
 	It("keeps sending requests for held adapters to an engine whose keeper is lost, and asks it for no loads", func() {
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		x.f.KeeperLost("n0")
 		x.admit("r", "a")
-		Expect(x.got["r"].Member.ID).To(BeEquivalentTo("n0"))
+		Expect(x.assigned["r"].Member.ID).To(BeEquivalentTo("n0"))
 		for i := range 20 {
 			x.admit(fmt.Sprint("x", i), fmt.Sprint("x", i))
 		}
--- a/decide/fleet_prompts_test.go
+++ b/decide/fleet_prompts_test.go
@@ -12,9 +12,9 @@
 )
 
 var _ = Describe("Prefill in a fleet", func() {
-	var x *fleetRig
+	var x *fleetFixture
 	BeforeEach(func() {
-		x = newFleetRig()
+		x = newFleetFixture()
 	})
 
 	It("avoids an engine that prefills a long prompt of another gateway, for a limited time", func() {
@@ -26,19 +26,19 @@
 				PrefillTokens: tokens,
 			}, &x.out)
 		}
-		x.hold("n0", readyAdapter("a", 1))
-		x.hold("n1", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
+		x.setAdapters("n1", readyAdapter("a", 1))
 		reading(9000)
 		x.admit("there", "a")
-		Expect(x.got["there"].Member.ID).To(BeEquivalentTo("n1"))
+		Expect(x.assigned["there"].Member.ID).To(BeEquivalentTo("n1"))
 		x.f.RequestEnded(x.now, "n1", adapterKey("a"), decide.OutcomeOK)
 		x.now = x.now.Add(2 * time.Second)
 		x.admit("later", "a")
-		Expect(x.got["later"].Member.ID).To(BeEquivalentTo("n0"))
+		Expect(x.assigned["later"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 
 	It("reports its long prompts to keepers, and does not count them as those of others", func() {
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		t := x.ticket("long", "a")
 		t.Prompt = 9000
 		x.f.Admit(x.now, t, &x.out)
@@ -55,7 +55,7 @@
 			PrefillTokens: 9000,
 		}, &x.out)
 		x.admit("short", "a")
-		Expect(x.got["short"].Prefill).To(Equal(9000))
+		Expect(x.assigned["short"].Prefill).To(Equal(9000))
 		x.f.ResponseStarted("n0", 9000)
 		Expect(x.f.PrefillReports()).To(Equal([]decide.PrefillReport{
 			{
@@ -92,7 +92,7 @@
 				x.f.ApplyEngineUpdate(x.now, at, h, &x.out)
 			}
 			x.admit(id, "a")
-			at := x.got[id].Member.ID
+			at := x.assigned[id].Member.ID
 			x.f.RequestEnded(x.now, at, adapterKey("a"), decide.OutcomeOK)
 			return at
 		}
@@ -109,7 +109,7 @@
 			list[i].Slots = 32
 		}
 		x.f.SetMembers(x.now, list)
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		for i := range 9 {
 			x.admit(fmt.Sprint("r", i), "a")
 		}
--- a/decide/fleet_rig_test.go
+++ b/decide/fleet_rig_test.go
@@ -7,16 +7,16 @@
 	"wardturn/decide"
 )
 
-// fleetService is the service of the engines of a fleetRig.
+// fleetService is the service of the engines of a fleetFixture.
 const fleetService = wardturn.ServiceName("llm")
 
-// fleetRig is a Fleet with two engines in its own failure domain and two in another, and
+// fleetFixture is a Fleet with two engines in its own failure domain and two in another, and
 // the results of its decisions.
-type fleetRig struct {
-	f   *decide.Fleet
-	now time.Time
-	got map[string]decide.Assignment // by request
-	out decide.Actions
+type fleetFixture struct {
+	f        *decide.Fleet
+	now      time.Time
+	assigned map[string]decide.Assignment // by request
+	out      decide.Actions
 }
 
 func adapterKey(name string) wardturn.ModelAdapter {
@@ -83,19 +83,19 @@
 	}
 }
 
-// newFleetRig returns a fleet whose engines hold no adapters.
-func newFleetRig() *fleetRig {
-	return newLimitedRig(nil)
+// newFleetFixture returns a fleet whose engines hold no adapters.
+func newFleetFixture() *fleetFixture {
+	return newLimitedFixture(nil)
 }
 
-// newLimitedRig is newFleetRig with the request rate limits stated by upstreams.
-func newLimitedRig(limits *decide.Limits) *fleetRig {
-	x := &fleetRig{
-		now: start,
-		got: make(map[string]decide.Assignment),
+// newLimitedFixture is newFleetFixture with the request rate limits stated by upstreams.
+func newLimitedFixture(limits *decide.Limits) *fleetFixture {
+	x := &fleetFixture{
+		now:      start,
+		assigned: make(map[string]decide.Assignment),
 		f: decide.NewFleet(decide.FleetConfig{
-			Domain:     "near",
-			CrossBytes: 5000,
+			Domain:              "near",
+			MaxCrossDomainBytes: 5000,
 			// The last request on an old version is sent 3 s after the newer one is
 			// announced.
 			VersionBound: 4500 * time.Millisecond,
@@ -113,13 +113,13 @@
 	}))
 	x.f.SetMembers(x.now, fleetMembers())
 	for _, m := range fleetMembers() {
-		x.hold(string(m.ID))
+		x.setAdapters(string(m.ID))
 	}
 	return x
 }
 
-// hold has an engine's keeper report all adapters that it holds.
-func (x *fleetRig) hold(id string, adapters ...decide.HeldVersion) {
+// setAdapters has an engine's keeper report all adapters that it holds.
+func (x *fleetFixture) setAdapters(id string, adapters ...decide.HeldVersion) {
 	x.f.ApplyEngineUpdate(x.now, wardturn.UpstreamID(id), decide.EngineUpdate{
 		Connected: true,
 		Known:     true,
@@ -130,7 +130,7 @@
 	}, &x.out)
 }
 
-func (x *fleetRig) ticket(id, adapter string) *decide.PendingRequest {
+func (x *fleetFixture) ticket(id, adapter string) *decide.PendingRequest {
 	return &decide.PendingRequest{
 		Service:   fleetService,
 		Key:       adapterKey(adapter),
@@ -139,25 +139,25 @@
 		Deadline:  x.now.Add(5 * time.Second),
 		Bytes:     1000,
 		Assign: func(a decide.Assignment) {
-			x.got[id] = a
+			x.assigned[id] = a
 		},
 	}
 }
 
-func (x *fleetRig) admit(id, adapter string) *decide.PendingRequest {
+func (x *fleetFixture) admit(id, adapter string) *decide.PendingRequest {
 	t := x.ticket(id, adapter)
 	x.f.Admit(x.now, t, &x.out)
 	return t
 }
 
-func (x *fleetRig) tick(d time.Duration) {
+func (x *fleetFixture) tick(d time.Duration) {
 	x.now = x.now.Add(d)
 	x.f.Tick(x.now, &x.out)
 }
 
 // takes reports whether a request that was assigned to an engine may still be sent there.
-func (x *fleetRig) takes(now time.Time, id wardturn.UpstreamID) bool {
-	return x.f.Takes(now, wardturn.Member{
+func (x *fleetFixture) takes(now time.Time, id wardturn.UpstreamID) bool {
+	return x.f.Accepts(now, wardturn.Member{
 		ID:     id,
 		Domain: "near",
 	})
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -12,67 +12,67 @@
 )
 
 var _ = Describe("Fleet", func() {
-	var x *fleetRig
+	var x *fleetFixture
 	BeforeEach(func() {
-		x = newFleetRig()
+		x = newFleetFixture()
 	})
 
 	It("sends a request to an engine that holds its adapter, preferring its own failure domain", func() {
-		x.hold("f0", readyAdapter("a", 1))
+		x.setAdapters("f0", readyAdapter("a", 1))
 		x.admit("r1", "a")
-		Expect(x.got["r1"].Member.ID).To(BeEquivalentTo("f0"))
-		x.hold("n1", readyAdapter("a", 1))
+		Expect(x.assigned["r1"].Member.ID).To(BeEquivalentTo("f0"))
+		x.setAdapters("n1", readyAdapter("a", 1))
 		x.admit("r2", "a")
-		Expect(x.got["r2"].Member.ID).To(BeEquivalentTo("n1"))
+		Expect(x.assigned["r2"].Member.ID).To(BeEquivalentTo("n1"))
 		Expect(x.out.LoadRequests).To(BeEmpty())
 	})
 
 	It("sends requests again to an engine that refused a connection after a while", func() {
-		x.hold("n0", readyAdapter("a", 1))
-		x.f.Refused(x.now, "n0")
+		x.setAdapters("n0", readyAdapter("a", 1))
+		x.f.ConnectionRefused(x.now, "n0")
 		x.admit("r", "a")
-		Expect(x.got).To(BeEmpty())
+		Expect(x.assigned).To(BeEmpty())
 		x.tick(410 * time.Millisecond)
-		Expect(x.got["r"].Member.ID).To(BeEquivalentTo("n0"))
+		Expect(x.assigned["r"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 
 	It("skips engines that leave or were replaced by another incarnation", func() {
-		x.hold("n0", readyAdapter("a", 1))
-		x.hold("n1", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
+		x.setAdapters("n1", readyAdapter("a", 1))
 		x.f.IncarnationReplaced("n0")
 		x.admit("r1", "a")
-		Expect(x.got["r1"].Member.ID).To(BeEquivalentTo("n1"))
+		Expect(x.assigned["r1"].Member.ID).To(BeEquivalentTo("n1"))
 		list := fleetMembers()
 		list[1].Draining = true
 		x.f.SetMembers(x.now, list)
 		x.admit("r2", "a")
-		Expect(x.got).NotTo(HaveKey("r2"))
+		Expect(x.assigned).NotTo(HaveKey("r2"))
 	})
 
 	It("uses the entry written last for an address", func() {
 		list := fleetMembers()
 		again := list[0]
 		again.ID = "n0-again"
-		again.Seen = 9
-		list[0].Seen = 8
+		again.Position = 9
+		list[0].Position = 8
 		x.f.SetMembers(x.now, append(list, again))
-		x.hold("n0", readyAdapter("a", 1))
-		x.hold("n0-again", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
+		x.setAdapters("n0-again", readyAdapter("a", 1))
 		x.admit("r", "a")
-		Expect(x.got["r"].Member.ID).To(BeEquivalentTo("n0-again"))
+		Expect(x.assigned["r"].Member.ID).To(BeEquivalentTo("n0-again"))
 	})
 
 	It("ignores a keeper's report for a moment after its engine refused a request as not held", func() {
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		x.f.NotHeld(x.now, "n0", adapterKey("a"))
 		x.admit("r", "a")
-		Expect(x.got).To(BeEmpty())
+		Expect(x.assigned).To(BeEmpty())
 		x.tick(310 * time.Millisecond)
-		Expect(x.got["r"].Member.ID).To(BeEquivalentTo("n0"))
+		Expect(x.assigned["r"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 
 	It("applies incremental changes of a holding", func() {
-		x.hold("n0", readyAdapter("a", 1), readyAdapter("b", 1))
+		x.setAdapters("n0", readyAdapter("a", 1), readyAdapter("b", 1))
 		x.f.ApplyEngineUpdate(x.now, "n0", decide.EngineUpdate{
 			Connected: true,
 			Known:     true,
@@ -83,19 +83,19 @@
 		x.admit("b", "b")
 		x.admit("c", "c")
 		x.admit("a", "a")
-		Expect(x.got).To(HaveLen(2))
+		Expect(x.assigned).To(HaveLen(2))
 	})
 
 	It("withdraws a request whose caller has gone", func() {
 		t := x.admit("r", "a")
 		x.f.Withdraw(t)
-		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
-		Expect(x.got).To(BeEmpty())
+		x.setAdapters(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
+		Expect(x.assigned).To(BeEmpty())
 		Expect(x.f.Usage(x.out.LoadRequests[0].Upstream)).To(BeEmpty())
 	})
 
 	It("reports each change in the use of adapters once", func() {
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		x.admit("r", "a")
 		counts := x.f.Usage("n0")
 		Expect(counts).To(HaveLen(1))
@@ -114,10 +114,10 @@
 		It("uses the upstreams of its own failure domain until they are full, then the others", func() {
 			for i := range 8 {
 				x.admit(fmt.Sprint("r", i), "")
-				Expect(string(x.got[fmt.Sprint("r", i)].Member.ID)).To(HavePrefix("n"))
+				Expect(string(x.assigned[fmt.Sprint("r", i)].Member.ID)).To(HavePrefix("n"))
 			}
 			x.admit("more", "")
-			Expect(string(x.got["more"].Member.ID)).To(HavePrefix("f"))
+			Expect(string(x.assigned["more"].Member.ID)).To(HavePrefix("f"))
 		})
 
 		It("avoids an upstream that responds slowly, and tries it again later", func() {
@@ -125,7 +125,7 @@
 				n := make(map[wardturn.UpstreamID]int)
 				for range 20 {
 					x.admit("r", "")
-					id := x.got["r"].Member.ID
+					id := x.assigned["r"].Member.ID
 					n[id]++
 					took := 30 * time.Millisecond
 					if string(id)[0] == 'n' {
@@ -147,7 +147,7 @@
 		It("avoids an upstream that fails more often than others", func() {
 			for range 30 {
 				x.admit("r", "")
-				id := x.got["r"].Member.ID
+				id := x.assigned["r"].Member.ID
 				ending := decide.OutcomeOK
 				if id == "n0" {
 					ending = decide.OutcomeError
@@ -156,8 +156,8 @@
 			}
 			for range 5 {
 				x.admit("r", "")
-				Expect(x.got["r"].Member.ID).NotTo(BeEquivalentTo("n0"))
-				x.f.RequestEnded(x.now, x.got["r"].Member.ID, adapterKey(""), decide.OutcomeOK)
+				Expect(x.assigned["r"].Member.ID).NotTo(BeEquivalentTo("n0"))
+				x.f.RequestEnded(x.now, x.assigned["r"].Member.ID, adapterKey(""), decide.OutcomeOK)
 			}
 		})
 
@@ -166,10 +166,10 @@
 				x.admit(fmt.Sprint("r", i), "")
 			}
 			x.admit("over", "")
-			Expect(x.got["over"].Reason).To(Equal(wardturn.ReasonQueueFull))
+			Expect(x.assigned["over"].Reason).To(Equal(wardturn.ReasonQueueFull))
 			x.f.SetMembers(x.now, nil)
 			x.admit("none", "")
-			Expect(x.got["none"].Reason).To(Equal(wardturn.ReasonNoUpstream))
+			Expect(x.assigned["none"].Reason).To(Equal(wardturn.ReasonNoUpstream))
 		})
 	})
 })
--- a/decide/hint.go
+++ b/decide/hint.go
@@ -15,7 +15,7 @@
 	Queued          int  `msgpack:"q" json:"queued"`
 	Capacity        int  `msgpack:"c" json:"capacity"`         // requests that can run at once
 	WaitingAdapters int  `msgpack:"w" json:"waiting_adapters"` // adapters that wait for a slot
-	Spare           int  `msgpack:"s" json:"spare_slots"`      // slots that are empty or can be reused at once
+	SpareSlots      int  `msgpack:"s" json:"spare_slots"`      // slots that are empty or can be reused at once
 	Leaving         bool `msgpack:"l" json:"leaving"`
 }
 
@@ -31,7 +31,7 @@
 	for i := range a.slots {
 		s := &a.slots[i]
 		if s.state == SlotEmpty || a.evictable(s) {
-			h.Spare++
+			h.SpareSlots++
 		}
 	}
 	return h
--- a/decide/holding.go
+++ b/decide/holding.go
@@ -54,7 +54,7 @@
 		f.limits.Observe(now, id, h.Limit)
 	}
 	if h.Leaving {
-		f.Leaves(now, id, out)
+		f.MarkLeaving(now, id, out)
 	}
 	f.gateways = max(f.gateways, h.Gateways)
 	m.runningAtUpdate = m.running
--- a/decide/home_test.go
+++ b/decide/home_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("The home of an adapter that no engine holds", func() {
-	var x *fleetRig
+	var x *fleetFixture
 	// report sends a keeper's report with an engine's free slots, its tokens in prefill and
 	// the adapters that it has unloaded.
 	report := func(id wardturn.UpstreamID, free, reading int, gone ...wardturn.ModelAdapter) {
@@ -33,16 +33,16 @@
 		return x.out.LoadRequests[before].Upstream
 	}
 	BeforeEach(func() {
-		x = newFleetRig()
+		x = newFleetFixture()
 	})
 
 	It("is the one of two engines with fewer tokens in prefill", func() {
 		first := homeOf("a")
-		x = newFleetRig()
+		x = newFleetFixture()
 		report(first, decide.MaxFreeSlots, 20000)
 		second := homeOf("a")
 		Expect(second).NotTo(Equal(first))
-		x = newFleetRig()
+		x = newFleetFixture()
 		for _, m := range fleetMembers() {
 			if m.ID != first && m.ID != second {
 				continue
@@ -54,7 +54,7 @@
 
 	It("has a free slot if any engine has one", func() {
 		for i := range 8 {
-			x = newFleetRig()
+			x = newFleetFixture()
 			spared := fleetMembers()[i%4].ID
 			for _, m := range fleetMembers() {
 				if m.ID != spared {
@@ -67,7 +67,7 @@
 
 	It("does not assign one slot to two adapters", func() {
 		for n := range 10 {
-			x = newFleetRig()
+			x = newFleetFixture()
 			for _, m := range fleetMembers() {
 				report(m.ID, 1, 0)
 			}
@@ -80,7 +80,7 @@
 	})
 
 	It("is the engine that held it before, even if the load window is full", func() {
-		x.hold("f1", readyAdapter("old", 1))
+		x.setAdapters("f1", readyAdapter("old", 1))
 		report("f1", decide.MaxFreeSlots, 0, adapterKey("old"))
 		for i := range 4 { // fills the window
 			homeOf(fmt.Sprint("a", i))
@@ -89,7 +89,7 @@
 	})
 
 	It("is not the engine that held it before if its prefill takes longer than a load", func() {
-		x.hold("f1", readyAdapter("old", 1))
+		x.setAdapters("f1", readyAdapter("old", 1))
 		report("f1", decide.MaxFreeSlots, 20000, adapterKey("old")) // 500 ms
 		Expect(homeOf("old")).NotTo(BeEquivalentTo("f1"))
 	})
@@ -98,17 +98,17 @@
 		causes := func(adapter string, id wardturn.UpstreamID) decide.LoadCause {
 			x.out.CompletedLoads = nil
 			x.now = x.now.Add(250 * time.Millisecond)
-			x.hold(string(id), readyAdapter(adapter, 1))
+			x.setAdapters(string(id), readyAdapter(adapter, 1))
 			Expect(x.out.CompletedLoads).To(HaveLen(1))
 			return x.out.CompletedLoads[0].Cause
 		}
 		Expect(causes("a", homeOf("a"))).To(Equal(decide.LoadFirst))
 		for _, m := range fleetMembers() {
-			x.hold(string(m.ID)) // all have unloaded it
+			x.setAdapters(string(m.ID)) // all have unloaded it
 		}
 		Expect(causes("a", homeOf("a"))).To(Equal(decide.LoadHeldBefore))
 		for _, m := range fleetMembers() {
-			x.hold(string(m.ID))
+			x.setAdapters(string(m.ID))
 		}
 		held := x.out.LoadRequests[0].Upstream
 		report(held, 0, 20000)
--- a/decide/homes.go
+++ b/decide/homes.go
@@ -107,7 +107,7 @@
 func (f *Fleet) homes(now time.Time, s wardturn.ServiceName, key wardturn.ModelAdapter, near bool) iter.Seq[*Member] {
 	list := f.services[s]
 	if near {
-		list = f.near[s]
+		list = f.local[s]
 	}
 	return func(yield func(*Member) bool) {
 		for m := range inHomeOrder(key, list) {
--- a/decide/ledger.go
+++ b/decide/ledger.go
@@ -81,10 +81,10 @@
 	return AttemptNew, wardturn.Outcome{}
 }
 
-// Attach looks up an attempt that an entry asks for after a lost connection. An attempt
+// Lookup looks up an attempt that an entry asks for after a lost connection. An attempt
 // that was never seen is recorded as not run, so that a duplicate that arrives later is
 // refused.
-func (l *Ledger) Attach(now time.Time, id wardturn.AttemptID) (AttemptState, wardturn.Outcome) {
+func (l *Ledger) Lookup(now time.Time, id wardturn.AttemptID) (AttemptState, wardturn.Outcome) {
 	state, outcome := l.lookup(id)
 	if state != AttemptNew {
 		return state, outcome
@@ -130,9 +130,9 @@
 	return true
 }
 
-// Unsend records that the upstream refused the attempt without running it, so that it is
+// Requeue records that the upstream refused the attempt without running it, so that it is
 // waiting again.
-func (l *Ledger) Unsend(id wardturn.AttemptID) {
+func (l *Ledger) Requeue(id wardturn.AttemptID) {
 	if e := l.attempts[id]; e != nil && e.state == AttemptSent {
 		e.state = AttemptWaiting
 	}
@@ -172,8 +172,8 @@
 	m.seq = max(m.seq, id.Seq)
 }
 
-// SweepMarks forgets the marks of entry processes that have been silent for long.
-func (l *Ledger) SweepMarks(now time.Time) {
+// SweepHighWaterMarks forgets the marks of entry processes that have been silent for long.
+func (l *Ledger) SweepHighWaterMarks(now time.Time) {
 	for entry, m := range l.highWaterMarks {
 		if m.live == 0 && now.Sub(m.at) > highWaterTTL {
 			delete(l.highWaterMarks, entry)
--- a/decide/limited.go
+++ b/decide/limited.go
@@ -7,10 +7,10 @@
 	"wardturn"
 )
 
-// turnedAway reports whether every upstream that could serve a request is excluded only by
+// refusedByLimits reports whether every upstream that could serve a request is excluded only by
 // its rate limit or its backoff, and when the caller should retry. Such a request is
 // refused at once, since waiting in the gateway would gain it nothing.
-func (f *Fleet) turnedAway(now time.Time, t *PendingRequest) (reason wardturn.Reason, retryAfter time.Duration, refused bool) {
+func (f *Fleet) refusedByLimits(now time.Time, t *PendingRequest) (reason wardturn.Reason, retryAfter time.Duration, refused bool) {
 	var soonest *Member
 	for _, m := range f.services[t.Service] {
 		if !m.available(now) || !f.inRegions(m, t.Regions) {
--- a/decide/limited_test.go
+++ b/decide/limited_test.go
@@ -12,7 +12,7 @@
 )
 
 var _ = Describe("Fleet with upstreams that announce a limit", func() {
-	var x *fleetRig
+	var x *fleetFixture
 	var limits *decide.Limits
 	announce := func(ids ...wardturn.UpstreamID) {
 		for _, id := range ids {
@@ -22,60 +22,60 @@
 	BeforeEach(func() {
 		limits = decide.NewLimits(start, "p")
 		limits.SetGateways(start, 1)
-		x = newLimitedRig(limits)
+		x = newLimitedFixture(limits)
 	})
 
 	It("sends a request to another upstream that holds its adapter", func() {
-		x.hold("n0", readyAdapter("a", 1))
-		x.hold("f0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
+		x.setAdapters("f0", readyAdapter("a", 1))
 		announce("n0")
 		x.admit("r", "a")
-		Expect(x.got["r"].Member.ID).To(BeEquivalentTo("f0"))
+		Expect(x.assigned["r"].Member.ID).To(BeEquivalentTo("f0"))
 	})
 
 	It("loads an adapter elsewhere if only limited upstreams hold it", func() {
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		announce("n0")
 		x.admit("r", "a")
-		Expect(x.got).To(BeEmpty())
+		Expect(x.assigned).To(BeEmpty())
 		Expect(x.out.LoadRequests).To(HaveLen(1))
 		Expect(x.out.LoadRequests[0].Upstream).NotTo(BeEquivalentTo("n0"))
 	})
 
 	It("sends requests up to the limit", func() {
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		announce("n0", "n1", "f0", "f1")
 		sent := 0
 		for i := range 400 {
 			r := fmt.Sprint("r", i)
 			x.admit(r, "a")
 			x.tick(10 * time.Millisecond)
-			for _, a := range x.got {
+			for _, a := range x.assigned {
 				if a.Member.ID == "n0" {
 					sent++
 					x.f.ResponseStarted("n0", 0)
 					x.f.RequestEnded(x.now, "n0", adapterKey("a"), decide.OutcomeOK)
 				}
 			}
-			clear(x.got)
+			clear(x.assigned)
 		}
 		Expect(sent).To(BeNumerically("~", 8, 1))
 	})
 
 	It("refuses at once if all upstreams have reached their limits, and returns when the first may be sent a request", func() {
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		announce("n0", "n1", "f0", "f1")
 		x.admit("r", "a")
-		Expect(x.got["r"].Reason).To(Equal(wardturn.ReasonLimited))
-		Expect(x.got["r"].RetryAfter).To(BeNumerically("~", 500*time.Millisecond, 10*time.Millisecond))
+		Expect(x.assigned["r"].Reason).To(Equal(wardturn.ReasonLimited))
+		Expect(x.assigned["r"].RetryAfter).To(BeNumerically("~", 500*time.Millisecond, 10*time.Millisecond))
 		x.admit("later", "a")
-		Expect(x.got["later"].RetryAfter).To(BeNumerically("~", 500*time.Millisecond, 10*time.Millisecond), "reserved at another upstream")
+		Expect(x.assigned["later"].RetryAfter).To(BeNumerically("~", 500*time.Millisecond, 10*time.Millisecond), "reserved at another upstream")
 		for range 4 {
 			x.admit("last", "a")
 		}
-		Expect(x.got["last"].RetryAfter).To(BeNumerically("~", time.Second, 10*time.Millisecond))
+		Expect(x.assigned["last"].RetryAfter).To(BeNumerically("~", time.Second, 10*time.Millisecond))
 		x.tick(510 * time.Millisecond)
 		x.admit("again", "a")
-		Expect(x.got["again"].Member.ID).To(BeEquivalentTo("n0"))
+		Expect(x.assigned["again"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 })
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -402,8 +402,8 @@
 func TestLimitsRestartedWorker(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
-	l.Observe(start, wardturn.Lifetime("u", 1000), 5)
-	if !l.Limited(wardturn.Lifetime("u", 2000)) {
+	l.Observe(start, wardturn.NewUpstreamID("u", 1000), 5)
+	if !l.Limited(wardturn.NewUpstreamID("u", 2000)) {
 		t.Error("limit is not in force after a restart")
 	}
 	if l.Limited("v") {
--- a/decide/locations.go
+++ b/decide/locations.go
@@ -11,7 +11,7 @@
 // chooseSticky chooses among the homes of an adapter, the upstreams to which this entry
 // sent it before. A new adapter gets the best of its first rendezvous candidates as its
 // home. One whose homes are all loaded far above the average gets an additional home.
-func (r *Router) chooseSticky(now time.Time, p *pool, targets []*target, usable func(*target) bool, ask Ask) *target {
+func (r *Router) chooseSticky(now time.Time, p *pool, targets []*target, usable func(*target) bool, ask RouteRequest) *target {
 	loc := r.locations.get(ask.Adapter)
 	loc.dropIdle(now, r.cfg.LocationLife)
 	home := loc.leastLoaded(usable)
@@ -83,7 +83,7 @@
 	if t.hint.Capacity == 0 {
 		return cost
 	}
-	if t.hint.Spare == 0 {
+	if t.hint.SpareSlots == 0 {
 		cost += fullCost
 	}
 	return cost + queueCost*t.load()/float64(t.hint.Capacity)
--- a/decide/member.go
+++ b/decide/member.go
@@ -11,32 +11,32 @@
 // Member is an upstream together with the state that this gateway keeps of it.
 type Member struct {
 	wardturn.Member
-	hash            uint64
-	breaker         Breaker
-	failing         float64       // moving average of the share of its requests that failed
-	latency         float64       // moving average of its response time, in milliseconds; plain services only
-	latencyAt       time.Time     // when latency was last updated
-	running         int           // requests of this gateway in flight
-	bodies          int           // total size of their bodies, in bytes
-	prefillTokens   int           // prompt tokens of those without a byte of response yet
-	prefill         prefillCounts // long prompts being prefilled, of all gateways
-	prefillRate     *prefillRate  // prefill rate of the engines of its service
-	lastUpdate      EngineUpdate
-	updatedAt       time.Time // when the holding was received
-	runningAtUpdate int       // value of running when the holding was received
-	held            map[wardturn.ModelAdapter]heldAdapter
-	loadsInFlight   int // adapters of held being loaded from the weight store
-	everHeld        map[wardturn.ModelAdapter]bool
-	requested       map[wardturn.ModelAdapter]bool // adapters that this gateway has asked it for
-	uses            map[wardturn.ModelAdapter]*AdapterCount
-	notHeldUntil    map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides the holding
-	replaced        bool                                // another incarnation answers at its address
-	refusedUntil    time.Time                           // set when it refuses a connection
-	backoff         *upstreamBackoff                    // a pause that it asked for, or nil
-	coldUntil       time.Time                           // according to its entry and its responses
-	coldSeen        wardturn.Position                   // position of the entry behind coldUntil; negative if none
-	watchUntil      time.Time                           // until when it may be cold without having reported it
-	evacuated       bool                                // its failure domain is being evacuated
+	hash              uint64
+	breaker           Breaker
+	failureShare      float64       // moving average of the share of its requests that failed
+	latency           float64       // moving average of its response time, in milliseconds; plain services only
+	latencyAt         time.Time     // when latency was last updated
+	running           int           // requests of this gateway in flight
+	bodyBytes         int           // total size of their bodies, in bytes
+	prefillTokens     int           // prompt tokens of those without a byte of response yet
+	prefill           prefillCounts // long prompts being prefilled, of all gateways
+	prefillRate       *prefillRate  // prefill rate of the engines of its service
+	lastUpdate        EngineUpdate
+	updatedAt         time.Time // when the holding was received
+	runningAtUpdate   int       // value of running when the holding was received
+	held              map[wardturn.ModelAdapter]heldAdapter
+	loadsInFlight     int // adapters of held being loaded from the weight store
+	everHeld          map[wardturn.ModelAdapter]bool
+	requested         map[wardturn.ModelAdapter]bool // adapters that this gateway has asked it for
+	uses              map[wardturn.ModelAdapter]*AdapterCount
+	notHeldUntil      map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides the holding
+	replaced          bool                                // another incarnation answers at its address
+	refusedUntil      time.Time                           // set when it refuses a connection
+	backoff           *upstreamBackoff                    // a pause that it asked for, or nil
+	coldUntil         time.Time                           // according to its entry and its responses
+	coldEntry         wardturn.Position                   // position of the entry behind coldUntil; negative if none
+	presumedColdUntil time.Time                           // until when it may be cold without having reported it
+	evacuated         bool                                // its failure domain is being evacuated
 }
 
 // Terms of the cost of sending a request to a member, in milliseconds of expected delay.
@@ -50,13 +50,13 @@
 	// failureCost is the expected loss of a request that has to be sent again or cannot
 	// be.
 	failureCost = 500.0
-	// failWeight is the weight of one request in the average failure share; about ten
+	// failureWeight is the weight of one request in the average failure share; about ten
 	// failed requests reveal a fault.
-	failWeight = 0.1
+	failureWeight = 0.1
 )
 
-// best returns the member of the lowest cost among those that match, or nil.
-func (f *Fleet) best(now time.Time, list []*Member, match func(*Member) bool) *Member {
+// cheapestMember returns the member of the lowest cost among those that match, or nil.
+func (f *Fleet) cheapestMember(now time.Time, list []*Member, match func(*Member) bool) *Member {
 	return cheapest(list, match, func(m *Member) float64 {
 		return f.cost(now, m)
 	})
@@ -80,17 +80,17 @@
 // cost returns the expected delay of a request at a member plus the delay that it causes
 // to the requests running there.
 func (f *Fleet) cost(now time.Time, m *Member) float64 {
-	c := m.busyCost(now)
+	c := m.loadCost(now)
 	if m.Domain != f.cfg.Domain {
 		c += crossDomainCost
 	}
 	return c
 }
 
-// busyCost is cost without the part that depends on this gateway's failure domain.
-func (m *Member) busyCost(now time.Time) float64 {
+// loadCost is cost without the part that depends on this gateway's failure domain.
+func (m *Member) loadCost(now time.Time) float64 {
 	c := m.prefillRate.cost(m.pendingPrefill(now)) + perRequestCost*float64(m.load())
-	return c + failureCost*m.failing + m.decayedLatency(now)
+	return c + failureCost*m.failureShare + m.decayedLatency(now)
 }
 
 const (
@@ -109,9 +109,9 @@
 	f.observeLatency(now, id, float64(took)/float64(time.Millisecond))
 }
 
-// Full records that a plain upstream refused a request for lack of capacity. Requests of
+// RefusedAsFull records that a plain upstream refused a request for lack of capacity. Requests of
 // other gateways, which this gateway does not see, may fill it.
-func (f *Fleet) Full(now time.Time, id wardturn.UpstreamID) {
+func (f *Fleet) RefusedAsFull(now time.Time, id wardturn.UpstreamID) {
 	f.observeLatency(now, id, queueFullLatency)
 }
 
@@ -133,8 +133,8 @@
 	return m.latency * math.Exp(-now.Sub(m.latencyAt).Seconds()/latencyDecay.Seconds())
 }
 
-// fill returns the load as a fraction of the member's slots.
-func (m *Member) fill() float64 {
+// utilization returns the load as a fraction of the member's slots.
+func (m *Member) utilization() float64 {
 	return float64(m.load()) / float64(max(m.Slots, 1))
 }
 
@@ -143,8 +143,8 @@
 	return m.available(now) && m.backoff.allows(now) && !slices.Contains(tried, m.ID)
 }
 
-// open reports whether a member is usable now or will be shortly.
-func (m *Member) open(now time.Time) bool {
+// eligible reports whether a member is usable now or will be shortly.
+func (m *Member) eligible(now time.Time) bool {
 	return m.available(now) && !m.backoff.inForce(now)
 }
 
@@ -166,7 +166,7 @@
 
 // canLoad reports whether an engine can be asked to load adapters of a model.
 func (m *Member) canLoad(now time.Time, model wardturn.BaseModel) bool {
-	return m.open(now) && m.lastUpdate.Connected && m.lastUpdate.Known && slices.Contains(m.lastUpdate.Models, model)
+	return m.eligible(now) && m.lastUpdate.Connected && m.lastUpdate.Known && slices.Contains(m.lastUpdate.Models, model)
 }
 
 // IncarnationReplaced records that another incarnation answers at an upstream's address: this one
@@ -182,11 +182,11 @@
 // connection in its place.
 const refusedPause = 400 * time.Millisecond
 
-// Refused records that a connection to an upstream's address was refused.
-func (f *Fleet) Refused(now time.Time, id wardturn.UpstreamID) {
+// ConnectionRefused records that a connection to an upstream's address was refused.
+func (f *Fleet) ConnectionRefused(now time.Time, id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
 		m.refusedUntil = now.Add(refusedPause)
-		m.watchUntil = now.Add(coldWatch)
-		f.limitCold(now)
+		m.presumedColdUntil = now.Add(presumedCold)
+		f.updateColdLimits(now)
 	}
 }
--- a/decide/old_version_test.go
+++ b/decide/old_version_test.go
@@ -22,8 +22,8 @@
 //	old version served: version=5 newer=6 sent=6.837146631s began=6.961095237s
 var _ = Describe("An old version that is superseded repeatedly", func() {
 	It("stops serving after the first newer announcement", func() {
-		x := newFleetRig()
-		x.hold("n0", readyAdapter("a", 1))
+		x := newFleetFixture()
+		x.setAdapters("n0", readyAdapter("a", 1))
 		servedOldAt := make(map[time.Duration]bool)
 		first := x.now
 		for v := wardturn.Version(2); v < 6; v++ {
@@ -31,9 +31,9 @@
 			for range 4 {
 				id := x.now.String()
 				t := x.admit(id, "a")
-				servedOldAt[x.now.Sub(first)] = x.got[id].Version == 1
+				servedOldAt[x.now.Sub(first)] = x.assigned[id].Version == 1
 				x.f.Withdraw(t)
-				x.f.RequestEnded(x.now, x.got[id].Member.ID, adapterKey("a"), decide.OutcomeOK)
+				x.f.RequestEnded(x.now, x.assigned[id].Member.ID, adapterKey("a"), decide.OutcomeOK)
 				x.now = x.now.Add(500 * time.Millisecond)
 			}
 		}
@@ -47,10 +47,10 @@
 })
 
 var _ = Describe("The end of old versions", func() {
-	var x *fleetRig
+	var x *fleetFixture
 	BeforeEach(func() {
-		x = newFleetRig()
-		x.hold("n0", readyAdapter("a", 1))
+		x = newFleetFixture()
+		x.setAdapters("n0", readyAdapter("a", 1))
 	})
 	tick := func(d time.Duration) {
 		x.now = x.now.Add(d)
@@ -62,10 +62,10 @@
 		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now.Add(-1500*time.Millisecond), &x.out)
 		x.now = x.now.Add(1400 * time.Millisecond)
 		x.admit("in time", "a")
-		Expect(x.got["in time"].Version).To(BeEquivalentTo(1))
+		Expect(x.assigned["in time"].Version).To(BeEquivalentTo(1))
 		x.now = x.now.Add(200 * time.Millisecond)
 		x.admit("late", "a")
-		Expect(x.got).NotTo(HaveKey("late"))
+		Expect(x.assigned).NotTo(HaveKey("late"))
 	})
 
 	It("is reported once for each announcement, 500 ms before the bound", func() {
@@ -92,7 +92,7 @@
 	})
 
 	It("has an ended version replaced while another old version still serves", func() {
-		x.hold("n1", readyAdapter("a", 2))
+		x.setAdapters("n1", readyAdapter("a", 2))
 		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now, &x.out)
 		tick(2 * time.Second)
 		x.f.VersionAnnounced(x.now, adapterVersion("a", 3), x.now, &x.out)
@@ -104,15 +104,15 @@
 
 var _ = Describe("A long prompt for an old version", func() {
 	It("is not sent to an engine that would not prefill it before the version's end", func() {
-		x := newFleetRig()
-		x.hold("n0", readyAdapter("a", 1))
+		x := newFleetFixture()
+		x.setAdapters("n0", readyAdapter("a", 1))
 		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now, &x.out)
 		x.now = x.now.Add(2500 * time.Millisecond)
 		long := x.ticket("long", "a")
 		long.Prompt = 24000 // 600 ms of prefill
 		x.f.Admit(x.now, long, &x.out)
-		Expect(x.got).NotTo(HaveKey("long"))
+		Expect(x.assigned).NotTo(HaveKey("long"))
 		x.admit("short", "a")
-		Expect(x.got["short"].Version).To(BeEquivalentTo(1))
+		Expect(x.assigned["short"].Version).To(BeEquivalentTo(1))
 	})
 })
--- a/decide/patience_test.go
+++ b/decide/patience_test.go
@@ -12,9 +12,9 @@
 )
 
 var _ = Describe("The wait of a request", func() {
-	var x *fleetRig
+	var x *fleetFixture
 	BeforeEach(func() {
-		x = newFleetRig()
+		x = newFleetFixture()
 	})
 	loading := func(name string) decide.HeldVersion {
 		return decide.HeldVersion{
@@ -26,14 +26,14 @@
 	It("ends with a retry delay when a load that has not begun would be too late", func() {
 		x.admit("r", "a")
 		x.tick(290 * time.Millisecond) // a load typically takes 300 ms, the objective is 600 ms
-		Expect(x.got).To(BeEmpty())
+		Expect(x.assigned).To(BeEmpty())
 		x.tick(20 * time.Millisecond)
-		Expect(x.got["r"].Member.ID).To(BeEmpty())
-		Expect(x.got["r"].Reason).To(Equal(wardturn.ReasonLoading))
-		Expect(x.got["r"].RetryAfter).To(BeNumerically(">=", 150*time.Millisecond))
-		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
+		Expect(x.assigned["r"].Member.ID).To(BeEmpty())
+		Expect(x.assigned["r"].Reason).To(Equal(wardturn.ReasonLoading))
+		Expect(x.assigned["r"].RetryAfter).To(BeNumerically(">=", 150*time.Millisecond))
+		x.setAdapters(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
 		x.admit("again", "a")
-		Expect(x.got["again"].Member.ID).To(Equal(x.out.LoadRequests[0].Upstream))
+		Expect(x.assigned["again"].Member.ID).To(Equal(x.out.LoadRequests[0].Upstream))
 	})
 
 	It("is shorter for a long prompt, which takes time to read", func() {
@@ -41,30 +41,30 @@
 		t.Prompt = 8000 // 200 ms to read
 		x.f.Admit(x.now, t, &x.out)
 		x.tick(90 * time.Millisecond)
-		Expect(x.got).To(BeEmpty())
+		Expect(x.assigned).To(BeEmpty())
 		x.tick(20 * time.Millisecond)
-		Expect(x.got["long"].Reason).To(Equal(wardturn.ReasonLoading))
+		Expect(x.assigned["long"].Reason).To(Equal(wardturn.ReasonLoading))
 	})
 
 	It("continues beyond the objective while the load is in progress", func() {
 		x.admit("r", "a")
 		home := x.out.LoadRequests[0].Upstream
-		x.hold(string(home), loading("a"))
+		x.setAdapters(string(home), loading("a"))
 		x.tick(900 * time.Millisecond)
-		Expect(x.got).To(BeEmpty())
-		x.hold(string(home), readyAdapter("a", 1))
-		Expect(x.got["r"].Member.ID).To(Equal(home))
+		Expect(x.assigned).To(BeEmpty())
+		x.setAdapters(string(home), readyAdapter("a", 1))
+		Expect(x.assigned["r"].Member.ID).To(Equal(home))
 	})
 
 	It("ends before the deadline in any case", func() {
 		t := x.ticket("r", "a")
 		t.Deadline = x.now.Add(time.Second)
 		x.f.Admit(x.now, t, &x.out)
-		x.hold(string(x.out.LoadRequests[0].Upstream), loading("a"))
+		x.setAdapters(string(x.out.LoadRequests[0].Upstream), loading("a"))
 		x.tick(890 * time.Millisecond)
-		Expect(x.got).To(BeEmpty())
+		Expect(x.assigned).To(BeEmpty())
 		x.tick(20 * time.Millisecond)
-		Expect(x.got["r"].Reason).To(Equal(wardturn.ReasonLoading))
+		Expect(x.assigned["r"].Reason).To(Equal(wardturn.ReasonLoading))
 	})
 
 	It("continues when all engines are empty, until their slots have had time to fill", func() {
@@ -83,20 +83,20 @@
 		for range 8 {
 			x.tick(100 * time.Millisecond)
 		}
-		Expect(x.got).To(BeEmpty())
+		Expect(x.assigned).To(BeEmpty())
 		withoutAdapters("m")
 		x.admit("later", "b") // adapter slots are still being filled
 		x.tick(2500 * time.Millisecond)
-		Expect(x.got).To(BeEmpty())
+		Expect(x.assigned).To(BeEmpty())
 		x.tick(700 * time.Millisecond)
-		Expect(x.got["r"].Reason).To(Equal(wardturn.ReasonLoading))
-		Expect(x.got["later"].Reason).To(Equal(wardturn.ReasonLoading))
+		Expect(x.assigned["r"].Reason).To(Equal(wardturn.ReasonLoading))
+		Expect(x.assigned["later"].Reason).To(Equal(wardturn.ReasonLoading))
 	})
 
 	It("does not move a load in progress to another engine, however long it takes", func() {
 		x.admit("r", "a")
 		home := x.out.LoadRequests[0].Upstream
-		x.hold(string(home), loading("a"))
+		x.setAdapters(string(home), loading("a"))
 		for range 30 {
 			x.tick(100 * time.Millisecond)
 		}
@@ -111,10 +111,10 @@
 		}
 		x.admit("few", "b0")
 		x.tick(310 * time.Millisecond)
-		few := x.got["few"].RetryAfter
+		few := x.assigned["few"].RetryAfter
 		Expect(few).To(BeNumerically(">", 300*time.Millisecond))
 		x.tick(3 * time.Second)
-		x = newFleetRig()
+		x = newFleetFixture()
 		for i := range 4 {
 			x.admit(fmt.Sprint("first", i), fmt.Sprint("a", i))
 		}
@@ -122,6 +122,6 @@
 			x.admit(fmt.Sprint("many", i), fmt.Sprint("b", i))
 		}
 		x.tick(310 * time.Millisecond)
-		Expect(x.got["many0"].RetryAfter).To(BeNumerically(">", few))
+		Expect(x.assigned["many0"].RetryAfter).To(BeNumerically(">", few))
 	})
 })
--- a/decide/pauses.go
+++ b/decide/pauses.go
@@ -11,9 +11,9 @@
 	// pauseThreshold is the fraction of the longest allowed pause that reading prompts may
 	// take before longer pauses become likely, since other prompts arrive meanwhile.
 	pauseThreshold = 0.5
-	// spreadPause is the pause cost of one prompt, in milliseconds, above which an adapter
+	// spreadPauseCost is the pause cost of one prompt, in milliseconds, above which an adapter
 	// is loaded on another engine.
-	spreadPause = 150.0
+	spreadPauseCost = 150.0
 )
 
 // pauseCost returns the expected cost, in milliseconds, of pauses in the streams of an
@@ -29,7 +29,7 @@
 	return longPauseCost * probability * float64(m.load())
 }
 
-// costOf is cost plus the pause cost of the request's prompt for the streams at the member.
-func (f *Fleet) costOf(now time.Time, t *PendingRequest, m *Member) float64 {
+// costForRequest is cost plus the pause cost of the request's prompt for the streams at the member.
+func (f *Fleet) costForRequest(now time.Time, t *PendingRequest, m *Member) float64 {
 	return f.cost(now, m) + m.pauseCost(now, t)
 }
--- a/decide/places.go
+++ b/decide/places.go
@@ -130,7 +130,7 @@
 func (p *Placement) ReportUse(now time.Time, gateway wardturn.Incarnation, key wardturn.ModelAdapter, started, running int) {
 	u := p.useOf(key)
 	for range started {
-		u.demand.Arrive(now)
+		u.demand.Record(now)
 	}
 	if started > 0 || running > 0 {
 		u.last = now
@@ -350,7 +350,7 @@
 		}
 	}
 	if w := p.pending[key]; w != nil {
-		in.Waiting, in.WaitingLong = w.waiting(now)
+		in.Waiting, in.OldestWaiting = w.waiting(now)
 	}
 	_, in.Resident = p.resident(key)
 	return p.policy.Slot(in)
--- a/decide/plan.go
+++ b/decide/plan.go
@@ -37,7 +37,7 @@
 		switch {
 		case it == nil:
 			return
-		case it.late(now):
+		case it.pastDeadline(now):
 			a.refuseLate(it, out)
 		default:
 			a.start(now, it, out)
@@ -118,7 +118,7 @@
 // never held.
 func (a *Agent) heldBack(now time.Time, it *item) bool {
 	in := a.queueInput(now, it)
-	if !it.work.Deadline.IsZero() && in.Deadline < holdMargin*a.serveTime+a.loadTime {
+	if !it.work.Deadline.IsZero() && in.TimeLeft < holdMargin*a.serveTime+a.loadTime {
 		return false
 	}
 	held := in.Waited < a.policy.Hold(in)
@@ -273,17 +273,17 @@
 
 func (a *Agent) slotInput(now time.Time, ad *adapter) wardturn.SlotInput {
 	return wardturn.SlotInput{
-		Adapter:     ad.ref.Adapter,
-		Rate:        ad.demand.Rate(now),
-		Waiting:     ad.interactive.len(),
-		WaitingLong: ad.interactive.oldest(now),
-		BatchWait:   ad.batch.len(),
-		BatchLong:   ad.batch.oldest(now),
-		Running:     ad.running,
-		Idle:        now.Sub(ad.demand.Last()),
-		Resident:    ad.slot != noSlot,
-		LoadTime:    a.loadTime,
-		BatchRuns:   a.runBatch,
+		Adapter:       ad.ref.Adapter,
+		Rate:          ad.demand.Rate(now),
+		Waiting:       ad.interactive.len(),
+		OldestWaiting: ad.interactive.oldest(now),
+		BatchWaiting:  ad.batch.len(),
+		OldestBatch:   ad.batch.oldest(now),
+		Running:       ad.running,
+		Idle:          now.Sub(ad.demand.Last()),
+		Resident:      ad.slot != noSlot,
+		LoadTime:      a.loadTime,
+		BatchRunning:  a.runBatch,
 	}
 }
 
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -18,8 +18,8 @@
 	running      bool
 }
 
-// late reports whether an item is past its deadline.
-func (it *item) late(now time.Time) bool {
+// pastDeadline reports whether an item is past its deadline.
+func (it *item) pastDeadline(now time.Time) bool {
 	return !it.work.Deadline.IsZero() && !now.Before(it.work.Deadline)
 }
 
@@ -122,7 +122,7 @@
 		if it.adapter.slot == noSlot && it.adapter.waiting() == 0 {
 			a.miss(now)
 		}
-		it.adapter.demand.Arrive(now)
+		it.adapter.demand.Record(now)
 		it.adapter.valueAt = time.Time{}
 		it.rank = a.policy.Order(a.queueInput(now, it))
 	}
@@ -232,21 +232,21 @@
 
 func (a *Agent) queueInput(now time.Time, it *item) wardturn.QueueInput {
 	in := wardturn.QueueInput{
-		Adapter:  it.work.Adapter.Adapter,
-		Class:    it.work.Class,
-		Waited:   now.Sub(it.arrived),
-		Prompt:   it.work.Prompt,
-		Output:   it.work.Output,
-		Waiting:  a.queueOf(it).len(),
-		Resident: a.ready(it.adapter),
-		Running:  a.running,
-		Batch:    a.cfg.MaxRunning,
-
-		BatchRuns:   a.runBatch,
-		BatchQueued: a.queuedBatch,
+		Adapter:   it.work.Adapter.Adapter,
+		Class:     it.work.Class,
+		Waited:    now.Sub(it.arrived),
+		Prompt:    it.work.Prompt,
+		Output:    it.work.Output,
+		Waiting:   a.queueOf(it).len(),
+		Resident:  a.ready(it.adapter),
+		Running:   a.running,
+		BatchSize: a.cfg.MaxRunning,
+
+		BatchRunning: a.runBatch,
+		BatchQueued:  a.queuedBatch,
 	}
 	if !it.work.Deadline.IsZero() {
-		in.Deadline = it.work.Deadline.Sub(now)
+		in.TimeLeft = it.work.Deadline.Sub(now)
 	}
 	return in
 }
--- a/decide/regions_test.go
+++ b/decide/regions_test.go
@@ -8,8 +8,8 @@
 )
 
 // newRegionRig is newEvacuationRig with a region for each failure domain.
-func newRegionRig() *fleetRig {
-	x := newFleetRig()
+func newRegionRig() *fleetFixture {
+	x := newFleetFixture()
 	x.f = decide.NewFleet(decide.FleetConfig{
 		Domain: "near",
 		Regions: map[wardturn.FailureDomain]wardturn.Region{
--- a/decide/rest_test.go
+++ b/decide/rest_test.go
@@ -13,9 +13,9 @@
 // Upstreams that refuse requests have the lowest load: without a backoff each next request
 // would be sent to them first.
 var _ = Describe("An upstream that asked for a backoff", func() {
-	var x *fleetRig
+	var x *fleetFixture
 	BeforeEach(func() {
-		x = newFleetRig()
+		x = newFleetFixture()
 	})
 	backOffAll := func(d time.Duration) {
 		for _, m := range fleetMembers() {
@@ -24,62 +24,62 @@
 	}
 
 	It("has its adapters loaded elsewhere at the first request", func() {
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		x.f.BackOff(x.now, "n0", 3*time.Second)
 		x.out.LoadRequests = nil
 		x.admit("r", "a")
 		Expect(x.out.LoadRequests).To(HaveLen(1))
 		Expect(x.out.LoadRequests[0].Upstream).NotTo(BeEquivalentTo("n0"))
-		x.hold(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
+		x.setAdapters(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
 		x.tick(10 * time.Millisecond)
-		Expect(x.got["r"].Member.ID).To(Equal(x.out.LoadRequests[0].Upstream))
+		Expect(x.assigned["r"].Member.ID).To(Equal(x.out.LoadRequests[0].Upstream))
 	})
 
 	It("keeps its backoff if it is missing from a list, asks for a shorter one, or restarts under its name", func() {
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		x.f.BackOff(x.now, "n0", 3*time.Second)
 		x.f.BackOff(x.now, "n0", time.Second)
 		x.f.SetMembers(x.now, fleetMembers()[1:])
 		again := fleetMembers()
-		again[0].ID = wardturn.Lifetime("n0", 7)
+		again[0].ID = wardturn.NewUpstreamID("n0", 7)
 		x.f.SetMembers(x.now, again)
-		x.hold(string(again[0].ID), readyAdapter("a", 1))
+		x.setAdapters(string(again[0].ID), readyAdapter("a", 1))
 		x.now = x.now.Add(2900 * time.Millisecond)
 		Expect(x.takes(x.now, again[0].ID)).To(BeFalse())
 		x.admit("during", "a")
-		Expect(x.got).NotTo(HaveKey("during"))
+		Expect(x.assigned).NotTo(HaveKey("during"))
 		x.now = x.now.Add(101 * time.Millisecond)
 		x.admit("after", "a")
-		Expect(x.got["after"].Member.ID).To(Equal(again[0].ID))
+		Expect(x.assigned["after"].Member.ID).To(Equal(again[0].ID))
 	})
 
 	It("gets one trial request after it, and the others once that is answered", func() {
-		x.hold("n0", readyAdapter("a", 1))
+		x.setAdapters("n0", readyAdapter("a", 1))
 		x.f.BackOff(x.now, "n0", time.Second)
 		x.now = x.now.Add(time.Second)
 		sent := x.now
 		x.admit("first", "a")
-		Expect(x.got["first"].Member.ID).To(BeEquivalentTo("n0"))
+		Expect(x.assigned["first"].Member.ID).To(BeEquivalentTo("n0"))
 		x.admit("second", "a")
-		Expect(x.got).NotTo(HaveKey("second"))
+		Expect(x.assigned).NotTo(HaveKey("second"))
 		x.f.ClearBackoff("n0", sent.Add(-time.Millisecond))
 		x.tick(10 * time.Millisecond)
-		Expect(x.got).NotTo(HaveKey("second"), "an answer to a request sent before the end of the backoff does not count")
+		Expect(x.assigned).NotTo(HaveKey("second"), "an answer to a request sent before the end of the backoff does not count")
 		x.f.ClearBackoff("n0", sent)
 		x.tick(10 * time.Millisecond)
-		Expect(x.got["second"].Member.ID).To(BeEquivalentTo("n0"))
+		Expect(x.assigned["second"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 
 	It("makes new and waiting requests fail at once if all upstreams are backing off", func() {
 		x.admit("waits", "a")
-		Expect(x.got).NotTo(HaveKey("waits"))
+		Expect(x.assigned).NotTo(HaveKey("waits"))
 		backOffAll(2 * time.Second)
 		x.f.BackOff(x.now, "f1", time.Second)
 		x.tick(10 * time.Millisecond)
 		x.admit("comes", "b")
 		for _, id := range []string{"waits", "comes"} {
-			Expect(x.got[id].Reason).To(Equal(wardturn.ReasonBackoff))
-			Expect(x.got[id].RetryAfter).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond))
+			Expect(x.assigned[id].Reason).To(Equal(wardturn.ReasonBackoff))
+			Expect(x.assigned[id].RetryAfter).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond))
 		}
 	})
 
--- a/decide/router.go
+++ b/decide/router.go
@@ -53,8 +53,8 @@
 	return c
 }
 
-// Ask describes a request to be routed.
-type Ask struct {
+// RouteRequest describes a request to be routed.
+type RouteRequest struct {
 	Adapter wardturn.AdapterRef
 	Service wardturn.ServiceName
 	Model   wardturn.BaseModel
@@ -221,7 +221,7 @@
 }
 
 // Pick chooses an upstream for a request. It reports false if no upstream can take it.
-func (r *Router) Pick(now time.Time, ask Ask) (wardturn.UpstreamID, bool) {
+func (r *Router) Pick(now time.Time, ask RouteRequest) (wardturn.UpstreamID, bool) {
 	p := r.pools[poolKey{
 		model:   ask.Model,
 		service: ask.Service,
@@ -241,7 +241,7 @@
 // choose prefers the entry's own region and uses others only if no upstream there can take
 // the request. Upstreams with an open breaker are used if there are no others: a fault that
 // all upstreams show is no reason to refuse every request.
-func (r *Router) choose(now time.Time, p *pool, ask Ask) *target {
+func (r *Router) choose(now time.Time, p *pool, ask RouteRequest) *target {
 	for _, ignoreBreakers := range []bool{false, true} {
 		for _, targets := range [][]*target{p.local, p.remote} {
 			if t := r.chooseAmong(now, p, targets, ask, ignoreBreakers); t != nil {
@@ -252,7 +252,7 @@
 	return nil
 }
 
-func (r *Router) chooseAmong(now time.Time, p *pool, targets []*target, ask Ask, ignoreBreakers bool) *target {
+func (r *Router) chooseAmong(now time.Time, p *pool, targets []*target, ask RouteRequest, ignoreBreakers bool) *target {
 	usable := func(t *target) bool {
 		return t.accepts(ask) && (ignoreBreakers || t.breaker.Allows(now))
 	}
@@ -270,7 +270,7 @@
 }
 
 // accepts reports whether a target may be given a request.
-func (t *target) accepts(ask Ask) bool {
+func (t *target) accepts(ask RouteRequest) bool {
 	return t.host.State != wardturn.HostLeaving && !t.hint.Leaving && !slices.Contains(ask.Tried, t.host.Upstream)
 }
 
--- a/decide/router_test.go
+++ b/decide/router_test.go
@@ -30,15 +30,15 @@
 		r.SetHosts(list)
 		return r
 	}
-	ask := func(name string) decide.Ask {
-		return decide.Ask{
+	ask := func(name string) decide.RouteRequest {
+		return decide.RouteRequest{
 			Adapter: wardturn.AdapterRef{
 				Adapter: wardturn.AdapterID(name),
 				Version: 1,
 			},
 		}
 	}
-	pick := func(r *decide.Router, now time.Time, a decide.Ask) wardturn.UpstreamID {
+	pick := func(r *decide.Router, now time.Time, a decide.RouteRequest) wardturn.UpstreamID {
 		id, ok := r.Pick(now, a)
 		Expect(ok).To(BeTrue())
 		return id
@@ -97,8 +97,8 @@
 		home := pick(r, start, ask("hot"))
 		for _, h := range hosts(3, "near") {
 			hint := decide.Hint{
-				Capacity: 16,
-				Spare:    4,
+				Capacity:   16,
+				SpareSlots: 4,
 			}
 			if h.Upstream == home {
 				hint.Running = 16
--- a/decide/screen.go
+++ b/decide/screen.go
@@ -58,7 +58,7 @@
 		return Refusal{}, false
 	}
 	a.miss(now)
-	a.adapter(w.Adapter).demand.Arrive(now)
+	a.adapter(w.Adapter).demand.Record(now)
 	return refuse(w, wardturn.ReasonDeadline, min(max(loadDelay, clearTime), maxRetryAfter)), true
 }
 
--- a/decide/shadow.go
+++ b/decide/shadow.go
@@ -11,7 +11,7 @@
 type ShadowStats struct {
 	Loads         int // loads that the active policy started
 	OtherAdapters int // of Loads, those for which the shadow would have loaded another adapter
-	Victims       int // of Loads, those for which the shadow would have unloaded another adapter
+	OtherVictims  int // of Loads, those for which the shadow would have unloaded another adapter
 	Holds         int // decisions whether to hold a batch request
 	OtherHolds    int // of Holds, those that the shadow would have made differently
 }
@@ -52,7 +52,7 @@
 		st.OtherAdapters++
 	}
 	if a.slots[slot].state != SlotEmpty && a.shadowVictim(now) != slot {
-		st.Victims++
+		st.OtherVictims++
 	}
 }
 
--- a/decide/slots.go
+++ b/decide/slots.go
@@ -275,7 +275,7 @@
 // slotLost empties a slot whose adapter the engine no longer holds. Requests in progress end
 // with their own connections.
 func (a *Agent) slotLost(s *slot, now time.Time) {
-	a.stats.Lost++
+	a.stats.Dropped++
 	a.release(s, now)
 }
 
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -75,19 +75,19 @@
 	if outcome != OutcomeOK {
 		bad = 1
 	}
-	m.failing += failWeight * (bad - m.failing)
+	m.failureShare += failureWeight * (bad - m.failureShare)
 }
 
-// holds reports whether the body of a request fits within this gateway's share of
-// MostBodies at an upstream. A body that would be the only one there always fits.
-func (f *Fleet) holds(m *Member, t *PendingRequest) bool {
-	return f.cfg.MostBodies == 0 || m.bodies == 0 || m.bodies+t.Body <= f.cfg.MostBodies/f.Gateways()
+// bodyFits reports whether the body of a request fits within this gateway's share of
+// MaxBodyBytes at an upstream. A body that would be the only one there always fits.
+func (f *Fleet) bodyFits(m *Member, t *PendingRequest) bool {
+	return f.cfg.MaxBodyBytes == 0 || m.bodyBytes == 0 || m.bodyBytes+t.Body <= f.cfg.MaxBodyBytes/f.Gateways()
 }
 
-// Freed records that an upstream no longer holds a request body of the given size.
-func (f *Fleet) Freed(id wardturn.UpstreamID, body int) {
+// ReleaseBody records that an upstream no longer holds a request body of the given size.
+func (f *Fleet) ReleaseBody(id wardturn.UpstreamID, body int) {
 	if m := f.members[id]; m != nil {
-		m.bodies = max(0, m.bodies-body)
+		m.bodyBytes = max(0, m.bodyBytes-body)
 	}
 }
 
--- a/decide/wait.go
+++ b/decide/wait.go
@@ -83,7 +83,7 @@
 
 // Admit assigns an upstream to a request, queues the request, or refuses it.
 func (f *Fleet) Admit(now time.Time, t *PendingRequest, out *Actions) {
-	if reason, none := f.noneMay(t); none {
+	if reason, none := f.noneEligible(t); none {
 		t.refuse(reason, maxLoadRetryDelay)
 		return
 	}
@@ -95,7 +95,7 @@
 	if f.tryAssign(now, t, out) {
 		return
 	}
-	if reason, back, none := f.turnedAway(now, t); none {
+	if reason, back, none := f.refusedByLimits(now, t); none {
 		t.refuse(reason, back)
 		return
 	}
@@ -111,7 +111,7 @@
 		f.assign(now, t, m, 0)
 		return
 	}
-	if reason, back, none := f.turnedAway(now, t); none {
+	if reason, back, none := f.refusedByLimits(now, t); none {
 		t.refuse(reason, back)
 		return
 	}
@@ -121,8 +121,8 @@
 // plainMember returns the usable member of the least cost whose fill is below a limit, or
 // nil.
 func (f *Fleet) plainMember(now time.Time, t *PendingRequest, limit float64) *Member {
-	return f.best(now, f.services[t.Service], func(m *Member) bool {
-		return m.usable(now, t.Tried) && f.inRegions(m, t.Regions) && m.fill() < limit && f.holds(m, t) && f.limits.Allows(now, m.ID)
+	return f.cheapestMember(now, f.services[t.Service], func(m *Member) bool {
+		return m.usable(now, t.Tried) && f.inRegions(m, t.Regions) && m.utilization() < limit && f.bodyFits(m, t) && f.limits.Allows(now, m.ID)
 	})
 }
 
@@ -151,7 +151,7 @@
 		Load:    m.load(),
 		Prefill: m.pendingPrefill(now),
 	}
-	m.bodies += t.Body
+	m.bodyBytes += t.Body
 	f.sent(now, m, t.Key, t.Prompt)
 	t.Assign(a)
 }
@@ -184,12 +184,12 @@
 		list = f.holders[t.Key]
 	}
 	return cheapest(list, func(m *Member) bool {
-		if m.Service != t.Service || !m.usable(now, t.Tried) || !f.inRegions(m, t.Regions) || m.fill() >= engineFillLimit || !f.holds(m, t) {
+		if m.Service != t.Service || !m.usable(now, t.Tried) || !f.inRegions(m, t.Regions) || m.utilization() >= engineFillLimit || !f.bodyFits(m, t) {
 			return false
 		}
 		return m.serves(now, t.Key, least) && match(m) && f.limits.Allows(now, m.ID)
 	}, func(m *Member) float64 {
-		return f.costOf(now, t, m)
+		return f.costForRequest(now, t, m)
 	})
 }
 
@@ -227,7 +227,7 @@
 // unservable reports whether no upstream may take a waiting request, whatever the
 // upstreams' load. If so, it returns the reason and the retry time for the caller.
 func (f *Fleet) unservable(now time.Time, t *PendingRequest) (reason wardturn.Reason, back time.Duration, none bool) {
-	if reason, none := f.noneMay(t); none {
+	if reason, none := f.noneEligible(t); none {
 		return reason, maxLoadRetryDelay, true
 	}
 	if left, all := f.allBackingOff(now, t); all {
--- a/decide/want.go
+++ b/decide/want.go
@@ -119,7 +119,7 @@
 func (f *Fleet) homeAmong(now time.Time, w *missingAdapter, match func(*Member) bool) *Member {
 	newest := f.newest(w.key)
 	fits := func(m *Member) bool {
-		return m.Service == w.service && f.inRegions(m, w.regions) && m.ID != w.failedHome && m.canLoad(now, w.key.Model) && !m.serves(now, w.key, newest) && m.fill() < engineFillLimit && match(m)
+		return m.Service == w.service && f.inRegions(m, w.regions) && m.ID != w.failedHome && m.canLoad(now, w.key.Model) && !m.serves(now, w.key, newest) && m.utilization() < engineFillLimit && match(m)
 	}
 	for m := range inHomeOrder(w.key, f.loaders[w.key]) {
 		if fits(m) {
@@ -138,7 +138,7 @@
 		}
 	}
 	return cheapest(c.list(), anyMember, func(m *Member) float64 {
-		return m.busyCost(now) + milliseconds(f.timeToAvailable(now, w, m))
+		return m.loadCost(now) + milliseconds(f.timeToAvailable(now, w, m))
 	})
 }
 
@@ -309,7 +309,7 @@
 		return
 	}
 	home := f.members[w.home]
-	if home == nil || !home.open(now) || !home.lastUpdate.Connected {
+	if home == nil || !home.eligible(now) || !home.lastUpdate.Connected {
 		f.cancelRequest(w)
 		return
 	}
--- a/entry/call.go
+++ b/entry/call.go
@@ -36,7 +36,7 @@
 		clock:   l.entry.clock,
 		conn:    conn,
 		process: conn.Peer().Process,
-		granted: peer.Window,
+		granted: peer.CreditWindow,
 		wake:    make(chan struct{}, 1),
 	}
 }
@@ -44,7 +44,7 @@
 // newFollower returns a call that asks for the answer of an attempt of another
 // request. Add it to its link before ask.
 func newFollower(end *peer.End, l *link, conn *peer.Conn) *call {
-	k := newCall(end.First, l, conn)
+	k := newCall(end.FirstAttempt, l, conn)
 	k.process = end.FirstProcess
 	k.follows = true
 	return k
@@ -131,7 +131,7 @@
 	}
 	k.lost = false
 	k.conn = c
-	k.granted = k.taken + peer.Window
+	k.granted = k.taken + peer.CreditWindow
 	k.askAgain()
 }
 
@@ -177,10 +177,10 @@
 func (k *call) credit() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.granted-k.taken > peer.Window/2 || k.conn == nil {
+	if k.granted-k.taken > peer.CreditWindow/2 || k.conn == nil {
 		return
 	}
-	k.granted = k.taken + peer.Window
+	k.granted = k.taken + peer.CreditWindow
 	_ = k.conn.Send(&peer.Credit{
 		Attempt: k.id,
 		Upto:    k.granted,
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -186,17 +186,17 @@
 		Body:       x.req.Body,
 		Supersedes: x.supersedes,
 		Config:     x.config,
-		Credit:     peer.Window,
+		Credit:     peer.CreditWindow,
 	}
 	if !x.req.Deadline.IsZero() {
-		m.Left = max(x.req.Deadline.Sub(x.now()), time.Millisecond)
+		m.TimeLeft = max(x.req.Deadline.Sub(x.now()), time.Millisecond)
 	}
 	return m
 }
 
 // onEnd takes an agent's word that is not Done.
 func (x *exchange) onEnd(end *peer.End) {
-	if end.Outcome.Reason == wardturn.ReasonDuplicate && end.First != (wardturn.AttemptID{}) {
+	if end.Outcome.Reason == wardturn.ReasonDuplicate && end.FirstAttempt != (wardturn.AttemptID{}) {
 		x.follow(end)
 		return
 	}
@@ -351,7 +351,7 @@
 	e.routerMu.Lock()
 	defer e.routerMu.Unlock()
 	now := e.clock.Now()
-	id, ok := e.router.Pick(now, decide.Ask{
+	id, ok := e.router.Pick(now, decide.RouteRequest{
 		Adapter: x.req.Adapter,
 		Service: x.req.Service,
 		Model:   x.model,
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -44,6 +44,6 @@
 	}
 	m.whole[x.req.Class].RecordDuration(x.now().Sub(x.arrived))
 	if x.head != nil {
-		m.stall[x.req.Class].RecordDuration(x.head.Stalled)
+		m.stall[x.req.Class].RecordDuration(x.head.AdapterWait)
 	}
 }
--- a/entry/reply.go
+++ b/entry/reply.go
@@ -23,7 +23,7 @@
 		h.Set(HeaderVersion, strconv.FormatInt(int64(x.req.Adapter.Version), 10))
 	}
 	if x.head != nil {
-		h.Set(HeaderStall, strconv.FormatInt(x.head.Stalled.Milliseconds(), 10))
+		h.Set(HeaderStall, strconv.FormatInt(x.head.AdapterWait.Milliseconds(), 10))
 	}
 	if outcome.Kind != 0 {
 		h.Set(HeaderOutcome, outcome.Kind.String())
--- a/entry/windows.go
+++ b/entry/windows.go
@@ -42,7 +42,7 @@
 		return
 	}
 	if x.head != nil {
-		count(report.LoadStall, x.head.Stalled)
+		count(report.LoadStall, x.head.AdapterWait)
 	}
 	first := x.firstAt.Sub(x.arrived)
 	count(report.FirstToken, first)
--- a/experiment/clairvoyant.go
+++ b/experiment/clairvoyant.go
@@ -45,9 +45,9 @@
 		v = 1 / (1 + gap.Seconds())
 	}
 	if in.Waiting > 0 {
-		v += float64(in.Waiting) + clairvoyantAge*in.WaitingLong.Seconds()
+		v += float64(in.Waiting) + clairvoyantAge*in.OldestWaiting.Seconds()
 	}
-	return v + min(clairvoyantBatch*float64(in.BatchWait), clairvoyantBatchLimit)
+	return v + min(clairvoyantBatch*float64(in.BatchWaiting), clairvoyantBatchLimit)
 }
 
 const (
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -29,7 +29,7 @@
 // the number of gateways the rate is zero: gateways that assume to be the only one would
 // each use the full allowance. The caller holds g.mu.
 func (g *Gateway) extraRetries() (floor, burst float64) {
-	n := g.gatewayCount.Update(g.clock.Now(), g.fleet.CountedGateways())
+	n := g.gatewayCount.Update(g.clock.Now(), g.fleet.ReportedGateways())
 	if n == 0 {
 		return 0, 1
 	}
@@ -54,7 +54,7 @@
 	g.cfg.RetryExtra = c.RetryExtra
 	g.cfg.RetryWindow = c.RetryWindow
 	g.resizeBudgets()
-	g.fleet.Retune(c.Fleet)
+	g.fleet.ApplySettings(c.Fleet)
 }
 
 // countRequest adds a request to the service's retry budget.
--- a/gateway/caps.go
+++ b/gateway/caps.go
@@ -81,7 +81,7 @@
 		return
 	}
 	c.g.mu.Lock()
-	gateways := c.g.fleet.CountedGateways()
+	gateways := c.g.fleet.ReportedGateways()
 	c.g.mu.Unlock()
 	c.mu.Lock()
 	now := c.g.clock.Now()
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -71,7 +71,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fleet.RequestEnded(g.clock.Now(), id, key, how)
-	g.fleet.Freed(id, body)
+	g.fleet.ReleaseBody(id, body)
 }
 
 func (g *Gateway) recordMisdirected(id wardturn.UpstreamID) {
@@ -86,7 +86,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if full {
-		g.fleet.Full(g.clock.Now(), id)
+		g.fleet.RefusedAsFull(g.clock.Now(), id)
 		return
 	}
 	g.fleet.ResponseTimed(g.clock.Now(), id, took)
@@ -96,12 +96,12 @@
 func (g *Gateway) accepts(u wardturn.Member) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.fleet.Takes(g.clock.Now(), u)
+	return g.fleet.Accepts(g.clock.Now(), u)
 }
 
 func (g *Gateway) recordRefused(id wardturn.UpstreamID) {
 	g.mu.Lock()
-	g.fleet.Refused(g.clock.Now(), id)
+	g.fleet.ConnectionRefused(g.clock.Now(), id)
 	g.mu.Unlock()
 	g.markMembersStale()
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -170,7 +170,7 @@
 // run sends the request to upstreams until one has responded or no further send is
 // allowed.
 func (x *exchange) run() {
-	ctx, cancel := wardturn.WithLimit(x.r.Context(), x.g.clock, x.deadline.Add(responseMargin).Sub(x.g.clock.Now()))
+	ctx, cancel := wardturn.WithTimeout(x.r.Context(), x.g.clock, x.deadline.Add(responseMargin).Sub(x.g.clock.Now()))
 	defer cancel()
 	x.g.countRequest(x.service)
 	for {
@@ -274,7 +274,7 @@
 
 // repeatable reports whether the request may run more than once.
 func (x *exchange) repeatable() bool {
-	return x.route.Repeats == wardturn.RunAgain || x.route.Resumable
+	return x.route.Repeatability == wardturn.Repeatable || x.route.Resumable
 }
 
 // mayRunAgain reports whether a request whose outcome is unknown may be sent once more.
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -67,7 +67,7 @@
 func (l *limits) announce() {
 	l.g.mu.Lock()
 	now := l.g.clock.Now()
-	gateways := l.g.fleet.CountedGateways()
+	gateways := l.g.fleet.ReportedGateways()
 	l.state.SetGateways(now, gateways)
 	w, fresh, due := l.state.Gossip(now)
 	l.g.mu.Unlock()
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -66,7 +66,7 @@
 		l.setEngineConfig(m, peer.EngineConfig{
 			Config:   rs.table.Version,
 			Upstream: m.ID,
-			Position: m.Seen,
+			Position: m.Position,
 			Spec:     *rs.table.Services[m.Service].Engine,
 		})
 	}
@@ -179,7 +179,7 @@
 		if len(counts) == 0 {
 			continue
 		}
-		m := &peer.Usage{
+		m := &peer.AdapterUsage{
 			Uses: make([]peer.AdapterUse, 0, len(counts)),
 		}
 		for _, c := range counts {
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -57,7 +57,7 @@
 	if window, known := g.fleet.LearnedWindow(); known {
 		facts.LoadWindow = window
 	}
-	if n := g.fleet.CountedGateways(); n > 0 && g.dividesByGateways() {
+	if n := g.fleet.ReportedGateways(); n > 0 && g.dividesByGateways() {
 		facts.Gateways = n
 	}
 	g.mu.Unlock()
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -28,7 +28,7 @@
 	}
 	if head.Leaving {
 		g.decide(func(now time.Time, out *decide.Actions) {
-			g.fleet.Leaves(now, id, out)
+			g.fleet.MarkLeaving(now, id, out)
 		})
 	}
 	if head.RetryAfter.Present {
@@ -52,7 +52,7 @@
 func (g *Gateway) upstreamOfInstance(instance string) wardturn.UpstreamID {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.fleet.Lifetime(instance)
+	return g.fleet.ListedLifetime(instance)
 }
 
 // observeBackoff processes a Retry-After: the upstream asks this gateway to back off.
@@ -88,7 +88,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.SawCold(g.clock.Now(), id, cold.Value)
+	g.fleet.ObserveCold(g.clock.Now(), id, cold.Value)
 }
 
 // maxUnknownHeaders bounds the header names that are kept as logged.
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -148,7 +148,7 @@
 		if _, ok := r.byID[m.ID]; !ok {
 			r.logger.Info("upstream listed", "upstream", m.ID, "addr", m.Addr, "service", m.Service, "domain", m.Domain)
 		} else if m.Draining && !r.byID[m.ID].Draining {
-			r.logger.Info("upstream leaving", "upstream", m.ID, "gone_at", m.GoneAt)
+			r.logger.Info("upstream leaving", "upstream", m.ID, "gone_at", m.ShutdownAt)
 		}
 	}
 	for _, id := range list.Expired {
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -42,7 +42,7 @@
 	Clock    wardturn.Clock
 	Logger   hclog.Logger
 	Scope    tally.Scope
-	Engine   wardturn.OrderedEngine
+	Engine   wardturn.EngineController
 	Fences   wardturn.FenceSource
 	Policy   wardturn.Policy
 	Listener net.Listener
@@ -54,7 +54,7 @@
 	clock  wardturn.Clock
 	logger hclog.Logger
 	scope  tally.Scope
-	engine wardturn.OrderedEngine
+	engine wardturn.EngineController
 	fences wardturn.FenceSource
 	server *peer.Server
 	relays *relays
@@ -234,13 +234,13 @@
 		return false
 	}
 	order := wardturn.EngineOrder{
-		Unload:   next.Unload,
-		Target:   next.Target,
-		Version:  next.Version,
-		Upstream: k.upstream,
-		Expected: k.placement.State().Seq,
-		Holder:   k.cfg.Process,
-		Fence:    k.fence,
+		Unload:      next.Unload,
+		Target:      next.Target,
+		Version:     next.Version,
+		Upstream:    k.upstream,
+		ExpectedSeq: k.placement.State().Seq,
+		Holder:      k.cfg.Process,
+		Fence:       k.fence,
 	}
 	k.mu.Unlock()
 	return k.giveOrder(order)
@@ -253,10 +253,10 @@
 	k.scope.Tagged(map[string]string{
 		"answer": answer.String(),
 	}).Counter("orders").Inc(1)
-	k.logger.Debug("order", "unload", o.Unload, "adapter", o.Target.Adapter, "version", o.Version, "seq", o.Expected, "answer", answer)
+	k.logger.Debug("order", "unload", o.Unload, "adapter", o.Target.Adapter, "version", o.Version, "seq", o.ExpectedSeq, "answer", answer)
 	delay := time.Duration(0)
 	switch answer {
-	case wardturn.OrderTaken, wardturn.OrderHolds:
+	case wardturn.OrderAccepted, wardturn.OrderNoChange:
 		return true
 	case wardturn.OrderConflict:
 		delay = conflictDelay
@@ -269,7 +269,7 @@
 		k.takeFence()
 		return false
 	}
-	k.logger.Info("order not taken", "unload", o.Unload, "adapter", o.Target.Adapter, "seq", o.Expected, "upstream", o.Upstream, "answer", answer)
+	k.logger.Info("order not taken", "unload", o.Unload, "adapter", o.Target.Adapter, "seq", o.ExpectedSeq, "upstream", o.Upstream, "answer", answer)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.placement.Defer(k.clock.Now().Add(delay))
@@ -311,7 +311,7 @@
 		})
 	case *peer.StartedQuery:
 		k.startedQueries.add(c, m.IDs)
-	case *peer.Usage:
+	case *peer.AdapterUsage:
 		for _, u := range m.Uses {
 			k.placement.ReportUse(now, c.Peer().Process, u.Adapter, u.Started, u.Running)
 		}
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -31,7 +31,7 @@
 	mu           sync.Mutex
 	state        wardturn.EngineState
 	orders       []wardturn.EngineOrder
-	results      []wardturn.OrderAnswer // results of the next orders; after these all are accepted
+	results      []wardturn.OrderResult // results of the next orders; after these all are accepted
 	down         bool
 	runs         []string      // nil: the engine does not list them
 	blockReports chan struct{} // if set, reports wait until it is closed
@@ -51,7 +51,7 @@
 	return st, nil
 }
 
-func (e *fakeEngine) Runs() (ids []string, listed bool, err error) {
+func (e *fakeEngine) RunningRequests() (ids []string, listed bool, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down {
@@ -60,14 +60,14 @@
 	return slices.Clone(e.runs), e.runs != nil, nil
 }
 
-func (e *fakeEngine) Order(o wardturn.EngineOrder) wardturn.OrderAnswer {
+func (e *fakeEngine) Order(o wardturn.EngineOrder) wardturn.OrderResult {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, o)
 	if len(e.results) > 0 {
 		a := e.results[0]
 		e.results = e.results[1:]
-		if a != wardturn.OrderTaken {
+		if a != wardturn.OrderAccepted {
 			return a
 		}
 	}
@@ -77,7 +77,7 @@
 		Adapter: o.Target.Adapter,
 		Version: max(o.Version, 1),
 	})
-	return wardturn.OrderTaken
+	return wardturn.OrderAccepted
 }
 
 func (e *fakeEngine) givenOrders() []wardturn.EngineOrder {
@@ -206,7 +206,7 @@
 		o := e.givenOrders()[0]
 		Expect(o.Fence).To(BeEquivalentTo(1))
 		Expect(o.Upstream).To(BeEquivalentTo("i-1"))
-		Expect(o.Expected).To(BeEquivalentTo(7))
+		Expect(o.ExpectedSeq).To(BeEquivalentTo(7))
 		Expect(o.Holder).To(BeEquivalentTo("k"))
 	})
 
@@ -301,29 +301,29 @@
 	})
 
 	It("learns from the engine's report that it restarted under the same name, and ignores a gateway with the earlier lifetime", func() {
-		e.state.Born = 1000
+		e.state.StartMS = 1000
 		start()
-		sendNotice(wardturn.Lifetime("i-1", 1000), 10)
+		sendNotice(wardturn.NewUpstreamID("i-1", 1000), 10)
 		requestLoad()
 		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(1))
-		Expect(e.givenOrders()[0].Upstream).To(Equal(wardturn.Lifetime("i-1", 1000)))
+		Expect(e.givenOrders()[0].Upstream).To(Equal(wardturn.NewUpstreamID("i-1", 1000)))
 		e.mu.Lock()
-		e.state.Born = 2000
+		e.state.StartMS = 2000
 		e.state.Seq = 0
 		e.state.Models[0].Adapters = nil
 		e.mu.Unlock()
 		Eventually(func() wardturn.UpstreamID {
 			return (<-g.updates).Upstream
-		}, eventTimeout).Should(Equal(wardturn.Lifetime("i-1", 2000)))
-		sendNotice(wardturn.Lifetime("i-1", 1000), 11) // the entry of the earlier lifetime was written again
+		}, eventTimeout).Should(Equal(wardturn.NewUpstreamID("i-1", 2000)))
+		sendNotice(wardturn.NewUpstreamID("i-1", 1000), 11) // the entry of the earlier lifetime was written again
 		requestLoad()
 		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(2))
-		Expect(e.givenOrders()[1].Upstream).To(Equal(wardturn.Lifetime("i-1", 2000)))
-		Expect(e.givenOrders()[1].Expected).To(BeZero())
+		Expect(e.givenOrders()[1].Upstream).To(Equal(wardturn.NewUpstreamID("i-1", 2000)))
+		Expect(e.givenOrders()[1].ExpectedSeq).To(BeZero())
 	})
 
 	It("gives orders to a new lifetime without delay after the previous one refused an order", func() {
-		e.results = []wardturn.OrderAnswer{wardturn.OrderInvalid}
+		e.results = []wardturn.OrderResult{wardturn.OrderInvalid}
 		start()
 		sendNotice("i-1", 10)
 		requestLoad()
@@ -373,7 +373,7 @@
 	})
 
 	It("takes a new fence when a newer holder has given orders", func() {
-		e.results = []wardturn.OrderAnswer{wardturn.OrderStale}
+		e.results = []wardturn.OrderResult{wardturn.OrderStale}
 		start()
 		sendDefaultNotice()
 		requestLoad()
@@ -385,7 +385,7 @@
 	})
 
 	It("repeats an order without a response, with the sequence number that the engine reports then", func() {
-		e.results = []wardturn.OrderAnswer{wardturn.OrderLost, wardturn.OrderConflict}
+		e.results = []wardturn.OrderResult{wardturn.OrderLost, wardturn.OrderConflict}
 		start()
 		sendDefaultNotice()
 		requestLoad()
@@ -393,7 +393,7 @@
 			requestLoad()
 			return len(e.givenOrders())
 		}, eventTimeout, 20*time.Millisecond).Should(BeNumerically(">=", 3))
-		Expect(e.givenOrders()[2].Expected).To(BeEquivalentTo(7))
+		Expect(e.givenOrders()[2].ExpectedSeq).To(BeEquivalentTo(7))
 	})
 
 	It("gives no order while the engine reports one in progress, and gives one soon after that", func() {
--- a/keeper/lifetime.go
+++ b/keeper/lifetime.go
@@ -8,17 +8,17 @@
 	if st.Upstream != "" {
 		return st.Upstream
 	}
-	if st.Born == 0 {
+	if st.StartMS == 0 {
 		return known
 	}
-	return wardturn.Lifetime(known.Instance(), st.Born)
+	return wardturn.NewUpstreamID(known.Instance(), st.StartMS)
 }
 
 // startLifetime sets the current lifetime of the engine. If it is a later one of the same
 // instance, the engine has restarted and its previous state is dropped. The lock must be
 // held.
 func (k *Keeper) startLifetime(id wardturn.UpstreamID) {
-	if k.upstream.Born() != 0 && k.upstream.Before(id) {
+	if k.upstream.StartMS() != 0 && k.upstream.Before(id) {
 		k.logger.Info("engine has started again", "upstream", id, "before", k.upstream)
 		k.placement.EngineRestarted()
 	}
--- a/keeper/relay_test.go
+++ b/keeper/relay_test.go
@@ -174,7 +174,7 @@
 	It("sends its sequence number when the gateway reports usage", func() {
 		Expect(otherConn.Send(loadRequest("a"))).To(Succeed())
 		h := next[*peer.EngineUpdate](otherGateway)
-		Expect(conn.Send(&peer.Usage{})).To(Succeed())
+		Expect(conn.Send(&peer.AdapterUsage{})).To(Succeed())
 		Expect(next[*peer.Mark](gateway).Seq).To(BeNumerically(">=", h.Seq))
 	})
 })
--- a/keeper/startedquery.go
+++ b/keeper/startedquery.go
@@ -52,7 +52,7 @@
 			return
 		}
 		queries := k.startedQueries.takeAll()
-		runs, listed, err := k.engine.Runs()
+		runs, listed, err := k.engine.RunningRequests()
 		if err != nil {
 			k.logger.Debug("reading the engine's running requests failed; gateways will repeat their queries", "error", err)
 			continue
--- a/lifetime.go
+++ b/lifetime.go
@@ -8,13 +8,13 @@
 // lifetimeSeparator separates the instance name and the start time in an UpstreamID.
 const lifetimeSeparator = "~"
 
-// Lifetime returns the ID of one lifetime of an upstream. Instance is the name that the
+// NewUpstreamID returns the ID of one lifetime of an upstream. Instance is the name that the
 // upstream reports of itself and that it keeps when it restarts. The second argument is
 // its start time in Unix milliseconds; zero if the upstream does not report it. State of
 // an upstream is stored by lifetime and so is dropped at a restart. A message about an
 // earlier lifetime that is delayed or relayed cannot be mistaken for one about the
 // current lifetime.
-func Lifetime(instance string, startMS int64) UpstreamID {
+func NewUpstreamID(instance string, startMS int64) UpstreamID {
 	if instance == "" || startMS == 0 {
 		return UpstreamID(instance)
 	}
@@ -27,9 +27,9 @@
 	return instance
 }
 
-// Born returns the start time of the lifetime in Unix milliseconds, or zero if it is not
+// StartMS returns the start time of the lifetime in Unix milliseconds, or zero if it is not
 // known.
-func (id UpstreamID) Born() int64 {
+func (id UpstreamID) StartMS() int64 {
 	_, startMS := id.split()
 	return startMS
 }
--- a/lifetime_test.go
+++ b/lifetime_test.go
@@ -6,13 +6,13 @@
 	"wardturn"
 )
 
-func ExampleLifetime() {
-	first := wardturn.Lifetime("i-7", 1000)
-	second := wardturn.Lifetime("i-7", 2000)
-	fmt.Println(second, second.Instance(), second.Born())
+func ExampleNewUpstreamID() {
+	first := wardturn.NewUpstreamID("i-7", 1000)
+	second := wardturn.NewUpstreamID("i-7", 2000)
+	fmt.Println(second, second.Instance(), second.StartMS())
 	fmt.Println(first.Before(second), second.Before(first), second.Before(second))
-	plain := wardturn.Lifetime("i-8", 0)
-	fmt.Println(plain, plain.Instance(), plain.Born(), plain.Before(second))
+	plain := wardturn.NewUpstreamID("i-8", 0)
+	fmt.Println(plain, plain.Instance(), plain.StartMS(), plain.Before(second))
 	// Output:
 	// i-7~2000 i-7 2000
 	// true false false
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -38,8 +38,8 @@
 	ErrProtocol = errors.New("peer: protocol violation")
 	// ErrSlowPeer closes a connection whose peer reads too slowly.
 	ErrSlowPeer = errors.New("peer: send buffer full")
-	// ErrSilent closes a connection after a heartbeat timeout.
-	ErrSilent = errors.New("peer: heartbeat timeout")
+	// ErrHeartbeatTimeout closes a connection after a heartbeat timeout.
+	ErrHeartbeatTimeout = errors.New("peer: heartbeat timeout")
 )
 
 // Handler receives the messages of a connection. Handle is called from the
@@ -50,9 +50,9 @@
 	Closed(c *Conn, err error)
 }
 
-// Busier is a Handler that knows whether work is in progress on its connection.
+// ActivityReporter is a Handler that knows whether work is in progress on its connection.
 // Heartbeats are more frequent then, so that a loss is detected sooner.
-type Busier interface {
+type ActivityReporter interface {
 	Busy() bool
 }
 
@@ -68,12 +68,12 @@
 	sendBuf    []byte
 	err        error
 	pingTimer  wardturn.Timer
-	pingDelay  time.Duration // duration of the current timer
-	lastRead   atomic.Int64  // clock time in nanoseconds
-	lastUse    atomic.Int64  // clock time of the last message other than a heartbeat
-	busier     Busier        // nil if the handler doesn't implement it
-	dialed     bool          // this side sends the pings, the other replies
-	pingSentAt atomic.Int64  // clock time of the oldest ping without a reply; zero: none
+	pingDelay  time.Duration    // duration of the current timer
+	lastRead   atomic.Int64     // clock time in nanoseconds
+	lastUse    atomic.Int64     // clock time of the last message other than a heartbeat
+	busier     ActivityReporter // nil if the handler doesn't implement it
+	dialed     bool             // this side sends the pings, the other replies
+	pingSentAt atomic.Int64     // clock time of the oldest ping without a reply; zero: none
 	seq        uint64
 	peerConfig atomic.Int64 // latest configuration applied by the peer
 }
@@ -242,7 +242,7 @@
 
 // run serves the connection until it ends.
 func (c *Conn) run(r *bufio.Reader, h Handler) {
-	c.busier, _ = h.(Busier)
+	c.busier, _ = h.(ActivityReporter)
 	c.schedulePing()
 	done := make(chan struct{})
 	go func() {
@@ -330,7 +330,7 @@
 
 func (c *Conn) heartbeat() {
 	if c.timedOut() {
-		c.fail(ErrSilent)
+		c.fail(ErrHeartbeatTimeout)
 		return
 	}
 	if c.dialed {
@@ -355,6 +355,6 @@
 	return sentAt != 0 && now.Sub(time.Unix(0, sentAt)) > pongTimeout
 }
 
-// Window is the flow-control window: an entry grants credit for this many bytes beyond
+// CreditWindow is the flow-control window: an entry grants credit for this many bytes beyond
 // those that it has forwarded.
-const Window = 256 << 10
+const CreditWindow = 256 << 10
--- a/peer/frame_test.go
+++ b/peer/frame_test.go
@@ -22,9 +22,9 @@
 	}
 	return []peer.Message{
 		&peer.Hello{Protocol: 1, Role: peer.RoleAgent, Process: "p", Upstream: "u", Config: 3},
-		&peer.Submit{Attempt: id, Request: "r", Caller: "c", Class: wardturn.Batch, Adapter: wardturn.AdapterRef{Adapter: "a", Version: 2}, Left: time.Second, Key: "k", Header: []wardturn.HeaderField{{Name: "n", Value: "v"}}, Body: []byte("body"), Credit: 5, Newest: true},
+		&peer.Submit{Attempt: id, Request: "r", Caller: "c", Class: wardturn.Batch, Adapter: wardturn.AdapterRef{Adapter: "a", Version: 2}, TimeLeft: time.Second, Key: "k", Header: []wardturn.HeaderField{{Name: "n", Value: "v"}}, Body: []byte("body"), Credit: 5, Newest: true},
 		&peer.Attach{Attempt: id, Process: "p", Follow: true, From: 9, Credit: 10},
-		&peer.Head{Attempt: id, Status: 200, Stalled: time.Second},
+		&peer.Head{Attempt: id, Status: 200, AdapterWait: time.Second},
 		&peer.Chunk{Attempt: id, Offset: 4, Data: []byte("data")},
 		&peer.End{Attempt: id, Outcome: wardturn.Refused(wardturn.ReasonQuota, time.Second), Length: 8, Hint: decide.Hint{Running: 1, Leaving: true}, FirstUpstream: "u", Config: 6},
 		&peer.Credit{Attempt: id, Upto: 11},
--- a/peer/message.go
+++ b/peer/message.go
@@ -34,7 +34,7 @@
 	KindEngineUpdate
 	KindEngineConfig
 	KindLoadRequest
-	KindUsage
+	KindAdapterUsage
 	KindReadAnnouncement
 	KindPrefillReport
 	KindSubscribe
@@ -83,7 +83,7 @@
 	Service    wardturn.ServiceName
 	Prompt     wardturn.Tokens
 	Output     wardturn.Tokens
-	Left       time.Duration // until the deadline; zero if there is none
+	TimeLeft   time.Duration // until the deadline; zero if there is none
 	Repeatable bool
 	Key        wardturn.IdempotencyKey
 	KeyCreated time.Time
@@ -110,11 +110,11 @@
 
 // Head starts a response: the attempt is running.
 type Head struct {
-	Attempt wardturn.AttemptID
-	Status  int // of a plain service; zero for an engine
-	Header  []wardturn.HeaderField
-	Stalled time.Duration // time that the attempt waited for its adapter
-	Queued  time.Duration // total time that the attempt waited
+	Attempt     wardturn.AttemptID
+	Status      int // of a plain service; zero for an engine
+	Header      []wardturn.HeaderField
+	AdapterWait time.Duration // time that the attempt waited for its adapter
+	TotalWait   time.Duration // total time that the attempt waited
 }
 
 // Chunk is a part of a response.
@@ -131,10 +131,10 @@
 	Outcome wardturn.Outcome
 	Length  int64
 	Hint    decide.Hint
-	// First is the attempt that holds the response for an idempotency key that
+	// FirstAttempt is the attempt that holds the response for an idempotency key that
 	// was already claimed. FirstUpstream and FirstProcess are the upstream and
 	// the agent process that have it.
-	First         wardturn.AttemptID
+	FirstAttempt  wardturn.AttemptID
 	FirstUpstream wardturn.UpstreamID
 	FirstProcess  wardturn.Incarnation
 	// Config, if set, is the configuration that put another version in force than
@@ -280,8 +280,8 @@
 		return &EngineConfig{}
 	case KindLoadRequest:
 		return &LoadRequest{}
-	case KindUsage:
-		return &Usage{}
+	case KindAdapterUsage:
+		return &AdapterUsage{}
 	case KindPrefillReport:
 		return &PrefillReport{}
 	case KindReadAnnouncement:
--- a/peer/placement.go
+++ b/peer/placement.go
@@ -151,8 +151,8 @@
 	Running int // now
 }
 
-// Usage reports to a keeper which adapters a gateway uses.
-type Usage struct {
+// AdapterUsage reports to a keeper which adapters a gateway uses.
+type AdapterUsage struct {
 	Uses []AdapterUse
 }
 
@@ -200,7 +200,7 @@
 func (*PrefillReport) Kind() Kind { return KindPrefillReport }
 
 // Kind implements Message.
-func (*Usage) Kind() Kind { return KindUsage }
+func (*AdapterUsage) Kind() Kind { return KindAdapterUsage }
 
 // Kind implements Message.
 func (*Subscribe) Kind() Kind { return KindSubscribe }
--- a/policy.go
+++ b/policy.go
@@ -4,34 +4,34 @@
 
 // SlotInput is what a policy knows about an adapter when it scores the adapter for a slot.
 type SlotInput struct {
-	Adapter     AdapterID
-	Rate        float64       // predicted requests per second over the next minute
-	Waiting     int           // interactive requests that wait for the adapter
-	WaitingLong time.Duration // waiting time of the oldest of these
-	BatchWait   int           // batch requests that wait for the adapter
-	BatchLong   time.Duration // waiting time of the oldest of these
-	Running     int           // requests running on the adapter
-	Idle        time.Duration // time since its last request
-	Resident    bool          // it holds a slot
-	LoadTime    time.Duration // duration of recent loads
-	BatchRuns   int           // batch requests running on the upstream
+	Adapter       AdapterID
+	Rate          float64       // predicted requests per second over the next minute
+	Waiting       int           // interactive requests that wait for the adapter
+	OldestWaiting time.Duration // waiting time of the oldest of these
+	BatchWaiting  int           // batch requests that wait for the adapter
+	OldestBatch   time.Duration // waiting time of the oldest of these
+	Running       int           // requests running on the adapter
+	Idle          time.Duration // time since its last request
+	Resident      bool          // it holds a slot
+	LoadTime      time.Duration // duration of recent loads
+	BatchRunning  int           // batch requests running on the upstream
 }
 
 // QueueInput is what a policy knows about a waiting request.
 type QueueInput struct {
-	Adapter  AdapterID
-	Class    Class
-	Waited   time.Duration
-	Deadline time.Duration // time left; zero without a deadline
-	Prompt   Tokens
-	Output   Tokens
-	Waiting  int  // requests of its class that wait for the same adapter
-	Resident bool // the adapter is ready in a slot
-	Running  int  // sequences in the engine's current batch
-	Batch    int  // maximum number of sequences in a batch
+	Adapter   AdapterID
+	Class     Class
+	Waited    time.Duration
+	TimeLeft  time.Duration // time left; zero without a deadline
+	Prompt    Tokens
+	Output    Tokens
+	Waiting   int  // requests of its class that wait for the same adapter
+	Resident  bool // the adapter is ready in a slot
+	Running   int  // sequences in the engine's current batch
+	BatchSize int  // maximum number of sequences in a batch
 
-	BatchRuns   int // batch requests running on the upstream
-	BatchQueued int // batch requests waiting at the upstream, for any adapter
+	BatchRunning int // batch requests running on the upstream
+	BatchQueued  int // batch requests waiting at the upstream, for any adapter
 }
 
 // Policy decides, on behalf of the operator, which adapters get a slot and which
--- a/policy/builtin.go
+++ b/policy/builtin.go
@@ -48,14 +48,14 @@
 func (Default) Slot(in wardturn.SlotInput) float64 {
 	v := rateWeight * in.Rate
 	if in.Waiting > 0 {
-		v += float64(in.Waiting) + ageWeight*in.WaitingLong.Seconds()
+		v += float64(in.Waiting) + ageWeight*in.OldestWaiting.Seconds()
 	}
-	return v + min(batchWeight*float64(in.BatchWait), batchLimit)
+	return v + min(batchWeight*float64(in.BatchWaiting), batchLimit)
 }
 
 // Hold implements wardturn.Policy.
 func (Default) Hold(in wardturn.QueueInput) time.Duration {
-	if in.BatchRuns > 0 || in.BatchQueued >= batchRun*in.Batch {
+	if in.BatchRunning > 0 || in.BatchQueued >= batchRun*in.BatchSize {
 		return 0
 	}
 	return defaultHold
@@ -96,8 +96,8 @@
 // Slot implements wardturn.Policy. Anything that waits beats anything idle, as
 // in a plain cache; the longest wait goes first.
 func (lru) Slot(in wardturn.SlotInput) float64 {
-	if in.Waiting+in.BatchWait > 0 {
-		return 1 + max(in.WaitingLong, in.BatchLong).Seconds()
+	if in.Waiting+in.BatchWaiting > 0 {
+		return 1 + max(in.OldestWaiting, in.OldestBatch).Seconds()
 	}
 	return math.Exp(-in.Idle.Seconds() / recencyScale)
 }
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -85,11 +85,11 @@
 	case "waiting":
 		return starlark.MakeInt(v.Waiting), nil
 	case "waiting_seconds":
-		return seconds(v.WaitingLong), nil
+		return seconds(v.OldestWaiting), nil
 	case "batch_waiting":
-		return starlark.MakeInt(v.BatchWait), nil
+		return starlark.MakeInt(v.BatchWaiting), nil
 	case "batch_seconds":
-		return seconds(v.BatchLong), nil
+		return seconds(v.OldestBatch), nil
 	case "running":
 		return starlark.MakeInt(v.Running), nil
 	case "idle_seconds":
@@ -99,7 +99,7 @@
 	case "load_seconds":
 		return seconds(v.LoadTime), nil
 	case "batch_running":
-		return starlark.MakeInt(v.BatchRuns), nil
+		return starlark.MakeInt(v.BatchRunning), nil
 	}
 	return nil, nil
 }
@@ -135,7 +135,7 @@
 	case "waited_seconds":
 		return seconds(v.Waited), nil
 	case "deadline_seconds":
-		return seconds(v.Deadline), nil
+		return seconds(v.TimeLeft), nil
 	case "prompt_tokens":
 		return starlark.MakeInt(int(v.Prompt)), nil
 	case "output_tokens":
@@ -147,9 +147,9 @@
 	case "running":
 		return starlark.MakeInt(v.Running), nil
 	case "batch_size":
-		return starlark.MakeInt(v.Batch), nil
+		return starlark.MakeInt(v.BatchSize), nil
 	case "batch_running":
-		return starlark.MakeInt(v.BatchRuns), nil
+		return starlark.MakeInt(v.BatchRunning), nil
 	case "batch_queued":
 		return starlark.MakeInt(v.BatchQueued), nil
 	}
--- a/process/clock.go
+++ b/process/clock.go
@@ -17,7 +17,7 @@
 // the process and what has passed since, also while the host was suspended, so that the
 // time of day may be set. Deadlines of
 // contexts and connections, which go by the system's own times, are not set from them;
-// see wardturn.WithLimit.
+// see wardturn.WithTimeout.
 type Clock struct{}
 
 // Now implements wardturn.Clock.
--- a/process/tasks.go
+++ b/process/tasks.go
@@ -79,7 +79,7 @@
 
 // Limit returns a context that ends after a time, or with Stop.
 func (t *Tasks) Limit(d time.Duration) (context.Context, context.CancelFunc) {
-	return wardturn.WithLimit(t.ctx, t.clock, d)
+	return wardturn.WithTimeout(t.ctx, t.clock, d)
 }
 
 // Stop ends the context and the timers.
--- a/routes.go
+++ b/routes.go
@@ -9,10 +9,10 @@
 type Repeatability uint8
 
 const (
-	// RunOnce allows at most one execution for each attempt of a caller.
-	RunOnce Repeatability = iota
-	// RunAgain allows several executions.
-	RunAgain
+	// NotRepeatable allows at most one execution for each attempt of a caller.
+	NotRepeatable Repeatability = iota
+	// Repeatable allows several executions.
+	Repeatable
 )
 
 // RouteTable is one version of the operator's configuration: routes from paths to
@@ -31,20 +31,20 @@
 
 // Route maps the requests of a host and path prefix to services.
 type Route struct {
-	Name         string
-	Host         string
-	Prefix       string // starts and ends with a slash
-	Targets      []RouteTarget
-	Repeats      Repeatability
-	Streaming    bool          // the response is a stream of events
-	Resumable    bool          // an interrupted stream may be resumed at another upstream
-	Timeout      time.Duration // maximum time for which a request is held
-	Objective    time.Duration // latency objective; of a stream, for its first event
-	MaxPause     time.Duration // longest pause between events of a stream that meets its objective
-	Priority     int           // 0 is the most urgent
-	Public       bool          // requests do not need a key
-	Regions      Regions       // where requests may be served
-	MaxUpstreams int           // maximum number of upstreams that may run one attempt
+	Name          string
+	Host          string
+	Prefix        string // starts and ends with a slash
+	Targets       []RouteTarget
+	Repeatability Repeatability
+	Streaming     bool          // the response is a stream of events
+	Resumable     bool          // an interrupted stream may be resumed at another upstream
+	Timeout       time.Duration // maximum time for which a request is held
+	Objective     time.Duration // latency objective; of a stream, for its first event
+	MaxPause      time.Duration // longest pause between events of a stream that meets its objective
+	Priority      int           // 0 is the most urgent
+	Public        bool          // requests do not need a key
+	Regions       Regions       // where requests may be served
+	MaxUpstreams  int           // maximum number of upstreams that may run one attempt
 }
 
 // RouteTarget is a service that gets a weighted share of a route's requests.
@@ -59,7 +59,7 @@
 	MaxConns int         // maximum number of connections of one upstream, over all callers
 	Engine   *EngineSpec // nil for a plain service
 	// ColdRate is the number of requests per second that a cold upstream (see
-	// Member.Cold) accepts from all gateways together; zero: as many as a warm one.
+	// Member.ColdFor) accepts from all gateways together; zero: as many as a warm one.
 	ColdRate float64
 }
 
@@ -98,17 +98,17 @@
 
 // Member is an upstream in the platform's list.
 type Member struct {
-	ID       UpstreamID // identifies one lifetime: a restarted upstream is another member
-	Service  ServiceName
-	Addr     string // IP:port
-	Domain   FailureDomain
-	Slots    int // requests that it processes concurrently
-	Draining bool
-	GoneAt   time.Time // when it will be shut down, if announced; zero: not known
-	// Cold is how much longer it accepts only few requests, according to its entry; zero:
+	ID         UpstreamID // identifies one lifetime: a restarted upstream is another member
+	Service    ServiceName
+	Addr       string // IP:port
+	Domain     FailureDomain
+	Slots      int // requests that it processes concurrently
+	Draining   bool
+	ShutdownAt time.Time // when it will be shut down, if announced; zero: not known
+	// ColdFor is how much longer it accepts only few requests, according to its entry; zero:
 	// it is warm.
-	Cold time.Duration
-	Seen Position // position of its latest entry in the list
+	ColdFor  time.Duration
+	Position Position // position of its latest entry in the list
 }
 
 // MemberList is the result of one read of the platform's list of upstreams.
@@ -128,14 +128,14 @@
 type MemberChange struct {
 	From    Position // negative: the whole list was read, and only To is set
 	To      Position
-	Changed []Member // without GoneAt, which is a time of the reader's clock
+	Changed []Member // without ShutdownAt, which is a time of the reader's clock
 	Expired []UpstreamID
 }
 
 // EngineState is the state that an engine reports.
 type EngineState struct {
 	Upstream UpstreamID // lifetime that reports; empty if the engine does not report it
-	Born     int64      // its start in Unix milliseconds; zero if the engine does not report it
+	StartMS  int64      // its start in Unix milliseconds; zero if the engine does not report it
 	Seq      uint64     // number of orders accepted since its start
 	Busy     bool       // an order on a base model is in progress
 	Leaving  bool       // it is about to shut down and must get no new requests
@@ -176,23 +176,23 @@
 // executes it only if it is in the given lifetime, has the expected sequence number and
 // has seen no order of a newer holder. A holder is a process that gives the engine orders.
 type EngineOrder struct {
-	Unload   bool
-	Target   ModelAdapter
-	Version  Version // zero: the newest
-	Upstream UpstreamID
-	Expected uint64 // Seq of the engine before this order
-	Holder   Incarnation
-	Fence    Fence
+	Unload      bool
+	Target      ModelAdapter
+	Version     Version // zero: the newest
+	Upstream    UpstreamID
+	ExpectedSeq uint64 // Seq of the engine before this order
+	Holder      Incarnation
+	Fence       Fence
 }
 
-// OrderAnswer is the result of an engine order.
-type OrderAnswer uint8
+// OrderResult is the result of an engine order.
+type OrderResult uint8
 
 const (
-	// OrderTaken means that the order is in progress or executed.
-	OrderTaken OrderAnswer = iota
-	// OrderHolds means that the engine is already in the requested state.
-	OrderHolds
+	// OrderAccepted means that the order is in progress or executed.
+	OrderAccepted OrderResult = iota
+	// OrderNoChange means that the engine is already in the requested state.
+	OrderNoChange
 	// OrderConflict means that the order was refused because another is in
 	// progress, or because the engine's sequence number is not the expected one.
 	OrderConflict
@@ -207,11 +207,11 @@
 )
 
 // String returns the name used in logs.
-func (a OrderAnswer) String() string {
+func (a OrderResult) String() string {
 	switch a {
-	case OrderTaken:
+	case OrderAccepted:
 		return "taken"
-	case OrderHolds:
+	case OrderNoChange:
 		return "holds"
 	case OrderConflict:
 		return "conflict"
@@ -290,15 +290,15 @@
 	WriteFleetFacts(f FleetFacts) error
 }
 
-// OrderedEngine is a model engine, as used by the process next to it.
-type OrderedEngine interface {
+// EngineController is a model engine, as used by the process next to it.
+type EngineController interface {
 	// Report returns the engine's state.
 	Report() (EngineState, error)
-	// Runs returns the IDs, as given by callers, of the requests that the engine is
+	// RunningRequests returns the IDs, as given by callers, of the requests that the engine is
 	// running. Listed is false if the engine does not list them.
-	Runs() (ids []string, listed bool, err error)
+	RunningRequests() (ids []string, listed bool, err error)
 	// Order sends an order and returns its result.
-	Order(o EngineOrder) OrderAnswer
+	Order(o EngineOrder) OrderResult
 }
 
 // FenceSource issues fences to processes at their start.
--- a/sleep.go
+++ b/sleep.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// WithLimit returns a context that is cancelled after d, as measured by clock, or with its
+// WithTimeout returns a context that is cancelled after d, as measured by clock, or with its
 // parent.
-func WithLimit(parent context.Context, clock Clock, d time.Duration) (context.Context, context.CancelFunc) {
+func WithTimeout(parent context.Context, clock Clock, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
 	timer := clock.AfterFunc(d, cancel)
 	return ctx, func() {
