--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -319,7 +319,7 @@
 
 func TestSlowCallerHoldsUpOnlyItself(t *testing.T) {
 	x := newTester(t, agent.Config{
-		AnswerBuffer: 8,
+		ResponseBuffer: 8,
 	})
 	x.submit(1, 0)
 	run := <-x.engine.runs
--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -129,10 +129,10 @@
 	if t.ended {
 		return nil // canceled meanwhile
 	}
-	if len(t.buf) > 0 && len(t.buf)+len(data) > a.cfg.AnswerBuffer {
+	if len(t.buf) > 0 && len(t.buf)+len(data) > a.cfg.ResponseBuffer {
 		a.trim(t)
 	}
-	if len(t.buf) > 0 && len(t.buf)+len(data) > a.cfg.AnswerBuffer {
+	if len(t.buf) > 0 && len(t.buf)+len(data) > a.cfg.ResponseBuffer {
 		t.space = make(chan struct{})
 		return t.space
 	}
--- a/agent/config.go
+++ b/agent/config.go
@@ -10,47 +10,47 @@
 
 // Config holds an agent's settings. Exactly one of Model and Service is set.
 type Config struct {
-	Upstream      wardturn.UpstreamID
-	Process       wardturn.Incarnation
-	Region        wardturn.Region
-	Domain        wardturn.FailureDomain
-	Model         wardturn.BaseModel
-	Service       wardturn.ServiceName
-	Slots         int // adapter slots of the engine
-	MaxRunning    int // requests that run at once
-	MaxQueue      int // requests that wait at most
-	Store         decide.StoreLimit
-	StoreAgents   int           // agents that share the store, as a first guess
-	ReportEvery   time.Duration // between reads of the engine's report
-	HostsEvery    time.Duration // between reads of the host list
-	RequireFence  bool          // give no orders without a fence from the log
-	AnswerBuffer  int           // bytes of an answer kept for a slow or lost entry
-	KeepBytes     int           // of all ended answers together
-	Remember      time.Duration // time for which ended attempts are remembered
-	RememberCount int           // number of ended attempts remembered
-	OrphanGrace   time.Duration // time that an attempt runs on without an entry
+	Upstream         wardturn.UpstreamID
+	Process          wardturn.Incarnation
+	Region           wardturn.Region
+	Domain           wardturn.FailureDomain
+	Model            wardturn.BaseModel
+	Service          wardturn.ServiceName
+	Slots            int // adapter slots of the engine
+	MaxRunning       int // requests that run at once
+	MaxQueue         int // requests that wait at most
+	Store            decide.StoreLimit
+	StoreAgents      int           // agents that share the store, as a first guess
+	ReportEvery      time.Duration // between reads of the engine's report
+	HostsEvery       time.Duration // between reads of the host list
+	RequireFence     bool          // give no orders without a fence from the log
+	ResponseBuffer   int           // bytes of an answer kept for a slow or lost entry
+	KeepBytes        int           // of all ended answers together
+	AttemptRetention time.Duration // time for which ended attempts are remembered
+	MaxEndedAttempts int           // number of ended attempts remembered
+	OrphanGrace      time.Duration // time that an attempt runs on without an entry
 }
 
 // The defaults of Config.
 const (
-	DefaultReportEvery   = 500 * time.Millisecond
-	DefaultHostsEvery    = time.Second
-	DefaultAnswerBuffer  = 1 << 20
-	DefaultKeepBytes     = 16 << 20
-	DefaultRemember      = time.Minute
-	DefaultRememberCount = 20_000
-	DefaultOrphanGrace   = 10 * time.Second
-	DefaultMaxRunning    = 16
+	DefaultReportEvery      = 500 * time.Millisecond
+	DefaultHostsEvery       = time.Second
+	DefaultResponseBuffer   = 1 << 20
+	DefaultKeepBytes        = 16 << 20
+	DefaultAttemptRetention = time.Minute
+	DefaultMaxEndedAttempts = 20_000
+	DefaultOrphanGrace      = 10 * time.Second
+	DefaultMaxRunning       = 16
 )
 
 // WithDefaults returns the configuration with zero values replaced.
 func (c Config) WithDefaults() Config {
 	c.ReportEvery = cmp.Or(c.ReportEvery, DefaultReportEvery)
 	c.HostsEvery = cmp.Or(c.HostsEvery, DefaultHostsEvery)
-	c.AnswerBuffer = cmp.Or(c.AnswerBuffer, DefaultAnswerBuffer)
+	c.ResponseBuffer = cmp.Or(c.ResponseBuffer, DefaultResponseBuffer)
 	c.KeepBytes = cmp.Or(c.KeepBytes, DefaultKeepBytes)
-	c.Remember = cmp.Or(c.Remember, DefaultRemember)
-	c.RememberCount = cmp.Or(c.RememberCount, DefaultRememberCount)
+	c.AttemptRetention = cmp.Or(c.AttemptRetention, DefaultAttemptRetention)
+	c.MaxEndedAttempts = cmp.Or(c.MaxEndedAttempts, DefaultMaxEndedAttempts)
 	c.OrphanGrace = cmp.Or(c.OrphanGrace, DefaultOrphanGrace)
 	c.MaxRunning = cmp.Or(c.MaxRunning, DefaultMaxRunning)
 	c.StoreAgents = cmp.Or(c.StoreAgents, 1)
--- a/cli/fleet/gateway.go
+++ b/cli/fleet/gateway.go
@@ -182,7 +182,7 @@
 			ResponseReader: platform.Responses{},
 			Source:         platform.NewConfigReader(s, logger),
 			Members:        platform.NewMemberReader(s, clock, logger),
-			Memory:         s,
+			FactStore:      s,
 			Crashes:        platform.NewCrashStore(s, logger),
 			Listener:       front,
 			ReadyListener:  ready,
--- a/decide/rest.go
+++ b/decide/rest.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// unclearBackoff is the backoff of an upstream whose requested time cannot be parsed.
-	unclearBackoff = time.Second
+	// unparsedBackoff is the backoff of an upstream whose requested time cannot be parsed.
+	unparsedBackoff = time.Second
 	// maxUpstreamBackoff bounds the backoff that one answer may request.
 	maxUpstreamBackoff = time.Hour
 	// backoffTrialInterval is the time between two trial requests after a backoff, until
@@ -80,7 +80,7 @@
 
 // BackOffUnparsed is Rests for a duration that cannot be parsed.
 func (f *Fleet) BackOffUnparsed(now time.Time, id wardturn.UpstreamID) (changed bool) {
-	return f.BackOff(now, id, unclearBackoff)
+	return f.BackOff(now, id, unparsedBackoff)
 }
 
 // ClearBackoff records that an upstream answered a request, sent at the given time, without
--- a/decide/trust.go
+++ b/decide/trust.go
@@ -21,7 +21,7 @@
 // PathBackoff is the exponential backoff of a network path: it decides when a path that has
 // failed may be used again.
 type PathBackoff struct {
-	Draw    func() float64 // random number in [0, 1); nil: the package's Draw
+	Random  func() float64 // random number in [0, 1); nil: the package's Draw
 	backoff time.Duration  // latest backoff, without jitter
 	until   time.Time
 }
@@ -33,8 +33,8 @@
 		t.backoff = minPathBackoff
 	}
 	draw := RandomFloat
-	if t.Draw != nil {
-		draw = t.Draw
+	if t.Random != nil {
+		draw = t.Random
 	}
 	spread := 1 + pathBackoffJitter*(2*draw()-1)
 	t.until = now.Add(time.Duration(spread * float64(t.backoff)))
--- a/decide/trust_test.go
+++ b/decide/trust_test.go
@@ -21,7 +21,7 @@
 
 	It("allows use at first and grows with each failure that follows soon", func() {
 		t := &decide.PathBackoff{
-			Draw: func() float64 { return 0.5 },
+			Random: func() float64 { return 0.5 },
 		}
 		now := start
 		Expect(t.Allows(now)).To(BeTrue())
@@ -44,10 +44,10 @@
 
 	It("ends at different times in different processes", func() {
 		early := &decide.PathBackoff{
-			Draw: func() float64 { return 0 },
+			Random: func() float64 { return 0 },
 		}
 		late := &decide.PathBackoff{
-			Draw: func() float64 { return 0.99 },
+			Random: func() float64 { return 0.99 },
 		}
 		early.Fail(start, start)
 		late.Fail(start, start)
--- a/gateway/caps.go
+++ b/gateway/caps.go
@@ -53,8 +53,8 @@
 	c.teams.SetTeams(c.g.clock.Now(), teams)
 }
 
-// recall sets the number of gateways that was known before this one started.
-func (c *caps) recall(gateways int) {
+// setPreviousGateways sets the number of gateways that was known before this one started.
+func (c *caps) setPreviousGateways(gateways int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.teams.SetPreviousGateways(c.g.clock.Now(), gateways)
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -247,7 +247,7 @@
 		x.second.Close() // it would record what it has not read
 		old := x.store.Copy()
 		delete(old, "keyed.wardturn.crashes")
-		x.store.ComeBack(old)
+		x.store.Restore(old)
 		Eventually(recorded, eventTimeout, pollInterval).Should(BeNumerically(">", 2))
 		x.gateway.Close()
 		_, front, _ := x.startGateway("third", platform.NewStore(x.storeAddr, x.metrics))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -79,7 +79,7 @@
 	ResponseReader wardturn.ResponseReader
 	Source         wardturn.ConfigSource
 	Members        wardturn.MemberSource
-	Memory         wardturn.FleetFactStore
+	FactStore      wardturn.FleetFactStore
 	Crashes        wardturn.CrashStore
 	Listener       net.Listener // for callers
 	ReadyListener  net.Listener // for the load balancer's readiness probe; may be nil
@@ -114,7 +114,7 @@
 	pendingSends      *pendingSends
 	server            *http.Server
 	ready             *http.Server
-	front             net.Listener
+	listener          net.Listener
 	open              atomic.Int64
 	bodyLimiter       byteLimiter
 	leaving           atomic.Bool
@@ -143,9 +143,9 @@
 		names:          d.Names,
 		responseReader: d.ResponseReader,
 		source:         d.Source,
-		factStore:      d.Memory,
+		factStore:      d.FactStore,
 		pool:           newPool(d.Clock),
-		front:          d.Listener,
+		listener:       d.Listener,
 		pendingSends:   newPendingSends(),
 		tasks:          process.NewTasks(d.Clock),
 		budgets:        make(map[wardturn.ServiceName]*decide.RetryBudget),
@@ -223,7 +223,7 @@
 
 func (g *Gateway) acceptRequests() {
 	g.tasks.Go(func() {
-		if err := g.server.Serve(g.front); !errors.Is(err, http.ErrServerClosed) {
+		if err := g.server.Serve(g.listener); !errors.Is(err, http.ErrServerClosed) {
 			g.logger.Error("request server failed", "error", err)
 		}
 	})
@@ -269,7 +269,7 @@
 	if g.ready != nil {
 		_ = g.ready.Close()
 	}
-	g.front.Close()
+	g.listener.Close()
 	g.links.close()
 	g.pool.close()
 }
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -131,7 +131,7 @@
 		g.limits.seen.Store(true)
 	}
 	g.decide(func(now time.Time, out *decide.Actions) {
-		g.fleet.ApplyEngineUpdate(now, id, holdingOf(h), out)
+		g.fleet.ApplyEngineUpdate(now, id, engineUpdateOf(h), out)
 	})
 }
 
@@ -163,7 +163,7 @@
 	return l.member.ID, true
 }
 
-func holdingOf(h *peer.EngineUpdate) decide.EngineUpdate {
+func engineUpdateOf(h *peer.EngineUpdate) decide.EngineUpdate {
 	out := decide.EngineUpdate{
 		Connected:     true,
 		Full:          h.Full,
--- a/gateway/memory.go
+++ b/gateway/memory.go
@@ -30,7 +30,7 @@
 			g.fleet.RestoreWindow(facts.LoadWindow)
 			g.limits.state.SetPreviousGateways(g.clock.Now(), facts.Gateways)
 			g.mu.Unlock()
-			g.caps.recall(facts.Gateways)
+			g.caps.setPreviousGateways(facts.Gateways)
 			g.savedFacts = facts
 			g.logger.Info("window of loads recalled", "window", facts.LoadWindow, "gateways", facts.Gateways)
 			return
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -287,7 +287,7 @@
 		ResponseReader: platform.Responses{},
 		Source:         platform.NewConfigReader(store, logger),
 		Members:        platform.NewMemberReader(store, process.Clock{}, logger),
-		Memory:         store,
+		FactStore:      store,
 		Crashes:        platform.NewCrashStore(store, logger),
 		Listener:       frontListener,
 		ReadyListener:  readyListener,
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -73,7 +73,7 @@
 		r.lastFailure = now
 		return membershipView{}, nil, false
 	}
-	r.noteStoreRead(now, 0)
+	r.recordStoreRead(now, 0)
 	members := r.merge(now, list)
 	if r.recentlyRecovered(now) {
 		// Other gateways must see for themselves that the store has recovered. Given
@@ -86,7 +86,7 @@
 // apply applies a change that another gateway read from the store at time asOf, which is
 // zero if unknown. It reports false if the change does not directly follow the local state.
 func (r *membership) apply(c wardturn.MemberChange, asOf time.Time) (membershipView, bool) {
-	r.noteStoreRead(asOf, minOutage)
+	r.recordStoreRead(asOf, minOutage)
 	list, ok := r.source.Apply(c)
 	if !ok {
 		return membershipView{}, false
@@ -99,12 +99,12 @@
 // announces nothing in the first 500 ms after an outage that it noticed itself.
 const minOutage = time.Second
 
-// noteStoreRead records a successful read, by this gateway or another, at the given time. If
+// recordStoreRead records a successful read, by this gateway or another, at the given time. If
 // reads had failed here for less than least, that was not an outage. Reads by others must
 // count: a gateway with one rejected read may rely on others' reads for a long time, and
 // if the outage lasted until its own next read, it would retain upstreams that left
 // meanwhile and send them requests.
-func (r *membership) noteStoreRead(at time.Time, least time.Duration) {
+func (r *membership) recordStoreRead(at time.Time, least time.Duration) {
 	if !r.failing || !at.After(r.lastFailure) {
 		return
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -106,7 +106,7 @@
 
 func (s *soak) linkFault(r *rand.Rand) fault {
 	l := pick(r, s.links())
-	way := standin.Way(r.IntN(2))
+	way := standin.Direction(r.IntN(2))
 	delay := time.Duration(r.IntN(300)) * time.Millisecond
 	list := []fault{
 		{
--- a/soak/storereturn.go
+++ b/soak/storereturn.go
@@ -49,7 +49,7 @@
 					Away: true,
 				})
 				time.Sleep(awayBefore)
-				s.world.store.ComeBack(old)
+				s.world.store.Restore(old)
 				s.world.store.SetFaults(standin.MetaFaults{})
 				s.writeAgain()
 			}
--- a/standin/metastore.go
+++ b/standin/metastore.go
@@ -199,9 +199,9 @@
 	return out
 }
 
-// ComeBack has the store go on from a copy: what came after it is gone, and its offsets are
+// Restore has the store go on from a copy: what came after it is gone, and its offsets are
 // given out again.
-func (s *MetaStore) ComeBack(c MetaCopy) {
+func (s *MetaStore) Restore(c MetaCopy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics = c.deep()
--- a/standin/modelworker.go
+++ b/standin/modelworker.go
@@ -147,7 +147,7 @@
 	Attempt  string
 	Lifetime string        // of the worker
 	Leaving  bool          // the answer says that the worker leaves
-	Rest     time.Duration // that the refusal asked for; zero: none
+	Backoff  time.Duration // that the refusal asked for; zero: none
 }
 
 // Arrivals returns the requests that arrived, in order.
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Way is a direction through a relay.
-type Way int
+// Direction is a direction through a relay.
+type Direction int
 
 // The directions.
 const (
-	ToTarget Way = iota
+	ToTarget Direction = iota
 	FromTarget
 )
 
@@ -112,7 +112,7 @@
 }
 
 // Silence holds the bytes of one way back, or lets them go.
-func (r *Relay) Silence(w Way, on bool) {
+func (r *Relay) Silence(w Direction, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.frozen[w] = on
@@ -189,7 +189,7 @@
 	for way, ends := range [][2]net.Conn{{c, t}, {t, c}} {
 		go func() {
 			defer both.Done()
-			r.copy(Way(way), ends[1], ends[0])
+			r.copy(Direction(way), ends[1], ends[0])
 			c.Close()
 			t.Close()
 		}()
@@ -213,7 +213,7 @@
 	return true
 }
 
-func (r *Relay) copy(w Way, dst io.Writer, src io.Reader) {
+func (r *Relay) copy(w Direction, dst io.Writer, src io.Reader) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
@@ -229,7 +229,7 @@
 	}
 }
 
-func (r *Relay) waitThawed(w Way) {
+func (r *Relay) waitThawed(w Direction) {
 	r.mu.Lock()
 	for r.frozen[w] {
 		r.thawed.Wait()
