--- a/decide/limits.go
+++ b/decide/limits.go
@@ -45,9 +45,9 @@
 	// limitEndDelay is how long an upstream's answers must carry no limit before the limit
 	// ends. A single answer without one may come from an intermediary.
 	limitEndDelay = time.Second
-	// limitEndAnswers is the minimum number of consecutive answers without a limit that
+	// limitEndResponses is the minimum number of consecutive answers without a limit that
 	// end it.
-	limitEndAnswers = 2
+	limitEndResponses = 2
 	// minProbeAge is the minimum age of the latest known answer before a gateway without a
 	// share of the limit sends a probe request. It may have missed the end of the limit.
 	minProbeAge = 10 * time.Second
@@ -59,11 +59,11 @@
 // with rate zero.
 type upstreamLimit struct {
 	sharedRate
-	observedAt       time.Time // approximate time of the latest answer that carries the limit
-	unlimitedSince   time.Time // first answer without a limit since observedAt
-	unlimitedAnswers int       // number of answers without a limit since observedAt
-	endedAt          time.Time // time of the answer that ended the previous limit
-	probedAt         time.Time
+	observedAt         time.Time // approximate time of the latest answer that carries the limit
+	unlimitedSince     time.Time // first answer without a limit since observedAt
+	unlimitedResponses int       // number of answers without a limit since observedAt
+	endedAt            time.Time // time of the answer that ended the previous limit
+	probedAt           time.Time
 	// probeAfter is the age of the latest answer after which a gateway with a zero share
 	// sends a probe request.
 	probeAfter   time.Duration
@@ -125,11 +125,11 @@
 	if n == nil || n.rate == 0 || !sent.After(n.observedAt) {
 		return false
 	}
-	if n.unlimitedAnswers == 0 {
+	if n.unlimitedResponses == 0 {
 		n.unlimitedSince = now
 	}
-	n.unlimitedAnswers++
-	if n.unlimitedAnswers < limitEndAnswers || now.Sub(n.unlimitedSince) < limitEndDelay {
+	n.unlimitedResponses++
+	if n.unlimitedResponses < limitEndResponses || now.Sub(n.unlimitedSince) < limitEndDelay {
 		return false
 	}
 	n.end(n.unlimitedSince)
@@ -281,14 +281,14 @@
 func (n *upstreamLimit) confirm(observed time.Time) {
 	n.observedAt = latest(n.observedAt, observed)
 	if observed.After(n.unlimitedSince) {
-		n.unlimitedAnswers = 0
+		n.unlimitedResponses = 0
 	}
 }
 
 // end ends a limit because of an answer given at the time at.
 func (n *upstreamLimit) end(at time.Time) {
 	n.rate = 0
-	n.unlimitedAnswers = 0
+	n.unlimitedResponses = 0
 	n.endedAt = at
 }
 
