--- a/decide/allocator.go
+++ b/decide/allocator.go
@@ -68,29 +68,29 @@
 
 // Request applies an agent's permit request and appends the grants to send to out. They always
 // include one for the agent itself.
-func (l *Allocator) Request(now time.Time, w PermitRequest, out []Grant) []Grant {
-	a := l.agent(w.Upstream)
-	if w.Busy > a.busy && !a.requestedAt.IsZero() {
+func (l *Allocator) Request(now time.Time, r PermitRequest, out []Grant) []Grant {
+	a := l.agent(r.Upstream)
+	if r.Busy > a.busy && !a.requestedAt.IsZero() {
 		l.bucket.rate = max(l.limit.Rate*allocatorFloor, l.bucket.rate*allocatorDecrease)
 	}
-	a.busy = w.Busy
-	if w.Misses > a.misses {
+	a.busy = r.Busy
+	if r.Misses > a.misses {
 		if !a.requestedAt.IsZero() {
-			l.misses.add(now, float64(w.Misses-a.misses))
+			l.misses.add(now, float64(r.Misses-a.misses))
 		}
-		a.misses = w.Misses
+		a.misses = r.Misses
 	}
-	a.request = w
+	a.request = r
 	a.requestedAt = now
-	if w.Epoch == l.epoch {
+	if r.Epoch == l.epoch {
 		// An agent that was forgotten after a long silence starts again at the number
 		// it has used. From zero, it would take new permits for old ones.
-		a.total = max(a.total, w.Used)
-		a.used = max(a.used, w.Used)
+		a.total = max(a.total, r.Used)
+		a.used = max(a.used, r.Used)
 	}
 	out = l.Tick(now, out)
 	for _, g := range out {
-		if g.Upstream == w.Upstream {
+		if g.Upstream == r.Upstream {
 			return out
 		}
 	}
--- a/decide/allocator_test.go
+++ b/decide/allocator_test.go
@@ -63,10 +63,10 @@
 		now := start
 		load := func() bool {
 			if !p.Take(now, wish("a", 1)) {
-				w, due := p.Pending(now)
+				r, due := p.Pending(now)
 				Expect(due).To(BeTrue())
-				w.Upstream = "a"
-				for _, g := range l.Request(now, w, nil) {
+				r.Upstream = "a"
+				for _, g := range l.Request(now, r, nil) {
 					p.Granted(now, g)
 				}
 				return p.Take(now, wish("a", 1))
@@ -76,9 +76,9 @@
 		finish := func() {
 			p.Finished(now, decide.OrderDone)
 			p.Withdraw(now)
-			if w, due := p.Pending(now); due {
-				w.Upstream = "a"
-				l.Request(now, w, nil)
+			if r, due := p.Pending(now); due {
+				r.Upstream = "a"
+				l.Request(now, r, nil)
 			}
 		}
 		Expect(load()).To(BeTrue())
@@ -90,10 +90,10 @@
 
 	It("slows down when the store refuses loads within its limit", func() {
 		l := decide.NewAllocator(limit, 1)
-		w := wish("a", 1)
-		l.Request(start, w, nil)
-		w.Busy = 3
-		grants := l.Request(start.Add(time.Second), w, nil)
+		r := wish("a", 1)
+		l.Request(start, r, nil)
+		r.Busy = 3
+		grants := l.Request(start.Add(time.Second), r, nil)
 		Expect(grants[0].Interval).To(BeNumerically(">", 100*time.Millisecond))
 	})
 })
--- a/decide/announcement.go
+++ b/decide/announcement.go
@@ -79,7 +79,7 @@
 
 // startsBeforeEnd reports whether a request sent to a member now is expected to start on the
 // version held there before that version stops serving.
-func (f *Fleet) startsBeforeEnd(now time.Time, m *Member, t *PendingRequest) bool {
-	prefill := m.prefillRate.time(m.pendingPrefill(now) + int(t.Prompt))
-	return f.VersionInUse(now.Add(versionStartMargin+prefill), t.Key, m.held[t.Key].version)
+func (f *Fleet) startsBeforeEnd(now time.Time, m *Member, r *PendingRequest) bool {
+	prefill := m.prefillRate.time(m.pendingPrefill(now) + int(r.Prompt))
+	return f.VersionInUse(now.Add(versionStartMargin+prefill), r.Key, m.held[r.Key].version)
 }
--- a/decide/backoff.go
+++ b/decide/backoff.go
@@ -33,27 +33,27 @@
 }
 
 // inForce reports whether the backoff is in force. A nil rest is never in force.
-func (r *upstreamBackoff) inForce(now time.Time) bool {
-	return r != nil && now.Before(r.until)
+func (b *upstreamBackoff) inForce(now time.Time) bool {
+	return b != nil && now.Before(b.until)
 }
 
 // allows reports whether the backoff allows a request to be sent to the upstream now.
-func (r *upstreamBackoff) allows(now time.Time) bool {
-	return r == nil || !r.inForce(now) && now.Sub(r.trialAt) >= backoffTrialInterval
+func (b *upstreamBackoff) allows(now time.Time) bool {
+	return b == nil || !b.inForce(now) && now.Sub(b.trialAt) >= backoffTrialInterval
 }
 
 // remaining returns the time until the backoff allows a request.
-func (r *upstreamBackoff) remaining(now time.Time) time.Duration {
-	if r == nil {
+func (b *upstreamBackoff) remaining(now time.Time) time.Duration {
+	if b == nil {
 		return 0
 	}
-	return max(0, latest(r.until, r.trialAt.Add(backoffTrialInterval)).Sub(now))
+	return max(0, latest(b.until, b.trialAt.Add(backoffTrialInterval)).Sub(now))
 }
 
 // sent records that a request is sent to the upstream.
-func (r *upstreamBackoff) sent(now time.Time) {
-	if r != nil {
-		r.trialAt = now
+func (b *upstreamBackoff) sent(now time.Time) {
+	if b != nil {
+		b.trialAt = now
 	}
 }
 
@@ -65,15 +65,15 @@
 	if asked <= 0 {
 		return false
 	}
-	r := f.backoffs[id.Instance()]
-	if r == nil {
-		r = &upstreamBackoff{}
-		f.backoffs[id.Instance()] = r
+	b := f.backoffs[id.Instance()]
+	if b == nil {
+		b = &upstreamBackoff{}
+		f.backoffs[id.Instance()] = b
 	}
-	changed = !r.inForce(now)
-	r.until = latest(r.until, now.Add(min(asked, maxUpstreamBackoff)))
+	changed = !b.inForce(now)
+	b.until = latest(b.until, now.Add(min(asked, maxUpstreamBackoff)))
 	if m := f.members[id]; m != nil {
-		m.backoff = r
+		m.backoff = b
 	}
 	return changed
 }
@@ -96,12 +96,12 @@
 
 // allBackingOff reports whether all upstreams that may serve a request are backing off, and the
 // time until the first of them allows a request.
-func (f *Fleet) allBackingOff(now time.Time, t *PendingRequest) (left time.Duration, all bool) {
+func (f *Fleet) allBackingOff(now time.Time, r *PendingRequest) (left time.Duration, all bool) {
 	if len(f.backoffs) == 0 {
 		return 0, false
 	}
-	for _, m := range f.services[t.Service] {
-		if !m.available(now) || !f.inRegions(m, t.Regions) {
+	for _, m := range f.services[r.Service] {
+		if !m.available(now) || !f.inRegions(m, r.Regions) {
 			continue
 		}
 		if !m.backoff.inForce(now) {
@@ -116,8 +116,8 @@
 
 // dropEndedBackoffs drops backoffs that ended more than backoffRetention ago.
 func (f *Fleet) dropEndedBackoffs(now time.Time) {
-	for instance, r := range f.backoffs {
-		if now.Sub(r.until) > backoffRetention {
+	for instance, b := range f.backoffs {
+		if now.Sub(b.until) > backoffRetention {
 			delete(f.backoffs, instance)
 		}
 	}
--- a/decide/backoff_test.go
+++ b/decide/backoff_test.go
@@ -95,11 +95,11 @@
 			f.BackOff(x.now, m.ID, 20*time.Second)
 		}
 		retryDelay := func() (back time.Duration) {
-			t := x.ticket("plain", "")
-			t.Assign = func(a decide.Assignment) {
+			r := x.ticket("plain", "")
+			r.Assign = func(a decide.Assignment) {
 				back = a.RetryAfter
 			}
-			f.Admit(x.now, t, &x.out)
+			f.Admit(x.now, r, &x.out)
 			return back
 		}
 		Expect(retryDelay()).To(Equal(20 * time.Second))
--- a/decide/cause.go
+++ b/decide/cause.go
@@ -20,14 +20,14 @@
 
 // causeOf returns why an engine is asked for a wanted adapter, for wants without a cause
 // set elsewhere.
-func (f *Fleet) causeOf(w *missingAdapter, home *Member) LoadCause {
-	if home.everHeld[w.key] {
+func (f *Fleet) causeOf(missing *missingAdapter, home *Member) LoadCause {
+	if home.everHeld[missing.key] {
 		return LoadHeldBefore
 	}
-	if len(f.holders[w.key]) > 0 {
+	if len(f.holders[missing.key]) > 0 {
 		return LoadCopy
 	}
-	if f.heldElsewhere(w.service, w.key) {
+	if f.heldElsewhere(missing.service, missing.key) {
 		return LoadMoved
 	}
 	return LoadFirst
--- a/decide/copies.go
+++ b/decide/copies.go
@@ -25,52 +25,52 @@
 // serves it, is more loaded than others, if the streams there would pause for the prefill
 // of the request's prompt, or if m is in another failure domain and the traffic sent
 // there exceeds FleetConfig.MaxCrossDomainBytes, the equivalent of a load.
-func (f *Fleet) considerCopy(now time.Time, t *PendingRequest, m *Member, out *Actions) {
+func (f *Fleet) considerCopy(now time.Time, r *PendingRequest, m *Member, out *Actions) {
 	near := m.Domain == f.cfg.Domain
 	if !near {
-		f.crossDomainBytes[t.Key] += t.Bytes
+		f.crossDomainBytes[r.Key] += r.Bytes
 	}
-	costly := !near && f.crossDomainBytes[t.Key] >= f.cfg.MaxCrossDomainBytes
-	busy := f.overloaded(t, m) || f.pausesStreams(now, t, m)
+	costly := !near && f.crossDomainBytes[r.Key] >= f.cfg.MaxCrossDomainBytes
+	busy := f.overloaded(r, m) || f.pausesStreams(now, r, m)
 	if !costly && !busy {
 		return
 	}
-	if f.missing.unrestricted(t.Key) != nil || !f.hasSpareCapacity(now) {
+	if f.missing.unrestricted(r.Key) != nil || !f.hasSpareCapacity(now) {
 		return
 	}
-	home := f.copyHome(now, t, m, costly)
+	home := f.copyHome(now, r, m, costly)
 	if home == nil {
 		return
 	}
-	f.crossDomainBytes[t.Key] = 0
-	w := f.missingFor(now, t.Key, t.Service, nil)
-	w.cause = LoadLocal
+	f.crossDomainBytes[r.Key] = 0
+	missing := f.missingFor(now, r.Key, r.Service, nil)
+	missing.cause = LoadLocal
 	if busy {
-		w.relieved = 1 + m.runningOf(t.Key)
-		w.cause = LoadRelief
+		missing.relieved = 1 + m.runningOf(r.Key)
+		missing.cause = LoadRelief
 	}
-	f.requestLoad(now, w, home, out)
+	f.requestLoad(now, missing, home, out)
 }
 
 // pausesStreams reports whether the prefill of a request's prompt would pause so many
 // streams that its adapter needs another engine. The number of requests is estimated by
 // assuming that each gateway has as many for the adapter there as this one; for only a
 // few requests a copy costs more than it saves.
-func (f *Fleet) pausesStreams(now time.Time, t *PendingRequest, m *Member) bool {
-	if (m.runningOf(t.Key)+1)*f.Gateways() < copyMinRequests {
+func (f *Fleet) pausesStreams(now time.Time, r *PendingRequest, m *Member) bool {
+	if (m.runningOf(r.Key)+1)*f.Gateways() < copyMinRequests {
 		return false
 	}
-	return m.pauseCost(now, t) >= spreadPauseCost
+	return m.pauseCost(now, r) >= spreadPauseCost
 }
 
 // overloaded reports whether an engine has far more load than others and this gateway's
 // requests for the adapter contribute to it.
-func (f *Fleet) overloaded(t *PendingRequest, m *Member) bool {
-	if m.load() < copyMinLoad || m.runningOf(t.Key) < copyMinOwnRequests {
+func (f *Fleet) overloaded(r *PendingRequest, m *Member) bool {
+	if m.load() < copyMinLoad || m.runningOf(r.Key) < copyMinOwnRequests {
 		return false
 	}
 	total := 0
-	list := f.services[t.Service]
+	list := f.services[r.Service]
 	for _, o := range list {
 		total += o.load()
 	}
@@ -81,13 +81,13 @@
 // nil. It is the first one in home order that costs sufficiently less, or with near set
 // the first in the gateway's own failure domain. Gateways that need a copy at the same
 // time thus choose the same engine.
-func (f *Fleet) copyHome(now time.Time, t *PendingRequest, m *Member, near bool) *Member {
-	maxCost := f.costForRequest(now, t, m) - copyMinSaving
-	for o := range f.homes(now, t.Service, t.Key, near) {
-		if _, holds := o.held[t.Key]; holds || o.loading() >= MaxConcurrentLoads {
+func (f *Fleet) copyHome(now time.Time, r *PendingRequest, m *Member, near bool) *Member {
+	maxCost := f.costForRequest(now, r, m) - copyMinSaving
+	for o := range f.homes(now, r.Service, r.Key, near) {
+		if _, holds := o.held[r.Key]; holds || o.loading() >= MaxConcurrentLoads {
 			continue
 		}
-		if near || f.costForRequest(now, t, o) <= maxCost {
+		if near || f.costForRequest(now, r, o) <= maxCost {
 			return o
 		}
 	}
--- a/decide/engineupdate.go
+++ b/decide/engineupdate.go
@@ -43,27 +43,27 @@
 }
 
 // ApplyEngineUpdate applies a keeper's report on its engine.
-func (f *Fleet) ApplyEngineUpdate(now time.Time, id wardturn.UpstreamID, h EngineUpdate, out *Actions) {
+func (f *Fleet) ApplyEngineUpdate(now time.Time, id wardturn.UpstreamID, u EngineUpdate, out *Actions) {
 	m := f.members[id]
 	if m == nil {
 		return
 	}
-	m.lastUpdate = h
+	m.lastUpdate = u
 	m.updatedAt = now
-	if h.Limit > 0 {
-		f.limits.Observe(now, id, h.Limit)
+	if u.Limit > 0 {
+		f.limits.Observe(now, id, u.Limit)
 	}
-	if h.Leaving {
+	if u.Leaving {
 		f.MarkLeaving(now, id, out)
 	}
-	f.gateways = max(f.gateways, h.Gateways)
+	f.gateways = max(f.gateways, u.Gateways)
 	m.runningAtUpdate = m.running
-	f.setPrefill(now, m, h)
+	f.setPrefill(now, m, u)
 	before := maps.Clone(m.held)
-	f.applyRemovals(m, h)
-	for _, a := range h.Adapters {
+	f.applyRemovals(m, u)
+	for _, a := range u.Adapters {
 		key := a.Adapter.Key()
-		m.held[key] = m.reportedState(now, a, before[key], h.Full)
+		m.held[key] = m.reportedState(now, a, before[key], u.Full)
 		if a.Loading {
 			f.loaders.add(key, m)
 		}
@@ -74,7 +74,7 @@
 		}
 	}
 	f.countLoads(m)
-	for _, a := range h.Adapters {
+	for _, a := range u.Adapters {
 		if a.Ready {
 			f.adapterLoaded(now, m, a.Adapter, out)
 		}
@@ -114,13 +114,13 @@
 
 // applyRemovals removes the adapters that the report says are unloaded, and those whose
 // state the report replaces.
-func (f *Fleet) applyRemovals(m *Member, h EngineUpdate) {
-	if h.Full {
+func (f *Fleet) applyRemovals(m *Member, u EngineUpdate) {
+	if u.Full {
 		f.removeAllHeld(m)
 		return
 	}
-	gone := h.Unloaded
-	for _, a := range h.Adapters {
+	gone := u.Unloaded
+	for _, a := range u.Adapters {
 		gone = append(gone, a.Adapter.Key())
 	}
 	for _, key := range gone {
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -48,9 +48,9 @@
 		if u.Running == 0 || f.heldByAvailable(now, key) || f.missing.unrestricted(key) != nil {
 			continue
 		}
-		w := f.missingFor(now, key, m.Service, region)
-		w.expectedRetries += u.Running
-		w.retriesUntil = now.Add(preloadWantedFor)
+		missing := f.missingFor(now, key, m.Service, region)
+		missing.expectedRetries += u.Running
+		missing.retriesUntil = now.Add(preloadWantedFor)
 	}
 }
 
@@ -110,14 +110,14 @@
 // noneEligible reports whether no upstream of a request's service is eligible for it, whatever
 // their load, and why. Such a request is refused at once, since waiting in the gateway
 // would gain it nothing.
-func (f *Fleet) noneEligible(t *PendingRequest) (wardturn.Reason, bool) {
-	if t.Regions == nil && len(f.evacuated) == 0 {
+func (f *Fleet) noneEligible(r *PendingRequest) (wardturn.Reason, bool) {
+	if r.Regions == nil && len(f.evacuated) == 0 {
 		return "", false
 	}
 	evacuated, otherRegion := false, false
-	for _, m := range f.services[t.Service] {
+	for _, m := range f.services[r.Service] {
 		switch {
-		case !f.inRegions(m, t.Regions):
+		case !f.inRegions(m, r.Regions):
 			otherRegion = true
 		case m.evacuated:
 			evacuated = true
--- a/decide/evacuation_test.go
+++ b/decide/evacuation_test.go
@@ -94,8 +94,8 @@
 		}
 		x.out.LoadRequests = nil
 		x.admitFor(fleetService, adapterKey("b"), nil)
-		for _, ask := range x.out.LoadRequests {
-			if id := ask.Upstream; id == "n0" || id == "n1" {
+		for _, r := range x.out.LoadRequests {
+			if id := r.Upstream; id == "n0" || id == "n1" {
 				t.Errorf("load requested at the evacuated engine %s", id)
 			}
 		}
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -68,14 +68,14 @@
 	return x
 }
 
-func (x *emptyFleet) setHolding(id wardturn.UpstreamID, h decide.EngineUpdate) {
-	h.Connected = true
-	h.Known = true
-	h.Models = []wardturn.BaseModel{"m"}
-	h.FreeSlots = decide.MaxFreeSlots
-	h.Gateways = 1
+func (x *emptyFleet) setHolding(id wardturn.UpstreamID, u decide.EngineUpdate) {
+	u.Connected = true
+	u.Known = true
+	u.Models = []wardturn.BaseModel{"m"}
+	u.FreeSlots = decide.MaxFreeSlots
+	u.Gateways = 1
 	var out decide.Actions
-	x.f.ApplyEngineUpdate(x.now, id, h, &out)
+	x.f.ApplyEngineUpdate(x.now, id, u, &out)
 }
 
 // serve admits one request and serves it until its end.
--- a/decide/fleet_fixture_test.go
+++ b/decide/fleet_fixture_test.go
@@ -145,9 +145,9 @@
 }
 
 func (x *fleetFixture) admit(id, adapter string) *decide.PendingRequest {
-	t := x.ticket(id, adapter)
-	x.f.Admit(x.now, t, &x.out)
-	return t
+	r := x.ticket(id, adapter)
+	x.f.Admit(x.now, r, &x.out)
+	return r
 }
 
 func (x *fleetFixture) tick(d time.Duration) {
--- a/decide/fleet_loads_test.go
+++ b/decide/fleet_loads_test.go
@@ -164,8 +164,8 @@
 	It("loads an adapter in its own failure domain once many bytes were sent to another one", func() {
 		x.setAdapters("f0", readyAdapter("a", 1))
 		for range 4 {
-			t := x.admit("r", "a")
-			x.f.RequestEnded(x.now, x.assigned["r"].Member.ID, t.Key, decide.OutcomeOK)
+			r := x.admit("r", "a")
+			x.f.RequestEnded(x.now, x.assigned["r"].Member.ID, r.Key, decide.OutcomeOK)
 		}
 		Expect(x.out.LoadRequests).To(BeEmpty())
 		x.admit("r", "a")
@@ -181,8 +181,8 @@
 		for i := range 20 {
 			x.admit(fmt.Sprint("x", i), fmt.Sprint("x", i))
 		}
-		for _, a := range x.out.LoadRequests {
-			Expect(a.Upstream).NotTo(BeEquivalentTo("n0"))
+		for _, r := range x.out.LoadRequests {
+			Expect(r.Upstream).NotTo(BeEquivalentTo("n0"))
 		}
 	})
 })
--- a/decide/fleet_prefill_test.go
+++ b/decide/fleet_prefill_test.go
@@ -39,9 +39,9 @@
 
 	It("reports its long prompts to keepers, and does not count them as those of others", func() {
 		x.setAdapters("n0", readyAdapter("a", 1))
-		t := x.ticket("long", "a")
-		t.Prompt = 9000
-		x.f.Admit(x.now, t, &x.out)
+		r := x.ticket("long", "a")
+		r.Prompt = 9000
+		x.f.Admit(x.now, r, &x.out)
 		Expect(x.f.PrefillReports()).To(Equal([]decide.PrefillReport{
 			{
 				Upstream: "n0",
@@ -75,7 +75,7 @@
 		}
 		x.f.SetMembers(x.now, list)
 		choose := func(id string) wardturn.UpstreamID {
-			for at, h := range map[wardturn.UpstreamID]decide.EngineUpdate{
+			for at, u := range map[wardturn.UpstreamID]decide.EngineUpdate{
 				"n0": {
 					Running: 25,
 				},
@@ -84,12 +84,12 @@
 					PrefillTokens: 2400,
 				},
 			} {
-				h.Connected = true
-				h.Known = true
-				h.Full = true
-				h.Models = []wardturn.BaseModel{"m"}
-				h.Adapters = []decide.HeldVersion{readyAdapter("a", 1)}
-				x.f.ApplyEngineUpdate(x.now, at, h, &x.out)
+				u.Connected = true
+				u.Known = true
+				u.Full = true
+				u.Models = []wardturn.BaseModel{"m"}
+				u.Adapters = []decide.HeldVersion{readyAdapter("a", 1)}
+				x.f.ApplyEngineUpdate(x.now, at, u, &x.out)
 			}
 			x.admit(id, "a")
 			at := x.assigned[id].Member.ID
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -87,8 +87,8 @@
 	})
 
 	It("withdraws a request whose caller has gone", func() {
-		t := x.admit("r", "a")
-		x.f.Withdraw(t)
+		r := x.admit("r", "a")
+		x.f.Withdraw(r)
 		x.setAdapters(string(x.out.LoadRequests[0].Upstream), readyAdapter("a", 1))
 		Expect(x.assigned).To(BeEmpty())
 		Expect(x.f.Usage(x.out.LoadRequests[0].Upstream)).To(BeEmpty())
@@ -148,11 +148,11 @@
 			for range 30 {
 				x.admit("r", "")
 				id := x.assigned["r"].Member.ID
-				ending := decide.OutcomeOK
+				outcome := decide.OutcomeOK
 				if id == "n0" {
-					ending = decide.OutcomeError
+					outcome = decide.OutcomeError
 				}
-				x.f.RequestEnded(x.now, id, adapterKey(""), ending)
+				x.f.RequestEnded(x.now, id, adapterKey(""), outcome)
 			}
 			for range 5 {
 				x.admit("r", "")
--- a/decide/leaving_test.go
+++ b/decide/leaving_test.go
@@ -49,8 +49,8 @@
 			x.out.LoadRequests = nil
 			x.admit("r1", "a")
 			x.tick(wishRepeatOver)
-			for _, ask := range x.out.LoadRequests {
-				Expect(ask.Upstream).NotTo(BeEquivalentTo("n0"))
+			for _, r := range x.out.LoadRequests {
+				Expect(r.Upstream).NotTo(BeEquivalentTo("n0"))
 			}
 			Expect(x.assigned["r1"].Member.ID).NotTo(BeEquivalentTo("n0"))
 		}
--- a/decide/limited.go
+++ b/decide/limited.go
@@ -10,14 +10,14 @@
 // refusedByLimits reports whether every upstream that could serve a request is excluded only by
 // its rate limit or its backoff, and when the caller should retry. Such a request is
 // refused at once, since waiting in the gateway would gain it nothing.
-func (f *Fleet) refusedByLimits(now time.Time, t *PendingRequest) (reason wardturn.Reason, retryAfter time.Duration, refused bool) {
+func (f *Fleet) refusedByLimits(now time.Time, r *PendingRequest) (reason wardturn.Reason, retryAfter time.Duration, refused bool) {
 	var soonest *Member
-	for _, m := range f.services[t.Service] {
-		if !m.available(now) || !f.inRegions(m, t.Regions) {
+	for _, m := range f.services[r.Service] {
+		if !m.available(now) || !f.inRegions(m, r.Regions) {
 			continue
 		}
 		backingOff := !m.backoff.allows(now)
-		if slices.Contains(t.Tried, m.ID) && !backingOff {
+		if slices.Contains(r.Tried, m.ID) && !backingOff {
 			continue
 		}
 		if !backingOff && f.limits.Allows(now, m.ID) {
--- a/decide/loadshare.go
+++ b/decide/loadshare.go
@@ -51,11 +51,11 @@
 // unreportedLoads counts the recently requested loads that no keeper has reported yet.
 func (f *Fleet) unreportedLoads(now time.Time) int {
 	n := 0
-	for _, w := range f.missing {
-		if w.firstRequestedAt.IsZero() || w.warm || now.Sub(w.firstRequestedAt) > requestSettleTime {
+	for _, missing := range f.missing {
+		if missing.firstRequestedAt.IsZero() || missing.warm || now.Sub(missing.firstRequestedAt) > requestSettleTime {
 			continue
 		}
-		if m := f.members[w.home]; m == nil || !m.held[w.key].loading {
+		if m := f.members[missing.home]; m == nil || !m.held[missing.key].loading {
 			n++
 		}
 	}
--- a/decide/loadwindow_test.go
+++ b/decide/loadwindow_test.go
@@ -234,23 +234,23 @@
 	return x
 }
 
-func (x *storeRig) report(id wardturn.UpstreamID, h decide.EngineUpdate) {
-	h.Connected = true
-	h.Known = true
-	h.Models = []wardturn.BaseModel{"m"}
-	h.Gateways = len(x.fleets)
+func (x *storeRig) report(id wardturn.UpstreamID, u decide.EngineUpdate) {
+	u.Connected = true
+	u.Known = true
+	u.Models = []wardturn.BaseModel{"m"}
+	u.Gateways = len(x.fleets)
 	for _, f := range x.fleets {
 		var out decide.Actions
-		f.ApplyEngineUpdate(x.now, id, h, &out)
+		f.ApplyEngineUpdate(x.now, id, u, &out)
 		x.recordRequests(out)
 	}
 }
 
 // recordRequests records the requested loads, which start at the next step.
 func (x *storeRig) recordRequests(out decide.Actions) {
-	for _, a := range out.LoadRequests {
-		if _, ok := x.loading[a.Upstream][a.Adapter.Key()]; !ok {
-			x.loading[a.Upstream][a.Adapter.Key()] = time.Time{}
+	for _, r := range out.LoadRequests {
+		if _, ok := x.loading[r.Upstream][r.Adapter.Key()]; !ok {
+			x.loading[r.Upstream][r.Adapter.Key()] = time.Time{}
 		}
 	}
 }
@@ -289,7 +289,7 @@
 // advance starts an engine's requested loads, completes those that have run for the store's
 // current load duration, and reports both to the gateways.
 func (x *storeRig) advance(id wardturn.UpstreamID, takes time.Duration) {
-	var h decide.EngineUpdate
+	var u decide.EngineUpdate
 	for key, began := range x.loading[id] {
 		v := decide.HeldVersion{
 			Adapter: adapterVersion(string(key.Adapter), 1),
@@ -305,9 +305,9 @@
 		default:
 			continue
 		}
-		h.Adapters = append(h.Adapters, v)
+		u.Adapters = append(u.Adapters, v)
 	}
-	if len(h.Adapters) > 0 {
-		x.report(id, h)
+	if len(u.Adapters) > 0 {
+		x.report(id, u)
 	}
 }
--- a/decide/locations.go
+++ b/decide/locations.go
@@ -11,15 +11,15 @@
 // chooseSticky chooses among the homes of an adapter, the upstreams to which this entry
 // sent it before. A new adapter gets the best of its first rendezvous candidates as its
 // home. One whose homes are all loaded far above the average gets an additional home.
-func (r *Router) chooseSticky(now time.Time, p *pool, targets []*target, usable func(*target) bool, ask RouteRequest) *target {
-	loc := r.locations.get(ask.Adapter)
+func (r *Router) chooseSticky(now time.Time, p *pool, targets []*target, usable func(*target) bool, req RouteRequest) *target {
+	loc := r.locations.get(req.Adapter)
 	loc.dropIdle(now, r.cfg.LocationLife)
 	home := loc.leastLoaded(usable)
 	if home != nil && !r.overloaded(p, home) {
 		loc.use(now, home)
 		return home
 	}
-	list := p.candidates(targets, usable, ask.Adapter, r.cfg.Candidates+len(loc.homes))
+	list := p.candidates(targets, usable, req.Adapter, r.cfg.Candidates+len(loc.homes))
 	chosen := bestCandidate(list, loc)
 	if home != nil && (chosen == nil || !clearlyLessLoaded(home, chosen)) {
 		chosen = home
--- a/decide/missing.go
+++ b/decide/missing.go
@@ -53,19 +53,19 @@
 
 // unrestricted returns the entry of an adapter for requests without a region restriction, or
 // nil.
-func (ws missingAdapters) unrestricted(adapter wardturn.ModelAdapter) *missingAdapter {
-	return ws[missingKeyOf(adapter, nil)]
+func (m missingAdapters) unrestricted(adapter wardturn.ModelAdapter) *missingAdapter {
+	return m[missingKeyOf(adapter, nil)]
 }
 
 // all returns all entries of an adapter.
-func (ws missingAdapters) all(adapter wardturn.ModelAdapter) []*missingAdapter {
+func (m missingAdapters) all(adapter wardturn.ModelAdapter) []*missingAdapter {
 	var list []*missingAdapter
-	if w := ws.unrestricted(adapter); w != nil {
-		list = append(list, w)
+	if missing := m.unrestricted(adapter); missing != nil {
+		list = append(list, missing)
 	}
-	for k, w := range ws {
+	for k, missing := range m {
 		if k.adapter == adapter && k.regions != "" {
-			list = append(list, w)
+			list = append(list, missing)
 		}
 	}
 	return list
@@ -75,26 +75,26 @@
 // and creates it if there is none.
 func (f *Fleet) missingFor(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, r wardturn.Regions) *missingAdapter {
 	k := missingKeyOf(key, r)
-	w := f.missing[k]
-	if w == nil {
-		w = &missingAdapter{
+	missing := f.missing[k]
+	if missing == nil {
+		missing = &missingAdapter{
 			key:          key,
 			service:      s,
 			regions:      r,
 			waitingSince: now,
 		}
-		f.missing[k] = w
+		f.missing[k] = missing
 	}
-	return w
+	return missing
 }
 
 // requestWithoutStore requests an adapter at once if that causes no load from the weight
 // store: its home held the adapter before and restores it from its own memory, or is
 // already loading it for another gateway.
-func (f *Fleet) requestWithoutStore(now time.Time, w *missingAdapter, out *Actions) {
-	home := f.home(now, w)
-	if home != nil && (home.everHeld[w.key] || home.held[w.key].loading) {
-		f.requestLoad(now, w, home, out)
+func (f *Fleet) requestWithoutStore(now time.Time, missing *missingAdapter, out *Actions) {
+	home := f.home(now, missing)
+	if home != nil && (home.everHeld[missing.key] || home.held[missing.key].loading) {
+		f.requestLoad(now, missing, home, out)
 	}
 }
 
@@ -103,42 +103,42 @@
 // first ones in home order that have a free slot. Engines that announce a rate limit are
 // used only if there is no other, since their limit may be used up when the adapter is
 // loaded.
-func (f *Fleet) home(now time.Time, w *missingAdapter) *Member {
+func (f *Fleet) home(now time.Time, missing *missingAdapter) *Member {
 	unlimited := func(m *Member) bool {
 		return !f.limits.Bounded(now, m.ID)
 	}
-	if m := f.homeAmong(now, w, unlimited); m != nil || !f.limits.Any() {
+	if m := f.homeAmong(now, missing, unlimited); m != nil || !f.limits.Any() {
 		return m
 	}
-	return f.homeAmong(now, w, func(m *Member) bool {
+	return f.homeAmong(now, missing, func(m *Member) bool {
 		return f.limits.Allows(now, m.ID)
 	})
 }
 
 // homeAmong is like home but considers only the engines that match.
-func (f *Fleet) homeAmong(now time.Time, w *missingAdapter, match func(*Member) bool) *Member {
-	newest := f.newest(w.key)
+func (f *Fleet) homeAmong(now time.Time, missing *missingAdapter, match func(*Member) bool) *Member {
+	newest := f.newest(missing.key)
 	fits := func(m *Member) bool {
-		return m.Service == w.service && f.inRegions(m, w.regions) && m.ID != w.failedHome && m.canLoad(now, w.key.Model) && !m.serves(now, w.key, newest) && m.utilization() < engineFillLimit && match(m)
+		return m.Service == missing.service && f.inRegions(m, missing.regions) && m.ID != missing.failedHome && m.canLoad(now, missing.key.Model) && !m.serves(now, missing.key, newest) && m.utilization() < engineFillLimit && match(m)
 	}
-	for m := range inHomeOrder(w.key, f.loaders[w.key]) {
+	for m := range inHomeOrder(missing.key, f.loaders[missing.key]) {
 		if fits(m) {
 			return m // requested by another gateway: one load serves both
 		}
 	}
 	var c homeCandidates
-	for m := range inHomeOrder(w.key, f.heldBefore[w.key]) {
+	for m := range inHomeOrder(missing.key, f.heldBefore[missing.key]) {
 		if fits(m) {
 			c.warm = append(c.warm, m)
 		}
 	}
-	for m := range inHomeOrder(w.key, f.services[w.service]) {
-		if !m.everHeld[w.key] && fits(m) && !c.add(m, m.slotFree(w.key)) {
+	for m := range inHomeOrder(missing.key, f.services[missing.service]) {
+		if !m.everHeld[missing.key] && fits(m) && !c.add(m, m.slotFree(missing.key)) {
 			break
 		}
 	}
 	return cheapest(c.list(), anyMember, func(m *Member) float64 {
-		return m.loadCost(now) + milliseconds(f.timeToAvailable(now, w, m))
+		return m.loadCost(now) + milliseconds(f.timeToAvailable(now, missing, m))
 	})
 }
 
@@ -160,28 +160,28 @@
 // room.
 func (f *Fleet) requestMissing(now time.Time, out *Actions) {
 	for {
-		w := f.nextMissing(now)
-		if w == nil || f.availableLoads(now) == 0 {
+		missing := f.nextMissing(now)
+		if missing == nil || f.availableLoads(now) == 0 {
 			return
 		}
-		home := f.home(now, w)
+		home := f.home(now, missing)
 		if home == nil {
-			w.requestedAt = now // try again after loadRequestInterval
+			missing.requestedAt = now // try again after loadRequestInterval
 			continue
 		}
-		f.requestLoad(now, w, home, out)
+		f.requestLoad(now, missing, home, out)
 	}
 }
 
 // nextMissing returns the missing adapter to request next, or nil.
 func (f *Fleet) nextMissing(now time.Time) *missingAdapter {
 	var best *missingAdapter
-	for _, w := range f.missing {
-		if w.key.Adapter == "" || !w.firstRequestedAt.IsZero() || w.backlog(now) == 0 || now.Sub(w.requestedAt) < loadRequestInterval {
+	for _, missing := range f.missing {
+		if missing.key.Adapter == "" || !missing.firstRequestedAt.IsZero() || missing.backlog(now) == 0 || now.Sub(missing.requestedAt) < loadRequestInterval {
 			continue
 		}
-		if best == nil || w.before(now, best) {
-			best = w
+		if best == nil || missing.before(now, best) {
+			best = missing
 		}
 	}
 	return best
@@ -189,55 +189,55 @@
 
 // backlog returns the number of requests that a load would still serve: those that wait and
 // those that were refused with a retry time and may still be retried.
-func (w *missingAdapter) backlog(now time.Time) int {
-	if now.Before(w.retriesUntil) {
-		return len(w.waiting) + w.expectedRetries
+func (missing *missingAdapter) backlog(now time.Time) int {
+	if now.Before(missing.retriesUntil) {
+		return len(missing.waiting) + missing.expectedRetries
 	}
-	return len(w.waiting)
+	return len(missing.waiting)
 }
 
 // abandoned reports whether no request waits and the refused ones were not retried in time.
-func (w *missingAdapter) abandoned(now time.Time) bool {
-	return w.expectedRetries > 0 && w.backlog(now) == 0
+func (missing *missingAdapter) abandoned(now time.Time) bool {
+	return missing.expectedRetries > 0 && missing.backlog(now) == 0
 }
 
 // before orders missing adapters: those with more requests first, then those whose latest
 // request arrived later. When loads fall behind, requests for the adapter that has waited
 // longest are refused before its load completes. Loading in order of arrival would make the
 // requests for all adapters late.
-func (w *missingAdapter) before(now time.Time, o *missingAdapter) bool {
-	if x, y := w.backlog(now), o.backlog(now); x != y {
+func (missing *missingAdapter) before(now time.Time, o *missingAdapter) bool {
+	if x, y := missing.backlog(now), o.backlog(now); x != y {
 		return x > y
 	}
-	if !w.latestArrival.Equal(o.latestArrival) {
-		return w.latestArrival.After(o.latestArrival)
+	if !missing.latestArrival.Equal(o.latestArrival) {
+		return missing.latestArrival.After(o.latestArrival)
 	}
-	return w.key.Adapter < o.key.Adapter
+	return missing.key.Adapter < o.key.Adapter
 }
 
 // requestLoad sends a load request for a missing adapter to the keeper of an engine, which becomes
 // its home.
-func (f *Fleet) requestLoad(now time.Time, w *missingAdapter, home *Member, out *Actions) {
-	if w.firstRequestedAt.IsZero() {
-		w.firstRequestedAt = now
-		w.warm = home.everHeld[w.key]
-		if w.cause == "" {
-			w.cause = f.causeOf(w, home)
+func (f *Fleet) requestLoad(now time.Time, missing *missingAdapter, home *Member, out *Actions) {
+	if missing.firstRequestedAt.IsZero() {
+		missing.firstRequestedAt = now
+		missing.warm = home.everHeld[missing.key]
+		if missing.cause == "" {
+			missing.cause = f.causeOf(missing, home)
 		}
 	}
-	if w.home != home.ID {
-		f.setHome(w, home)
+	if missing.home != home.ID {
+		f.setHome(missing, home)
 	}
-	w.requestedAt = now
+	missing.requestedAt = now
 	out.LoadRequests = append(out.LoadRequests, LoadRequest{
 		Upstream: home.ID,
 		Adapter: wardturn.AdapterVersion{
-			Model:   w.key.Model,
-			Adapter: w.key.Adapter,
-			Version: f.newest(w.key),
+			Model:   missing.key.Model,
+			Adapter: missing.key.Adapter,
+			Version: f.newest(missing.key),
 		},
-		Waiting: w.backlog(now) + w.relieved,
-		Oldest:  now.Sub(w.waitingSince),
+		Waiting: missing.backlog(now) + missing.relieved,
+		Oldest:  now.Sub(missing.waitingSince),
 	})
 }
 
@@ -247,102 +247,102 @@
 	if a.Version < f.newest(a.Key()) {
 		return
 	}
-	for _, w := range f.missing.all(a.Key()) {
-		f.adapterLoadedFor(now, w, m, a, out)
+	for _, missing := range f.missing.all(a.Key()) {
+		f.adapterLoadedFor(now, missing, m, a, out)
 	}
 }
 
 // adapterLoadedFor does the work of adapterLoaded for one entry of the adapter.
-func (f *Fleet) adapterLoadedFor(now time.Time, w *missingAdapter, m *Member, a wardturn.AdapterVersion, out *Actions) {
-	if w.home != m.ID {
-		f.assignWaiting(now, w, out)
+func (f *Fleet) adapterLoadedFor(now time.Time, missing *missingAdapter, m *Member, a wardturn.AdapterVersion, out *Actions) {
+	if missing.home != m.ID {
+		f.assignWaiting(now, missing, out)
 		return
 	}
 	out.CompletedLoads = append(out.CompletedLoads, CompletedLoad{
 		Adapter:  a,
 		Upstream: m.ID,
-		Took:     now.Sub(w.firstRequestedAt),
-		Warm:     w.warm,
-		Waited:   now.Sub(w.waitingSince),
+		Took:     now.Sub(missing.firstRequestedAt),
+		Warm:     missing.warm,
+		Waited:   now.Sub(missing.waitingSince),
 		Window:   f.window.Size(),
 		InFlight: f.loadsInFlight,
-		Cause:    w.cause,
+		Cause:    missing.cause,
 	})
-	waiting := w.waiting
-	f.removeMissing(w)
+	waiting := missing.waiting
+	f.removeMissing(missing)
 	if r := f.rollouts[a.Key()]; r != nil {
 		f.advanceRollout(now, a.Key(), r, out)
 	}
-	for _, t := range waiting {
-		t.missing = nil
-		f.reservePrefill(t, nil)
-		if !f.tryAssign(now, t, out) {
-			f.enqueue(now, t, out)
+	for _, r := range waiting {
+		r.missing = nil
+		f.reservePrefill(r, nil)
+		if !f.tryAssign(now, r, out) {
+			f.enqueue(now, r, out)
 		}
 	}
 }
 
 // removeMissing removes a missing adapter.
-func (f *Fleet) removeMissing(w *missingAdapter) {
-	f.cancelRequest(w)
-	delete(f.missing, missingKeyOf(w.key, w.regions))
+func (f *Fleet) removeMissing(missing *missingAdapter) {
+	f.cancelRequest(missing)
+	delete(f.missing, missingKeyOf(missing.key, missing.regions))
 }
 
 // renewRequest repeats the load request of a load in progress. It gives up a load that
 // takes far too long, so that another engine can be asked, and removes the missing
 // adapter if no request needs it any more.
-func (f *Fleet) renewRequest(now time.Time, w *missingAdapter, out *Actions) {
-	late := now.Sub(w.firstRequestedAt) > loadTimeout && !f.homeIsLoading(w)
-	if w.abandoned(now) || len(w.waiting) == 0 && late && now.Sub(w.waitingSince) > maxLoadRetryDelay {
-		f.removeMissing(w)
+func (f *Fleet) renewRequest(now time.Time, missing *missingAdapter, out *Actions) {
+	late := now.Sub(missing.firstRequestedAt) > loadTimeout && !f.homeIsLoading(missing)
+	if missing.abandoned(now) || len(missing.waiting) == 0 && late && now.Sub(missing.waitingSince) > maxLoadRetryDelay {
+		f.removeMissing(missing)
 		return
 	}
-	if w.firstRequestedAt.IsZero() {
+	if missing.firstRequestedAt.IsZero() {
 		return
 	}
 	if late {
-		w.failedHome = w.home
-		f.cancelRequest(w)
+		missing.failedHome = missing.home
+		f.cancelRequest(missing)
 		return
 	}
-	if now.Sub(w.requestedAt) < loadRequestInterval {
+	if now.Sub(missing.requestedAt) < loadRequestInterval {
 		return
 	}
-	home := f.members[w.home]
+	home := f.members[missing.home]
 	if home == nil || !home.eligible(now) || !home.lastUpdate.Connected {
-		f.cancelRequest(w)
+		f.cancelRequest(missing)
 		return
 	}
-	f.requestLoad(now, w, home, out)
+	f.requestLoad(now, missing, home, out)
 }
 
 // homeIsLoading reports whether the home is loading the adapter. Giving up such a load would
 // only start it again elsewhere.
-func (f *Fleet) homeIsLoading(w *missingAdapter) bool {
-	m := f.members[w.home]
-	return m != nil && m.held[w.key].loading
+func (f *Fleet) homeIsLoading(missing *missingAdapter) bool {
+	m := f.members[missing.home]
+	return m != nil && m.held[missing.key].loading
 }
 
 // cancelRequest cancels the load request of a missing adapter, so that another engine can
 // be asked.
-func (f *Fleet) cancelRequest(w *missingAdapter) {
-	w.firstRequestedAt = time.Time{}
-	w.requestedAt = time.Time{}
-	w.cause = ""
-	f.setHome(w, nil)
+func (f *Fleet) cancelRequest(missing *missingAdapter) {
+	missing.firstRequestedAt = time.Time{}
+	missing.requestedAt = time.Time{}
+	missing.cause = ""
+	f.setHome(missing, nil)
 }
 
 // setHome sets the home of a missing adapter; nil removes it.
-func (f *Fleet) setHome(w *missingAdapter, home *Member) {
-	if old := f.members[w.home]; old != nil {
-		delete(old.requested, w.key)
+func (f *Fleet) setHome(missing *missingAdapter, home *Member) {
+	if old := f.members[missing.home]; old != nil {
+		delete(old.requested, missing.key)
 	}
-	w.home = ""
+	missing.home = ""
 	if home != nil {
-		w.home = home.ID
-		home.requested[w.key] = true
+		missing.home = home.ID
+		home.requested[missing.key] = true
 	}
-	f.reserveAllPrefill(w, home)
+	f.reserveAllPrefill(missing, home)
 }
 
 // loadTimeout is how long a load may take before another engine is asked. It is four times
@@ -365,8 +365,8 @@
 		LoadsInFlight: f.loadsInFlight,
 		Window:        f.window.Size(),
 	}
-	for _, w := range f.missing {
-		l.Waiting += len(w.waiting)
+	for _, missing := range f.missing {
+		l.Waiting += len(missing.waiting)
 	}
 	for _, m := range f.members {
 		if m.evacuated {
--- a/decide/objective_test.go
+++ b/decide/objective_test.go
@@ -19,9 +19,9 @@
 		x.setAdapters("n0", readyAdapter("hot", 1))
 	})
 	admit := func(id, adapter string, prompt wardturn.Tokens) {
-		t := x.ticket(id, adapter)
-		t.Prompt = prompt
-		x.f.Admit(x.now, t, &x.out)
+		r := x.ticket(id, adapter)
+		r.Prompt = prompt
+		x.f.Admit(x.now, r, &x.out)
 	}
 
 	It("are made for a long prompt that would miss its objective where its adapter is, and it waits for the copy", func() {
--- a/decide/pathbackoff.go
+++ b/decide/pathbackoff.go
@@ -27,20 +27,20 @@
 }
 
 // Fail records that the path has failed after being in use since the given time.
-func (t *PathBackoff) Fail(now, since time.Time) {
-	t.backoff = min(2*t.backoff, maxPathBackoff)
-	if t.backoff == 0 || now.Sub(since) >= pathBackoffReset {
-		t.backoff = minPathBackoff
+func (b *PathBackoff) Fail(now, since time.Time) {
+	b.backoff = min(2*b.backoff, maxPathBackoff)
+	if b.backoff == 0 || now.Sub(since) >= pathBackoffReset {
+		b.backoff = minPathBackoff
 	}
 	draw := RandomFloat
-	if t.Random != nil {
-		draw = t.Random
+	if b.Random != nil {
+		draw = b.Random
 	}
 	spread := 1 + pathBackoffJitter*(2*draw()-1)
-	t.until = now.Add(time.Duration(spread * float64(t.backoff)))
+	b.until = now.Add(time.Duration(spread * float64(b.backoff)))
 }
 
 // Allows reports whether the path may be used.
-func (t *PathBackoff) Allows(now time.Time) bool {
-	return !now.Before(t.until)
+func (b *PathBackoff) Allows(now time.Time) bool {
+	return !now.Before(b.until)
 }
--- a/decide/pathbackoff_test.go
+++ b/decide/pathbackoff_test.go
@@ -11,26 +11,26 @@
 
 var _ = Describe("Backoff of a path", func() {
 	// pause returns how long the path is not used from now on.
-	pause := func(t *decide.PathBackoff, now time.Time) time.Duration {
+	pause := func(b *decide.PathBackoff, now time.Time) time.Duration {
 		for d := time.Duration(0); ; d += 100 * time.Millisecond {
-			if t.Allows(now.Add(d)) {
+			if b.Allows(now.Add(d)) {
 				return d
 			}
 		}
 	}
 
 	It("allows use at first and grows with each failure that follows soon", func() {
-		t := &decide.PathBackoff{
+		b := &decide.PathBackoff{
 			Random: func() float64 { return 0.5 },
 		}
 		now := start
-		Expect(t.Allows(now)).To(BeTrue())
+		Expect(b.Allows(now)).To(BeTrue())
 		var pauses []time.Duration
 		for range 7 {
 			since := now
 			now = now.Add(time.Second)
-			t.Fail(now, since)
-			pauses = append(pauses, pause(t, now))
+			b.Fail(now, since)
+			pauses = append(pauses, pause(b, now))
 			now = now.Add(pauses[len(pauses)-1])
 		}
 		Expect(pauses).To(Equal([]time.Duration{
@@ -38,8 +38,8 @@
 		}))
 		since := now
 		now = now.Add(time.Minute) // the path works for a long time
-		t.Fail(now, since)
-		Expect(pause(t, now)).To(Equal(3 * time.Second))
+		b.Fail(now, since)
+		Expect(pause(b, now)).To(Equal(3 * time.Second))
 	})
 
 	It("ends at different times in different processes", func() {
--- a/decide/pauses.go
+++ b/decide/pauses.go
@@ -20,16 +20,16 @@
 // engine while it reads the prompt of a request and those before it. Each step of an
 // engine reads a part of its prompts and generates one token of each stream, so many
 // prompts together stall all streams.
-func (m *Member) pauseCost(now time.Time, t *PendingRequest) float64 {
-	if t.MaxPause == 0 {
+func (m *Member) pauseCost(now time.Time, r *PendingRequest) float64 {
+	if r.MaxPause == 0 {
 		return 0
 	}
-	fraction := m.prefillRate.cost(m.pendingPrefill(now)+int(t.Prompt)) / milliseconds(t.MaxPause)
+	fraction := m.prefillRate.cost(m.pendingPrefill(now)+int(r.Prompt)) / milliseconds(r.MaxPause)
 	probability := min(1, max(0, (fraction-pauseThreshold)/(1-pauseThreshold)))
 	return longPauseCost * probability * float64(m.load())
 }
 
 // costForRequest is cost plus the pause cost of the request's prompt for the streams at the member.
-func (f *Fleet) costForRequest(now time.Time, t *PendingRequest, m *Member) float64 {
-	return f.cost(now, m) + m.pauseCost(now, t)
+func (f *Fleet) costForRequest(now time.Time, r *PendingRequest, m *Member) float64 {
+	return f.cost(now, m) + m.pauseCost(now, r)
 }
--- a/decide/pauses_test.go
+++ b/decide/pauses_test.go
@@ -84,7 +84,7 @@
 func (h *hotAdapter) deliverHoldings() {
 	for _, f := range h.gateways {
 		for id, e := range h.engines {
-			holding := decide.EngineUpdate{
+			update := decide.EngineUpdate{
 				Connected: true,
 				Known:     true,
 				Models:    []wardturn.BaseModel{"m"},
@@ -94,10 +94,10 @@
 				Gateways:  len(h.gateways),
 			}
 			for _, tokens := range e.reading {
-				holding.PrefillTokens += tokens
+				update.PrefillTokens += tokens
 			}
 			if e.adapter {
-				holding.Adapters = []decide.HeldVersion{
+				update.Adapters = []decide.HeldVersion{
 					{
 						Adapter: adapterVersion("hot", 1),
 						Ready:   !h.now.Before(e.loadedAt),
@@ -106,15 +106,15 @@
 				}
 			}
 			var out decide.Actions
-			f.ApplyEngineUpdate(h.now, id, holding, &out)
+			f.ApplyEngineUpdate(h.now, id, update, &out)
 			h.load(out)
 		}
 	}
 }
 
 func (h *hotAdapter) load(out decide.Actions) {
-	for _, ask := range out.LoadRequests {
-		if e := h.engines[ask.Upstream]; !e.adapter {
+	for _, r := range out.LoadRequests {
+		if e := h.engines[r.Upstream]; !e.adapter {
 			e.adapter = true
 			e.loadedAt = h.now.Add(hotLoad)
 		}
@@ -164,8 +164,8 @@
 // deliverReadings delivers the gateways' reports of prompts being read to the keepers.
 func (h *hotAdapter) deliverReadings() {
 	for _, f := range h.gateways {
-		for _, n := range f.PrefillReports() {
-			h.engines[n.Upstream].reading[f] = n.Tokens
+		for _, r := range f.PrefillReports() {
+			h.engines[r.Upstream].reading[f] = r.Tokens
 		}
 	}
 }
--- a/decide/pending.go
+++ b/decide/pending.go
@@ -82,114 +82,114 @@
 }
 
 // Admit assigns an upstream to a request, queues the request, or refuses it.
-func (f *Fleet) Admit(now time.Time, t *PendingRequest, out *Actions) {
-	if reason, none := f.noneEligible(t); none {
-		t.refuse(reason, maxLoadRetryDelay)
+func (f *Fleet) Admit(now time.Time, r *PendingRequest, out *Actions) {
+	if reason, none := f.noneEligible(r); none {
+		r.refuse(reason, maxLoadRetryDelay)
 		return
 	}
-	spec := f.Engine(t.Service)
+	spec := f.Engine(r.Service)
 	if spec == nil {
-		f.admitPlain(now, t)
+		f.admitPlain(now, r)
 		return
 	}
-	if f.tryAssign(now, t, out) {
+	if f.tryAssign(now, r, out) {
 		return
 	}
-	if reason, back, none := f.refusedByLimits(now, t); none {
-		t.refuse(reason, back)
+	if reason, back, none := f.refusedByLimits(now, r); none {
+		r.refuse(reason, back)
 		return
 	}
-	f.enqueue(now, t, out)
+	f.enqueue(now, r, out)
 }
 
-func (f *Fleet) admitPlain(now time.Time, t *PendingRequest) {
-	m := f.plainMember(now, t, 1)
+func (f *Fleet) admitPlain(now time.Time, r *PendingRequest) {
+	m := f.plainMember(now, r, 1)
 	if m == nil {
-		m = f.plainMember(now, t, plainFillLimit)
+		m = f.plainMember(now, r, plainFillLimit)
 	}
 	if m != nil {
-		f.assign(now, t, m, 0)
+		f.assign(now, r, m, 0)
 		return
 	}
-	if reason, back, none := f.refusedByLimits(now, t); none {
-		t.refuse(reason, back)
+	if reason, back, none := f.refusedByLimits(now, r); none {
+		r.refuse(reason, back)
 		return
 	}
-	t.refuse(f.unavailableReason(now, t), fullRetryAfter)
+	r.refuse(f.unavailableReason(now, r), fullRetryAfter)
 }
 
 // plainMember returns the usable member of the least cost whose fill is below a limit, or
 // nil.
-func (f *Fleet) plainMember(now time.Time, t *PendingRequest, limit float64) *Member {
-	return f.cheapestMember(now, f.services[t.Service], func(m *Member) bool {
-		return m.usable(now, t.Tried) && f.inRegions(m, t.Regions) && m.utilization() < limit && f.bodyFits(m, t) && f.limits.Allows(now, m.ID)
+func (f *Fleet) plainMember(now time.Time, r *PendingRequest, limit float64) *Member {
+	return f.cheapestMember(now, f.services[r.Service], func(m *Member) bool {
+		return m.usable(now, r.Tried) && f.inRegions(m, r.Regions) && m.utilization() < limit && f.bodyFits(m, r) && f.limits.Allows(now, m.ID)
 	})
 }
 
 // unavailableReason returns the reason for a refusal: the service is full, or it has no
 // usable upstream.
-func (f *Fleet) unavailableReason(now time.Time, t *PendingRequest) wardturn.Reason {
-	for _, m := range f.services[t.Service] {
-		if m.usable(now, t.Tried) {
+func (f *Fleet) unavailableReason(now time.Time, r *PendingRequest) wardturn.Reason {
+	for _, m := range f.services[r.Service] {
+		if m.usable(now, r.Tried) {
 			return wardturn.ReasonQueueFull
 		}
 	}
 	return wardturn.ReasonNoUpstream
 }
 
-func (t *PendingRequest) refuse(reason wardturn.Reason, retryAfter time.Duration) {
-	t.Assign(Assignment{
+func (r *PendingRequest) refuse(reason wardturn.Reason, retryAfter time.Duration) {
+	r.Assign(Assignment{
 		Reason:     reason,
 		RetryAfter: retryAfter,
 	})
 }
 
-func (f *Fleet) assign(now time.Time, t *PendingRequest, m *Member, v wardturn.Version) {
+func (f *Fleet) assign(now time.Time, r *PendingRequest, m *Member, v wardturn.Version) {
 	a := Assignment{
 		Member:  m.Member,
 		Version: v,
 		Load:    m.load(),
 		Prefill: m.pendingPrefill(now),
 	}
-	m.bodyBytes += t.Body
-	f.sent(now, m, t.Key, t.Prompt)
-	t.Assign(a)
+	m.bodyBytes += r.Body
+	f.sent(now, m, r.Key, r.Prompt)
+	r.Assign(a)
 }
 
 // tryAssign assigns a request to an engine that can run it now, and reports whether it did.
-func (f *Fleet) tryAssign(now time.Time, t *PendingRequest, out *Actions) bool {
-	m := f.engineFor(now, t, f.newest(t.Key), anyMember)
-	if m == nil && f.oldVersionServes(now, t.Key) {
-		m = f.engineFor(now, t, 0, func(m *Member) bool {
-			return f.startsBeforeEnd(now, m, t)
+func (f *Fleet) tryAssign(now time.Time, r *PendingRequest, out *Actions) bool {
+	m := f.engineFor(now, r, f.newest(r.Key), anyMember)
+	if m == nil && f.oldVersionServes(now, r.Key) {
+		m = f.engineFor(now, r, 0, func(m *Member) bool {
+			return f.startsBeforeEnd(now, m, r)
 		})
 	}
-	if m == nil || f.waitsForLoad(now, t, m) {
+	if m == nil || f.waitsForLoad(now, r, m) {
 		return false
 	}
 	version := wardturn.Version(0)
-	if t.Key.Adapter != "" {
-		version = m.held[t.Key].version
-		f.considerCopy(now, t, m, out)
+	if r.Key.Adapter != "" {
+		version = m.held[r.Key].version
+		f.considerCopy(now, r, m, out)
 	}
-	f.assign(now, t, m, version)
+	f.assign(now, r, m, version)
 	return true
 }
 
 // engineFor returns the cheapest matching engine that can run a request now and holds its
 // adapter at version least or newer, or nil.
-func (f *Fleet) engineFor(now time.Time, t *PendingRequest, least wardturn.Version, match func(*Member) bool) *Member {
-	list := f.services[t.Service]
-	if t.Key.Adapter != "" {
-		list = f.holders[t.Key]
+func (f *Fleet) engineFor(now time.Time, r *PendingRequest, least wardturn.Version, match func(*Member) bool) *Member {
+	list := f.services[r.Service]
+	if r.Key.Adapter != "" {
+		list = f.holders[r.Key]
 	}
 	return cheapest(list, func(m *Member) bool {
-		if m.Service != t.Service || !m.usable(now, t.Tried) || !f.inRegions(m, t.Regions) || m.utilization() >= engineFillLimit || !f.bodyFits(m, t) {
+		if m.Service != r.Service || !m.usable(now, r.Tried) || !f.inRegions(m, r.Regions) || m.utilization() >= engineFillLimit || !f.bodyFits(m, r) {
 			return false
 		}
-		return m.serves(now, t.Key, least) && match(m) && f.limits.Allows(now, m.ID)
+		return m.serves(now, r.Key, least) && match(m) && f.limits.Allows(now, m.ID)
 	}, func(m *Member) float64 {
-		return f.costForRequest(now, t, m)
+		return f.costForRequest(now, r, m)
 	})
 }
 
@@ -209,44 +209,44 @@
 }
 
 // enqueue queues a request until its adapter is loaded, and requests the adapter if needed.
-func (f *Fleet) enqueue(now time.Time, t *PendingRequest, out *Actions) {
-	w := f.missingFor(now, t.Key, t.Service, t.Regions)
-	t.missing = w
-	w.waiting = append(w.waiting, t)
-	w.latestArrival = now
-	f.reservePrefill(t, f.members[w.home])
-	if !w.firstRequestedAt.IsZero() || w.key.Adapter == "" {
+func (f *Fleet) enqueue(now time.Time, r *PendingRequest, out *Actions) {
+	missing := f.missingFor(now, r.Key, r.Service, r.Regions)
+	r.missing = missing
+	missing.waiting = append(missing.waiting, r)
+	missing.latestArrival = now
+	f.reservePrefill(r, f.members[missing.home])
+	if !missing.firstRequestedAt.IsZero() || missing.key.Adapter == "" {
 		return
 	}
-	if len(w.waiting) == 1 {
-		f.requestWithoutStore(now, w, out)
+	if len(missing.waiting) == 1 {
+		f.requestWithoutStore(now, missing, out)
 	}
 	f.requestMissing(now, out)
 }
 
 // unservable reports whether no upstream may take a waiting request, whatever the
 // upstreams' load. If so, it returns the reason and the retry time for the caller.
-func (f *Fleet) unservable(now time.Time, t *PendingRequest) (reason wardturn.Reason, back time.Duration, none bool) {
-	if reason, none := f.noneEligible(t); none {
+func (f *Fleet) unservable(now time.Time, r *PendingRequest) (reason wardturn.Reason, back time.Duration, none bool) {
+	if reason, none := f.noneEligible(r); none {
 		return reason, maxLoadRetryDelay, true
 	}
-	if left, all := f.allBackingOff(now, t); all {
+	if left, all := f.allBackingOff(now, r); all {
 		return wardturn.ReasonBackoff, f.jitteredDelay(left), true
 	}
 	return "", 0, false
 }
 
 // Withdraw removes a waiting request whose caller has disconnected.
-func (f *Fleet) Withdraw(t *PendingRequest) {
-	w := t.missing
-	if w == nil {
+func (f *Fleet) Withdraw(r *PendingRequest) {
+	missing := r.missing
+	if missing == nil {
 		return
 	}
-	t.missing = nil
-	f.reservePrefill(t, nil)
-	for i, o := range w.waiting {
-		if o == t {
-			w.waiting = append(w.waiting[:i], w.waiting[i+1:]...)
+	r.missing = nil
+	f.reservePrefill(r, nil)
+	for i, o := range missing.waiting {
+		if o == r {
+			missing.waiting = append(missing.waiting[:i], missing.waiting[i+1:]...)
 			break
 		}
 	}
@@ -256,10 +256,10 @@
 // time any more, repeats load requests and advances rollouts.
 func (f *Fleet) Tick(now time.Time, out *Actions) {
 	f.countGateways(now)
-	for _, w := range f.missing {
-		f.assignWaiting(now, w, out)
-		f.expire(now, w, out)
-		f.renewRequest(now, w, out)
+	for _, missing := range f.missing {
+		f.assignWaiting(now, missing, out)
+		f.expire(now, missing, out)
+		f.renewRequest(now, missing, out)
 	}
 	f.advanceRollouts(now, out)
 	f.requestMissing(now, out)
@@ -267,50 +267,50 @@
 
 // assignWaiting tries to assign the requests that wait for an adapter: an engine that was
 // full may have capacity again.
-func (f *Fleet) assignWaiting(now time.Time, w *missingAdapter, out *Actions) {
-	if len(w.waiting) == 0 || w.key.Adapter != "" && len(f.holders[w.key]) == 0 {
+func (f *Fleet) assignWaiting(now time.Time, missing *missingAdapter, out *Actions) {
+	if len(missing.waiting) == 0 || missing.key.Adapter != "" && len(f.holders[missing.key]) == 0 {
 		return
 	}
-	kept := w.waiting[:0]
-	for _, t := range w.waiting {
-		f.reservePrefill(t, nil)
-		if !f.tryAssign(now, t, out) {
-			f.reservePrefill(t, f.members[w.home])
-			kept = append(kept, t)
+	kept := missing.waiting[:0]
+	for _, r := range missing.waiting {
+		f.reservePrefill(r, nil)
+		if !f.tryAssign(now, r, out) {
+			f.reservePrefill(r, f.members[missing.home])
+			kept = append(kept, r)
 			continue
 		}
-		t.missing = nil
+		r.missing = nil
 	}
-	clear(w.waiting[len(kept):])
-	w.waiting = kept
+	clear(missing.waiting[len(kept):])
+	missing.waiting = kept
 }
 
 // expire ends the wait of requests that can't be served in time any more. A request that
 // waited only for a faster engine is assigned to a slow one; the others are refused with a
 // retry time.
-func (f *Fleet) expire(now time.Time, w *missingAdapter, out *Actions) {
-	kept := w.waiting[:0]
-	for _, t := range w.waiting {
-		reason, back, none := f.unservable(now, t)
-		if !none && !f.shouldRefuse(now, w, t) {
-			kept = append(kept, t)
+func (f *Fleet) expire(now time.Time, missing *missingAdapter, out *Actions) {
+	kept := missing.waiting[:0]
+	for _, r := range missing.waiting {
+		reason, back, none := f.unservable(now, r)
+		if !none && !f.shouldRefuse(now, missing, r) {
+			kept = append(kept, r)
 			continue
 		}
-		t.missing = nil
-		f.reservePrefill(t, nil)
+		r.missing = nil
+		f.reservePrefill(r, nil)
 		if none {
-			t.refuse(reason, back)
+			r.refuse(reason, back)
 			continue
 		}
-		t.acceptsSlow = true
-		if f.tryAssign(now, t, out) {
+		r.acceptsSlow = true
+		if f.tryAssign(now, r, out) {
 			continue
 		}
-		back = f.loadRetryDelay(now, w)
-		w.expectedRetries++
-		w.retriesUntil = now.Add(min(back, maxLoadRetryDelay) + t.Objective)
-		t.refuse(wardturn.ReasonLoading, min(back, maxLoadRetryDelay))
+		back = f.loadRetryDelay(now, missing)
+		missing.expectedRetries++
+		missing.retriesUntil = now.Add(min(back, maxLoadRetryDelay) + r.Objective)
+		r.refuse(wardturn.ReasonLoading, min(back, maxLoadRetryDelay))
 	}
-	clear(w.waiting[len(kept):])
-	w.waiting = kept
+	clear(missing.waiting[len(kept):])
+	missing.waiting = kept
 }
--- a/decide/permits.go
+++ b/decide/permits.go
@@ -44,7 +44,7 @@
 type Permits interface {
 	// Take takes a permit for a load that starts now. If it returns false, the request is
 	// kept as pending.
-	Take(now time.Time, w PermitRequest) bool
+	Take(now time.Time, r PermitRequest) bool
 	// Withdraw cancels the pending request.
 	Withdraw(now time.Time)
 	// Return returns a permit that was taken but not used.
--- a/decide/permits_allocated.go
+++ b/decide/permits_allocated.go
@@ -56,28 +56,28 @@
 }
 
 // Take implements Permits.
-func (p *AllocatedPermits) Take(now time.Time, w PermitRequest) bool {
+func (p *AllocatedPermits) Take(now time.Time, r PermitRequest) bool {
 	p.expire(now)
 	if p.total > p.used {
 		p.used++
 		p.loading++
-		p.setRequest(w, w.Pending > 1)
+		p.setRequest(r, r.Pending > 1)
 		return true
 	}
-	p.setRequest(w, true)
-	if p.allocatorDown(now) && p.fallback.Take(now, w) {
+	p.setRequest(r, true)
+	if p.allocatorDown(now) && p.fallback.Take(now, r) {
 		p.loading++
-		p.setRequest(w, w.Pending > 1)
+		p.setRequest(r, r.Pending > 1)
 		return true
 	}
 	return false
 }
 
-func (p *AllocatedPermits) setRequest(w PermitRequest, requesting bool) {
-	if requesting != p.requesting || w.Class != p.request.Class || differs(w.Value, p.request.Value) {
+func (p *AllocatedPermits) setRequest(r PermitRequest, requesting bool) {
+	if requesting != p.requesting || r.Class != p.request.Class || differs(r.Value, p.request.Value) {
 		p.changed = true
 	}
-	p.request = w
+	p.request = r
 	p.requesting = requesting
 }
 
@@ -190,15 +190,15 @@
 }
 
 func (p *AllocatedPermits) currentRequest() PermitRequest {
-	w := p.request
+	r := p.request
 	if !p.requesting {
-		w.Pending = 0
+		r.Pending = 0
 	}
-	w.Loading = p.loading
-	w.Busy = p.storeBusy
-	w.Epoch = p.epoch
-	w.Used = p.used
-	return w
+	r.Loading = p.loading
+	r.Busy = p.storeBusy
+	r.Epoch = p.epoch
+	r.Used = p.used
+	return r
 }
 
 // Congestion implements Permits.
--- a/decide/plan.go
+++ b/decide/plan.go
@@ -21,10 +21,10 @@
 func (a *Agent) plan(now time.Time, out *Orders) {
 	a.startReady(now, out)
 	a.planLoads(now, out)
-	if w, due := a.permits.Pending(now); due {
-		w.Upstream = a.cfg.Upstream
-		w.Misses = a.misses
-		out.PermitRequests = append(out.PermitRequests[:0], w)
+	if r, due := a.permits.Pending(now); due {
+		r.Upstream = a.cfg.Upstream
+		r.Misses = a.misses
+		out.PermitRequests = append(out.PermitRequests[:0], r)
 	}
 }
 
@@ -193,7 +193,7 @@
 }
 
 func (a *Agent) permitRequest(now time.Time, missing *adapter) PermitRequest {
-	w := PermitRequest{
+	r := PermitRequest{
 		Class:   wardturn.Interactive,
 		Value:   a.value(now, missing),
 		Pending: max(1, a.urgentMissing(now)),
@@ -201,10 +201,10 @@
 	if !a.urgent(now, missing) {
 		// Batch loads prefer engines that already run batch work, so that the steps of
 		// one engine are full instead of those of all engines being half empty.
-		w.Class = wardturn.Batch
-		w.Value += float64(a.runBatch)
+		r.Class = wardturn.Batch
+		r.Value += float64(a.runBatch)
 	}
-	return w
+	return r
 }
 
 // urgentMissing counts the adapters without a slot for which urgent work waits.
--- a/decide/prefill.go
+++ b/decide/prefill.go
@@ -53,22 +53,22 @@
 // the engine were already prefilling it. A nil member removes the prompt from the count.
 // Without this, an engine that loads adapters for several long prompts looks idle until
 // all of them arrive there at once.
-func (f *Fleet) reservePrefill(t *PendingRequest, m *Member) {
-	if t.prefillAt == m {
+func (f *Fleet) reservePrefill(r *PendingRequest, m *Member) {
+	if r.prefillAt == m {
 		return
 	}
-	if t.prefillAt != nil {
-		f.addPrefill(t.prefillAt, -t.Prompt)
+	if r.prefillAt != nil {
+		f.addPrefill(r.prefillAt, -r.Prompt)
 	}
-	t.prefillAt = m
+	r.prefillAt = m
 	if m != nil {
-		f.addPrefill(m, t.Prompt)
+		f.addPrefill(m, r.Prompt)
 	}
 }
 
-func (f *Fleet) reserveAllPrefill(w *missingAdapter, m *Member) {
-	for _, t := range w.waiting {
-		f.reservePrefill(t, m)
+func (f *Fleet) reserveAllPrefill(missing *missingAdapter, m *Member) {
+	for _, r := range missing.waiting {
+		f.reservePrefill(r, m)
 	}
 }
 
@@ -83,31 +83,31 @@
 // PrefillReports returns the counts that changed since they were last sent to the keepers, and
 // marks them as sent.
 func (f *Fleet) PrefillReports() []PrefillReport {
-	var notes []PrefillReport
+	var reports []PrefillReport
 	for _, m := range f.reportsDue {
 		m.prefill.reportDue = false
 		if m.prefill.reported == m.prefill.own {
 			continue
 		}
 		m.prefill.reported = m.prefill.own
-		notes = append(notes, PrefillReport{
+		reports = append(reports, PrefillReport{
 			Upstream: m.ID,
 			Tokens:   m.prefill.own,
 		})
 	}
 	f.reportsDue = nil
-	return notes
+	return reports
 }
 
 // setPrefill records a keeper's report of all long prompts that its engine is prefilling.
-func (f *Fleet) setPrefill(now time.Time, m *Member, h EngineUpdate) {
-	if h.Full { // new connection: the keeper has no counts of this gateway
+func (f *Fleet) setPrefill(now time.Time, m *Member, u EngineUpdate) {
+	if u.Full { // new connection: the keeper has no counts of this gateway
 		m.prefill.reported = 0
 		if m.prefill.own > 0 {
 			f.queuePrefillReport(m)
 		}
 	}
-	m.prefill.others = max(0, h.PrefillTokens-m.prefill.reported)
+	m.prefill.others = max(0, u.PrefillTokens-m.prefill.reported)
 	m.prefill.othersReportedAt = now
 }
 
--- a/decide/readscheduler.go
+++ b/decide/readscheduler.go
@@ -84,48 +84,48 @@
 }
 
 // Cause returns why this process would read now.
-func (t *ReadScheduler) Cause(now time.Time) ReadCause {
+func (s *ReadScheduler) Cause(now time.Time) ReadCause {
 	switch {
-	case t.failed:
+	case s.failed:
 		return ReadRetry
-	case t.asOf.IsZero():
+	case s.asOf.IsZero():
 		return ReadFirst
-	case now.Before(t.dueByAge(now)):
+	case now.Before(s.dueByAge(now)):
 		return ReadInvalidated
-	case t.IsLeader(now):
+	case s.IsLeader(now):
 		return ReadAsLeader
 	}
 	return ReadFallback
 }
 
 // DueAt returns when this process has to read the record.
-func (t *ReadScheduler) DueAt(now time.Time) time.Time {
-	due := t.dueByAge(now)
-	if t.invalidatedAt.After(t.asOf) {
-		invalidatedDue := latest(t.invalidatedAt.Add(time.Duration(t.spread*float64(invalidationSpread))), t.lastInvalidatedRead.Add(t.cfg.MinInvalidatedInterval))
+func (s *ReadScheduler) DueAt(now time.Time) time.Time {
+	due := s.dueByAge(now)
+	if s.invalidatedAt.After(s.asOf) {
+		invalidatedDue := latest(s.invalidatedAt.Add(time.Duration(s.spread*float64(invalidationSpread))), s.lastInvalidatedRead.Add(s.cfg.MinInvalidatedInterval))
 		if invalidatedDue.Before(due) {
 			due = invalidatedDue
 		}
 	}
-	if due.Before(t.earliestRead) {
-		return t.earliestRead
+	if due.Before(s.earliestRead) {
+		return s.earliestRead
 	}
 	return due
 }
 
 // dueByAge returns when this process has to read judging by the age of its copy alone.
-func (t *ReadScheduler) dueByAge(now time.Time) time.Time {
-	due := t.asOf
+func (s *ReadScheduler) dueByAge(now time.Time) time.Time {
+	due := s.asOf
 	switch {
-	case t.asOf.IsZero():
-	case t.IsLeader(now) && t.asOfOwn:
-		due = due.Add(t.cfg.Interval)
-	case t.IsLeader(now):
-		delay := time.Duration(followerSlack * t.spread * float64(t.cfg.MaxAge))
-		due = due.Add(t.cfg.Interval + delay)
+	case s.asOf.IsZero():
+	case s.IsLeader(now) && s.asOfOwn:
+		due = due.Add(s.cfg.Interval)
+	case s.IsLeader(now):
+		delay := time.Duration(followerSlack * s.spread * float64(s.cfg.MaxAge))
+		due = due.Add(s.cfg.Interval + delay)
 	default:
-		factor := 1 + followerSlack + followerSpread*t.spread
-		due = due.Add(time.Duration(factor * float64(t.cfg.MaxAge)))
+		factor := 1 + followerSlack + followerSpread*s.spread
+		due = due.Add(time.Duration(factor * float64(s.cfg.MaxAge)))
 	}
 	return due
 }
@@ -134,8 +134,8 @@
 // counts a report of another process only if its transit time can be compared with that
 // of an earlier one: a delayed report taken for a recent one would let an old version of
 // an adapter serve longer by the delay.
-func (t *ReadScheduler) AsOf() time.Time {
-	return t.confirmedAsOf
+func (s *ReadScheduler) AsOf() time.Time {
+	return s.confirmedAsOf
 }
 
 func latest(x, y time.Time) time.Time {
@@ -146,48 +146,48 @@
 }
 
 // Age returns the age of the copy, or zero before the first read.
-func (t *ReadScheduler) Age(now time.Time) time.Duration {
-	if t.asOf.IsZero() {
+func (s *ReadScheduler) Age(now time.Time) time.Duration {
+	if s.asOf.IsZero() {
 		return 0
 	}
-	return max(0, now.Sub(t.asOf))
+	return max(0, now.Sub(s.asOf))
 }
 
 // IsLeader reports whether this process is the leader: no process with a lower ID has sent a
 // message lately.
-func (t *ReadScheduler) IsLeader(now time.Time) bool {
-	return t.leaderSeenAt.IsZero() || now.Sub(t.leaderSeenAt) > leaderTimeout*t.cfg.MaxAge
+func (s *ReadScheduler) IsLeader(now time.Time) bool {
+	return s.leaderSeenAt.IsZero() || now.Sub(s.leaderSeenAt) > leaderTimeout*s.cfg.MaxAge
 }
 
 // ReadStarted records the start of a read by this process.
-func (t *ReadScheduler) ReadStarted(now time.Time) {
-	if t.Cause(now) == ReadInvalidated {
-		t.lastInvalidatedRead = now
+func (s *ReadScheduler) ReadStarted(now time.Time) {
+	if s.Cause(now) == ReadInvalidated {
+		s.lastInvalidatedRead = now
 	}
-	t.earliestRead = now.Add(t.cfg.MinInterval)
+	s.earliestRead = now.Add(s.cfg.MinInterval)
 }
 
 // ReadFailed records that a read of this process failed. It is retried after the minimum time
 // between reads unless another process reports a later read. Exponential backoff was no
 // better for callers and saved few reads.
-func (t *ReadScheduler) ReadFailed(now time.Time) {
-	t.failed = true
-	t.earliestRead = now.Add(t.cfg.MinInterval)
-	t.Invalidate(now)
+func (s *ReadScheduler) ReadFailed(now time.Time) {
+	s.failed = true
+	s.earliestRead = now.Add(s.cfg.MinInterval)
+	s.Invalidate(now)
 }
 
 // ReadSucceeded records a successful read of the record as it was at the time asOf. It returns the
 // timestamp to send to the other processes.
-func (t *ReadScheduler) ReadSucceeded(asOf time.Time) time.Duration {
-	t.failed = false
-	t.update(asOf, true)
-	t.confirmedAsOf = latest(t.confirmedAsOf, asOf)
-	return asOf.Sub(t.start)
+func (s *ReadScheduler) ReadSucceeded(asOf time.Time) time.Duration {
+	s.failed = false
+	s.update(asOf, true)
+	s.confirmedAsOf = latest(s.confirmedAsOf, asOf)
+	return asOf.Sub(s.start)
 }
 
 // Invalidate records that something contradicts the copy.
-func (t *ReadScheduler) Invalidate(now time.Time) {
-	t.invalidatedAt = now
+func (s *ReadScheduler) Invalidate(now time.Time) {
+	s.invalidatedAt = now
 }
 
 // PeerRead records the report of another process that it has read the record. The stamp is
@@ -196,27 +196,27 @@
 // recognizable as old. The first report of a process has nothing to be compared with, so
 // it does not count for AsOf. Heard returns the time of the read, or zero for a first
 // report.
-func (t *ReadScheduler) PeerRead(now time.Time, from wardturn.Incarnation, stamp time.Duration) (asOf time.Time) {
-	minLag, measured := t.lags.observe(from, now.Sub(t.start)-stamp)
-	t.update(t.start.Add(stamp+minLag), false)
+func (s *ReadScheduler) PeerRead(now time.Time, from wardturn.Incarnation, stamp time.Duration) (asOf time.Time) {
+	minLag, measured := s.lags.observe(from, now.Sub(s.start)-stamp)
+	s.update(s.start.Add(stamp+minLag), false)
 	if measured {
-		asOf = t.start.Add(stamp + minLag)
-		t.confirmedAsOf = latest(t.confirmedAsOf, asOf)
+		asOf = s.start.Add(stamp + minLag)
+		s.confirmedAsOf = latest(s.confirmedAsOf, asOf)
 	}
-	t.PeerSeen(now, from)
+	s.PeerSeen(now, from)
 	return asOf
 }
 
 // PeerSeen records a message of another process that says nothing about its reads.
-func (t *ReadScheduler) PeerSeen(now time.Time, from wardturn.Incarnation) {
-	if from < t.self {
-		t.leaderSeenAt = now
+func (s *ReadScheduler) PeerSeen(now time.Time, from wardturn.Incarnation) {
+	if from < s.self {
+		s.leaderSeenAt = now
 	}
 }
 
-func (t *ReadScheduler) update(asOf time.Time, own bool) {
-	if asOf.After(t.asOf) {
-		t.asOf = asOf
-		t.asOfOwn = own
+func (s *ReadScheduler) update(asOf time.Time, own bool) {
+	if asOf.After(s.asOf) {
+		s.asOf = asOf
+		s.asOfOwn = own
 	}
 }
--- a/decide/readscheduler_delayed_report_test.go
+++ b/decide/readscheduler_delayed_report_test.go
@@ -15,13 +15,13 @@
 // delay.
 var _ = Describe("A delayed first report of another process", func() {
 	It("does not make the copy look newer than the reported read", func() {
-		t := decide.NewReadScheduler(start, "b", decide.ReadSchedulerConfig{
+		s := decide.NewReadScheduler(start, "b", decide.ReadSchedulerConfig{
 			MaxAge:      1200 * time.Millisecond,
 			MinInterval: 100 * time.Millisecond,
 		})
-		t.ReadSucceeded(start)
+		s.ReadSucceeded(start)
 		read := start.Add(100 * time.Millisecond) // at "a", whose clock started at start too
-		t.PeerRead(start.Add(3*time.Second), "a", read.Sub(start))
-		Expect(t.AsOf()).To(BeTemporally("<=", read))
+		s.PeerRead(start.Add(3*time.Second), "a", read.Sub(start))
+		Expect(s.AsOf()).To(BeTemporally("<=", read))
 	})
 })
--- a/decide/readscheduler_scaling_test.go
+++ b/decide/readscheduler_scaling_test.go
@@ -59,17 +59,17 @@
 // readDue performs the reads that are due and reports each to the other gateways.
 func readDue(now time.Time, ids []wardturn.Incarnation, turns []*decide.ReadScheduler) int {
 	var due []int
-	for i, t := range turns {
-		if !t.DueAt(now).After(now) {
+	for i, s := range turns {
+		if !s.DueAt(now).After(now) {
 			due = append(due, i)
 		}
 	}
 	for _, i := range due {
 		turns[i].ReadStarted(now)
 		stamp := turns[i].ReadSucceeded(now)
-		for j, t := range turns {
+		for j, s := range turns {
 			if j != i {
-				t.PeerRead(now.Add(readStep), ids[i], stamp)
+				s.PeerRead(now.Add(readStep), ids[i], stamp)
 			}
 		}
 	}
--- a/decide/readscheduler_test.go
+++ b/decide/readscheduler_test.go
@@ -24,44 +24,44 @@
 			MinInterval: least,
 		})
 	}
-	due := func(t *decide.ReadScheduler) time.Duration {
-		return t.DueAt(now).Sub(now)
+	due := func(s *decide.ReadScheduler) time.Duration {
+		return s.DueAt(now).Sub(now)
 	}
 	BeforeEach(func() {
 		now = start
 	})
 
 	It("is due at the start, and after a pause while no other process reads", func() {
-		t := newTurn("b")
-		Expect(due(t)).To(BeNumerically("<=", 0))
-		t.ReadSucceeded(now)
-		Expect(due(t)).To(Equal(every))
+		s := newTurn("b")
+		Expect(due(s)).To(BeNumerically("<=", 0))
+		s.ReadSucceeded(now)
+		Expect(due(s)).To(Equal(every))
 	})
 
 	It("retries failed reads at a constant interval", func() {
-		t := newTurn("b")
-		t.ReadSucceeded(now)
+		s := newTurn("b")
+		s.ReadSucceeded(now)
 		now = now.Add(2 * every)
-		t.Invalidate(now)
+		s.Invalidate(now)
 		var pauses []time.Duration
 		for range 5 {
-			t.ReadStarted(now)
-			t.ReadFailed(now)
-			pauses = append(pauses, due(t))
-			now = now.Add(due(t))
+			s.ReadStarted(now)
+			s.ReadFailed(now)
+			pauses = append(pauses, due(s))
+			now = now.Add(due(s))
 		}
 		Expect(pauses).To(Equal([]time.Duration{least, least, least, least, least}))
-		t.ReadStarted(now)
-		t.ReadSucceeded(now.Add(-time.Millisecond))
-		t.Invalidate(now)
-		Expect(due(t)).To(Equal(least))
+		s.ReadStarted(now)
+		s.ReadSucceeded(now.Add(-time.Millisecond))
+		s.Invalidate(now)
+		Expect(due(s)).To(Equal(least))
 	})
 
 	// Every gateway reads each change itself, so changes in quick succession would cost
 	// one read per gateway and change.
 	It("reads changes in quick succession together, and a single change soon", func() {
 		const gather = 800 * time.Millisecond
-		t := decide.NewReadScheduler(now, "b", decide.ReadSchedulerConfig{
+		s := decide.NewReadScheduler(now, "b", decide.ReadSchedulerConfig{
 			MaxAge:                 10 * every, // no read by age alone
 			MinInvalidatedInterval: gather,
 		})
@@ -77,14 +77,14 @@
 			now = began.Add(at)
 			switch {
 			case changed(at):
-				t.Invalidate(now)
+				s.Invalidate(now)
 				waits = append(waits, now)
 			case at%time.Second == 0 && len(waits) == 0: // a process that has not read a change does not count
-				t.PeerRead(now, "a", at)
+				s.PeerRead(now, "a", at)
 			}
-			if len(waits) > 0 && due(t) <= 0 {
-				t.ReadStarted(now)
-				t.ReadSucceeded(now)
+			if len(waits) > 0 && due(s) <= 0 {
+				s.ReadStarted(now)
+				s.ReadSucceeded(now)
 				reads++
 				longest = max(longest, now.Sub(waits[0]))
 				waits = nil
@@ -96,25 +96,25 @@
 		Expect(reads).To(BeNumerically("<=", 5))
 		Expect(longest).To(BeNumerically("<=", gather+100*time.Millisecond))
 		now = began.Add(10 * time.Second)
-		t.Invalidate(now)
-		Expect(due(t)).To(BeNumerically("<=", 100*time.Millisecond))
+		s.Invalidate(now)
+		Expect(due(s)).To(BeNumerically("<=", 100*time.Millisecond))
 	})
 
 	It("returns the cause of a read", func() {
-		t := newTurn("b")
-		Expect(t.Cause(now)).To(Equal(decide.ReadFirst))
-		t.ReadSucceeded(now)
+		s := newTurn("b")
+		Expect(s.Cause(now)).To(Equal(decide.ReadFirst))
+		s.ReadSucceeded(now)
 		now = now.Add(2 * every)
-		Expect(t.Cause(now)).To(Equal(decide.ReadAsLeader))
-		t.ReadFailed(now)
-		Expect(t.Cause(now)).To(Equal(decide.ReadRetry))
-		t.ReadSucceeded(now)
-		t.Invalidate(now.Add(time.Millisecond))
-		Expect(t.Cause(now.Add(time.Millisecond))).To(Equal(decide.ReadInvalidated))
-		t.ReadSucceeded(now.Add(2 * time.Millisecond))
-		t.PeerRead(now, "a", 0)
+		Expect(s.Cause(now)).To(Equal(decide.ReadAsLeader))
+		s.ReadFailed(now)
+		Expect(s.Cause(now)).To(Equal(decide.ReadRetry))
+		s.ReadSucceeded(now)
+		s.Invalidate(now.Add(time.Millisecond))
+		Expect(s.Cause(now.Add(time.Millisecond))).To(Equal(decide.ReadInvalidated))
+		s.ReadSucceeded(now.Add(2 * time.Millisecond))
+		s.PeerRead(now, "a", 0)
 		now = now.Add(time.Duration(1.5 * float64(every)))
-		Expect(t.Cause(now)).To(Equal(decide.ReadFallback))
+		Expect(s.Cause(now)).To(Equal(decide.ReadFallback))
 	})
 
 	It("leaves the reads to the process with the lowest ID while its reports arrive", func() {
@@ -149,9 +149,9 @@
 		}
 		read := func(i int) {
 			stamp := turns[i].ReadSucceeded(now)
-			for j, t := range turns {
+			for j, s := range turns {
 				if j != i {
-					t.PeerRead(now, ids[i], stamp)
+					s.PeerRead(now, ids[i], stamp)
 				}
 			}
 		}
@@ -213,9 +213,9 @@
 	})
 
 	It("keeps a minimum time between its own reads", func() {
-		t := newTurn("a")
-		t.ReadStarted(now)
-		t.Invalidate(now)
-		Expect(due(t)).To(Equal(least))
+		s := newTurn("a")
+		s.ReadStarted(now)
+		s.Invalidate(now)
+		Expect(due(s)).To(Equal(least))
 	})
 })
--- a/decide/regions_test.go
+++ b/decide/regions_test.go
@@ -61,8 +61,8 @@
 	x.admitFor(fleetService, adapterKey("b"), wardturn.Regions{"south"})
 	x.admitFor(fleetService, adapterKey("b"), wardturn.Regions{"north"})
 	asked := make(map[byte]int)
-	for _, ask := range x.out.LoadRequests {
-		asked[ask.Upstream[0]]++
+	for _, r := range x.out.LoadRequests {
+		asked[r.Upstream[0]]++
 	}
 	if asked['f'] != 1 || asked['n'] != 1 {
 		t.Errorf("loads requested: %v, want one in each region", x.out.LoadRequests)
--- a/decide/rollout.go
+++ b/decide/rollout.go
@@ -103,16 +103,16 @@
 // loadOnAnotherEngine asks an engine that does not hold an adapter to load its newest
 // version. It reports whether a load is under way or was asked for.
 func (f *Fleet) loadOnAnotherEngine(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, out *Actions) bool {
-	if w := f.missing.unrestricted(key); w != nil && !w.firstRequestedAt.IsZero() {
+	if missing := f.missing.unrestricted(key); missing != nil && !missing.firstRequestedAt.IsZero() {
 		return true
 	}
 	for m := range f.homes(now, s, key, false) {
 		if _, holds := m.held[key]; holds || m.loading() >= MaxConcurrentLoads {
 			continue
 		}
-		w := f.missingFor(now, key, s, nil)
-		w.cause = LoadVersion
-		f.requestLoad(now, w, m, out)
+		missing := f.missingFor(now, key, s, nil)
+		missing.cause = LoadVersion
+		f.requestLoad(now, missing, m, out)
 		return true
 	}
 	return false
--- a/decide/router.go
+++ b/decide/router.go
@@ -221,16 +221,16 @@
 }
 
 // Pick chooses an upstream for a request. It reports false if no upstream can take it.
-func (r *Router) Pick(now time.Time, ask RouteRequest) (wardturn.UpstreamID, bool) {
+func (r *Router) Pick(now time.Time, req RouteRequest) (wardturn.UpstreamID, bool) {
 	p := r.pools[poolKey{
-		model:   ask.Model,
-		service: ask.Service,
+		model:   req.Model,
+		service: req.Service,
 	}]
 	if p == nil {
 		return "", false
 	}
 	r.expireHints(now, p)
-	t := r.choose(now, p, ask)
+	t := r.choose(now, p, req)
 	if t == nil {
 		return "", false
 	}
@@ -241,10 +241,10 @@
 // choose prefers the entry's own region and uses others only if no upstream there can take
 // the request. Upstreams with an open breaker are used if there are no others: a fault that
 // all upstreams show is no reason to refuse every request.
-func (r *Router) choose(now time.Time, p *pool, ask RouteRequest) *target {
+func (r *Router) choose(now time.Time, p *pool, req RouteRequest) *target {
 	for _, ignoreBreakers := range []bool{false, true} {
 		for _, targets := range [][]*target{p.local, p.remote} {
-			if t := r.chooseAmong(now, p, targets, ask, ignoreBreakers); t != nil {
+			if t := r.chooseAmong(now, p, targets, req, ignoreBreakers); t != nil {
 				return t
 			}
 		}
@@ -252,26 +252,26 @@
 	return nil
 }
 
-func (r *Router) chooseAmong(now time.Time, p *pool, targets []*target, ask RouteRequest, ignoreBreakers bool) *target {
+func (r *Router) chooseAmong(now time.Time, p *pool, targets []*target, req RouteRequest, ignoreBreakers bool) *target {
 	usable := func(t *target) bool {
-		return t.accepts(ask) && (ignoreBreakers || t.breaker.Allows(now))
+		return t.accepts(req) && (ignoreBreakers || t.breaker.Allows(now))
 	}
 	switch {
-	case ask.Adapter.IsZero(), r.cfg.Mode == RouteLeastLoaded:
+	case req.Adapter.IsZero(), r.cfg.Mode == RouteLeastLoaded:
 		return r.leastLoaded(targets, usable)
 	case r.cfg.Mode == RouteAffinity:
-		list := p.candidates(targets, usable, ask.Adapter, 1)
+		list := p.candidates(targets, usable, req.Adapter, 1)
 		if len(list) == 0 {
 			return nil
 		}
 		return list[0].target
 	}
-	return r.chooseSticky(now, p, targets, usable, ask)
+	return r.chooseSticky(now, p, targets, usable, req)
 }
 
 // accepts reports whether a target may be given a request.
-func (t *target) accepts(ask RouteRequest) bool {
-	return t.host.State != wardturn.HostLeaving && !t.hint.Leaving && !slices.Contains(ask.Tried, t.host.Upstream)
+func (t *target) accepts(req RouteRequest) bool {
+	return t.host.State != wardturn.HostLeaving && !t.hint.Leaving && !slices.Contains(req.Tried, t.host.Upstream)
 }
 
 // hintCheckInterval is the interval at which a pool is checked for expired hints.
--- a/decide/router_test.go
+++ b/decide/router_test.go
@@ -38,8 +38,8 @@
 			},
 		}
 	}
-	pick := func(r *decide.Router, now time.Time, a decide.RouteRequest) wardturn.UpstreamID {
-		id, ok := r.Pick(now, a)
+	pick := func(r *decide.Router, now time.Time, req decide.RouteRequest) wardturn.UpstreamID {
+		id, ok := r.Pick(now, req)
 		Expect(ok).To(BeTrue())
 		return id
 	}
@@ -60,8 +60,8 @@
 	It("sends an adapter to the same upstream from every entry host", func() {
 		x, y := router(hosts(9, "near")...), router(hosts(9, "near")...)
 		for i := range 50 {
-			a := ask(fmt.Sprint("a", i))
-			Expect(pick(x, start, a)).To(Equal(pick(y, start, a)))
+			req := ask(fmt.Sprint("a", i))
+			Expect(pick(x, start, req)).To(Equal(pick(y, start, req)))
 		}
 	})
 
@@ -69,8 +69,8 @@
 		x, y := router(hosts(10, "near")...), router(hosts(9, "near")...)
 		moved := 0
 		for i := range 1000 {
-			a := ask(fmt.Sprint("a", i))
-			if pick(x, start, a) != pick(y, start, a) {
+			req := ask(fmt.Sprint("a", i))
+			if pick(x, start, req) != pick(y, start, req) {
 				moved++
 			}
 		}
@@ -80,14 +80,14 @@
 	It("does not pick an upstream that hinted that it is leaving or that was already tried", func() {
 		r := router(hosts(2, "near")...)
 		first := pick(r, start, ask("a"))
-		a := ask("a")
-		a.Tried = []wardturn.UpstreamID{first}
-		other := pick(r, start, a)
+		req := ask("a")
+		req.Tried = []wardturn.UpstreamID{first}
+		other := pick(r, start, req)
 		Expect(other).NotTo(Equal(first))
 		r.Hint(start, other, decide.Hint{
 			Leaving: true,
 		})
-		_, ok := r.Pick(start, a)
+		_, ok := r.Pick(start, req)
 		Expect(ok).To(BeFalse())
 		Expect(pick(r, start, ask("a"))).To(Equal(first))
 	})
--- a/decide/share.go
+++ b/decide/share.go
@@ -36,13 +36,13 @@
 }
 
 // add records the run time of a team's request.
-func (s *teamUse) add(now time.Time, team wardturn.TeamID, ran time.Duration) {
-	u := s.used[team]
+func (t *teamUse) add(now time.Time, team wardturn.TeamID, ran time.Duration) {
+	u := t.used[team]
 	if u == nil {
 		u = &usage{
 			at: now,
 		}
-		s.used[team] = u
+		t.used[team] = u
 	}
 	u.seconds = u.decayed(now) + ran.Seconds()
 	u.at = now
@@ -53,22 +53,22 @@
 }
 
 // weightedUse returns the recent use of a team divided by its weight.
-func (s *teamUse) weightedUse(now time.Time, team wardturn.TeamID) float64 {
-	u := s.used[team]
+func (t *teamUse) weightedUse(now time.Time, team wardturn.TeamID) float64 {
+	u := t.used[team]
 	if u == nil {
 		return 0
 	}
-	if w := s.weights[team]; w > 0 {
+	if w := t.weights[team]; w > 0 {
 		return u.decayed(now) / w
 	}
 	return u.decayed(now)
 }
 
 // sweep drops teams without recent use.
-func (s *teamUse) sweep(now time.Time) {
-	for team, u := range s.used {
+func (t *teamUse) sweep(now time.Time) {
+	for team, u := range t.used {
 		if u.decayed(now) < useTolerance/10 {
-			delete(s.used, team)
+			delete(t.used, team)
 		}
 	}
 }
--- a/decide/superseded_version_test.go
+++ b/decide/superseded_version_test.go
@@ -30,9 +30,9 @@
 			x.f.VersionAnnounced(x.now, adapterVersion("a", v), x.now, &x.out)
 			for range 4 {
 				id := x.now.String()
-				t := x.admit(id, "a")
+				r := x.admit(id, "a")
 				servedOldAt[x.now.Sub(first)] = x.assigned[id].Version == 1
-				x.f.Withdraw(t)
+				x.f.Withdraw(r)
 				x.f.RequestEnded(x.now, x.assigned[id].Member.ID, adapterKey("a"), decide.OutcomeOK)
 				x.now = x.now.Add(500 * time.Millisecond)
 			}
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -80,8 +80,8 @@
 
 // bodyFits reports whether the body of a request fits within this gateway's share of
 // MaxBodyBytes at an upstream. A body that would be the only one there always fits.
-func (f *Fleet) bodyFits(m *Member, t *PendingRequest) bool {
-	return f.cfg.MaxBodyBytes == 0 || m.bodyBytes == 0 || m.bodyBytes+t.Body <= f.cfg.MaxBodyBytes/f.Gateways()
+func (f *Fleet) bodyFits(m *Member, r *PendingRequest) bool {
+	return f.cfg.MaxBodyBytes == 0 || m.bodyBytes == 0 || m.bodyBytes+r.Body <= f.cfg.MaxBodyBytes/f.Gateways()
 }
 
 // ReleaseBody records that an upstream no longer holds a request body of the given size.
--- a/decide/waitlimit.go
+++ b/decide/waitlimit.go
@@ -25,28 +25,28 @@
 // longer be served within its objective and its adapter is not being loaded. While its
 // adapter is being loaded the request continues to wait, since a late answer is worth more
 // to the caller than none.
-func (f *Fleet) shouldRefuse(now time.Time, w *missingAdapter, t *PendingRequest) bool {
-	if !now.Before(t.Deadline.Add(-refusalMargin)) {
+func (f *Fleet) shouldRefuse(now time.Time, missing *missingAdapter, r *PendingRequest) bool {
+	if !now.Before(r.Deadline.Add(-refusalMargin)) {
 		return true
 	}
-	if f.homeIsLoading(w) {
+	if f.homeIsLoading(missing) {
 		return false
 	}
-	if f.noneHoldsModel(now, w) {
-		f.refilledBy[w.service] = now.Add(refillWait)
+	if f.noneHoldsModel(now, missing) {
+		f.refilledBy[missing.service] = now.Add(refillWait)
 	}
-	if now.Before(f.refilledBy[w.service]) {
+	if now.Before(f.refilledBy[missing.service]) {
 		return false
 	}
-	return now.Add(f.minTimeToFirstToken(w, t)).After(t.Arrived.Add(t.Objective))
+	return now.Add(f.minTimeToFirstToken(missing, r)).After(r.Arrived.Add(r.Objective))
 }
 
 // noneHoldsModel reports whether a service has engines but none of them holds the model of
 // a want, because all have restarted and are loading it.
-func (f *Fleet) noneHoldsModel(now time.Time, w *missingAdapter) bool {
-	list := f.services[w.service]
+func (f *Fleet) noneHoldsModel(now time.Time, missing *missingAdapter) bool {
+	list := f.services[missing.service]
 	for _, m := range list {
-		if m.canLoad(now, w.key.Model) {
+		if m.canLoad(now, missing.key.Model) {
 			return false
 		}
 	}
@@ -56,12 +56,12 @@
 // minTimeToFirstToken returns the minimum time until the first token of a request: the
 // time to load its adapter, unless an engine already holds it and is merely full, and to
 // read its prompt.
-func (f *Fleet) minTimeToFirstToken(w *missingAdapter, t *PendingRequest) time.Duration {
-	read := f.prefillRateOf(t.Service).time(int(t.Prompt))
+func (f *Fleet) minTimeToFirstToken(missing *missingAdapter, r *PendingRequest) time.Duration {
+	read := f.prefillRateOf(r.Service).time(int(r.Prompt))
 	switch {
-	case w.key.Adapter == "" || len(f.holders[w.key]) > 0:
+	case missing.key.Adapter == "" || len(f.holders[missing.key]) > 0:
 		return read
-	case w.warm:
+	case missing.warm:
 		return read + warmLoadTime
 	}
 	return read + f.window.MedianLoadTime()
@@ -69,12 +69,12 @@
 
 // loadRetryDelay returns the retry delay for a caller, from the estimated time until the adapter
 // is loaded.
-func (f *Fleet) loadRetryDelay(now time.Time, w *missingAdapter) time.Duration {
+func (f *Fleet) loadRetryDelay(now time.Time, missing *missingAdapter) time.Duration {
 	typical := f.window.MedianLoadTime()
-	if w.firstRequestedAt.IsZero() {
+	if missing.firstRequestedAt.IsZero() {
 		return max(minRetryDelay, time.Duration(f.loadRounds()*float64(typical)))
 	}
-	return max(minRetryDelay, typical-now.Sub(w.firstRequestedAt))
+	return max(minRetryDelay, typical-now.Sub(missing.firstRequestedAt))
 }
 
 // loadRounds estimates the time until an adapter that has not been requested is loaded, in
@@ -82,8 +82,8 @@
 // other gateways, which are assumed to have as many.
 func (f *Fleet) loadRounds() float64 {
 	pending := 0
-	for _, w := range f.missing {
-		if w.firstRequestedAt.IsZero() && w.key.Adapter != "" {
+	for _, missing := range f.missing {
+		if missing.firstRequestedAt.IsZero() && missing.key.Adapter != "" {
 			pending++
 		}
 	}
--- a/decide/waitlimit_test.go
+++ b/decide/waitlimit_test.go
@@ -37,9 +37,9 @@
 	})
 
 	It("is shorter for a long prompt, which takes time to read", func() {
-		t := x.ticket("long", "a")
-		t.Prompt = 8000 // 200 ms to read
-		x.f.Admit(x.now, t, &x.out)
+		r := x.ticket("long", "a")
+		r.Prompt = 8000 // 200 ms to read
+		x.f.Admit(x.now, r, &x.out)
 		x.tick(90 * time.Millisecond)
 		Expect(x.assigned).To(BeEmpty())
 		x.tick(20 * time.Millisecond)
@@ -57,9 +57,9 @@
 	})
 
 	It("ends before the deadline in any case", func() {
-		t := x.ticket("r", "a")
-		t.Deadline = x.now.Add(time.Second)
-		x.f.Admit(x.now, t, &x.out)
+		r := x.ticket("r", "a")
+		r.Deadline = x.now.Add(time.Second)
+		x.f.Admit(x.now, r, &x.out)
 		x.setAdapters(string(x.out.LoadRequests[0].Upstream), loading("a"))
 		x.tick(890 * time.Millisecond)
 		Expect(x.assigned).To(BeEmpty())
@@ -100,8 +100,8 @@
 		for range 30 {
 			x.tick(100 * time.Millisecond)
 		}
-		for _, a := range x.out.LoadRequests {
-			Expect(a.Upstream).To(Equal(home))
+		for _, r := range x.out.LoadRequests {
+			Expect(r.Upstream).To(Equal(home))
 		}
 	})
 
--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -11,7 +11,7 @@
 // upstream can take the request or the caller is gone.
 func (x *exchange) acquire(ctx context.Context) (assignment, bool) {
 	got := make(chan assignment, 1)
-	t := &decide.PendingRequest{
+	r := &decide.PendingRequest{
 		Service:   x.service,
 		Key:       x.key,
 		Arrived:   x.arrived,
@@ -27,13 +27,13 @@
 			got <- a
 		},
 	}
-	x.g.admit(t)
+	x.g.admit(r)
 	select {
 	case a := <-got:
 		return x.handleAssignment(a)
 	case <-ctx.Done():
 	}
-	x.g.withdraw(t)
+	x.g.withdraw(r)
 	select {
 	case a := <-got: // assigned just before the ticket was withdrawn
 		if a.Member.ID != "" {
--- a/gateway/caps.go
+++ b/gateway/caps.go
@@ -86,7 +86,7 @@
 	c.mu.Lock()
 	now := c.g.clock.Now()
 	c.teams.SetGateways(now, gateways)
-	w, due := c.teams.Report(now)
+	r, due := c.teams.Report(now)
 	turn := c.sent
 	if due {
 		c.sent++
@@ -96,7 +96,7 @@
 		return
 	}
 	m := &peer.TeamUsageReports{
-		Reports: []decide.TeamUsageReport{w},
+		Reports: []decide.TeamUsageReport{r},
 	}
 	for _, conn := range c.g.links.alternatingConns(c.relayKey(gateways), turn) {
 		// Errors are ignored: the next message makes up for a lost one.
@@ -108,8 +108,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.g.clock.Now()
-	for _, w := range m.Reports {
-		c.teams.Receive(now, w)
+	for _, r := range m.Reports {
+		c.teams.Receive(now, r)
 	}
 }
 
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -26,9 +26,9 @@
 
 // execute carries out the moves of a decision. It must be called without g.mu held.
 func (g *Gateway) execute(out decide.Actions) {
-	for _, n := range out.CompletedLoads {
-		g.metrics.loadDone(n)
-		g.logger.Info("adapter there", "adapter", n.Adapter.Adapter, "version", n.Adapter.Version, "upstream", n.Upstream, "took", n.Took, "waited", n.Waited, "warm", n.Warm, "cause", n.Cause, "window", n.Window, "under_way", n.InFlight)
+	for _, l := range out.CompletedLoads {
+		g.metrics.loadDone(l)
+		g.logger.Info("adapter there", "adapter", l.Adapter.Adapter, "version", l.Adapter.Version, "upstream", l.Upstream, "took", l.Took, "waited", l.Waited, "warm", l.Warm, "cause", l.Cause, "window", l.Window, "under_way", l.InFlight)
 	}
 	for _, v := range out.EnforcedVersions {
 		g.retireOlder(v)
@@ -39,16 +39,16 @@
 	g.links.sendLoadRequests(out)
 }
 
-func (g *Gateway) admit(t *decide.PendingRequest) {
+func (g *Gateway) admit(r *decide.PendingRequest) {
 	g.decide(func(now time.Time, out *decide.Actions) {
-		g.fleet.Admit(now, t, out)
+		g.fleet.Admit(now, r, out)
 	})
 }
 
-func (g *Gateway) withdraw(t *decide.PendingRequest) {
+func (g *Gateway) withdraw(r *decide.PendingRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.Withdraw(t)
+	g.fleet.Withdraw(r)
 }
 
 func (g *Gateway) endPrefill(id wardturn.UpstreamID, prompt wardturn.Tokens) {
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -69,7 +69,7 @@
 	now := l.g.clock.Now()
 	gateways := l.g.fleet.ReportedGateways()
 	l.state.SetGateways(now, gateways)
-	w, fresh, due := l.state.Gossip(now)
+	msg, fresh, due := l.state.Gossip(now)
 	l.g.mu.Unlock()
 	if !due {
 		return
@@ -81,7 +81,7 @@
 		conns = l.g.links.announcementConns(key)
 	}
 	m := &peer.LimitGossip{
-		Messages: []decide.LimitGossip{w},
+		Messages: []decide.LimitGossip{msg},
 	}
 	for _, conn := range conns {
 		// Errors are ignored: another gateway repeats what a lost message carried.
@@ -95,8 +95,8 @@
 	var changes []decide.LimitUpdate
 	l.g.mu.Lock()
 	now := l.g.clock.Now()
-	for _, w := range m.Messages {
-		changes = append(changes, l.state.Receive(now, w)...)
+	for _, msg := range m.Messages {
+		changes = append(changes, l.state.Receive(now, msg)...)
 	}
 	l.g.mu.Unlock()
 	for _, c := range changes {
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -38,17 +38,17 @@
 // setEngineConfig sets the notice for the keeper, and sends it unless the keeper already has one
 // with the same engine specification. Most configuration changes do not affect an engine,
 // and sending a notice for each would cost one message per gateway and engine.
-func (l *link) setEngineConfig(m wardturn.Member, n peer.EngineConfig) {
+func (l *link) setEngineConfig(m wardturn.Member, cfg peer.EngineConfig) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m.ID != l.member.ID {
 		l.requestFullState()
 	}
 	l.member = m
-	n.ViaRelay = l.engineConfig.ViaRelay
-	n.Announcements = l.engineConfig.Announcements
-	l.engineConfigSent = l.engineConfigSent && l.engineConfig.Upstream == n.Upstream && l.engineConfig.Spec.Equal(n.Spec)
-	l.engineConfig = n
+	cfg.ViaRelay = l.engineConfig.ViaRelay
+	cfg.Announcements = l.engineConfig.Announcements
+	l.engineConfigSent = l.engineConfigSent && l.engineConfig.Upstream == cfg.Upstream && l.engineConfig.Spec.Equal(cfg.Spec)
+	l.engineConfig = cfg
 	l.sendEngineConfig()
 }
 
@@ -58,8 +58,8 @@
 	if l.conn == nil || l.engineConfigSent || l.engineConfig.Upstream == "" {
 		return
 	}
-	n := l.engineConfig
-	l.engineConfigSent = l.conn.Send(&n) == nil
+	cfg := l.engineConfig
+	l.engineConfigSent = l.conn.Send(&cfg) == nil
 }
 
 // Connected implements peer.ClientHandler.
@@ -118,67 +118,67 @@
 
 // handleUpdate handles an engine state update of a keeper process. Relayed reports whether the
 // update came through a relay.
-func (l *link) handleUpdate(process wardturn.Incarnation, h *peer.EngineUpdate, relayed bool) {
+func (l *link) handleUpdate(process wardturn.Incarnation, u *peer.EngineUpdate, relayed bool) {
 	l.updateMu.Lock()
 	defer l.updateMu.Unlock()
-	id, ok := l.accept(process, h)
+	id, ok := l.accept(process, u)
 	if !ok {
 		return
 	}
 	g := l.links.g
-	g.metrics.keeperUpdate(relayed, h.Requested)
-	if h.Limit > 0 {
+	g.metrics.keeperUpdate(relayed, u.Requested)
+	if u.Limit > 0 {
 		g.limits.seen.Store(true)
 	}
 	g.decide(func(now time.Time, out *decide.Actions) {
-		g.fleet.ApplyEngineUpdate(now, id, engineUpdateOf(h), out)
+		g.fleet.ApplyEngineUpdate(now, id, engineUpdateOf(u), out)
 	})
 }
 
 // accept reports whether an update is to be applied, and to which upstream. It rejects
 // updates of another incarnation of the engine or its keeper, changes that arrive before
 // the full state, and duplicates. After a gap in the sequence it requests the full state.
-func (l *link) accept(process wardturn.Incarnation, h *peer.EngineUpdate) (wardturn.UpstreamID, bool) {
+func (l *link) accept(process wardturn.Incarnation, u *peer.EngineUpdate) (wardturn.UpstreamID, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.conn == nil || l.conn.Peer().Process != process || h.Upstream != l.member.ID {
+	if l.conn == nil || l.conn.Peer().Process != process || u.Upstream != l.member.ID {
 		return "", false
 	}
 	switch {
-	case h.Requested:
-		return l.member.ID, l.synced && h.Seq >= l.seq
-	case h.Full:
-		if l.synced && h.Seq < l.seq {
+	case u.Requested:
+		return l.member.ID, l.synced && u.Seq >= l.seq
+	case u.Full:
+		if l.synced && u.Seq < l.seq {
 			return "", false
 		}
-	case !l.synced || h.Seq <= l.seq:
+	case !l.synced || u.Seq <= l.seq:
 		return "", false
-	case h.Seq > l.seq+1:
+	case u.Seq > l.seq+1:
 		l.requestFullState()
 		l.sendEngineConfig()
 		return "", false
 	}
 	l.synced = true
-	l.seq = h.Seq
+	l.seq = u.Seq
 	return l.member.ID, true
 }
 
-func engineUpdateOf(h *peer.EngineUpdate) decide.EngineUpdate {
+func engineUpdateOf(u *peer.EngineUpdate) decide.EngineUpdate {
 	out := decide.EngineUpdate{
 		Connected:     true,
-		Full:          h.Full,
-		Unloaded:      h.Unloaded,
-		Known:         h.Known,
-		Models:        h.Models,
-		Running:       h.Running,
-		Queued:        h.Queued,
-		PrefillTokens: h.PrefillTokens,
-		FreeSlots:     h.FreeSlots,
-		Gateways:      h.Gateways,
-		Limit:         h.Limit,
-		Leaving:       h.Leaving,
+		Full:          u.Full,
+		Unloaded:      u.Unloaded,
+		Known:         u.Known,
+		Models:        u.Models,
+		Running:       u.Running,
+		Queued:        u.Queued,
+		PrefillTokens: u.PrefillTokens,
+		FreeSlots:     u.FreeSlots,
+		Gateways:      u.Gateways,
+		Limit:         u.Limit,
+		Leaving:       u.Leaving,
 	}
-	for _, a := range h.Adapters {
+	for _, a := range u.Adapters {
 		out.Adapters = append(out.Adapters, decide.HeldVersion{
 			Adapter: a.Adapter,
 			Ready:   a.State == peer.HeldReady,
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -69,9 +69,9 @@
 		}
 	}
 	answer := func(seq uint64) *peer.EngineUpdate {
-		h := update(seq, false)
-		h.Requested = true
-		return h
+		u := update(seq, false)
+		u.Requested = true
+		return u
 	}
 	other := update(9, true)
 	other.Upstream = "i-0"
@@ -144,13 +144,13 @@
 	larger := spec
 	larger.AdapterSlots = 3
 	l := newTestLink(t)
-	sent := func(n peer.EngineConfig) bool {
+	sent := func(cfg peer.EngineConfig) bool {
 		conn := l.conn
 		l.conn = nil // without a connection, a notice to be sent stays pending
 		l.engineConfigSent = true
 		l.setEngineConfig(wardturn.Member{
-			ID: n.Upstream,
-		}, n)
+			ID: cfg.Upstream,
+		}, cfg)
 		l.conn = conn
 		return !l.engineConfigSent
 	}
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -117,11 +117,11 @@
 }
 
 // sendPrefillReports reports to keepers the long prompts that their engines are processing.
-func (ls *links) sendPrefillReports(notes []decide.PrefillReport) {
-	for _, n := range notes {
-		if l := ls.linkTo(n.Upstream); l != nil {
+func (ls *links) sendPrefillReports(reports []decide.PrefillReport) {
+	for _, r := range reports {
+		if l := ls.linkTo(r.Upstream); l != nil {
 			l.send(&peer.PrefillReport{
-				Tokens: n.Tokens,
+				Tokens: r.Tokens,
 			})
 		}
 	}
@@ -129,15 +129,15 @@
 
 // sendLoadRequests sends the adapter load requests of a decision to the keepers.
 func (ls *links) sendLoadRequests(out decide.Actions) {
-	for _, a := range out.LoadRequests {
-		l := ls.linkTo(a.Upstream)
+	for _, r := range out.LoadRequests {
+		l := ls.linkTo(r.Upstream)
 		if l == nil {
 			continue
 		}
 		l.send(&peer.LoadRequest{
-			Adapter:    a.Adapter,
-			Waiting:    a.Waiting,
-			OldestWait: a.Oldest,
+			Adapter:    r.Adapter,
+			Waiting:    r.Waiting,
+			OldestWait: r.Oldest,
 		})
 	}
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -189,12 +189,12 @@
 }
 
 // loadDone records the load time of an adapter.
-func (m *Metrics) loadDone(n decide.CompletedLoad) {
-	if n.Warm {
-		m.warmLoads.RecordDuration(n.Took)
+func (m *Metrics) loadDone(l decide.CompletedLoad) {
+	if l.Warm {
+		m.warmLoads.RecordDuration(l.Took)
 		return
 	}
-	m.coldLoads.RecordDuration(n.Took)
+	m.coldLoads.RecordDuration(l.Took)
 }
 
 // updateLevels updates the gauges of queue and window sizes.
--- a/gateway/readcoordinator.go
+++ b/gateway/readcoordinator.go
@@ -73,16 +73,16 @@
 
 // notifySchedules makes waiting goroutines re-evaluate their schedules. The caller must
 // hold n.mu.
-func (n *readCoordinator) notifySchedules() {
-	close(n.scheduleChanged)
-	n.scheduleChanged = make(chan struct{})
+func (rc *readCoordinator) notifySchedules() {
+	close(rc.scheduleChanged)
+	rc.scheduleChanged = make(chan struct{})
 }
 
 // awaitRead blocks until a read is due by the schedule t. It reports false when the gateway
 // shuts down.
-func (n *readCoordinator) awaitRead(t *decide.ReadScheduler) bool {
-	for n.g.tasks.Context().Err() == nil {
-		limit, cancel, woken, due := n.checkSchedule(t, time.Time{})
+func (rc *readCoordinator) awaitRead(s *decide.ReadScheduler) bool {
+	for rc.g.tasks.Context().Err() == nil {
+		limit, cancel, woken, due := rc.checkSchedule(s, time.Time{})
 		if due {
 			return true
 		}
@@ -98,36 +98,36 @@
 // checkSchedule reports whether a read is due by the schedule t. If not, it returns a
 // context that expires when the read is due or at the time until, unless that is zero, and
 // a channel that is closed when the schedule has to be evaluated again.
-func (n *readCoordinator) checkSchedule(t *decide.ReadScheduler, until time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := n.g.clock.Now()
-	left := t.DueAt(now).Sub(now)
+func (rc *readCoordinator) checkSchedule(s *decide.ReadScheduler, until time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	now := rc.g.clock.Now()
+	left := s.DueAt(now).Sub(now)
 	if left <= 0 {
 		return nil, nil, nil, true
 	}
 	if !until.IsZero() {
 		left = min(left, until.Sub(now))
 	}
-	limit, cancel = n.g.tasks.Limit(left)
-	return limit, cancel, n.scheduleChanged, false
+	limit, cancel = rc.g.tasks.Limit(left)
+	return limit, cancel, rc.scheduleChanged, false
 }
 
 // awaitMembers waits for an announced change of the list, until a read of the list is due,
 // or until the given time unless that is zero. Due reports whether a read is due. The result
 // ok is false when the gateway shuts down.
-func (n *readCoordinator) awaitMembers(until time.Time) (change *announcedChange, due, ok bool) {
-	for n.g.tasks.Context().Err() == nil {
-		limit, cancel, woken, due := n.checkSchedule(n.members, until)
+func (rc *readCoordinator) awaitMembers(until time.Time) (change *announcedChange, due, ok bool) {
+	for rc.g.tasks.Context().Err() == nil {
+		limit, cancel, woken, due := rc.checkSchedule(rc.members, until)
 		if due {
 			return nil, true, true
 		}
-		if !until.IsZero() && !n.g.clock.Now().Before(until) {
+		if !until.IsZero() && !rc.g.clock.Now().Before(until) {
 			cancel()
 			return nil, false, true
 		}
 		select {
-		case change := <-n.changes:
+		case change := <-rc.changes:
 			cancel()
 			return &change, false, true
 		case <-woken:
@@ -140,138 +140,138 @@
 
 // configCurrentAt returns the latest time at which the local configuration is known to have been
 // current, or zero before the first read.
-func (n *readCoordinator) configCurrentAt() time.Time {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.config.AsOf()
+func (rc *readCoordinator) configCurrentAt() time.Time {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	return rc.config.AsOf()
 }
 
 // readsForAll reports whether this gateway reads the configuration on behalf of the others.
-func (n *readCoordinator) readsForAll() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.config.IsLeader(n.g.clock.Now())
+func (rc *readCoordinator) readsForAll() bool {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	return rc.config.IsLeader(rc.g.clock.Now())
 }
 
 // finishConfigRead records and announces that the configuration was read up to a position.
-func (n *readCoordinator) finishConfigRead(asOf time.Time, to wardturn.Position) {
-	n.mu.Lock()
-	n.configPosition = to
-	stamp := n.config.ReadSucceeded(asOf)
-	n.mu.Unlock()
-	n.announce(&peer.ReadAnnouncement{
-		Reader:  n.g.cfg.Process,
+func (rc *readCoordinator) finishConfigRead(asOf time.Time, to wardturn.Position) {
+	rc.mu.Lock()
+	rc.configPosition = to
+	stamp := rc.config.ReadSucceeded(asOf)
+	rc.mu.Unlock()
+	rc.announce(&peer.ReadAnnouncement{
+		Reader:  rc.g.cfg.Process,
 		ReadAt:  stamp,
 		Config:  to,
-		Crashes: n.g.crashes.describeRead(),
+		Crashes: rc.g.crashes.describeRead(),
 	})
 }
 
 // startConfigRead records the start of a configuration read.
-func (n *readCoordinator) startConfigRead(now time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.g.metrics.config.causes[n.config.Cause(now)].Inc(1)
-	n.config.ReadStarted(now)
+func (rc *readCoordinator) startConfigRead(now time.Time) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.g.metrics.config.causes[rc.config.Cause(now)].Inc(1)
+	rc.config.ReadStarted(now)
 }
 
-func (n *readCoordinator) startMembersRead(now time.Time) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.g.metrics.members.causes[n.members.Cause(now)].Inc(1)
-	n.members.ReadStarted(now)
+func (rc *readCoordinator) startMembersRead(now time.Time) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.g.metrics.members.causes[rc.members.Cause(now)].Inc(1)
+	rc.members.ReadStarted(now)
 }
 
 // finishMembersRead records a read of the list and announces the change, unless it is nil.
-func (n *readCoordinator) finishMembersRead(asOf time.Time, c *wardturn.MemberChange) {
-	n.mu.Lock()
-	stamp := n.members.ReadSucceeded(asOf)
-	n.mu.Unlock()
+func (rc *readCoordinator) finishMembersRead(asOf time.Time, c *wardturn.MemberChange) {
+	rc.mu.Lock()
+	stamp := rc.members.ReadSucceeded(asOf)
+	rc.mu.Unlock()
 	if c == nil {
 		return
 	}
-	n.announce(&peer.ReadAnnouncement{
-		Reader:  n.g.cfg.Process,
+	rc.announce(&peer.ReadAnnouncement{
+		Reader:  rc.g.cfg.Process,
 		ReadAt:  stamp,
 		Members: shortened(c),
 	})
 }
 
 // readFailed records that a read failed.
-func (n *readCoordinator) readFailed(t *decide.ReadScheduler) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	t.ReadFailed(n.g.clock.Now())
+func (rc *readCoordinator) readFailed(s *decide.ReadScheduler) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	s.ReadFailed(rc.g.clock.Now())
 }
 
-func (n *readCoordinator) markMembersStale() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.members.Invalidate(n.g.clock.Now())
-	n.notifySchedules()
+func (rc *readCoordinator) markMembersStale() {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.members.Invalidate(rc.g.clock.Now())
+	rc.notifySchedules()
 }
 
 // reportAges updates the metrics for the age of the configuration and the list.
-func (n *readCoordinator) reportAges() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := n.g.clock.Now()
-	n.g.metrics.config.age.Update(n.config.Age(now).Seconds())
-	n.g.metrics.members.age.Update(n.members.Age(now).Seconds())
+func (rc *readCoordinator) reportAges() {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	now := rc.g.clock.Now()
+	rc.g.metrics.config.age.Update(rc.config.Age(now).Seconds())
+	rc.g.metrics.members.age.Update(rc.members.Age(now).Seconds())
 }
 
-func (n *readCoordinator) announce(m *peer.ReadAnnouncement) {
+func (rc *readCoordinator) announce(m *peer.ReadAnnouncement) {
 	kind := "config"
 	if m.Members != nil {
 		kind = "members"
 	}
-	for _, c := range n.g.links.announcementConns(string(m.Reader) + "/" + kind) {
+	for _, c := range rc.g.links.announcementConns(string(m.Reader) + "/" + kind) {
 		// Errors are ignored: a gateway that misses an announcement reads the store itself.
 		_ = c.Send(m)
 	}
 }
 
 // receive handles an announcement of another gateway.
-func (n *readCoordinator) receive(m *peer.ReadAnnouncement) {
-	if m.Reader == n.g.cfg.Process {
+func (rc *readCoordinator) receive(m *peer.ReadAnnouncement) {
+	if m.Reader == rc.g.cfg.Process {
 		return
 	}
-	n.g.crashes.mergeRead(m.Crashes)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	now := n.g.clock.Now()
+	rc.g.crashes.mergeRead(m.Crashes)
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	now := rc.g.clock.Now()
 	if m.Members != nil {
-		n.queueMembers(now, m)
+		rc.queueMembers(now, m)
 		return
 	}
-	if m.Config > n.configPosition {
-		n.config.Invalidate(now) // a change that has not been applied here
-		n.notifySchedules()
+	if m.Config > rc.configPosition {
+		rc.config.Invalidate(now) // a change that has not been applied here
+		rc.notifySchedules()
 		return
 	}
-	n.g.metrics.config.announced.Inc(1)
-	n.config.PeerRead(now, m.Reader, m.ReadAt)
-	n.notifySchedules()
+	rc.g.metrics.config.announced.Inc(1)
+	rc.config.PeerRead(now, m.Reader, m.ReadAt)
+	rc.notifySchedules()
 }
 
 // queueMembers queues an announced change of the list. If the queue is full, the list is
 // marked as out of date. The caller must hold n.mu.
-func (n *readCoordinator) queueMembers(now time.Time, m *peer.ReadAnnouncement) {
+func (rc *readCoordinator) queueMembers(now time.Time, m *peer.ReadAnnouncement) {
 	if m.Members.From < 0 {
 		// The change was too long to announce, so the list is read as scheduled. If all
 		// gateways read it at once while hundreds of upstreams register, each would announce
 		// the same change and trigger another round of reads.
-		n.members.PeerSeen(now, m.Reader)
+		rc.members.PeerSeen(now, m.Reader)
 		return
 	}
-	defer n.notifySchedules()
-	if len(n.changes) == cap(n.changes) { // no other goroutine sends on the channel while the lock is held
-		n.members.Invalidate(now)
+	defer rc.notifySchedules()
+	if len(rc.changes) == cap(rc.changes) { // no other goroutine sends on the channel while the lock is held
+		rc.members.Invalidate(now)
 		return
 	}
-	n.g.metrics.members.announced.Inc(1)
-	n.changes <- announcedChange{
+	rc.g.metrics.members.announced.Inc(1)
+	rc.changes <- announcedChange{
 		change: *m.Members,
-		asOf:   n.members.PeerRead(now, m.Reader, m.ReadAt),
+		asOf:   rc.members.PeerRead(now, m.Reader, m.ReadAt),
 	}
 }
--- a/keeper/announcements_test.go
+++ b/keeper/announcements_test.go
@@ -19,9 +19,9 @@
 	)
 	connectGateway := func(news bool) (*gatewayClient, *peer.Conn) {
 		g, c := connect(addr)
-		n := engineNotice(true)
-		n.Announcements = news
-		Expect(c.Send(n)).To(Succeed())
+		cfg := engineNotice(true)
+		cfg.Announcements = news
+		Expect(c.Send(cfg)).To(Succeed())
 		return g, c
 	}
 	// sync waits until everything sent to a gateway before has arrived.
@@ -55,15 +55,15 @@
 	})
 
 	It("applies a gateway's change of whether it gets announcements from this keeper", func() {
-		n := engineNotice(true)
-		Expect(receiverConn.Send(n)).To(Succeed())
+		cfg := engineNotice(true)
+		Expect(receiverConn.Send(cfg)).To(Succeed())
 		sync(receiver, receiverConn)
 		announce(7)
 		Consistently(func() bool {
 			return gotAnnouncement(receiver)
 		}, "200ms").Should(BeFalse())
-		n.Announcements = true
-		Expect(receiverConn.Send(n)).To(Succeed())
+		cfg.Announcements = true
+		Expect(receiverConn.Send(cfg)).To(Succeed())
 		sync(receiver, receiverConn)
 		announce(8)
 		Expect(next[*peer.ReadAnnouncement](receiver).Config).To(BeEquivalentTo(8))
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -112,8 +112,8 @@
 func (g *fakeGateway) Connected(c *peer.Conn)   { g.conn <- c }
 func (g *fakeGateway) Closed(*peer.Conn, error) {}
 func (g *fakeGateway) Handle(_ *peer.Conn, m peer.Message) {
-	if h, ok := m.(*peer.EngineUpdate); ok {
-		g.updates <- h
+	if u, ok := m.(*peer.EngineUpdate); ok {
+		g.updates <- u
 	}
 }
 
@@ -213,14 +213,14 @@
 	It("sends the full state first and then changes", func() {
 		start()
 		sendDefaultNotice()
-		var h *peer.EngineUpdate
-		Eventually(g.updates, eventTimeout).Should(Receive(&h))
-		Expect(h.Full).To(BeTrue())
+		var u *peer.EngineUpdate
+		Eventually(g.updates, eventTimeout).Should(Receive(&u))
+		Expect(u.Full).To(BeTrue())
 		requestLoad()
 		Eventually(func() int {
-			Eventually(g.updates, eventTimeout).Should(Receive(&h))
-			Expect(h.Full).To(BeFalse())
-			return len(h.Adapters) // an update with only a new lifetime may come first
+			Eventually(g.updates, eventTimeout).Should(Receive(&u))
+			Expect(u.Full).To(BeFalse())
+			return len(u.Adapters) // an update with only a new lifetime may come first
 		}, eventTimeout).Should(Equal(1))
 	})
 
@@ -228,13 +228,13 @@
 		e.blockReports = make(chan struct{})
 		start()
 		sendDefaultNotice()
-		var h *peer.EngineUpdate
-		Eventually(g.updates, eventTimeout).Should(Receive(&h))
-		Expect(h.Known).To(BeFalse())
+		var u *peer.EngineUpdate
+		Eventually(g.updates, eventTimeout).Should(Receive(&u))
+		Expect(u.Known).To(BeFalse())
 		close(e.blockReports)
 		Eventually(func() bool {
-			Eventually(g.updates, eventTimeout).Should(Receive(&h))
-			return h.Known
+			Eventually(g.updates, eventTimeout).Should(Receive(&u))
+			return u.Known
 		}, eventTimeout).Should(BeTrue())
 	})
 
@@ -242,9 +242,9 @@
 		start()
 		sendDefaultNotice()
 		prefill := func() int {
-			var h *peer.EngineUpdate
-			Eventually(g.updates, eventTimeout).Should(Receive(&h))
-			return h.PrefillTokens
+			var u *peer.EngineUpdate
+			Eventually(g.updates, eventTimeout).Should(Receive(&u))
+			return u.PrefillTokens
 		}
 		sendPrefill := func(tokens int) {
 			Expect(conn.Send(&peer.PrefillReport{
@@ -266,28 +266,28 @@
 	It("sends the number of gateways", func() {
 		start()
 		sendDefaultNotice()
-		var h *peer.EngineUpdate
-		Eventually(g.updates, eventTimeout).Should(Receive(&h))
-		Expect(h.Gateways).To(Equal(1))
+		var u *peer.EngineUpdate
+		Eventually(g.updates, eventTimeout).Should(Receive(&u))
+		Expect(u.Gateways).To(Equal(1))
 		conn.Close()
 		Eventually(g.conn, eventTimeout).Should(Receive(&conn))
 		sendDefaultNotice()
-		Eventually(g.updates, eventTimeout).Should(Receive(&h))
-		Expect(h.Gateways).To(Equal(1))
+		Eventually(g.updates, eventTimeout).Should(Receive(&u))
+		Expect(u.Gateways).To(Equal(1))
 	})
 
 	It("sends the limit in the engine's reports, and that it has ended", func() {
 		start()
 		sendDefaultNotice()
-		var h *peer.EngineUpdate
-		Eventually(g.updates, eventTimeout).Should(Receive(&h))
-		Expect(h.Limit).To(BeZero())
+		var u *peer.EngineUpdate
+		Eventually(g.updates, eventTimeout).Should(Receive(&u))
+		Expect(u.Limit).To(BeZero())
 		for _, limit := range []wardturn.RequestRate{4.5, 0} {
 			e.mu.Lock()
 			e.state.Limit = limit
 			e.mu.Unlock()
-			Eventually(g.updates, eventTimeout).Should(Receive(&h))
-			Expect(h.Limit).To(Equal(limit))
+			Eventually(g.updates, eventTimeout).Should(Receive(&u))
+			Expect(u.Limit).To(Equal(limit))
 		}
 	})
 
@@ -423,8 +423,8 @@
 		e.mu.Unlock()
 		Eventually(func() bool {
 			select {
-			case h := <-g.updates:
-				return !h.Known
+			case u := <-g.updates:
+				return !u.Known
 			default:
 				return false
 			}
--- a/keeper/relay_test.go
+++ b/keeper/relay_test.go
@@ -150,14 +150,14 @@
 	It("sends that gateway only the adapters that it requested", func() {
 		Expect(otherConn.Send(loadRequest("b"))).To(Succeed())
 		Eventually(func() bool {
-			h := next[*peer.EngineUpdate](otherGateway)
-			return len(h.Adapters) == 1 && h.Adapters[0].State == peer.HeldReady
+			u := next[*peer.EngineUpdate](otherGateway)
+			return len(u.Adapters) == 1 && u.Adapters[0].State == peer.HeldReady
 		}, eventTimeout).Should(BeTrue())
 		Expect(conn.Send(loadRequest("a"))).To(Succeed())
-		h := next[*peer.EngineUpdate](gateway)
-		Expect(h.Requested).To(BeTrue())
-		Expect(h.Adapters).To(HaveLen(1))
-		Expect(h.Adapters[0].Adapter.Adapter).To(BeEquivalentTo("a"))
+		u := next[*peer.EngineUpdate](gateway)
+		Expect(u.Requested).To(BeTrue())
+		Expect(u.Adapters).To(HaveLen(1))
+		Expect(u.Adapters[0].Adapter.Adapter).To(BeEquivalentTo("a"))
 	})
 
 	It("responds without delay if the adapter is already loaded", func() {
@@ -166,16 +166,16 @@
 			return len(next[*peer.EngineUpdate](otherGateway).Adapters)
 		}, eventTimeout).Should(Equal(1))
 		Expect(conn.Send(loadRequest("a"))).To(Succeed())
-		h := next[*peer.EngineUpdate](gateway)
-		Expect(h.Requested).To(BeTrue())
-		Expect(h.Adapters[0].State).To(Equal(peer.HeldReady))
+		u := next[*peer.EngineUpdate](gateway)
+		Expect(u.Requested).To(BeTrue())
+		Expect(u.Adapters[0].State).To(Equal(peer.HeldReady))
 	})
 
 	It("sends its sequence number when the gateway reports usage", func() {
 		Expect(otherConn.Send(loadRequest("a"))).To(Succeed())
-		h := next[*peer.EngineUpdate](otherGateway)
+		u := next[*peer.EngineUpdate](otherGateway)
 		Expect(conn.Send(&peer.AdapterUsage{})).To(Succeed())
-		Expect(next[*peer.Mark](gateway).Seq).To(BeNumerically(">=", h.Seq))
+		Expect(next[*peer.Mark](gateway).Seq).To(BeNumerically(">=", u.Seq))
 	})
 })
 
@@ -203,13 +203,13 @@
 	It("forwards each change, and the full state to gateways that follow later", func() {
 		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
 		Eventually(func() bool {
-			h := next[*peer.RelayedUpdate](gateway).Update
-			return len(h.Adapters) == 1 && h.Adapters[0].State == peer.HeldReady
+			u := next[*peer.RelayedUpdate](gateway).Update
+			return len(u.Adapters) == 1 && u.Adapters[0].State == peer.HeldReady
 		}, eventTimeout).Should(BeTrue())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
-		h := next[*peer.RelayedUpdate](gateway).Update
-		Expect(h.Full).To(BeTrue())
-		Expect(h.Adapters).To(HaveLen(1))
+		u := next[*peer.RelayedUpdate](gateway).Update
+		Expect(u.Full).To(BeTrue())
+		Expect(u.Adapters).To(HaveLen(1))
 	})
 
 	It("reports that the connection to the keeper is lost", func() {
--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -16,20 +16,20 @@
 
 // Apply applies a state update. It returns false for an incremental update that does not
 // directly follow the last applied one; the full state has to be requested then.
-func (m *Mirror) Apply(h *EngineUpdate) bool {
+func (m *Mirror) Apply(u *EngineUpdate) bool {
 	switch {
-	case h.Full:
-		m.adapters = make(map[wardturn.ModelAdapter]HeldAdapter, len(h.Adapters))
-	case m.adapters == nil || h.Seq != m.latest.Seq+1:
+	case u.Full:
+		m.adapters = make(map[wardturn.ModelAdapter]HeldAdapter, len(u.Adapters))
+	case m.adapters == nil || u.Seq != m.latest.Seq+1:
 		return false
 	}
-	for _, a := range h.Adapters {
+	for _, a := range u.Adapters {
 		m.adapters[a.Adapter.Key()] = a
 	}
-	for _, key := range h.Unloaded {
+	for _, key := range u.Unloaded {
 		delete(m.adapters, key)
 	}
-	m.latest = *h
+	m.latest = *u
 	m.latest.Adapters = nil
 	m.latest.Unloaded = nil
 	return true
@@ -47,10 +47,10 @@
 
 // Full returns the current full state.
 func (m *Mirror) Full() EngineUpdate {
-	h := m.latest
-	h.Full = true
-	h.Adapters = slices.SortedFunc(maps.Values(m.adapters), CompareHeld)
-	return h
+	u := m.latest
+	u.Full = true
+	u.Adapters = slices.SortedFunc(maps.Values(m.adapters), CompareHeld)
+	return u
 }
 
 // CompareHeld orders adapters by name.
