--- a/decide/backoff.go
+++ b/decide/backoff.go
@@ -9,10 +9,10 @@
 const (
 	// unparsedBackoff is the backoff of an upstream whose requested time cannot be parsed.
 	unparsedBackoff = time.Second
-	// maxUpstreamBackoff bounds the backoff that one answer may request.
+	// maxUpstreamBackoff bounds the backoff that one response may request.
 	maxUpstreamBackoff = time.Hour
 	// backoffTrialInterval is the time between two trial requests after a backoff, until
-	// an answer asks for no further backoff. An upstream that is still overloaded must
+	// a response asks for no further backoff. An upstream that is still overloaded must
 	// not get all waiting requests at once.
 	backoffTrialInterval = 200 * time.Millisecond
 	// minBackoffJitter is the minimum jitter of the retry times given to callers after a
@@ -24,15 +24,15 @@
 	backoffRetention = time.Minute
 )
 
-// upstreamBackoff is a backoff: a period during which an upstream asked this gateway to send it no
-// requests. Without it, an upstream that refuses requests would have the lowest load and so
-// be preferred over all others.
+// upstreamBackoff is a backoff: a period during which an upstream asked this gateway to
+// send it no requests. Without it, an upstream that refuses requests would have the lowest
+// load and so be preferred over all others.
 type upstreamBackoff struct {
 	until   time.Time
 	trialAt time.Time // time of the latest request sent
 }
 
-// inForce reports whether the backoff is in force. A nil rest is never in force.
+// inForce reports whether the backoff is in force. A nil backoff is never in force.
 func (b *upstreamBackoff) inForce(now time.Time) bool {
 	return b != nil && now.Before(b.until)
 }
@@ -78,7 +78,7 @@
 	return changed
 }
 
-// BackOffUnparsed is Rests for a duration that cannot be parsed.
+// BackOffUnparsed is BackOff for a duration that cannot be parsed.
 func (f *Fleet) BackOffUnparsed(now time.Time, id wardturn.UpstreamID) (changed bool) {
 	return f.BackOff(now, id, unparsedBackoff)
 }
@@ -94,8 +94,8 @@
 	delete(f.backoffs, id.Instance())
 }
 
-// allBackingOff reports whether all upstreams that may serve a request are backing off, and the
-// time until the first of them allows a request.
+// allBackingOff reports whether all upstreams that may serve a request are backing off, and
+// the time until the first of them allows a request.
 func (f *Fleet) allBackingOff(now time.Time, r *PendingRequest) (left time.Duration, all bool) {
 	if len(f.backoffs) == 0 {
 		return 0, false
--- a/decide/cause.go
+++ b/decide/cause.go
@@ -18,8 +18,8 @@
 	LoadVersion    LoadCause = "version" // a newer version was announced
 )
 
-// causeOf returns why an engine is asked for a wanted adapter, for wants without a cause
-// set elsewhere.
+// causeOf returns why an engine is asked for a wanted adapter, for missing adapters without
+// a cause set elsewhere.
 func (f *Fleet) causeOf(missing *missingAdapter, home *Member) LoadCause {
 	if home.everHeld[missing.key] {
 		return LoadHeldBefore
--- a/decide/crashtracker.go
+++ b/decide/crashtracker.go
@@ -71,13 +71,13 @@
 	maxContents = 1 << 15
 )
 
-// CrashConfig holds the limits of Crashes.
+// CrashConfig holds the limits of a CrashTracker.
 type CrashConfig struct {
 	Limit  int           // upstreams that end while serving a content before it is refused
 	Memory time.Duration // how long crashes count after the latest one
 }
 
-// NewCrashTracker returns a Crashes without any recorded crash.
+// NewCrashTracker returns a CrashTracker without any recorded crash.
 func NewCrashTracker(cfg CrashConfig) *CrashTracker {
 	return &CrashTracker{
 		cfg:            cfg,
@@ -99,8 +99,8 @@
 	return left, left > 0
 }
 
-// RequestBroke records that a request got no complete response from an upstream. It returns the
-// crash if the upstream is known to have ended and the crash is new.
+// RequestBroke records that a request got no complete response from an upstream. It returns
+// the crash if the upstream is known to have ended and the crash is new.
 func (c *CrashTracker) RequestBroke(now time.Time, content wardturn.ContentID, id wardturn.UpstreamID) []wardturn.Crash {
 	at, ended := c.ended[id]
 	if ended && now.Sub(at) < endCorrelationWindow {
@@ -142,8 +142,8 @@
 	return cmp.Or(cmp.Compare(x.Content, y.Content), cmp.Compare(x.Upstream, y.Upstream))
 }
 
-// AddReported records crashes observed by another gateway, and returns those that count and are
-// new.
+// AddReported records crashes observed by another gateway, and returns those that count and
+// are new.
 func (c *CrashTracker) AddReported(now time.Time, list []wardturn.Crash) (fresh []wardturn.Crash) {
 	for _, crash := range list {
 		if c.add(now, now, crash) {
@@ -258,9 +258,10 @@
 	}
 }
 
-// PendingWrites returns the pending writes of this gateway to the store: the crashes to record and
-// the records to delete. Crashes are due if this gateway observed them or if they have
-// lacked a record for long, and if their content has enough of them or all is set.
+// PendingWrites returns the pending writes of this gateway to the store: the crashes to
+// record and the records to delete. Crashes are due if this gateway observed them or if
+// they have lacked a record for long, and if their content has enough of them or all is
+// set.
 func (c *CrashTracker) PendingWrites(now time.Time, all bool) (crashes, deletes []wardturn.Crash) {
 	for content, s := range c.contents {
 		if !all && len(s.crashes) < min(minRecordedCrashes, c.cfg.Limit) {
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -17,7 +17,7 @@
 // its queue: Router decides for one entry host, Agent for one upstream, Allocator divides
 // the capacity of the weight store between agents, and Ledger records the outcomes of
 // attempts. On the users' platform, driven by packages gateway and keeper, requests wait
-// at their gateway: Fleet decides for one gateway, Places for one engine, and each
+// at their gateway: Fleet decides for one gateway, Placement for one engine, and each
 // gateway bounds its own loads by a LoadWindow.
 //
 // The embedded system, entry:
@@ -32,7 +32,7 @@
 //	queue.go              queues of waiting requests, by adapter
 //	plan.go               which request starts next, and which adapter is loaded
 //	slots.go              adapter slots of the engine
-//	screen.go             admission control: which requests are refused at once
+//	admission.go          admission control: which requests are refused at once
 //	share.go              fair sharing between teams by recent usage
 //	shadow.go             evaluation of a second policy without effect
 //	hint.go               Hint: an agent's load as reported to routers
@@ -45,32 +45,34 @@
 // The users' platform, gateway:
 //
 //	fleet.go              Fleet: the upstreams and the requests that wait for them
-//	wait.go               Ticket: a waiting request and its assignment
-//	want.go               adapters that are missing, and which engine to ask for them
+//	pending.go            PendingRequest: a waiting request and its assignment
+//	missing.go            adapters that are missing, and which engine to ask for them
 //	member.go             Member: an upstream, and the cost of a request there
 //	usage.go              requests sent to an upstream and how they ended
-//	reading.go            prompts waiting for prefill at engines
-//	finish.go             whether a request would meet its objective
-//	patience.go           how long a request waits, and when its caller should retry
-//	home.go, homes.go     engines preferred for an adapter, equal at all gateways
+//	prefill.go            prompts waiting for prefill at engines
+//	objective.go          whether a request would meet its objective
+//	waitlimit.go          how long a request waits, and when its caller should retry
+//	homecandidates.go     which engine becomes the home of a missing adapter
+//	homeorder.go          engines preferred for an adapter, equal at all gateways
 //	copies.go             additional copies of an adapter
-//	holding.go            Holding: a keeper's report on its engine
-//	versions.go           rollout of a new adapter version
-//	naming.go             announcements of adapter versions
-//	crashes.go            Crashes: requests that crash upstreams
+//	engineupdate.go       EngineUpdate: a keeper's update on its engine
+//	rollout.go            rollout of a new adapter version
+//	announcement.go       announcements of adapter versions
+//	crashtracker.go       CrashTracker: requests that crash upstreams
 //	teamcaps.go           TeamCaps: usage caps of teams across all gateways
-//	teamwords.go          usage reports between gateways
+//	teamreports.go        usage reports between gateways
 //	leaving.go            upstreams that announced that they are leaving
 //	cause.go              LoadCause: why an adapter was asked for
-//	window.go             LoadWindow: how many concurrent loads the store can serve
-//	room.go               a gateway's share of the free load window
-//	turn.go               ReadScheduler: which gateway reads the store for all
-//	trust.go              Trust: avoids a path for a while after it failed
+//	loadwindow.go         LoadWindow: how many concurrent loads the store can serve
+//	loadshare.go          a gateway's share of the free load window
+//	readscheduler.go      ReadScheduler: which gateway reads the store for all
+//	backoff.go            backoffs that upstreams asked for
+//	pathbackoff.go        PathBackoff: avoids a path for a while after it failed
 //
 // The users' platform, keeper:
 //
-//	places.go             Places: adapters of an engine
-//	evict.go              which adapter is evicted, and which slots are reported free
+//	placement.go          Placement: adapters of an engine
+//	placement_evict.go    which adapter is evicted, and which slots are reported free
 //
 // Used by both:
 //
@@ -86,7 +88,7 @@
 // requests and no slot is loaded when it is worth more than the least valuable idle slot
 // and Permits says that the weight store can serve another load.
 //
-// On the users' platform, a want is an adapter that requests wait for. The gateway sends
-// a wish for it to the keeper of one engine, and the keeper has the engine load it into a
-// place, which is one of the engine's adapter slots.
+// On the users' platform, a missing adapter is one that requests wait for. The
+// gateway sends a load request for it to the keeper of one engine, and the keeper has the
+// engine load it into one of its adapter slots.
 package decide
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -68,7 +68,7 @@
 	})
 }
 
-// ObserveCold records an upstream's statement, in an answer, that it stays cold for the given
+// ObserveCold records an upstream's statement, in a response, that it stays cold for the given
 // time.
 func (f *Fleet) ObserveCold(now time.Time, id wardturn.UpstreamID, left time.Duration) {
 	m := f.members[id]
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -43,8 +43,8 @@
 type FleetConfig struct {
 	Domain  wardturn.FailureDomain
 	Regions map[wardturn.FailureDomain]wardturn.Region
-	// MaxCrossDomainBytes is how many bytes may be sent for an adapter to other failure domains
-	// before it is also loaded in this one.
+	// MaxCrossDomainBytes is how many bytes may be sent for an adapter to other failure
+	// domains before it is also loaded in this one.
 	MaxCrossDomainBytes int
 	// MaxBodyBytes bounds the total size in bytes of the request bodies that all gateways
 	// together may have at one upstream, which crashes when they outgrow its memory. Zero
@@ -56,7 +56,7 @@
 	VersionBound time.Duration
 	Limits       *Limits // request rate limits stated by upstreams; nil if none
 	Cold         ColdConfig
-	Random       func() float64 // returns a random number in [0, 1); nil means the function Draw
+	Random       func() float64 // returns a random number in [0, 1); nil means RandomFloat
 }
 
 // NewFleet returns a Fleet without upstreams.
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -12,9 +12,9 @@
 
 // BenchmarkNowhere serves a request for an adapter that no engine holds: an engine is
 // chosen as its home, asked for the adapter, and holds it for a moment. On a machine with
-// five busy processes, sorting all engines for each choice and visiting all wants for
-// each engine took 17 us at 18 engines, 49 us at 74, 158 us at 262, 674 us at 1,000 and
-// 1.6 ms at 2,100. The present code takes 14, 11, 14, 22 and 32 us.
+// five busy processes, sorting all engines for each choice and visiting all missing
+// adapters for each engine took 17 us at 18 engines, 49 us at 74, 158 us at 262, 674 us at
+// 1,000 and 1.6 ms at 2,100. The present code takes 14, 11, 14, 22 and 32 us.
 func BenchmarkNowhere(b *testing.B) {
 	for _, engines := range []int{18, 74, 262, 1000, 2100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
--- a/decide/limited.go
+++ b/decide/limited.go
@@ -7,9 +7,9 @@
 	"wardturn"
 )
 
-// refusedByLimits reports whether every upstream that could serve a request is excluded only by
-// its rate limit or its backoff, and when the caller should retry. Such a request is
-// refused at once, since waiting in the gateway would gain it nothing.
+// refusedByLimits reports whether every upstream that could serve a request is excluded
+// only by its rate limit or its backoff, and when the caller should retry. Such a request
+// is refused at once, since waiting in the gateway would gain it nothing.
 func (f *Fleet) refusedByLimits(now time.Time, r *PendingRequest) (reason wardturn.Reason, retryAfter time.Duration, refused bool) {
 	var soonest *Member
 	for _, m := range f.services[r.Service] {
--- a/decide/limitgossip.go
+++ b/decide/limitgossip.go
@@ -13,12 +13,12 @@
 	// longest time between two of its messages.
 	limitHeartbeat = time.Second
 	// limitMessageInterval is the minimum time between two messages. An upstream may
-	// announce a different limit in each answer.
+	// announce a different limit in each response.
 	limitMessageInterval = 50 * time.Millisecond
 	// limitRefresh is the time after an announcement of a limit, by any gateway, after
 	// which it is announced again.
 	limitRefresh = time.Second
-	// limitTimeTolerance is the tolerated error of the time of an answer reported by other
+	// limitTimeTolerance is the tolerated error of the time of a response reported by other
 	// gateways. The error accumulates as gateways pass the report on.
 	limitTimeTolerance = 500 * time.Millisecond
 )
@@ -36,7 +36,7 @@
 type LimitUpdate struct {
 	Instance string
 	Rate     float64       // requests a second over all gateways; zero: the limit has ended
-	Ago      time.Duration // age of the answer that Rate comes from
+	Ago      time.Duration // age of the response that Rate comes from
 }
 
 // limitPeer is another gateway from which messages have been received.
@@ -78,7 +78,7 @@
 }
 
 // repeatDue reports whether this gateway should announce a limit again: either it knows of
-// a later answer than the one announced, or no gateway has announced the limit recently.
+// a later response than the one announced, or no gateway has announced the limit recently.
 // The second check uses a different delay in each gateway, so that few announce it at the
 // same time.
 func (l *Limits) repeatDue(now time.Time, n *upstreamLimit) bool {
@@ -134,8 +134,8 @@
 	return changes
 }
 
-// merge applies an update from another gateway that is based on an answer given at the time
-// at, and reports whether it was new. The later answer wins. The delay of the first message
+// merge applies an update from another gateway that is based on a response given at the time
+// at, and reports whether it was new. The later response wins. The delay of the first message
 // from a gateway cannot be measured, so that message may be old and does not end a limit.
 func (l *Limits) merge(now time.Time, u LimitUpdate, at time.Time, measured bool) (changed bool) {
 	n := l.upstreams[u.Instance]
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -6,7 +6,7 @@
 	"wardturn"
 )
 
-// Limits enforces the rate limits that overloaded upstreams announce in their answers,
+// Limits enforces the rate limits that overloaded upstreams announce in their responses,
 // over all gateways together. Each gateway uses a fixed share of a limit and never more,
 // whatever the others use, so the bound needs no coordination and holds through network
 // partitions and restarts.
@@ -42,13 +42,13 @@
 	minLimit = 0.5
 	// limitBurst is the burst size, in seconds of a gateway's share of the limit.
 	limitBurst = 0.25
-	// limitEndDelay is how long an upstream's answers must carry no limit before the limit
-	// ends. A single answer without one may come from an intermediary.
+	// limitEndDelay is how long an upstream's responses must carry no limit before the limit
+	// ends. A single response without one may come from an intermediary.
 	limitEndDelay = time.Second
-	// limitEndResponses is the minimum number of consecutive answers without a limit that
+	// limitEndResponses is the minimum number of consecutive responses without a limit that
 	// end it.
 	limitEndResponses = 2
-	// minProbeAge is the minimum age of the latest known answer before a gateway without a
+	// minProbeAge is the minimum age of the latest known response before a gateway without a
 	// share of the limit sends a probe request. It may have missed the end of the limit.
 	minProbeAge = 10 * time.Second
 	// shareInterval is the minimum interval between two computations of the shares.
@@ -59,17 +59,17 @@
 // with rate zero.
 type upstreamLimit struct {
 	sharedRate
-	observedAt         time.Time // approximate time of the latest answer that carries the limit
-	unlimitedSince     time.Time // first answer without a limit since observedAt
-	unlimitedResponses int       // number of answers without a limit since observedAt
-	endedAt            time.Time // time of the answer that ended the previous limit
+	observedAt         time.Time // approximate time of the latest response that carries the limit
+	unlimitedSince     time.Time // first response without a limit since observedAt
+	unlimitedResponses int       // number of responses without a limit since observedAt
+	endedAt            time.Time // time of the response that ended the previous limit
 	probedAt           time.Time
-	// probeAfter is the age of the latest answer after which a gateway with a zero share
+	// probeAfter is the age of the latest response after which a gateway with a zero share
 	// sends a probe request.
 	probeAfter   time.Duration
 	dirty        bool      // changed since the latest announcement
 	announcedAt  time.Time // time of the latest announcement by any gateway
-	announcedFor time.Time // time of the latest answer that was announced
+	announcedFor time.Time // time of the latest response that was announced
 }
 
 // NewLimits returns an empty set of limits for the gateway process self.
@@ -92,14 +92,14 @@
 	l.updateShares(now)
 }
 
-// SetPreviousGateways sets the number of gateways known before this process started. Keepers that start
-// at the same time count gateways from one up, so without it each gateway would assume
-// that it is the only one.
+// SetPreviousGateways sets the number of gateways known before this process started.
+// Keepers that start at the same time count gateways from one up, so without it each
+// gateway would assume that it is the only one.
 func (l *Limits) SetPreviousGateways(now time.Time, gateways int) {
 	l.SetGateways(now, gateways)
 }
 
-// Observe records an answer that carries a limit and reports whether the limit changed.
+// Observe records a response that carries a limit and reports whether the limit changed.
 func (l *Limits) Observe(now time.Time, id wardturn.UpstreamID, rate wardturn.RequestRate) (changed bool) {
 	r := max(float64(rate), minLimit)
 	n := l.entry(id)
@@ -109,7 +109,7 @@
 	return changed
 }
 
-// ObserveUnparsed records an answer whose limit cannot be parsed. A known limit stays in
+// ObserveUnparsed records a response whose limit cannot be parsed. A known limit stays in
 // force.
 func (l *Limits) ObserveUnparsed(now time.Time, id wardturn.UpstreamID) {
 	if n := l.upstreams[id.Instance()]; n != nil && n.rate > 0 {
@@ -117,8 +117,8 @@
 	}
 }
 
-// ObserveNone records an answer without a limit to a request sent at the given time, and
-// reports whether it ends a limit. Answers to requests sent before the latest answer that
+// ObserveNone records a response without a limit to a request sent at the given time, and
+// reports whether it ends a limit. Responses to requests sent before the latest response that
 // carries the limit are ignored.
 func (l *Limits) ObserveNone(now time.Time, id wardturn.UpstreamID, sent time.Time) (ended bool) {
 	n := l.upstreams[id.Instance()]
@@ -183,8 +183,9 @@
 	n.spend(now)
 }
 
-// RetryDelay returns the delay after which a refused caller's retry may be sent to an upstream,
-// behind the retries already reserved with Owe. It returns false if the delay is unknown.
+// RetryDelay returns the delay after which a refused caller's retry may be sent to an
+// upstream, behind the retries already reserved with ReserveRetry. It returns false if the
+// delay is unknown.
 func (l *Limits) RetryDelay(now time.Time, id wardturn.UpstreamID) (time.Duration, bool) {
 	wait, known := time.Duration(0), true
 	if c := l.coldOf(now, id); c != nil {
@@ -228,7 +229,7 @@
 }
 
 // inForce returns the limit of an upstream, or nil if there is none. The limit of a worker
-// that restarts under the same name stays in force until its answers end it.
+// that restarts under the same name stays in force until its responses end it.
 func (l *Limits) inForce(id wardturn.UpstreamID) *upstreamLimit {
 	if len(l.upstreams) == 0 {
 		return nil
@@ -257,7 +258,7 @@
 	}
 }
 
-// set stores a limit from an answer given at the time observed. A new limit starts with an
+// set stores a limit from a response given at the time observed. A new limit starts with an
 // empty bucket.
 func (l *Limits) set(now time.Time, n *upstreamLimit, observed time.Time, rate float64) {
 	if n.rate == 0 {
@@ -277,7 +278,7 @@
 	l.updateShares(now)
 }
 
-// confirm records that an answer given at the time observed carried the limit.
+// confirm records that a response given at the time observed carried the limit.
 func (n *upstreamLimit) confirm(observed time.Time) {
 	n.observedAt = latest(n.observedAt, observed)
 	if observed.After(n.unlimitedSince) {
@@ -285,7 +286,7 @@
 	}
 }
 
-// end ends a limit because of an answer given at the time at.
+// end ends a limit because of a response given at the time at.
 func (n *upstreamLimit) end(at time.Time) {
 	n.rate = 0
 	n.unlimitedResponses = 0
@@ -338,7 +339,7 @@
 	return 1 / float64(senders)
 }
 
-// probeAfter returns the age of the latest answer on a limit after which this gateway
+// probeAfter returns the age of the latest response on a limit after which this gateway
 // probes if it has no share. The interval grows with the number of gateways, so that those
 // without a share together send at most one request per 1/minLimit seconds, and is
 // spread by a hash so that they probe at different times.
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -14,23 +14,23 @@
 const (
 	limitID        = wardturn.UpstreamID("u")
 	limitWindow    = 4 * time.Second
-	limitLearnTime = time.Second            // from the first answer with a limit until all must keep it
-	limitGraceTime = 500 * time.Millisecond // until a gateway that had such an answer must keep it
+	limitLearnTime = time.Second            // from the first response with a limit until all must keep it
+	limitGraceTime = 500 * time.Millisecond // until a gateway that had such a response must keep it
 	answerTime     = 30 * time.Millisecond
 )
 
 // limitSim simulates gateways in front of an upstream that announces a limit, with callers
-// that send requests at a rate, answers, delayed and lost gossip messages, and gateways
+// that send requests at a rate, responses, delayed and lost gossip messages, and gateways
 // that are partitioned, frozen and restarted.
 type limitSim struct {
 	now          time.Time
-	rate         float64 // limit in the upstream's answers; negative: none
+	rate         float64 // limit in the upstream's responses; negative: none
 	gateways     []*limitGateway
 	messages     []limitMessage
 	answers      []limitAnswer
 	sent         []int // by step, of all gateways
 	sentInformed []int // of these, from gateways that knew the limit for limitGraceTime
-	firstAnswer  int   // step of the first answer with the limit; negative: none yet
+	firstAnswer  int   // step of the first response with the limit; negative: none yet
 	sentTotal    int
 	refused      int
 	countOwnSide bool // keepers count the gateways of their own side only
@@ -39,7 +39,7 @@
 
 type limitGateway struct {
 	limits     *decide.Limits
-	informedAt time.Time // time of the first answer with the limit to this process; zero: none
+	informedAt time.Time // time of the first response with the limit to this process; zero: none
 	pending    float64
 	frozen     int // steps
 	side       int // side of a partition: messages and keepers' counts do not cross it
@@ -331,8 +331,8 @@
 	}
 }
 
-// A limit ends when answers no longer carry one, also for gateways that get no answers, and
-// is kept when it is announced again.
+// A limit ends when responses no longer carry one, also for gateways that get no responses,
+// and is kept when it is announced again.
 func TestLimitsEnd(t *testing.T) {
 	for _, n := range []int{1, 4, 26, 68} {
 		for _, rate := range []float64{1, 3.9, 12} {
@@ -357,8 +357,8 @@
 	}
 }
 
-// A single answer without a limit among answers with one does not end the limit, nor does
-// an answer to a request sent before the latest answer with the limit.
+// A single response without a limit among responses with one does not end the limit, nor does
+// a response to a request sent before the latest response with the limit.
 func TestLimitsSingleAnswers(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
--- a/decide/loadwindow.go
+++ b/decide/loadwindow.go
@@ -143,8 +143,8 @@
 	return w.median
 }
 
-// ObserveLoad records the duration of a load and the number of loads that were in flight when it
-// ended, including itself.
+// ObserveLoad records the duration of a load and the number of loads that were in flight
+// when it ended, including itself.
 func (w *LoadWindow) ObserveLoad(now time.Time, d time.Duration, under int) {
 	if w.fromMemory(d) {
 		return
--- a/decide/member.go
+++ b/decide/member.go
@@ -22,14 +22,14 @@
 	prefill           prefillCounts // long prompts being prefilled, of all gateways
 	prefillRate       *prefillRate  // prefill rate of the engines of its service
 	lastUpdate        EngineUpdate
-	updatedAt         time.Time // when the holding was received
-	runningAtUpdate   int       // value of running when the holding was received
+	updatedAt         time.Time // when lastUpdate was received
+	runningAtUpdate   int       // value of running when lastUpdate was received
 	held              map[wardturn.ModelAdapter]heldAdapter
 	loadsInFlight     int // adapters of held being loaded from the weight store
 	everHeld          map[wardturn.ModelAdapter]bool
 	requested         map[wardturn.ModelAdapter]bool // adapters that this gateway has asked it for
 	uses              map[wardturn.ModelAdapter]*AdapterCount
-	notHeldUntil      map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides the holding
+	notHeldUntil      map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides lastUpdate
 	replaced          bool                                // another incarnation answers at its address
 	refusedUntil      time.Time                           // set when it refuses a connection
 	backoff           *upstreamBackoff                    // a pause that it asked for, or nil
@@ -109,8 +109,8 @@
 	f.observeLatency(now, id, float64(took)/float64(time.Millisecond))
 }
 
-// RefusedAsFull records that a plain upstream refused a request for lack of capacity. Requests of
-// other gateways, which this gateway does not see, may fill it.
+// RefusedAsFull records that a plain upstream refused a request for lack of capacity.
+// Requests of other gateways, which this gateway does not see, may fill it.
 func (f *Fleet) RefusedAsFull(now time.Time, id wardturn.UpstreamID) {
 	f.observeLatency(now, id, queueFullLatency)
 }
@@ -169,8 +169,8 @@
 	return m.eligible(now) && m.lastUpdate.Connected && m.lastUpdate.Known && slices.Contains(m.lastUpdate.Models, model)
 }
 
-// IncarnationReplaced records that another incarnation answers at an upstream's address: this one
-// has ended, even if it is still listed.
+// IncarnationReplaced records that another incarnation answers at an upstream's address:
+// this one has ended, even if it is still listed.
 func (f *Fleet) IncarnationReplaced(id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
 		m.replaced = true
--- a/decide/missing.go
+++ b/decide/missing.go
@@ -12,8 +12,9 @@
 // message doesn't let the load request expire.
 const loadRequestInterval = 300 * time.Millisecond
 
-// missingAdapter is a missing adapter: one that requests wait for, or that is loaded for requests
-// that were refused with a retry time. The engine that is asked to load it is its home.
+// missingAdapter is a missing adapter: one that requests wait for, or that is loaded for
+// requests that were refused with a retry time. The engine that is asked to load it is its
+// home.
 type missingAdapter struct {
 	key              wardturn.ModelAdapter
 	service          wardturn.ServiceName
@@ -32,8 +33,8 @@
 	warm             bool                // the home held it before: not loaded from the weight store
 }
 
-// missingAdapters are the missing adapters, by adapter and by the regions in which their requests may
-// be served.
+// missingAdapters are the missing adapters, by adapter and by the regions in which their
+// requests may be served.
 type missingAdapters map[missingKey]*missingAdapter
 
 type missingKey struct {
@@ -156,8 +157,8 @@
 	return n
 }
 
-// requestMissing requests the missing adapters, the most needed first, while the load window has
-// room.
+// requestMissing requests the missing adapters, the most needed first, while the load
+// window has room.
 func (f *Fleet) requestMissing(now time.Time, out *Actions) {
 	for {
 		missing := f.nextMissing(now)
@@ -215,8 +216,8 @@
 	return missing.key.Adapter < o.key.Adapter
 }
 
-// requestLoad sends a load request for a missing adapter to the keeper of an engine, which becomes
-// its home.
+// requestLoad sends a load request for a missing adapter to the keeper of an engine, which
+// becomes its home.
 func (f *Fleet) requestLoad(now time.Time, missing *missingAdapter, home *Member, out *Actions) {
 	if missing.firstRequestedAt.IsZero() {
 		missing.firstRequestedAt = now
--- a/decide/pathbackoff.go
+++ b/decide/pathbackoff.go
@@ -21,7 +21,7 @@
 // PathBackoff is the exponential backoff of a network path: it decides when a path that has
 // failed may be used again.
 type PathBackoff struct {
-	Random  func() float64 // random number in [0, 1); nil: the package's Draw
+	Random  func() float64 // random number in [0, 1); nil: RandomFloat
 	backoff time.Duration  // latest backoff, without jitter
 	until   time.Time
 }
--- a/decide/pauses.go
+++ b/decide/pauses.go
@@ -29,7 +29,8 @@
 	return longPauseCost * probability * float64(m.load())
 }
 
-// costForRequest is cost plus the pause cost of the request's prompt for the streams at the member.
+// costForRequest is cost plus the pause cost of the request's prompt for the streams at the
+// member.
 func (f *Fleet) costForRequest(now time.Time, r *PendingRequest, m *Member) float64 {
 	return f.cost(now, m) + m.pauseCost(now, r)
 }
--- a/decide/pauses_test.go
+++ b/decide/pauses_test.go
@@ -122,7 +122,7 @@
 }
 
 // send sends a request through a gateway, and returns the events that end the reading of
-// its prompt and its answer.
+// its prompt and its response.
 func (h *hotAdapter) send(f *decide.Fleet) (began, ended event) {
 	var out decide.Actions
 	f.Admit(h.now, &decide.PendingRequest{
--- a/decide/pending.go
+++ b/decide/pending.go
@@ -62,8 +62,8 @@
 type Actions struct {
 	LoadRequests   []LoadRequest
 	CompletedLoads []CompletedLoad
-	// EnforcedVersions are versions whose older versions must not serve any more. Requests that were
-	// sent to an older version and have not begun must be cancelled.
+	// EnforcedVersions are versions whose older versions must not serve any more. Requests
+	// that were sent to an older version and have not started must be cancelled.
 	EnforcedVersions []wardturn.AdapterVersion
 	// Leaving are upstreams that have just announced that they are shutting down.
 	Leaving []wardturn.UpstreamID
--- a/decide/permits.go
+++ b/decide/permits.go
@@ -6,9 +6,9 @@
 	"wardturn"
 )
 
-// PermitRequest is an agent's permit request: the loads that it would start if the weight store
-// had capacity. It carries the full state, and each request replaces the previous one, so
-// a lost or late one only delays a load.
+// PermitRequest is an agent's permit request: the loads that it would start if the weight
+// store had capacity. It carries the full state, and each request replaces the previous
+// one, so a lost or late one only delays a load.
 type PermitRequest struct {
 	Upstream wardturn.UpstreamID `msgpack:"u"`
 	Class    wardturn.Class      `msgpack:"c"`
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// MaxConcurrentLoads is the number of adapters that an engine may load concurrently, as set
-	// by the platform's protocol.
+	// MaxConcurrentLoads is the number of adapters that an engine may load concurrently, as
+	// set by the platform's protocol.
 	MaxConcurrentLoads = 4
 	// loadRequestLifetime is the lifetime of a load request that is not repeated.
 	// Gateways repeat theirs every loadRequestInterval.
@@ -28,7 +28,7 @@
 )
 
 // Placement decides which adapters occupy the adapter slots of one engine. Gateways send
-// load requests for the adapters that their requests wait for, and Places returns the
+// load requests for the adapters that their requests wait for, and Placement returns the
 // load and unload orders.
 //
 // It receives a fresh report of the engine before every order, and each order carries
@@ -125,8 +125,8 @@
 	w.updatedAt = now
 }
 
-// ReportUse records a gateway's request counts for an adapter: those started since its previous
-// message, and those running now.
+// ReportUse records a gateway's request counts for an adapter: those started since its
+// previous message, and those running now.
 func (p *Placement) ReportUse(now time.Time, gateway wardturn.Incarnation, key wardturn.ModelAdapter, started, running int) {
 	u := p.useOf(key)
 	for range started {
--- a/decide/placement_evict.go
+++ b/decide/placement_evict.go
@@ -10,9 +10,9 @@
 // difference to the choice of an engine for an adapter.
 const MaxFreeSlots = 2
 
-// FreeSlots counts, up to MaxFreeSlots, the slots that another adapter could take now: empty ones
-// and those of adapters that may be evicted, less one for each load request that has no
-// slot yet.
+// FreeSlots counts, up to MaxFreeSlots, the slots that another adapter could take now:
+// empty ones and those of adapters that may be evicted, less one for each load request that
+// has no slot yet.
 func (p *Placement) FreeSlots(now time.Time) int {
 	n := p.spec.AdapterSlots - p.occupied()
 	for _, m := range p.state.Models {
--- a/decide/placement_report.go
+++ b/decide/placement_report.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// EngineRestarted resets the state after a restart of the engine: it holds no adapters and runs
-// no requests.
+// EngineRestarted resets the state after a restart of the engine: it holds no adapters and
+// runs no requests.
 func (p *Placement) EngineRestarted() {
 	clear(p.leaving)
 	clear(p.readyAt)
--- a/decide/prefill.go
+++ b/decide/prefill.go
@@ -49,10 +49,10 @@
 	f.queuePrefillReport(m)
 }
 
-// reservePrefill counts the prompt of a waiting request at the engine that loads its adapter as if
-// the engine were already prefilling it. A nil member removes the prompt from the count.
-// Without this, an engine that loads adapters for several long prompts looks idle until
-// all of them arrive there at once.
+// reservePrefill counts the prompt of a waiting request at the engine that loads its
+// adapter as if the engine were already prefilling it. A nil member removes the prompt from
+// the count. Without this, an engine that loads adapters for several long prompts looks
+// idle until all of them arrive there at once.
 func (f *Fleet) reservePrefill(r *PendingRequest, m *Member) {
 	if r.prefillAt == m {
 		return
@@ -111,8 +111,8 @@
 	m.prefill.othersReportedAt = now
 }
 
-// pendingPrefill returns the known number of prompt tokens that an engine has to prefill before a
-// new prompt.
+// pendingPrefill returns the known number of prompt tokens that an engine has to prefill
+// before a new prompt.
 func (m *Member) pendingPrefill(now time.Time) int {
 	if now.Sub(m.prefill.othersReportedAt) > prefillReportTTL {
 		return m.prefillTokens
--- a/decide/prefillrate.go
+++ b/decide/prefillrate.go
@@ -69,9 +69,9 @@
 	return r
 }
 
-// PrefillMeasured records the time from sending a request to an engine to the first token of its
-// answer, with the number of tokens the engine had to prefill in that time: those of the
-// prompt and those known to be queued before it.
+// PrefillMeasured records the time from sending a request to an engine to the first token
+// of its response, with the number of tokens the engine had to prefill in that time: those
+// of the prompt and those known to be queued before it.
 func (f *Fleet) PrefillMeasured(s wardturn.ServiceName, tokens int, took time.Duration) {
 	f.prefillRateOf(s).observe(tokens, took)
 }
--- a/decide/readscheduler.go
+++ b/decide/readscheduler.go
@@ -35,8 +35,8 @@
 	Interval time.Duration
 	// MinInterval is the minimum time between two reads of one process.
 	MinInterval time.Duration
-	// MinInvalidatedInterval is the minimum time between two reads caused by contradictions, so that
-	// changes in quick succession are read together.
+	// MinInvalidatedInterval is the minimum time between two reads caused by
+	// contradictions, so that changes in quick succession are read together.
 	MinInvalidatedInterval time.Duration
 }
 
@@ -176,8 +176,8 @@
 	s.Invalidate(now)
 }
 
-// ReadSucceeded records a successful read of the record as it was at the time asOf. It returns the
-// timestamp to send to the other processes.
+// ReadSucceeded records a successful read of the record as it was at the time asOf. It
+// returns the timestamp to send to the other processes.
 func (s *ReadScheduler) ReadSucceeded(asOf time.Time) time.Duration {
 	s.failed = false
 	s.update(asOf, true)
@@ -194,7 +194,7 @@
 // the time of the read by that process's clock. The clock offset is estimated by the
 // smallest difference between arrival time and stamp, which makes a delayed report
 // recognizable as old. The first report of a process has nothing to be compared with, so
-// it does not count for AsOf. Heard returns the time of the read, or zero for a first
+// it does not count for AsOf. PeerRead returns the time of the read, or zero for a first
 // report.
 func (s *ReadScheduler) PeerRead(now time.Time, from wardturn.Incarnation, stamp time.Duration) (asOf time.Time) {
 	minLag, measured := s.lags.observe(from, now.Sub(s.start)-stamp)
--- a/decide/teamcaps.go
+++ b/decide/teamcaps.go
@@ -166,9 +166,9 @@
 	}
 }
 
-// SetPreviousGateways sets the number of gateways known before this process started. It applies until
-// keepers and other gateways have had time to report. Otherwise each newly started process
-// would assume that it is the only one and grant a team its whole cap.
+// SetPreviousGateways sets the number of gateways known before this process started. It
+// applies until keepers and other gateways have had time to report. Otherwise each newly
+// started process would assume that it is the only one and grant a team its whole cap.
 func (c *TeamCaps) SetPreviousGateways(now time.Time, gateways int) {
 	c.previousGateways = gateways
 	c.SetGateways(now, 0)
@@ -212,8 +212,8 @@
 	}
 }
 
-// Remaining returns what is left of a team's cap, as far as known here, in seconds of the cap's
-// rate. A negative value is a debt.
+// Remaining returns what is left of a team's cap, as far as known here, in seconds of the
+// cap's rate. A negative value is a debt.
 func (c *TeamCaps) Remaining(now time.Time, team wardturn.TeamID) float64 {
 	t := c.caps[team]
 	if t == nil || t.limit.Rate <= 0 {
--- a/decide/teamreports.go
+++ b/decide/teamreports.go
@@ -44,8 +44,8 @@
 	silentGatewayRetention = time.Minute
 )
 
-// TeamUsageReport is the report by which a gateway tells the others how much of the caps it has
-// used.
+// TeamUsageReport is the report by which a gateway tells the others how much of the caps it
+// has used.
 type TeamUsageReport struct {
 	Process wardturn.Incarnation
 	Seq     uint64        // sequence number of the report within the process
@@ -110,8 +110,8 @@
 	return report, true
 }
 
-// NeedsEarlyReport reports whether the usage of a team's cap since the latest report is so high
-// that the others must be told before the next regular check. This happens when a team
+// NeedsEarlyReport reports whether the usage of a team's cap since the latest report is so
+// high that the others must be told before the next regular check. This happens when a team
 // suddenly uses far more than before.
 func (c *TeamCaps) NeedsEarlyReport(now time.Time, id wardturn.TeamID) bool {
 	t := c.caps[id]
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -28,7 +28,7 @@
 	u.changed = true
 }
 
-// ResponseStarted records that the answer to a request began, so its prompt has been read.
+// ResponseStarted records that the response to a request started, so its prompt has been read.
 func (f *Fleet) ResponseStarted(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	if m := f.members[id]; m != nil {
 		f.addPrefill(m, -prompt)
@@ -40,18 +40,18 @@
 type Outcome uint8
 
 const (
-	// OutcomeOK is a complete answer, or a refusal that says the request was not run.
+	// OutcomeOK is a complete response, or a refusal that says the request was not run.
 	OutcomeOK Outcome = iota
-	// OutcomeError is an answer that reports a failure of the upstream.
+	// OutcomeError is a response that reports a failure of the upstream.
 	OutcomeError
-	// OutcomeBroken is a missing or incomplete answer.
+	// OutcomeBroken is a missing or incomplete response.
 	OutcomeBroken
 	// OutcomeUnknown is an end that says nothing about the upstream.
 	OutcomeUnknown
 )
 
-// RequestEnded records the end of a request at an upstream. Began must be called first, even if
-// the request had no answer.
+// RequestEnded records the end of a request at an upstream. ResponseStarted must be called
+// first, even if the request had no response.
 func (f *Fleet) RequestEnded(now time.Time, id wardturn.UpstreamID, key wardturn.ModelAdapter, outcome Outcome) {
 	m := f.members[id]
 	if m == nil {
--- a/decide/waitlimit.go
+++ b/decide/waitlimit.go
@@ -23,7 +23,7 @@
 
 // shouldRefuse reports whether a waiting request should be refused now, because it can no
 // longer be served within its objective and its adapter is not being loaded. While its
-// adapter is being loaded the request continues to wait, since a late answer is worth more
+// adapter is being loaded the request continues to wait, since a late response is worth more
 // to the caller than none.
 func (f *Fleet) shouldRefuse(now time.Time, missing *missingAdapter, r *PendingRequest) bool {
 	if !now.Before(r.Deadline.Add(-refusalMargin)) {
@@ -42,7 +42,7 @@
 }
 
 // noneHoldsModel reports whether a service has engines but none of them holds the model of
-// a want, because all have restarted and are loading it.
+// a missing adapter, because all have restarted and are loading it.
 func (f *Fleet) noneHoldsModel(now time.Time, missing *missingAdapter) bool {
 	list := f.services[missing.service]
 	for _, m := range list {
@@ -67,8 +67,8 @@
 	return read + f.window.MedianLoadTime()
 }
 
-// loadRetryDelay returns the retry delay for a caller, from the estimated time until the adapter
-// is loaded.
+// loadRetryDelay returns the retry delay for a caller, from the estimated time until the
+// adapter is loaded.
 func (f *Fleet) loadRetryDelay(now time.Time, missing *missingAdapter) time.Duration {
 	typical := f.window.MedianLoadTime()
 	if missing.firstRequestedAt.IsZero() {
@@ -78,7 +78,7 @@
 }
 
 // loadRounds estimates the time until an adapter that has not been requested is loaded, in
-// units of the typical load time. Pending wants share the load window with those of the
+// units of the typical load time. Missing adapters share the load window with those of the
 // other gateways, which are assumed to have as many.
 func (f *Fleet) loadRounds() float64 {
 	pending := 0
--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -35,7 +35,7 @@
 	}
 	x.g.withdraw(r)
 	select {
-	case a := <-got: // assigned just before the ticket was withdrawn
+	case a := <-got: // assigned just before the request was withdrawn
 		if a.Member.ID != "" {
 			x.prefilling = a.Member.ID
 			x.releaseAssignment(a)
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -13,7 +13,7 @@
 	})
 }
 
-// decide runs f with g.mu held and carries out the resulting moves.
+// decide runs f with g.mu held and carries out the resulting actions.
 func (g *Gateway) decide(f func(now time.Time, out *decide.Actions)) {
 	var out decide.Actions
 	g.mu.Lock()
@@ -24,7 +24,7 @@
 	g.execute(out)
 }
 
-// execute carries out the moves of a decision. It must be called without g.mu held.
+// execute carries out the actions of a decision. It must be called without g.mu held.
 func (g *Gateway) execute(out decide.Actions) {
 	for _, l := range out.CompletedLoads {
 		g.metrics.loadDone(l)
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -22,8 +22,8 @@
 	eventData = []byte("data:")
 )
 
-// resumeMismatch is the reason why a response that resumes a stream does not continue after the
-// caller's last event. It is empty if the response does.
+// resumeMismatch is the reason why a response that resumes a stream does not continue after
+// the caller's last event. It is empty if the response does.
 type resumeMismatch string
 
 const (
@@ -34,7 +34,8 @@
 	mismatchOtherRun resumeMismatch = "other_run"
 	// mismatchNoNumber: the event has no number, so its position is unknown.
 	mismatchNoNumber resumeMismatch = "no_number"
-	// mismatchRepeated: the caller already has the event. It is dropped and the stream continues.
+	// mismatchRepeated: the caller already has the event. It is dropped and the stream
+	// continues.
 	mismatchRepeated resumeMismatch = "repeated"
 )
 
--- a/gateway/fleetfacts.go
+++ b/gateway/fleetfacts.go
@@ -17,11 +17,11 @@
 	restoreRetryInterval = 300 * time.Millisecond
 )
 
-// restoreFleetFacts restores what earlier gateways knew about the fleet from the store. After a
-// power loss all engines are empty, and without the window of concurrent adapter loads
-// requests would wait while it grows again to what the store can serve. From the number of
-// gateways a new one knows its share of usage caps before it has received messages of the
-// others.
+// restoreFleetFacts restores what earlier gateways knew about the fleet from the store.
+// After a power loss all engines are empty, and without the window of concurrent adapter
+// loads requests would wait while it grows again to what the store can serve. From the
+// number of gateways a new one knows its share of usage caps before it has received
+// messages of the others.
 func (g *Gateway) restoreFleetFacts() {
 	for range restoreAttempts {
 		facts, err := g.factStore.ReadFleetFacts()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -98,7 +98,7 @@
 	responseReader wardturn.ResponseReader
 	source         wardturn.ConfigSource
 	factStore      wardturn.FleetFactStore
-	// savedFacts is the latest state saved to memory; used by a single goroutine.
+	// savedFacts is the latest state saved to factStore; used by a single goroutine.
 	savedFacts        wardturn.FleetFacts
 	storeRestored     atomic.Bool // the store was restored from an older copy and may have lost saved state
 	membership        *membership
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -20,7 +20,7 @@
 	mu               sync.Mutex
 	member           wardturn.Member
 	engineConfig     peer.EngineConfig
-	engineConfigSent bool // the notice was sent on the current connection
+	engineConfigSent bool // engineConfig was sent on the current connection
 	conn             *peer.Conn
 	createdAt        time.Time          // when the link was created
 	relay            *link              // the relay; nil if there is none
@@ -35,9 +35,10 @@
 	pendingMarkAt    time.Time
 }
 
-// setEngineConfig sets the notice for the keeper, and sends it unless the keeper already has one
-// with the same engine specification. Most configuration changes do not affect an engine,
-// and sending a notice for each would cost one message per gateway and engine.
+// setEngineConfig sets the configuration for the keeper, and sends it unless the keeper
+// already has one with the same engine specification. Most configuration changes do not
+// affect an engine, and sending a message for each would cost one message per gateway and
+// engine.
 func (l *link) setEngineConfig(m wardturn.Member, cfg peer.EngineConfig) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,8 +53,8 @@
 	l.sendEngineConfig()
 }
 
-// sendEngineConfig sends the notice if it has not been sent on the current connection. The
-// caller must hold l.mu.
+// sendEngineConfig sends the configuration if it has not been sent on the current
+// connection. The caller must hold l.mu.
 func (l *link) sendEngineConfig() {
 	if l.conn == nil || l.engineConfigSent || l.engineConfig.Upstream == "" {
 		return
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// Regression test: each new configuration made each gateway send a notice to each keeper,
+// Regression test: each new configuration made each gateway send a message to each keeper,
 // and the keeper reply with its full state.
 func TestLinkSendsChangedNotices(t *testing.T) {
 	spec := wardturn.EngineSpec{
@@ -146,7 +146,7 @@
 	l := newTestLink(t)
 	sent := func(cfg peer.EngineConfig) bool {
 		conn := l.conn
-		l.conn = nil // without a connection, a notice to be sent stays pending
+		l.conn = nil // without a connection, a configuration to be sent stays pending
 		l.engineConfigSent = true
 		l.setEngineConfig(wardturn.Member{
 			ID: cfg.Upstream,
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -32,7 +32,7 @@
 }
 
 // update applies the current list of upstreams and configuration: it connects to the
-// keepers of new engines, closes the links of removed ones, and sends changed notices.
+// keepers of new engines, closes the links of removed ones, and sends changed configurations.
 func (ls *links) update() {
 	rs := ls.g.routes.Load()
 	if rs == nil {
--- a/gateway/readcoordinator.go
+++ b/gateway/readcoordinator.go
@@ -138,8 +138,8 @@
 	return nil, false, false
 }
 
-// configCurrentAt returns the latest time at which the local configuration is known to have been
-// current, or zero before the first read.
+// configCurrentAt returns the latest time at which the local configuration is known to have
+// been current, or zero before the first read.
 func (rc *readCoordinator) configCurrentAt() time.Time {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
--- a/gateway/relays.go
+++ b/gateway/relays.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// requestFullState requests the full state again, from the relay or with the next notice. The
-// caller must hold l.mu.
+// requestFullState requests the full state again, from the relay or with the next
+// EngineConfig. The caller must hold l.mu.
 func (l *link) requestFullState() {
 	l.synced = false
 	l.syncStartedAt = l.links.g.clock.Now()
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -63,7 +63,7 @@
 
 	mu               sync.Mutex
 	placement        *decide.Placement
-	configVersion    int64               // version of the configuration in the latest notice
+	configVersion    int64               // version of the configuration in the latest EngineConfig
 	upstream         wardturn.UpstreamID // the engine's current lifetime, from gateways and reports
 	upstreamPosition wardturn.Position   // position of the list entry with this lifetime
 	fence            wardturn.Fence
@@ -319,10 +319,10 @@
 	}
 }
 
-// handleEngineConfig handles a gateway's notice about the engine and replies with the full state,
-// unless the gateway gets it through a relay. An older configuration than the latest is
-// ignored, and so is an earlier lifetime of the engine: after a restart some gateways know
-// only the earlier one. The lock must be held.
+// handleEngineConfig handles a gateway's configuration of the engine and replies with the
+// full state, unless the gateway gets it through a relay. An older configuration than the
+// latest is ignored, and so is an earlier lifetime of the engine: after a restart some
+// gateways know only the earlier one. The lock must be held.
 func (k *Keeper) handleEngineConfig(c *peer.Conn, m *peer.EngineConfig) {
 	if m.Config >= k.configVersion {
 		k.configVersion = m.Config
--- a/peer/keeper.go
+++ b/peer/keeper.go
@@ -156,8 +156,8 @@
 	Uses []AdapterUse
 }
 
-// TeamUsageReports is gossip between gateways on how much each has used of the teams' usage caps.
-// A gateway sends its report to one keeper in each failure domain, which combines the
+// TeamUsageReports is gossip between gateways on how much each has used of the teams' usage
+// caps. A gateway sends its report to one keeper in each failure domain, which combines the
 // reports of several gateways in one message to those that receive announcements there.
 type TeamUsageReports struct {
 	Reports []decide.TeamUsageReport
--- a/responsehead.go
+++ b/responsehead.go
@@ -16,8 +16,8 @@
 	// all gateways together. It applies while the upstream's responses carry it.
 	Limit HeaderValue[RequestRate]
 	Cold  HeaderValue[time.Duration] // how much longer the upstream is cold and accepts few requests
-	// RetryAfter is how long an upstream that refused the request wants this gateway to send it
-	// no other.
+	// RetryAfter is how long an upstream that refused the request wants this gateway to
+	// send it no other.
 	RetryAfter HeaderValue[time.Duration]
 	// Unknown are the names of the headers that have no field in this type.
 	Unknown []string
