--- a/decide/allocator_test.go
+++ b/decide/allocator_test.go
@@ -18,7 +18,7 @@
 		Rate:     10,
 		Parallel: 4,
 	}
-	wish := func(id wardturn.UpstreamID, value float64) decide.PermitRequest {
+	newRequest := func(id wardturn.UpstreamID, value float64) decide.PermitRequest {
 		return decide.PermitRequest{
 			Upstream: id,
 			Value:    value,
@@ -29,10 +29,10 @@
 	It("gives a scarce permit to the most valuable request", func() {
 		l := decide.NewAllocator(limit, 1)
 		for _, id := range []wardturn.UpstreamID{"w", "x", "y", "z"} {
-			l.Request(start, wish(id, 1), nil) // takes the burst and all parallel loads
+			l.Request(start, newRequest(id, 1), nil) // takes the burst and all parallel loads
 		}
-		l.Request(start, wish("low", 2), nil)
-		l.Request(start, wish("high", 3), nil)
+		l.Request(start, newRequest("low", 2), nil)
+		l.Request(start, newRequest("high", 3), nil)
 		now := start.Add(100 * time.Millisecond)
 		Expect(l.Tick(now, nil)).To(BeEmpty(), "no place is free")
 		grants := l.Request(now, decide.PermitRequest{
@@ -47,9 +47,9 @@
 
 	It("leaves permits and parallel loads for interactive work", func() {
 		l := decide.NewAllocator(limit, 1)
-		first := l.Request(start, wish("interactive", 1), nil)
+		first := l.Request(start, newRequest("interactive", 1), nil)
 		Expect(first[0].Total).To(Equal(uint64(1)))
-		batch := wish("batch", 100)
+		batch := newRequest("batch", 100)
 		batch.Class = wardturn.Batch
 		grants := l.Request(start, batch, nil)
 		Expect(grants[0].Total).To(BeZero(), "the bucket is not full")
@@ -62,14 +62,14 @@
 		p := decide.NewAllocatedPermits(limit, 1)
 		now := start
 		load := func() bool {
-			if !p.Take(now, wish("a", 1)) {
+			if !p.Take(now, newRequest("a", 1)) {
 				r, due := p.Pending(now)
 				Expect(due).To(BeTrue())
 				r.Upstream = "a"
 				for _, g := range l.Request(now, r, nil) {
 					p.Granted(now, g)
 				}
-				return p.Take(now, wish("a", 1))
+				return p.Take(now, newRequest("a", 1))
 			}
 			return true
 		}
@@ -90,7 +90,7 @@
 
 	It("slows down when the store refuses loads within its limit", func() {
 		l := decide.NewAllocator(limit, 1)
-		r := wish("a", 1)
+		r := newRequest("a", 1)
 		l.Request(start, r, nil)
 		r.Busy = 3
 		grants := l.Request(start.Add(time.Second), r, nil)
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -150,10 +150,10 @@
 }
 
 // BenchmarkOrderChoice finds the next order at a keeper, for different numbers of
-// adapters that gateways wish for.
+// missing adapters that gateways request.
 func BenchmarkOrderChoice(b *testing.B) {
-	for _, wishes := range []int{4, 64, 256} {
-		b.Run(fmt.Sprint(wishes), func(b *testing.B) {
+	for _, missing := range []int{4, 64, 256} {
+		b.Run(fmt.Sprint(missing), func(b *testing.B) {
 			p := decide.NewPlacement(start, policy.Default{})
 			p.SetSpec(wardturn.EngineSpec{
 				AdapterSlots: 9,
@@ -170,7 +170,7 @@
 					},
 				},
 			})
-			for i := range wishes {
+			for i := range missing {
 				p.RequestLoad(start, "g", adapterVersion(fmt.Sprint("a", i), 1), 1+i%7, 0)
 			}
 			b.ReportAllocs()
--- a/decide/fleet_loads_test.go
+++ b/decide/fleet_loads_test.go
@@ -41,22 +41,22 @@
 			AdapterSlots: 2,
 		}))
 		other.SetMembers(x.now, fleetMembers())
-		var otherMoves decide.Actions
+		var otherActions decide.Actions
 		for _, m := range fleetMembers() {
 			other.ApplyEngineUpdate(x.now, m.ID, decide.EngineUpdate{
 				Connected: true,
 				Known:     true,
 				Full:      true,
 				Models:    []wardturn.BaseModel{"m"},
-			}, &otherMoves)
+			}, &otherActions)
 		}
 		for i := range 4 {
 			name := fmt.Sprint("a", i)
 			x.admit(name, name)
-			other.Admit(x.now, x.ticket(name, name), &otherMoves)
+			other.Admit(x.now, x.ticket(name, name), &otherActions)
 		}
 		Expect(x.out.LoadRequests).To(HaveLen(4))
-		Expect(otherMoves.LoadRequests).To(Equal(x.out.LoadRequests))
+		Expect(otherActions.LoadRequests).To(Equal(x.out.LoadRequests))
 	})
 
 	It("asks first for the most recently requested adapter when loads are delayed", func() {
@@ -80,9 +80,9 @@
 			x.tick(300 * time.Millisecond)
 		}
 		Expect(x.f.Levels().LoadsInFlight).To(BeZero())
-		asks := len(x.out.LoadRequests)
+		requests := len(x.out.LoadRequests)
 		x.tick(300 * time.Millisecond)
-		Expect(x.out.LoadRequests).To(HaveLen(asks))
+		Expect(x.out.LoadRequests).To(HaveLen(requests))
 	})
 
 	It("joins a load that another gateway requested", func() {
@@ -108,14 +108,14 @@
 			},
 		})
 		x.out.LoadRequests = nil
-		var coming []decide.HeldVersion
+		var loads []decide.HeldVersion
 		for i := range decide.MaxConcurrentLoads {
-			coming = append(coming, decide.HeldVersion{
+			loads = append(loads, decide.HeldVersion{
 				Adapter: adapterVersion(fmt.Sprint("b", i), 1),
 				Loading: true,
 			})
 		}
-		x.setAdapters(string(home), coming...)
+		x.setAdapters(string(home), loads...)
 		for range 4 {
 			x.tick(time.Second)
 		}
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -333,13 +333,13 @@
 
 	It("never exceeds the number of slots, whatever is requested and reported", func() {
 		held := map[string]bool{}
-		coming := map[string]bool{}
+		loading := map[string]bool{}
 		state := func() {
 			var h, c []string
 			for name := range held {
 				h = append(h, name)
 			}
-			for name := range coming {
+			for name := range loading {
 				c = append(c, name)
 			}
 			report(c, h...)
@@ -352,16 +352,16 @@
 				if o.Unload {
 					delete(held, string(o.Target.Adapter))
 				} else {
-					coming[string(o.Target.Adapter)] = true
+					loading[string(o.Target.Adapter)] = true
 				}
 			}
 			if i%5 == 0 {
-				for name := range coming {
+				for name := range loading {
 					held[name] = true
 				}
-				clear(coming)
+				clear(loading)
 			}
-			Expect(len(held) + len(coming)).To(BeNumerically("<=", 3))
+			Expect(len(held) + len(loading)).To(BeNumerically("<=", 3))
 		}
 	})
 })
--- a/decide/readscheduler_test.go
+++ b/decide/readscheduler_test.go
@@ -17,7 +17,7 @@
 		least = 250 * time.Millisecond
 	)
 	var now time.Time
-	newTurn := func(self wardturn.Incarnation) *decide.ReadScheduler {
+	newScheduler := func(self wardturn.Incarnation) *decide.ReadScheduler {
 		return decide.NewReadScheduler(now, self, decide.ReadSchedulerConfig{
 			MaxAge:      every,
 			Interval:    every,
@@ -32,14 +32,14 @@
 	})
 
 	It("is due at the start, and after a pause while no other process reads", func() {
-		s := newTurn("b")
+		s := newScheduler("b")
 		Expect(due(s)).To(BeNumerically("<=", 0))
 		s.ReadSucceeded(now)
 		Expect(due(s)).To(Equal(every))
 	})
 
 	It("retries failed reads at a constant interval", func() {
-		s := newTurn("b")
+		s := newScheduler("b")
 		s.ReadSucceeded(now)
 		now = now.Add(2 * every)
 		s.Invalidate(now)
@@ -101,7 +101,7 @@
 	})
 
 	It("returns the cause of a read", func() {
-		s := newTurn("b")
+		s := newScheduler("b")
 		Expect(s.Cause(now)).To(Equal(decide.ReadFirst))
 		s.ReadSucceeded(now)
 		now = now.Add(2 * every)
@@ -118,7 +118,7 @@
 	})
 
 	It("leaves the reads to the process with the lowest ID while its reports arrive", func() {
-		a, b := newTurn("a"), newTurn("b")
+		a, b := newScheduler("a"), newScheduler("b")
 		for range 10 {
 			stamp := a.ReadSucceeded(now)
 			b.PeerRead(now, "a", stamp)
@@ -130,7 +130,7 @@
 	})
 
 	It("reads when the reports of others fail to arrive, and becomes the leader after a while", func() {
-		a, b := newTurn("a"), newTurn("b")
+		a, b := newScheduler("a"), newScheduler("b")
 		b.PeerRead(now, "a", a.ReadSucceeded(now))
 		now = now.Add(3 * every / 2)
 		Expect(due(b)).To(BeNumerically("<=", 0))
@@ -145,7 +145,7 @@
 		var ids []wardturn.Incarnation
 		for i := range n {
 			ids = append(ids, wardturn.Incarnation(fmt.Sprintf("%03d", i)))
-			turns = append(turns, newTurn(ids[i]))
+			turns = append(turns, newScheduler(ids[i]))
 		}
 		read := func(i int) {
 			stamp := turns[i].ReadSucceeded(now)
@@ -185,7 +185,7 @@
 	})
 
 	It("recognizes the age of a delayed report", func() {
-		a, b := newTurn("a"), newTurn("b")
+		a, b := newScheduler("a"), newScheduler("b")
 		now = now.Add(time.Minute)
 		b.PeerRead(now, "a", a.ReadSucceeded(now))
 		held := a.ReadSucceeded(now.Add(every))
@@ -195,15 +195,15 @@
 	})
 
 	It("allows for processes whose clocks started at different times", func() {
-		a := newTurn("a")
+		a := newScheduler("a")
 		now = now.Add(time.Hour)
-		b := newTurn("b")
+		b := newScheduler("b")
 		b.PeerRead(now, "a", a.ReadSucceeded(now))
 		Expect(due(b)).To(BeNumerically(">", every))
 	})
 
 	It("is due soon after a contradiction unless another process has read since", func() {
-		a, b := newTurn("a"), newTurn("b")
+		a, b := newScheduler("a"), newScheduler("b")
 		b.PeerRead(now, "a", a.ReadSucceeded(now))
 		now = now.Add(10 * time.Millisecond)
 		b.Invalidate(now)
@@ -213,7 +213,7 @@
 	})
 
 	It("keeps a minimum time between its own reads", func() {
-		s := newTurn("a")
+		s := newScheduler("a")
 		s.ReadStarted(now)
 		s.Invalidate(now)
 		Expect(due(s)).To(Equal(least))
--- a/decide/router_test.go
+++ b/decide/router_test.go
@@ -30,7 +30,7 @@
 		r.SetHosts(list)
 		return r
 	}
-	ask := func(name string) decide.RouteRequest {
+	request := func(name string) decide.RouteRequest {
 		return decide.RouteRequest{
 			Adapter: wardturn.AdapterRef{
 				Adapter: wardturn.AdapterID(name),
@@ -47,20 +47,20 @@
 	It("prefers its own region and falls back to another", func() {
 		r := router(append(hosts(3, "near"), hosts(3, "far")...)...)
 		for i := range 50 {
-			Expect(string(pick(r, start, ask(fmt.Sprint("a", i))))).To(HavePrefix("near"))
+			Expect(string(pick(r, start, request(fmt.Sprint("a", i))))).To(HavePrefix("near"))
 		}
 		near := hosts(3, "near")
 		for i := range near {
 			near[i].State = wardturn.HostLeaving
 		}
 		r.SetHosts(append(near, hosts(3, "far")...))
-		Expect(string(pick(r, start, ask("a1")))).To(HavePrefix("far"))
+		Expect(string(pick(r, start, request("a1")))).To(HavePrefix("far"))
 	})
 
 	It("sends an adapter to the same upstream from every entry host", func() {
 		x, y := router(hosts(9, "near")...), router(hosts(9, "near")...)
 		for i := range 50 {
-			req := ask(fmt.Sprint("a", i))
+			req := request(fmt.Sprint("a", i))
 			Expect(pick(x, start, req)).To(Equal(pick(y, start, req)))
 		}
 	})
@@ -69,7 +69,7 @@
 		x, y := router(hosts(10, "near")...), router(hosts(9, "near")...)
 		moved := 0
 		for i := range 1000 {
-			req := ask(fmt.Sprint("a", i))
+			req := request(fmt.Sprint("a", i))
 			if pick(x, start, req) != pick(y, start, req) {
 				moved++
 			}
@@ -79,8 +79,8 @@
 
 	It("does not pick an upstream that hinted that it is leaving or that was already tried", func() {
 		r := router(hosts(2, "near")...)
-		first := pick(r, start, ask("a"))
-		req := ask("a")
+		first := pick(r, start, request("a"))
+		req := request("a")
 		req.Tried = []wardturn.UpstreamID{first}
 		other := pick(r, start, req)
 		Expect(other).NotTo(Equal(first))
@@ -89,12 +89,12 @@
 		})
 		_, ok := r.Pick(start, req)
 		Expect(ok).To(BeFalse())
-		Expect(pick(r, start, ask("a"))).To(Equal(first))
+		Expect(pick(r, start, request("a"))).To(Equal(first))
 	})
 
 	It("gives an adapter whose home is overloaded another home", func() {
 		r := router(hosts(3, "near")...)
-		home := pick(r, start, ask("hot"))
+		home := pick(r, start, request("hot"))
 		for _, h := range hosts(3, "near") {
 			hint := decide.Hint{
 				Capacity:   16,
@@ -106,23 +106,23 @@
 			}
 			r.Hint(start, h.Upstream, hint)
 		}
-		Expect(pick(r, start, ask("hot"))).NotTo(Equal(home))
+		Expect(pick(r, start, request("hot"))).NotTo(Equal(home))
 	})
 
 	It("avoids a failing upstream and tries it again later", func() {
 		r := router(hosts(2, "near")...)
-		first := pick(r, start, ask("a"))
+		first := pick(r, start, request("a"))
 		for range 3 {
 			r.Sent(first)
 			r.Ended(start, first, false)
 		}
-		Expect(pick(r, start, ask("a"))).NotTo(Equal(first))
+		Expect(pick(r, start, request("a"))).NotTo(Equal(first))
 		// The adapter has a second home now, so the failing upstream is tried again only
 		// for a new adapter whose first candidate it is.
 		later := start.Add(time.Minute)
 		tried := false
 		for i := range 50 {
-			tried = tried || pick(r, later, ask(fmt.Sprint("b", i))) == first
+			tried = tried || pick(r, later, request(fmt.Sprint("b", i))) == first
 		}
 		Expect(tried).To(BeTrue())
 	})
@@ -136,7 +136,7 @@
 				r.Ended(start, h.Upstream, false)
 			}
 		}
-		pick(r, start, ask("a"))
+		pick(r, start, request("a"))
 	})
 })
 
--- a/gateway/announcements.go
+++ b/gateway/announcements.go
@@ -109,8 +109,8 @@
 func (l *link) setAnnouncements(domains []wardturn.FailureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if news := slices.Contains(domains, l.member.Domain); l.engineConfig.Announcements != news {
-		l.engineConfig.Announcements = news
+	if announcements := slices.Contains(domains, l.member.Domain); l.engineConfig.Announcements != announcements {
+		l.engineConfig.Announcements = announcements
 		l.engineConfigSent = false
 		l.sendEngineConfig()
 	}
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -93,10 +93,10 @@
 	}
 }
 
-// awaitSignal waits for a signal on ask. It reports false when the gateway shuts down.
-func (c *crashes) awaitSignal(ask chan struct{}) bool {
+// awaitSignal waits for a signal on requested. It reports false when the gateway shuts down.
+func (c *crashes) awaitSignal(requested chan struct{}) bool {
 	select {
-	case <-ask:
+	case <-requested:
 		return true
 	case <-c.g.tasks.Context().Done():
 		return false
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -155,16 +155,16 @@
 		return !l.engineConfigSent
 	}
 	for _, c := range []struct {
-		name   string
-		notice peer.EngineConfig
-		want   bool
+		name         string
+		engineConfig peer.EngineConfig
+		want         bool
 	}{
 		{"the first", peer.EngineConfig{Config: 1, Upstream: "i-1", Spec: spec}, true},
 		{"a version that changes nothing", peer.EngineConfig{Config: 2, Upstream: "i-1", Spec: spec}, false},
 		{"another specification", peer.EngineConfig{Config: 3, Upstream: "i-1", Spec: larger}, true},
 		{"another incarnation", peer.EngineConfig{Config: 3, Upstream: "i-2", Spec: larger}, true},
 	} {
-		if got := sent(c.notice); got != c.want {
+		if got := sent(c.engineConfig); got != c.want {
 			t.Errorf("%s: notice to be sent: %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/keeper/announcements_test.go
+++ b/keeper/announcements_test.go
@@ -17,10 +17,10 @@
 		receiverConn *peer.Conn
 		other        *gatewayClient // a gateway that gets them from other keepers
 	)
-	connectGateway := func(news bool) (*gatewayClient, *peer.Conn) {
+	connectGateway := func(announcements bool) (*gatewayClient, *peer.Conn) {
 		g, c := connect(addr)
 		cfg := engineNotice(true)
-		cfg.Announcements = news
+		cfg.Announcements = announcements
 		Expect(c.Send(cfg)).To(Succeed())
 		return g, c
 	}
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -249,13 +249,13 @@
 // giveOrder sends an order to the engine and reports whether it was accepted or had nothing
 // to change. Otherwise the next order is delayed.
 func (k *Keeper) giveOrder(o wardturn.EngineOrder) bool {
-	answer := k.engine.Order(o)
+	result := k.engine.Order(o)
 	k.scope.Tagged(map[string]string{
-		"answer": answer.String(),
+		"answer": result.String(),
 	}).Counter("orders").Inc(1)
-	k.logger.Debug("order", "unload", o.Unload, "adapter", o.Target.Adapter, "version", o.Version, "seq", o.ExpectedSeq, "answer", answer)
+	k.logger.Debug("order", "unload", o.Unload, "adapter", o.Target.Adapter, "version", o.Version, "seq", o.ExpectedSeq, "answer", result)
 	delay := time.Duration(0)
-	switch answer {
+	switch result {
 	case wardturn.OrderAccepted, wardturn.OrderNoChange:
 		return true
 	case wardturn.OrderConflict:
@@ -269,7 +269,7 @@
 		k.takeFence()
 		return false
 	}
-	k.logger.Info("order not taken", "unload", o.Unload, "adapter", o.Target.Adapter, "seq", o.ExpectedSeq, "upstream", o.Upstream, "answer", answer)
+	k.logger.Info("order not taken", "unload", o.Unload, "adapter", o.Target.Adapter, "seq", o.ExpectedSeq, "upstream", o.Upstream, "answer", result)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.placement.Defer(k.clock.Now().Add(delay))
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -159,7 +159,7 @@
 		DeferCleanup(c.Close)
 		Eventually(g.conn, eventTimeout).Should(Receive(&conn))
 	}
-	sendNotice := func(upstream wardturn.UpstreamID, position wardturn.Position) {
+	sendConfig := func(upstream wardturn.UpstreamID, position wardturn.Position) {
 		Expect(conn.Send(&peer.EngineConfig{
 			Config:   1,
 			Upstream: upstream,
@@ -174,8 +174,8 @@
 			},
 		})).To(Succeed())
 	}
-	sendDefaultNotice := func() {
-		sendNotice("i-1", 1)
+	sendDefaultConfig := func() {
+		sendConfig("i-1", 1)
 	}
 	requestLoad := func() {
 		Expect(conn.Send(&peer.LoadRequest{
@@ -200,7 +200,7 @@
 
 	It("gives orders with its fence, the engine's lifetime and sequence number", func() {
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		requestLoad()
 		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(1))
 		o := e.givenOrders()[0]
@@ -212,7 +212,7 @@
 
 	It("sends the full state first and then changes", func() {
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		var u *peer.EngineUpdate
 		Eventually(g.updates, eventTimeout).Should(Receive(&u))
 		Expect(u.Full).To(BeTrue())
@@ -227,7 +227,7 @@
 	It("sends the engine's state to a gateway that connected before the first report", func() {
 		e.blockReports = make(chan struct{})
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		var u *peer.EngineUpdate
 		Eventually(g.updates, eventTimeout).Should(Receive(&u))
 		Expect(u.Known).To(BeFalse())
@@ -240,7 +240,7 @@
 
 	It("sends the tokens of long prompts in prefill, until they are processed or their gateway disconnects", func() {
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		prefill := func() int {
 			var u *peer.EngineUpdate
 			Eventually(g.updates, eventTimeout).Should(Receive(&u))
@@ -259,26 +259,26 @@
 		Eventually(prefill, eventTimeout).Should(Equal(9000))
 		conn.Close()
 		Eventually(g.conn, eventTimeout).Should(Receive(&conn))
-		sendDefaultNotice()
+		sendDefaultConfig()
 		Eventually(prefill, eventTimeout).Should(BeZero())
 	})
 
 	It("sends the number of gateways", func() {
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		var u *peer.EngineUpdate
 		Eventually(g.updates, eventTimeout).Should(Receive(&u))
 		Expect(u.Gateways).To(Equal(1))
 		conn.Close()
 		Eventually(g.conn, eventTimeout).Should(Receive(&conn))
-		sendDefaultNotice()
+		sendDefaultConfig()
 		Eventually(g.updates, eventTimeout).Should(Receive(&u))
 		Expect(u.Gateways).To(Equal(1))
 	})
 
 	It("sends the limit in the engine's reports, and that it has ended", func() {
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		var u *peer.EngineUpdate
 		Eventually(g.updates, eventTimeout).Should(Receive(&u))
 		Expect(u.Limit).To(BeZero())
@@ -293,8 +293,8 @@
 
 	It("keeps the later lifetime of the engine when a gateway still sends the earlier one", func() {
 		start()
-		sendNotice("i-2", 20)
-		sendNotice("i-1", 10)
+		sendConfig("i-2", 20)
+		sendConfig("i-1", 10)
 		requestLoad()
 		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(1))
 		Expect(e.givenOrders()[0].Upstream).To(BeEquivalentTo("i-2"))
@@ -303,7 +303,7 @@
 	It("learns from the engine's report that it restarted under the same name, and ignores a gateway with the earlier lifetime", func() {
 		e.state.StartMS = 1000
 		start()
-		sendNotice(wardturn.NewUpstreamID("i-1", 1000), 10)
+		sendConfig(wardturn.NewUpstreamID("i-1", 1000), 10)
 		requestLoad()
 		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(1))
 		Expect(e.givenOrders()[0].Upstream).To(Equal(wardturn.NewUpstreamID("i-1", 1000)))
@@ -315,7 +315,7 @@
 		Eventually(func() wardturn.UpstreamID {
 			return (<-g.updates).Upstream
 		}, eventTimeout).Should(Equal(wardturn.NewUpstreamID("i-1", 2000)))
-		sendNotice(wardturn.NewUpstreamID("i-1", 1000), 11) // the entry of the earlier lifetime was written again
+		sendConfig(wardturn.NewUpstreamID("i-1", 1000), 11) // the entry of the earlier lifetime was written again
 		requestLoad()
 		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(2))
 		Expect(e.givenOrders()[1].Upstream).To(Equal(wardturn.NewUpstreamID("i-1", 2000)))
@@ -325,11 +325,11 @@
 	It("gives orders to a new lifetime without delay after the previous one refused an order", func() {
 		e.results = []wardturn.OrderResult{wardturn.OrderInvalid}
 		start()
-		sendNotice("i-1", 10)
+		sendConfig("i-1", 10)
 		requestLoad()
 		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(1))
 		restarted := time.Now()
-		sendNotice("i-2", 20)
+		sendConfig("i-2", 20)
 		requestLoad()
 		Eventually(e.givenOrders, eventTimeout, time.Millisecond).Should(HaveLen(2))
 		Expect(time.Since(restarted)).To(BeNumerically("<", 400*time.Millisecond)) // invalidPause is 500 ms
@@ -339,7 +339,7 @@
 	It("gives no orders before it has a fence", func() {
 		f.failing = true
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		requestLoad()
 		Consistently(e.givenOrders, 100*time.Millisecond).Should(BeEmpty())
 		f.mu.Lock()
@@ -360,7 +360,7 @@
 	It("takes a fence soon after the store accepts records again", func() {
 		f.failing = true
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		time.Sleep(1200 * time.Millisecond) // several attempts have failed
 		f.mu.Lock()
 		f.failing = false
@@ -375,7 +375,7 @@
 	It("takes a new fence when a newer holder has given orders", func() {
 		e.results = []wardturn.OrderResult{wardturn.OrderStale}
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		requestLoad()
 		Eventually(func() int {
 			requestLoad()
@@ -387,7 +387,7 @@
 	It("repeats an order without a response, with the sequence number that the engine reports then", func() {
 		e.results = []wardturn.OrderResult{wardturn.OrderLost, wardturn.OrderConflict}
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		requestLoad()
 		Eventually(func() int {
 			requestLoad()
@@ -404,7 +404,7 @@
 		}
 		setBusy(true)
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		Consistently(func() []wardturn.EngineOrder {
 			requestLoad()
 			return e.givenOrders()
@@ -417,7 +417,7 @@
 
 	It("sends that the engine's state is unknown when the engine does not respond", func() {
 		start()
-		sendDefaultNotice()
+		sendDefaultConfig()
 		e.mu.Lock()
 		e.down = true
 		e.mu.Unlock()
