--- a/agent/agent.go
+++ b/agent/agent.go
@@ -89,7 +89,7 @@
 		service:  d.Service,
 		hosts:    d.Hosts,
 		tls:      d.TLS,
-		ledger:   decide.NewLedger(cfg.MaxEndedAttempts, cfg.AttemptRetention),
+		ledger:   decide.NewLedger(cfg.MaxEndedAttempts, cfg.AttemptTTL),
 		attempts: make(map[wardturn.AttemptID]*attempt),
 		builtin:  d.Policy,
 		idle:     make(chan struct{}),
@@ -252,11 +252,11 @@
 	defer a.mu.Unlock()
 	now := a.clock.Now()
 	for id, t := range a.attempts {
-		if t.ended && now.Sub(t.endedAt) > a.cfg.AttemptRetention {
+		if t.ended && now.Sub(t.endedAt) > a.cfg.AttemptTTL {
 			delete(a.attempts, id)
 		}
 	}
-	for len(a.past) > 0 && now.Sub(a.past[0].endedAt) > a.cfg.AttemptRetention {
+	for len(a.past) > 0 && now.Sub(a.past[0].endedAt) > a.cfg.AttemptTTL {
 		a.dropOldest()
 	}
 	a.ledger.Sweep(now)
--- a/agent/config.go
+++ b/agent/config.go
@@ -26,7 +26,7 @@
 	RequireFence     bool          // give no orders without a fence from the log
 	ResponseBuffer   int           // bytes of an answer kept for a slow or lost entry
 	KeepBytes        int           // of all ended answers together
-	AttemptRetention time.Duration // time for which ended attempts are remembered
+	AttemptTTL       time.Duration // time for which ended attempts are remembered
 	MaxEndedAttempts int           // number of ended attempts remembered
 	OrphanGrace      time.Duration // time that an attempt runs on without an entry
 }
@@ -37,7 +37,7 @@
 	DefaultHostsEvery       = time.Second
 	DefaultResponseBuffer   = 1 << 20
 	DefaultKeepBytes        = 16 << 20
-	DefaultAttemptRetention = time.Minute
+	DefaultAttemptTTL       = time.Minute
 	DefaultMaxEndedAttempts = 20_000
 	DefaultOrphanGrace      = 10 * time.Second
 	DefaultMaxRunning       = 16
@@ -49,7 +49,7 @@
 	c.HostsEvery = cmp.Or(c.HostsEvery, DefaultHostsEvery)
 	c.ResponseBuffer = cmp.Or(c.ResponseBuffer, DefaultResponseBuffer)
 	c.KeepBytes = cmp.Or(c.KeepBytes, DefaultKeepBytes)
-	c.AttemptRetention = cmp.Or(c.AttemptRetention, DefaultAttemptRetention)
+	c.AttemptTTL = cmp.Or(c.AttemptTTL, DefaultAttemptTTL)
 	c.MaxEndedAttempts = cmp.Or(c.MaxEndedAttempts, DefaultMaxEndedAttempts)
 	c.OrphanGrace = cmp.Or(c.OrphanGrace, DefaultOrphanGrace)
 	c.MaxRunning = cmp.Or(c.MaxRunning, DefaultMaxRunning)
--- a/agent/run.go
+++ b/agent/run.go
@@ -19,7 +19,7 @@
 	if t == nil || t.ended {
 		panic("agent: core started an attempt that has ended")
 	}
-	t.stalled = st.Stalled
+	t.stalled = st.AdapterWait
 	ctx, cancel := context.WithCancel(a.tasks.Context())
 	t.cancel = cancel
 	a.tasks.Go(func() {
--- a/cli/fleet/gateway.go
+++ b/cli/fleet/gateway.go
@@ -79,19 +79,19 @@
 
 func (c *gatewayCmd) config() gateway.Config {
 	return gateway.Config{
-		Process:       process.NewIncarnation(),
-		Host:          c.Node,
-		Domain:        wardturn.FailureDomain(c.Domain),
-		KeeperPort:    c.Port,
-		Drain:         c.Drain,
-		ExpiryGrace:   c.LapseGrace,
-		MaxBody:       c.MaxBody,
-		MaxHeld:       c.MemoryMB << 20 / heldPart,
-		RetryShare:    c.RetryShare,
-		RetryExtra:    c.RetryExtra,
-		RetryWindow:   c.RetryWindow,
-		ShutdownDelay: c.LeaveAfter,
-		KeyBound:      c.KeyBound,
+		Process:          process.NewIncarnation(),
+		Host:             c.Node,
+		Domain:           wardturn.FailureDomain(c.Domain),
+		KeeperPort:       c.Port,
+		Drain:            c.Drain,
+		ExpiryGrace:      c.LapseGrace,
+		MaxBody:          c.MaxBody,
+		MaxBufferedBytes: c.MemoryMB << 20 / heldPart,
+		RetryShare:       c.RetryShare,
+		RetryExtra:       c.RetryExtra,
+		RetryWindow:      c.RetryWindow,
+		ShutdownDelay:    c.LeaveAfter,
+		KeyBound:         c.KeyBound,
 
 		EqualCapShares: c.EqualCaps,
 		Crashes: decide.CrashConfig{
--- a/decide/agent.go
+++ b/decide/agent.go
@@ -73,8 +73,8 @@
 
 // Start asks the driver to run an attempt now.
 type Start struct {
-	Attempt wardturn.AttemptID
-	Stalled time.Duration // time the attempt waited for its adapter
+	Attempt     wardturn.AttemptID
+	AdapterWait time.Duration // time the attempt waited for its adapter
 }
 
 // Refusal tells the driver that an attempt will not run.
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -57,8 +57,8 @@
 					id, _ := r.Pick(now, decide.RouteRequest{
 						Adapter: refs[(i*c.step)%c.of],
 					})
-					r.Sent(id)
-					r.Ended(now, id, true)
+					r.RequestSent(id)
+					r.RequestEnded(now, id, true)
 				}
 			})
 		}
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -43,7 +43,7 @@
 
 	out.Reset()
 	agent.Loaded(now.Add(400*time.Millisecond), load.ID, decide.OrderDone, &out)
-	fmt.Println("run", out.Run[0].Attempt, "after", out.Run[0].Stalled)
+	fmt.Println("run", out.Run[0].Attempt, "after", out.Run[0].AdapterWait)
 	// Output:
 	// load fares@2
 	// run e1-1 after 400ms
--- a/decide/ledger.go
+++ b/decide/ledger.go
@@ -32,7 +32,7 @@
 // Unknown. Late duplicates are thus recognized without a clock.
 type Ledger struct {
 	limit          int
-	retention      time.Duration
+	attemptTTL     time.Duration
 	attempts       map[wardturn.AttemptID]*ledgerEntry
 	ended          *list.List // of *entry, in the order in which they ended
 	highWaterMarks map[wardturn.Incarnation]*highWaterMark
@@ -63,7 +63,7 @@
 func NewLedger(limit int, remember time.Duration) *Ledger {
 	return &Ledger{
 		limit:          limit,
-		retention:      remember,
+		attemptTTL:     remember,
 		attempts:       make(map[wardturn.AttemptID]*ledgerEntry),
 		ended:          list.New(),
 		highWaterMarks: make(map[wardturn.Incarnation]*highWaterMark),
@@ -157,7 +157,7 @@
 func (l *Ledger) Sweep(now time.Time) {
 	for l.ended.Len() > 0 {
 		e := l.ended.Front().Value.(*ledgerEntry)
-		if l.ended.Len() <= l.limit && now.Sub(e.endedAt) <= l.retention {
+		if l.ended.Len() <= l.limit && now.Sub(e.endedAt) <= l.attemptTTL {
 			break
 		}
 		l.ended.Remove(l.ended.Front())
--- a/decide/plan.go
+++ b/decide/plan.go
@@ -143,7 +143,7 @@
 	}
 	if it.adapter != nil {
 		it.adapter.running++
-		start.Stalled = a.stalled(it)
+		start.AdapterWait = a.stalled(it)
 	}
 	out.Run = append(out.Run, start)
 }
--- a/decide/router.go
+++ b/decide/router.go
@@ -178,8 +178,8 @@
 	})
 }
 
-// Sent records that a request went to an upstream.
-func (r *Router) Sent(id wardturn.UpstreamID) {
+// RequestSent records that a request went to an upstream.
+func (r *Router) RequestSent(id wardturn.UpstreamID) {
 	if t := r.byID[id]; t != nil {
 		t.update(func() {
 			t.inFlight++
@@ -187,9 +187,9 @@
 	}
 }
 
-// Ended records the end of a request that was sent. Healthy is false if the upstream was
+// RequestEnded records the end of a request that was sent. Healthy is false if the upstream was
 // unreachable or lost the request, which counts against its circuit breaker.
-func (r *Router) Ended(now time.Time, id wardturn.UpstreamID, healthy bool) {
+func (r *Router) RequestEnded(now time.Time, id wardturn.UpstreamID, healthy bool) {
 	t := r.byID[id]
 	if t == nil {
 		return
--- a/decide/router_test.go
+++ b/decide/router_test.go
@@ -113,8 +113,8 @@
 		r := router(hosts(2, "near")...)
 		first := pick(r, start, request("a"))
 		for range 3 {
-			r.Sent(first)
-			r.Ended(start, first, false)
+			r.RequestSent(first)
+			r.RequestEnded(start, first, false)
 		}
 		Expect(pick(r, start, request("a"))).NotTo(Equal(first))
 		// The adapter has a second home now, so the failing upstream is tried again only
@@ -132,8 +132,8 @@
 		r := router(list...)
 		for _, h := range list {
 			for range 3 {
-				r.Sent(h.Upstream)
-				r.Ended(start, h.Upstream, false)
+				r.RequestSent(h.Upstream)
+				r.RequestEnded(start, h.Upstream, false)
 			}
 		}
 		pick(r, start, request("a"))
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -325,7 +325,7 @@
 		return
 	}
 	x.entry.routerMu.Lock()
-	x.entry.router.Sent(end.FirstUpstream)
+	x.entry.router.RequestSent(end.FirstUpstream)
 	x.entry.routerMu.Unlock()
 	x.upstream = end.FirstUpstream
 	x.call = newFollower(end, l, conn)
@@ -358,7 +358,7 @@
 		Tried:   x.tried,
 	})
 	if ok {
-		e.router.Sent(id)
+		e.router.RequestSent(id)
 	}
 	return id, ok
 }
@@ -367,5 +367,5 @@
 func (e *Entry) routed(id wardturn.UpstreamID, healthy bool) {
 	e.routerMu.Lock()
 	defer e.routerMu.Unlock()
-	e.router.Ended(e.clock.Now(), id, healthy)
+	e.router.RequestEnded(e.clock.Now(), id, healthy)
 }
--- a/experiment/node.go
+++ b/experiment/node.go
@@ -92,7 +92,7 @@
 	c := n.calls[st.Attempt]
 	req := n.sim.trace[c.index]
 	sm := &n.sim.samples[c.index]
-	sm.stall = st.Stalled
+	sm.stall = st.AdapterWait
 	sm.wait = n.sim.elapsed() - c.sentAt
 	gen := standin.Generation{
 		Request: wardturn.EngineRequest{
--- a/experiment/sim.go
+++ b/experiment/sim.go
@@ -250,7 +250,7 @@
 	}
 	c.tried = append(c.tried, id)
 	c.node = s.node(id)
-	c.entry.router.Sent(id)
+	c.entry.router.RequestSent(id)
 	s.clock.AfterFunc(s.setup.Hop, func() {
 		c.node.admit(c)
 	})
@@ -269,7 +269,7 @@
 func (s *sim) reply(c *call, outcome wardturn.Outcome) {
 	hint := c.node.agent.Hint()
 	s.clock.AfterFunc(s.setup.Hop, func() {
-		c.entry.router.Ended(s.clock.Now(), c.node.host.Upstream, true)
+		c.entry.router.RequestEnded(s.clock.Now(), c.node.host.Upstream, true)
 		c.entry.router.Hint(s.clock.Now(), c.node.host.Upstream, hint)
 		retry := outcome.Reason == wardturn.ReasonQueueFull || outcome.Reason == wardturn.ReasonLeaving
 		if retry && len(c.tried) < entryTries {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -47,18 +47,18 @@
 
 // Config holds the settings of a gateway.
 type Config struct {
-	Process       wardturn.Incarnation
-	Host          string // host name
-	Domain        wardturn.FailureDomain
-	KeeperPort    string        // port of the keeper beside each engine
-	Drain         time.Duration // after which a draining upstream must receive no new requests
-	ExpiryGrace   time.Duration // how long to retain entries that expired while the store was unavailable
-	MaxBody       int           // limit of a request body in bytes unless the configuration sets one
-	MaxHeld       int64         // limit of buffered request bodies in bytes, over all requests; zero means none
-	RetryShare    float64       // retries allowed over all gateways, as a fraction of a service's requests
-	RetryExtra    float64       // additional retries allowed per RetryWindow
-	RetryWindow   time.Duration
-	ShutdownDelay time.Duration // how long a gateway that shuts down still accepts requests
+	Process          wardturn.Incarnation
+	Host             string // host name
+	Domain           wardturn.FailureDomain
+	KeeperPort       string        // port of the keeper beside each engine
+	Drain            time.Duration // after which a draining upstream must receive no new requests
+	ExpiryGrace      time.Duration // how long to retain entries that expired while the store was unavailable
+	MaxBody          int           // limit of a request body in bytes unless the configuration sets one
+	MaxBufferedBytes int64         // limit of buffered request bodies in bytes, over all requests; zero means none
+	RetryShare       float64       // retries allowed over all gateways, as a fraction of a service's requests
+	RetryExtra       float64       // additional retries allowed per RetryWindow
+	RetryWindow      time.Duration
+	ShutdownDelay    time.Duration // how long a gateway that shuts down still accepts requests
 	// KeyBound limits how long after an API key was revoked in the store requests with
 	// that key may still be sent, on any host. Zero means no limit.
 	KeyBound time.Duration
@@ -150,7 +150,7 @@
 		tasks:          process.NewTasks(d.Clock),
 		budgets:        make(map[wardturn.ServiceName]*decide.RetryBudget),
 	}
-	g.bodyLimiter.limit = d.Config.MaxHeld
+	g.bodyLimiter.limit = d.Config.MaxBufferedBytes
 	g.membership = newMembership(d.Members, d.Clock, d.Logger, d.Config.ExpiryGrace)
 	g.reads = newReadCoordinator(g)
 	g.caps = newCaps(g)
--- a/soak/answers.go
+++ b/soak/answers.go
@@ -162,10 +162,10 @@
 // asked for. The lock is held.
 func (l *answerLedger) checkRests(to *ledger, u *upstream, arrivals []standin.Arrival) {
 	for _, refused := range arrivals {
-		if refused.Backoff == 0 {
+		if refused.RetryAfter == 0 {
 			continue
 		}
-		from, until := refused.At.Add(restGrace), refused.At.Add(refused.Backoff)
+		from, until := refused.At.Add(restGrace), refused.At.Add(refused.RetryAfter)
 		got := 0
 		for _, a := range arrivals {
 			if a.At.After(from) && a.At.Before(until) && l.sent[a.Attempt].process == l.sent[refused.Attempt].process {
@@ -173,7 +173,7 @@
 			}
 		}
 		if got > restAllowed && !l.excusedIn(refused.At, until) && !u.excusedIn(refused.At, until) {
-			to.broken("%s asked %s for a rest of %v and got %d requests in it", u.addr, l.sent[refused.Attempt].process, refused.Backoff, got)
+			to.broken("%s asked %s for a rest of %v and got %d requests in it", u.addr, l.sent[refused.Attempt].process, refused.RetryAfter, got)
 			return
 		}
 	}
--- a/standin/modelrun.go
+++ b/standin/modelrun.go
@@ -84,7 +84,7 @@
 		h.Set("X-Wardturn-Instance-Id", m.id)
 		if status == http.StatusServiceUnavailable {
 			h["Retry-After"] = m.faults.RetryAfter
-			m.arrivals[arrival].Backoff = longest(m.faults.RetryAfter)
+			m.arrivals[arrival].RetryAfter = longest(m.faults.RetryAfter)
 		}
 		m.mu.Unlock()
 		h.Set("X-Wardturn-Not-Executed", "1")
--- a/standin/modelworker.go
+++ b/standin/modelworker.go
@@ -143,11 +143,11 @@
 
 // Arrival is a request that reached a worker, also one that it refused.
 type Arrival struct {
-	At       time.Time
-	Attempt  string
-	Lifetime string        // of the worker
-	Leaving  bool          // the answer says that the worker leaves
-	Backoff  time.Duration // that the refusal asked for; zero: none
+	At         time.Time
+	Attempt    string
+	Lifetime   string        // of the worker
+	Leaving    bool          // the answer says that the worker leaves
+	RetryAfter time.Duration // that the refusal asked for; zero: none
 }
 
 // Arrivals returns the requests that arrived, in order.
