--- a/decide/router.go
+++ b/decide/router.go
@@ -187,8 +187,8 @@
 	}
 }
 
-// RequestEnded records the end of a request that was sent. Healthy is false if the upstream was
-// unreachable or lost the request, which counts against its circuit breaker.
+// RequestEnded records the end of a request that was sent. Healthy is false if the upstream
+// was unreachable or lost the request, which counts against its circuit breaker.
 func (r *Router) RequestEnded(now time.Time, id wardturn.UpstreamID, healthy bool) {
 	t := r.byID[id]
 	if t == nil {
