--- a/decide/rest.go
+++ b/decide/backoff.go
@@ -9,10 +9,10 @@
 const (
 	// unparsedBackoff is the backoff of an upstream whose requested time cannot be parsed.
 	unparsedBackoff = time.Second
-	// maxUpstreamBackoff bounds the backoff that one answer may request.
+	// maxUpstreamBackoff bounds the backoff that one response may request.
 	maxUpstreamBackoff = time.Hour
 	// backoffTrialInterval is the time between two trial requests after a backoff, until
-	// an answer asks for no further backoff. An upstream that is still overloaded must
+	// a response asks for no further backoff. An upstream that is still overloaded must
 	// not get all waiting requests at once.
 	backoffTrialInterval = 200 * time.Millisecond
 	// minBackoffJitter is the minimum jitter of the retry times given to callers after a
@@ -24,36 +24,36 @@
 	backoffRetention = time.Minute
 )
 
-// upstreamBackoff is a backoff: a period during which an upstream asked this gateway to send it no
-// requests. Without it, an upstream that refuses requests would have the lowest load and so
-// be preferred over all others.
+// upstreamBackoff is a backoff: a period during which an upstream asked this gateway to
+// send it no requests. Without it, an upstream that refuses requests would have the lowest
+// load and so be preferred over all others.
 type upstreamBackoff struct {
 	until   time.Time
 	trialAt time.Time // time of the latest request sent
 }
 
-// inForce reports whether the backoff is in force. A nil rest is never in force.
-func (r *upstreamBackoff) inForce(now time.Time) bool {
-	return r != nil && now.Before(r.until)
+// inForce reports whether the backoff is in force. A nil backoff is never in force.
+func (b *upstreamBackoff) inForce(now time.Time) bool {
+	return b != nil && now.Before(b.until)
 }
 
 // allows reports whether the backoff allows a request to be sent to the upstream now.
-func (r *upstreamBackoff) allows(now time.Time) bool {
-	return r == nil || !r.inForce(now) && now.Sub(r.trialAt) >= backoffTrialInterval
+func (b *upstreamBackoff) allows(now time.Time) bool {
+	return b == nil || !b.inForce(now) && now.Sub(b.trialAt) >= backoffTrialInterval
 }
 
 // remaining returns the time until the backoff allows a request.
-func (r *upstreamBackoff) remaining(now time.Time) time.Duration {
-	if r == nil {
+func (b *upstreamBackoff) remaining(now time.Time) time.Duration {
+	if b == nil {
 		return 0
 	}
-	return max(0, latest(r.until, r.trialAt.Add(backoffTrialInterval)).Sub(now))
+	return max(0, latest(b.until, b.trialAt.Add(backoffTrialInterval)).Sub(now))
 }
 
 // sent records that a request is sent to the upstream.
-func (r *upstreamBackoff) sent(now time.Time) {
-	if r != nil {
-		r.trialAt = now
+func (b *upstreamBackoff) sent(now time.Time) {
+	if b != nil {
+		b.trialAt = now
 	}
 }
 
@@ -65,20 +65,20 @@
 	if asked <= 0 {
 		return false
 	}
-	r := f.backoffs[id.Instance()]
-	if r == nil {
-		r = &upstreamBackoff{}
-		f.backoffs[id.Instance()] = r
+	b := f.backoffs[id.Instance()]
+	if b == nil {
+		b = &upstreamBackoff{}
+		f.backoffs[id.Instance()] = b
 	}
-	changed = !r.inForce(now)
-	r.until = latest(r.until, now.Add(min(asked, maxUpstreamBackoff)))
+	changed = !b.inForce(now)
+	b.until = latest(b.until, now.Add(min(asked, maxUpstreamBackoff)))
 	if m := f.members[id]; m != nil {
-		m.backoff = r
+		m.backoff = b
 	}
 	return changed
 }
 
-// BackOffUnparsed is Rests for a duration that cannot be parsed.
+// BackOffUnparsed is BackOff for a duration that cannot be parsed.
 func (f *Fleet) BackOffUnparsed(now time.Time, id wardturn.UpstreamID) (changed bool) {
 	return f.BackOff(now, id, unparsedBackoff)
 }
@@ -94,14 +94,14 @@
 	delete(f.backoffs, id.Instance())
 }
 
-// allBackingOff reports whether all upstreams that may serve a request are backing off, and the
-// time until the first of them allows a request.
-func (f *Fleet) allBackingOff(now time.Time, t *PendingRequest) (left time.Duration, all bool) {
+// allBackingOff reports whether all upstreams that may serve a request are backing off, and
+// the time until the first of them allows a request.
+func (f *Fleet) allBackingOff(now time.Time, r *PendingRequest) (left time.Duration, all bool) {
 	if len(f.backoffs) == 0 {
 		return 0, false
 	}
-	for _, m := range f.services[t.Service] {
-		if !m.available(now) || !f.inRegions(m, t.Regions) {
+	for _, m := range f.services[r.Service] {
+		if !m.available(now) || !f.inRegions(m, r.Regions) {
 			continue
 		}
 		if !m.backoff.inForce(now) {
@@ -116,8 +116,8 @@
 
 // dropEndedBackoffs drops backoffs that ended more than backoffRetention ago.
 func (f *Fleet) dropEndedBackoffs(now time.Time) {
-	for instance, r := range f.backoffs {
-		if now.Sub(r.until) > backoffRetention {
+	for instance, b := range f.backoffs {
+		if now.Sub(b.until) > backoffRetention {
 			delete(f.backoffs, instance)
 		}
 	}
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -12,9 +12,9 @@
 
 // BenchmarkNowhere serves a request for an adapter that no engine holds: an engine is
 // chosen as its home, asked for the adapter, and holds it for a moment. On a machine with
-// five busy processes, sorting all engines for each choice and visiting all wants for
-// each engine took 17 us at 18 engines, 49 us at 74, 158 us at 262, 674 us at 1,000 and
-// 1.6 ms at 2,100. The present code takes 14, 11, 14, 22 and 32 us.
+// five busy processes, sorting all engines for each choice and visiting all missing
+// adapters for each engine took 17 us at 18 engines, 49 us at 74, 158 us at 262, 674 us at
+// 1,000 and 1.6 ms at 2,100. The present code takes 14, 11, 14, 22 and 32 us.
 func BenchmarkNowhere(b *testing.B) {
 	for _, engines := range []int{18, 74, 262, 1000, 2100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -68,14 +68,14 @@
 	return x
 }
 
-func (x *emptyFleet) setHolding(id wardturn.UpstreamID, h decide.EngineUpdate) {
-	h.Connected = true
-	h.Known = true
-	h.Models = []wardturn.BaseModel{"m"}
-	h.FreeSlots = decide.MaxFreeSlots
-	h.Gateways = 1
+func (x *emptyFleet) setHolding(id wardturn.UpstreamID, u decide.EngineUpdate) {
+	u.Connected = true
+	u.Known = true
+	u.Models = []wardturn.BaseModel{"m"}
+	u.FreeSlots = decide.MaxFreeSlots
+	u.Gateways = 1
 	var out decide.Actions
-	x.f.ApplyEngineUpdate(x.now, id, h, &out)
+	x.f.ApplyEngineUpdate(x.now, id, u, &out)
 }
 
 // serve admits one request and serves it until its end.
@@ -150,10 +150,10 @@
 }
 
 // BenchmarkOrderChoice finds the next order at a keeper, for different numbers of
-// adapters that gateways wish for.
+// missing adapters that gateways request.
 func BenchmarkOrderChoice(b *testing.B) {
-	for _, wishes := range []int{4, 64, 256} {
-		b.Run(fmt.Sprint(wishes), func(b *testing.B) {
+	for _, missing := range []int{4, 64, 256} {
+		b.Run(fmt.Sprint(missing), func(b *testing.B) {
 			p := decide.NewPlacement(start, policy.Default{})
 			p.SetSpec(wardturn.EngineSpec{
 				AdapterSlots: 9,
@@ -170,7 +170,7 @@
 					},
 				},
 			})
-			for i := range wishes {
+			for i := range missing {
 				p.RequestLoad(start, "g", adapterVersion(fmt.Sprint("a", i), 1), 1+i%7, 0)
 			}
 			b.ReportAllocs()
--- a/decide/permits.go
+++ b/decide/permits.go
@@ -6,9 +6,9 @@
 	"wardturn"
 )
 
-// PermitRequest is an agent's permit request: the loads that it would start if the weight store
-// had capacity. It carries the full state, and each request replaces the previous one, so
-// a lost or late one only delays a load.
+// PermitRequest is an agent's permit request: the loads that it would start if the weight
+// store had capacity. It carries the full state, and each request replaces the previous
+// one, so a lost or late one only delays a load.
 type PermitRequest struct {
 	Upstream wardturn.UpstreamID `msgpack:"u"`
 	Class    wardturn.Class      `msgpack:"c"`
@@ -44,7 +44,7 @@
 type Permits interface {
 	// Take takes a permit for a load that starts now. If it returns false, the request is
 	// kept as pending.
-	Take(now time.Time, w PermitRequest) bool
+	Take(now time.Time, r PermitRequest) bool
 	// Withdraw cancels the pending request.
 	Withdraw(now time.Time)
 	// Return returns a permit that was taken but not used.
--- a/decide/router_test.go
+++ b/decide/router_test.go
@@ -30,7 +30,7 @@
 		r.SetHosts(list)
 		return r
 	}
-	ask := func(name string) decide.RouteRequest {
+	request := func(name string) decide.RouteRequest {
 		return decide.RouteRequest{
 			Adapter: wardturn.AdapterRef{
 				Adapter: wardturn.AdapterID(name),
@@ -38,8 +38,8 @@
 			},
 		}
 	}
-	pick := func(r *decide.Router, now time.Time, a decide.RouteRequest) wardturn.UpstreamID {
-		id, ok := r.Pick(now, a)
+	pick := func(r *decide.Router, now time.Time, req decide.RouteRequest) wardturn.UpstreamID {
+		id, ok := r.Pick(now, req)
 		Expect(ok).To(BeTrue())
 		return id
 	}
@@ -47,21 +47,21 @@
 	It("prefers its own region and falls back to another", func() {
 		r := router(append(hosts(3, "near"), hosts(3, "far")...)...)
 		for i := range 50 {
-			Expect(string(pick(r, start, ask(fmt.Sprint("a", i))))).To(HavePrefix("near"))
+			Expect(string(pick(r, start, request(fmt.Sprint("a", i))))).To(HavePrefix("near"))
 		}
 		near := hosts(3, "near")
 		for i := range near {
 			near[i].State = wardturn.HostLeaving
 		}
 		r.SetHosts(append(near, hosts(3, "far")...))
-		Expect(string(pick(r, start, ask("a1")))).To(HavePrefix("far"))
+		Expect(string(pick(r, start, request("a1")))).To(HavePrefix("far"))
 	})
 
 	It("sends an adapter to the same upstream from every entry host", func() {
 		x, y := router(hosts(9, "near")...), router(hosts(9, "near")...)
 		for i := range 50 {
-			a := ask(fmt.Sprint("a", i))
-			Expect(pick(x, start, a)).To(Equal(pick(y, start, a)))
+			req := request(fmt.Sprint("a", i))
+			Expect(pick(x, start, req)).To(Equal(pick(y, start, req)))
 		}
 	})
 
@@ -69,8 +69,8 @@
 		x, y := router(hosts(10, "near")...), router(hosts(9, "near")...)
 		moved := 0
 		for i := range 1000 {
-			a := ask(fmt.Sprint("a", i))
-			if pick(x, start, a) != pick(y, start, a) {
+			req := request(fmt.Sprint("a", i))
+			if pick(x, start, req) != pick(y, start, req) {
 				moved++
 			}
 		}
@@ -79,22 +79,22 @@
 
 	It("does not pick an upstream that hinted that it is leaving or that was already tried", func() {
 		r := router(hosts(2, "near")...)
-		first := pick(r, start, ask("a"))
-		a := ask("a")
-		a.Tried = []wardturn.UpstreamID{first}
-		other := pick(r, start, a)
+		first := pick(r, start, request("a"))
+		req := request("a")
+		req.Tried = []wardturn.UpstreamID{first}
+		other := pick(r, start, req)
 		Expect(other).NotTo(Equal(first))
 		r.Hint(start, other, decide.Hint{
 			Leaving: true,
 		})
-		_, ok := r.Pick(start, a)
+		_, ok := r.Pick(start, req)
 		Expect(ok).To(BeFalse())
-		Expect(pick(r, start, ask("a"))).To(Equal(first))
+		Expect(pick(r, start, request("a"))).To(Equal(first))
 	})
 
 	It("gives an adapter whose home is overloaded another home", func() {
 		r := router(hosts(3, "near")...)
-		home := pick(r, start, ask("hot"))
+		home := pick(r, start, request("hot"))
 		for _, h := range hosts(3, "near") {
 			hint := decide.Hint{
 				Capacity:   16,
@@ -106,23 +106,23 @@
 			}
 			r.Hint(start, h.Upstream, hint)
 		}
-		Expect(pick(r, start, ask("hot"))).NotTo(Equal(home))
+		Expect(pick(r, start, request("hot"))).NotTo(Equal(home))
 	})
 
 	It("avoids a failing upstream and tries it again later", func() {
 		r := router(hosts(2, "near")...)
-		first := pick(r, start, ask("a"))
+		first := pick(r, start, request("a"))
 		for range 3 {
 			r.RequestSent(first)
 			r.RequestEnded(start, first, false)
 		}
-		Expect(pick(r, start, ask("a"))).NotTo(Equal(first))
+		Expect(pick(r, start, request("a"))).NotTo(Equal(first))
 		// The adapter has a second home now, so the failing upstream is tried again only
 		// for a new adapter whose first candidate it is.
 		later := start.Add(time.Minute)
 		tried := false
 		for i := range 50 {
-			tried = tried || pick(r, later, ask(fmt.Sprint("b", i))) == first
+			tried = tried || pick(r, later, request(fmt.Sprint("b", i))) == first
 		}
 		Expect(tried).To(BeTrue())
 	})
@@ -136,7 +136,7 @@
 				r.RequestEnded(start, h.Upstream, false)
 			}
 		}
-		pick(r, start, ask("a"))
+		pick(r, start, request("a"))
 	})
 })
 
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -69,9 +69,9 @@
 		}
 	}
 	answer := func(seq uint64) *peer.EngineUpdate {
-		h := update(seq, false)
-		h.Requested = true
-		return h
+		u := update(seq, false)
+		u.Requested = true
+		return u
 	}
 	other := update(9, true)
 	other.Upstream = "i-0"
@@ -129,7 +129,7 @@
 	}
 }
 
-// Regression test: each new configuration made each gateway send a notice to each keeper,
+// Regression test: each new configuration made each gateway send a message to each keeper,
 // and the keeper reply with its full state.
 func TestLinkSendsChangedNotices(t *testing.T) {
 	spec := wardturn.EngineSpec{
@@ -144,27 +144,27 @@
 	larger := spec
 	larger.AdapterSlots = 3
 	l := newTestLink(t)
-	sent := func(n peer.EngineConfig) bool {
+	sent := func(cfg peer.EngineConfig) bool {
 		conn := l.conn
-		l.conn = nil // without a connection, a notice to be sent stays pending
+		l.conn = nil // without a connection, a configuration to be sent stays pending
 		l.engineConfigSent = true
 		l.setEngineConfig(wardturn.Member{
-			ID: n.Upstream,
-		}, n)
+			ID: cfg.Upstream,
+		}, cfg)
 		l.conn = conn
 		return !l.engineConfigSent
 	}
 	for _, c := range []struct {
-		name   string
-		notice peer.EngineConfig
-		want   bool
+		name         string
+		engineConfig peer.EngineConfig
+		want         bool
 	}{
 		{"the first", peer.EngineConfig{Config: 1, Upstream: "i-1", Spec: spec}, true},
 		{"a version that changes nothing", peer.EngineConfig{Config: 2, Upstream: "i-1", Spec: spec}, false},
 		{"another specification", peer.EngineConfig{Config: 3, Upstream: "i-1", Spec: larger}, true},
 		{"another incarnation", peer.EngineConfig{Config: 3, Upstream: "i-2", Spec: larger}, true},
 	} {
-		if got := sent(c.notice); got != c.want {
+		if got := sent(c.engineConfig); got != c.want {
 			t.Errorf("%s: notice to be sent: %v, want %v", c.name, got, c.want)
 		}
 	}
