--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -45,7 +45,7 @@
 	return assignment{}, false
 }
 
-// releaseAssignment releases an assignment to whose upstream nothing was sent.
+// releaseAssignment releases an assignment for which nothing was sent.
 func (x *exchange) releaseAssignment(a assignment) {
 	x.endPrefill(a)
 	x.g.endSend(a.Member.ID, x.key, len(x.body), decide.OutcomeUnknown)
--- a/gateway/announcements.go
+++ b/gateway/announcements.go
@@ -18,7 +18,7 @@
 // failure domain, which forward it within the domain. An announcement thus crosses to each
 // other domain twice, instead of once per gateway there. The keepers are selected by key.
 // Announcements of one kind from one gateway use the same keepers, which keeps them in
-// order. Other keys select other keepers, so that no two keepers carry the whole load.
+// order. Other keys select other keepers, so that the load is spread over all keepers.
 func (ls *links) announcementConns(key string) []*peer.Conn {
 	byDomain := ls.keepersByDomain()
 	conns := make([]*peer.Conn, 0, keepersPerDomain*len(byDomain))
--- a/gateway/announcements_internal_test.go
+++ b/gateway/announcements_internal_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// An announcement goes to two keepers in each failure domain. Different readers use different
-// keepers.
+// An announcement goes to two keepers in each failure domain. Different gateways use
+// different keepers.
 func TestAnnouncementsUseTwoKeepersPerDomain(t *testing.T) {
 	const each = 6
 	ls := newTestLinks(t, each, each, each, 1)
@@ -103,7 +103,7 @@
 		}
 		for _, l := range ls.byAddr {
 			if domain := l.domain(); domain == "d0" && !l.engineConfig.Announcements {
-				t.Errorf("with %v keepers, no announcements come from the own failure domain", c.keepers)
+				t.Errorf("with %v keepers, no announcements come from the gateway's own failure domain", c.keepers)
 			}
 		}
 	}
--- a/gateway/announcements_relays_test.go
+++ b/gateway/announcements_relays_test.go
@@ -19,7 +19,7 @@
 const announcedConfigBound = 2 * time.Second
 
 // secondGatewayRig is a rig with a second gateway that reaches the store and the keepers
-// through proxies of its own.
+// through proxies of its own. frontURL is the one of the second gateway.
 type secondGatewayRig struct {
 	*rig
 	unavailable *atomic.Bool // the store is unavailable to the second gateway
@@ -85,7 +85,7 @@
 			injectFault(x)
 			x.awaitNewRoute()
 			x.unavailable.Store(true)
-			time.Sleep(300 * time.Millisecond) // calls in progress have ended
+			time.Sleep(300 * time.Millisecond) // until calls in progress have ended
 			x.putEntry(x.apps[0], "app", "a0", "draining")
 			Eventually(func() int {
 				before := x.apps[0].Total()
--- a/gateway/authenticate.go
+++ b/gateway/authenticate.go
@@ -10,10 +10,10 @@
 const (
 	headerAuthorization = "Authorization"
 	headerAuthenticate  = "Www-Authenticate"
-	// keyAgeMargin is subtracted from the bound on the age of keys. The age of what
-	// another gateway has read is derived from the smaller delay of two successive
-	// messages, which are one waiting read apart. If both were held up until the same
-	// moment, the age is wrong by the time of that read.
+	// keyAgeMargin is subtracted from the bound on the age of keys. The time of another
+	// gateway's read is estimated from the smallest delay of its announcements, and
+	// successive ones are one long poll apart. If two were delayed until the same moment,
+	// the estimate is off by up to the duration of that poll.
 	keyAgeMargin = configWait + 100*time.Millisecond
 )
 
@@ -42,10 +42,10 @@
 	return true
 }
 
-// keysFresh reports whether a request that arrived at a time may run with the keys that
-// were current at the time keysAsOf. A key that was revoked after that may still be used
-// for requests sent up to KeyBound later. The request was sent before it arrived, so the
-// check holds however long it waits afterwards, also on a host that froze in between.
+// keysFresh reports whether a request that arrived at the time arrived may run with the
+// keys that were current at the time keysAsOf. A key that was revoked after that may still
+// be used for requests sent up to KeyBound later. The request was sent before it arrived,
+// so the check holds however long it waits afterwards, even on a host that froze in between.
 func (g *Gateway) keysFresh(arrived, keysAsOf time.Time) bool {
 	return g.cfg.KeyBound <= 0 || arrived.Sub(keysAsOf) <= g.cfg.KeyBound-keyAgeMargin
 }
@@ -70,8 +70,8 @@
 	return team, ""
 }
 
-// priority returns the request's priority; 0 is the most urgent. It orders by the team's
-// priority, if that is set, and within it by the route's.
+// priority returns the request's priority; 0 is the most urgent. The team's priority, if
+// set, takes precedence over the route's.
 func (x *exchange) priority() int {
 	if x.team == nil || x.team.Priority == nil {
 		return x.route.Priority
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -12,14 +12,14 @@
 	"wardturn/standin"
 )
 
-// An upstream that turns all requests away has the lowest load. If gateways ignored the
-// Retry-After of its refusals it would get more requests than before.
+// An upstream that refuses all requests has the lowest load. If gateways ignored the
+// Retry-After of its refusals, it would get more requests than before.
 var _ = Describe("An upstream that responds with Retry-After", func() {
 	const (
 		// arrivalGrace is the time in which requests that are already sent arrive.
 		arrivalGrace = 500 * time.Millisecond
 		// backoffAllowed is how many requests of one gateway may arrive after that during
-		// the back-off.
+		// the backoff.
 		backoffAllowed = 2
 	)
 	var x *rig
@@ -100,7 +100,7 @@
 	It("gets its share again afterwards, and no burst while it is still overloaded", func() {
 		setBackoff(x.engines[0], "0.6")
 		x.callAll(fronts, "/ask/a", "m0", 6, 5*time.Millisecond, 2*time.Second)
-		// After each back-off of 0.6 s each gateway sends one request.
+		// After each backoff of 0.6 s each gateway sends one request.
 		Expect(len(x.engines[0].Arrivals())).To(BeNumerically("<", 40))
 		x.engines[0].SetFaults(standin.WorkerFaults{})
 		before := len(x.engines[0].Arrivals())
@@ -118,10 +118,10 @@
 	})
 })
 
-// An engine that turns requests away has no load. If engines were chosen by load alone, it
+// An engine that refuses requests has no load. If engines were chosen by load alone, it
 // would get the next requests first, and callers would be refused while other engines have
 // capacity.
-var _ = Describe("An engine that turns requests away without Retry-After", func() {
+var _ = Describe("An engine that refuses requests without Retry-After", func() {
 	It("gets few further requests", func() {
 		x := newRig()
 		x.engines[0].SetFaults(standin.WorkerFaults{
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -13,7 +13,7 @@
 	floorFraction  = 0.25 // of the extra retries, spread over the window
 )
 
-// budget returns the retry budget of a service. The caller holds g.mu.
+// budget returns the retry budget of a service. The caller must hold g.mu.
 func (g *Gateway) budget(s wardturn.ServiceName) *decide.RetryBudget {
 	b := g.budgets[s]
 	if b == nil {
@@ -26,8 +26,8 @@
 
 // extraRetries returns this gateway's part of the retries that are allowed beyond the
 // share of requests: a rate per second (floor) and a burst. Until a keeper has reported
-// the number of gateways the rate is zero: gateways that assume to be the only one would
-// each use the full allowance. The caller holds g.mu.
+// the number of gateways the rate is zero: gateways that assumed they were the only one
+// would each use the full allowance. The caller must hold g.mu.
 func (g *Gateway) extraRetries() (floor, burst float64) {
 	n := g.gatewayCount.Update(g.clock.Now(), g.fleet.ReportedGateways())
 	if n == 0 {
@@ -37,7 +37,8 @@
 	return floorFraction * share / g.cfg.RetryWindow.Seconds(), max(1, burstFraction*share)
 }
 
-// resizeBudgets adapts the retry budgets to the number of gateways. The caller holds g.mu.
+// resizeBudgets adapts the retry budgets to the number of gateways. The caller must hold
+// g.mu.
 func (g *Gateway) resizeBudgets() {
 	floor, burst := g.extraRetries()
 	for _, b := range g.budgets {
@@ -45,8 +46,8 @@
 	}
 }
 
-// ApplySettings applies the retry and adapter load limits of new settings. Other settings take
-// effect at the next start.
+// ApplySettings applies the retry and adapter load limits of new settings. Other settings
+// take effect at the next start.
 func (g *Gateway) ApplySettings(c Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/caps.go
+++ b/gateway/caps.go
@@ -11,8 +11,8 @@
 	"wardturn/peer"
 )
 
-// caps enforces the usage caps of teams and exchanges usage messages with the other gateways
-// through keepers.
+// caps enforces the usage caps of teams and exchanges usage messages with the other
+// gateways through keepers.
 type caps struct {
 	g *Gateway
 
@@ -60,8 +60,8 @@
 	c.teams.SetPreviousGateways(c.g.clock.Now(), gateways)
 }
 
-// sendUrgent sends a usage message whenever one cannot wait for the next interval, until the
-// gateway shuts down.
+// sendUrgent sends a usage message whenever one cannot wait for the next interval, until
+// the gateway shuts down.
 func (c *caps) sendUrgent() {
 	for {
 		select {
@@ -149,8 +149,8 @@
 	c.teams.Refund(x.team.ID, x.units)
 }
 
-// rejectOverCap rejects a request that exceeds its team's cap. Left is the remainder of the
-// cap, in seconds of its rate.
+// rejectOverCap rejects a request that exceeds its team's cap. The parameter left is the
+// remainder of the cap, in seconds of its rate.
 func (x *exchange) rejectOverCap(retryAfter time.Duration, left float64) {
 	x.setRetryAfter(retryAfter)
 	x.g.metrics.finished(x, "beyond_cap")
--- a/gateway/caps_test.go
+++ b/gateway/caps_test.go
@@ -64,7 +64,8 @@
 			}
 		}
 		Eventually(status(second), eventTimeout, pollInterval).Should(Equal(http.StatusOK))
-		time.Sleep(1200 * time.Millisecond) // both have received each other's messages and refilled
+		// Until both have received each other's messages and their buckets are full.
+		time.Sleep(1200 * time.Millisecond)
 		_, r := try(x.frontURL, "key-a", "9000,0")
 		Expect(r.status).To(Equal(http.StatusOK))
 		Eventually(status(second), eventTimeout, pollInterval).Should(Equal(http.StatusTooManyRequests))
--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -18,12 +18,17 @@
 )
 
 const (
-	dialTimeout         = 800 * time.Millisecond // allows a few retransmissions; upstreams are a millisecond away
-	userTimeout         = 3 * time.Second        // TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged
-	keepAliveIdle       = 2 * time.Second        // idle time before, and interval between, TCP keep-alive probes
-	keepAliveCount      = 2
-	idleMargin          = 500 * time.Millisecond // closes idle connections this long before the upstream does
-	defaultIdleTime     = 4 * time.Second        // idle time if the upstream sends no Keep-Alive timeout
+	// dialTimeout allows a few retransmissions; upstreams are a millisecond away.
+	dialTimeout = 800 * time.Millisecond
+	// userTimeout is the TCP_USER_TIMEOUT: how long sent bytes may stay unacknowledged.
+	userTimeout = 3 * time.Second
+	// keepAliveIdle is the idle time before, and the interval between, TCP keep-alive probes.
+	keepAliveIdle  = 2 * time.Second
+	keepAliveCount = 2
+	// idleMargin is how long before the upstream does so the gateway closes idle connections.
+	idleMargin = 500 * time.Millisecond
+	// defaultIdleTime is the idle time if the upstream sends no Keep-Alive timeout.
+	defaultIdleTime     = 4 * time.Second
 	maxIdlePerAddr      = 32
 	readBufferSize      = 4 << 10
 	maxForeignResponses = 3 // responses to other requests that are skipped
--- a/gateway/conn_internal_test.go
+++ b/gateway/conn_internal_test.go
@@ -13,8 +13,9 @@
 	"wardturn/process"
 )
 
-// A host that has not accepted an abandoned request yet must drop it: it has to see a
-// connection reset, not a complete request followed by the end of the stream.
+// A host that has not accepted the connection of an abandoned request yet must drop the
+// request: it has to see a connection reset, not a complete request followed by the end of
+// the stream.
 func TestAbort(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -166,8 +166,8 @@
 	return n
 }
 
-// If such a request were identified only by its attempt ID, each repetition by its caller, at
-// any gateway, would look like a new request and crash another upstream.
+// If such a request were identified only by its attempt ID, each repetition by its caller,
+// at any gateway, would look like a new request and crash another upstream.
 var _ = Describe("A request that crashes its upstreams", func() {
 	const (
 		// maxCrashes is how many upstreams one request may crash before it is rejected.
@@ -198,9 +198,9 @@
 		}
 	})
 
-	// A faulty upstream answers some requests with an error, whatever their content. If such
-	// a response cleared the content, the content would never be rejected.
-	It("is rejected after three crashes even if faulty upstreams answer it with errors in between", func() {
+	// A faulty upstream responds to some requests with an error, whatever their content. If
+	// such a response cleared the content, the content would never be rejected.
+	It("is rejected after three crashes even if faulty upstreams respond to it with errors in between", func() {
 		for n := range tries {
 			x.awaitServing(n % 2)
 			if n%3 == 2 {
@@ -311,7 +311,7 @@
 				x.sendThrough(0, "/charge/", crashBody)
 			})
 			time.Sleep(think / 2)
-			for range 2 * len(x.upstreams) { // present at all upstreams when one crashes
+			for range 2 * len(x.upstreams) { // so that each upstream has some when one crashes
 				done.Go(func() {
 					defer GinkgoRecover()
 					x.sendThrough(0, "/charge/", "beside")
@@ -365,7 +365,8 @@
 	It("is not resumed at another upstream if its crashes become known meanwhile", func() {
 		for _, m := range x.engines {
 			m.SetFaults(standin.WorkerFaults{
-				Linger:   900 * time.Millisecond, // three events take longer than two reads of the store
+				// Three events take longer than two reads of the store.
+				Linger:   900 * time.Millisecond,
 				CutFresh: 3,
 			})
 		}
@@ -399,7 +400,7 @@
 		calls := func() int64 {
 			return x.metrics.Snapshot().Counters()["store_calls+purpose=crashes,result=answered"].Value()
 		}
-		time.Sleep(1500 * time.Millisecond) // both have received announcements of each other
+		time.Sleep(1500 * time.Millisecond) // until both have received each other's announcements
 		before := calls()
 		for n := range 8 { // both gateways read the configuration after each change
 			x.store.PutConfig(config(2+n, ""))
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -15,7 +15,7 @@
 	crashCheckPause = 20 * time.Millisecond
 )
 
-// crashes tracks which request contents crash upstreams, from crashes that this gateway
+// crashes tracks which request contents crash upstreams, from the crashes that this gateway
 // observes, that other gateways announce, and that are recorded in the store. Contents with
 // two crashes are recorded in the store, so that they stay known if all gateways stop or
 // cannot reach each other. Without this tracking, a request that crashes its upstream would
@@ -29,9 +29,9 @@
 	mu           sync.Mutex
 	tracker      *decide.CrashTracker
 	checking     map[wardturn.UpstreamID]bool
-	unannounced  bool              // a crash could not be announced because no keeper was connected
+	unannounced  bool              // a crash was not announced: no keeper was connected
 	readPosition wardturn.Position // position up to which the store was read
-	readAt       time.Time         // time as of which readPosition was current; zero before the first read
+	readAt       time.Time         // when readPosition was current; zero before the first read
 }
 
 func newCrashes(g *Gateway, record wardturn.CrashStore) *crashes {
@@ -193,10 +193,11 @@
 	return rejected
 }
 
-// recordContent records what the end of a send shows about the request's content. A complete
-// response clears the content. An error response of the upstream does not, since a faulty
-// upstream returns errors whatever the request: if those cleared it, any upstream that fails
-// occasionally would let a request that crashes upstreams pass again.
+// recordContent records what the end of a send shows about the request's content. A
+// complete response clears the content. An error response of the upstream does not, since a
+// faulty upstream returns errors whatever the request: if those cleared it, any upstream
+// that fails occasionally would let a request that crashes upstreams pass again. ctxErr is
+// the error of the context that limits the request's time.
 func (x *exchange) recordContent(a assignment, res result, limit error) {
 	switch res {
 	case resultForwarded:
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -12,7 +12,7 @@
 	crashBatchDelay = 50 * time.Millisecond
 	// crashRetryDelay is the initial delay after a failed write, doubled up to
 	// crashMaxRetryDelay. During a store outage all gateways may have crashes to write, and
-	// calls are costly.
+	// calls to the store are costly.
 	crashRetryDelay    = 500 * time.Millisecond
 	crashMaxRetryDelay = 4 * time.Second
 	// crashMaxAge is the maximum age of the crash records at the gateway that reads the
@@ -69,7 +69,8 @@
 	}
 }
 
-// readLoop reads the crash records whenever a read is requested, until the gateway shuts down.
+// readLoop reads the crash records whenever a read is requested, until the gateway shuts
+// down.
 func (c *crashes) readLoop() {
 	failing := false
 	first := true
@@ -93,7 +94,8 @@
 	}
 }
 
-// awaitSignal waits for a signal on requested. It reports false when the gateway shuts down.
+// awaitSignal waits for a signal on requested. It reports false when the gateway shuts
+// down.
 func (c *crashes) awaitSignal(requested chan struct{}) bool {
 	select {
 	case <-requested:
@@ -120,7 +122,8 @@
 	}
 }
 
-// writeLoop writes due records to the store whenever requested, until the gateway shuts down.
+// writeLoop writes due records to the store whenever requested, until the gateway shuts
+// down.
 func (c *crashes) writeLoop() {
 	for c.awaitSignal(c.writeSignal) && c.g.tasks.Pause(crashBatchDelay) {
 		pause := crashRetryDelay
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -7,6 +7,7 @@
 	"wardturn/decide"
 )
 
+// tick reschedules the waiting requests.
 func (g *Gateway) tick() {
 	g.decide(func(now time.Time, out *decide.Actions) {
 		g.fleet.Tick(now, out)
@@ -51,6 +52,8 @@
 	g.fleet.Withdraw(r)
 }
 
+// endPrefill records that an upstream has finished the prefill of a prompt or will not do
+// it.
 func (g *Gateway) endPrefill(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	g.mu.Lock()
 	g.fleet.ResponseStarted(id, prompt)
@@ -74,6 +77,7 @@
 	g.fleet.ReleaseBody(id, body)
 }
 
+// recordMisdirected records that another instance listens at an upstream's address.
 func (g *Gateway) recordMisdirected(id wardturn.UpstreamID) {
 	g.mu.Lock()
 	g.fleet.IncarnationReplaced(id)
@@ -92,13 +96,15 @@
 	g.fleet.ResponseTimed(g.clock.Now(), id, took)
 }
 
-// accepts reports whether a request that was assigned to an upstream may still be sent to it.
+// accepts reports whether a request that was assigned to an upstream may still be sent to
+// it.
 func (g *Gateway) accepts(u wardturn.Member) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fleet.Accepts(g.clock.Now(), u)
 }
 
+// recordRefused records that an upstream's address refused a connection.
 func (g *Gateway) recordRefused(id wardturn.UpstreamID) {
 	g.mu.Lock()
 	g.fleet.ConnectionRefused(g.clock.Now(), id)
@@ -106,6 +112,8 @@
 	g.markMembersStale()
 }
 
+// recordNotHeld records that an upstream refused a request because it does not hold the
+// adapter version.
 func (g *Gateway) recordNotHeld(id wardturn.UpstreamID, key wardturn.ModelAdapter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -119,7 +127,8 @@
 	return g.fleet.VersionInUse(g.clock.Now(), key, v)
 }
 
-// superseded returns the first newer version of an adapter, and when it was activated here.
+// superseded returns the first newer version of an adapter, and when this gateway learned
+// of it.
 func (g *Gateway) superseded(key wardturn.ModelAdapter, v wardturn.Version) (newer wardturn.Version, named time.Time, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -12,7 +12,7 @@
 	// Longer events are forwarded in parts, and their stream cannot be resumed.
 	maxEventSize = 64 << 10
 	// maxChecksums is the maximum number of events per stream whose checksum (8 bytes) is
-	// kept. Later events are not recognised as duplicates.
+	// kept. Later events are not recognized as duplicates.
 	maxChecksums = 4096
 )
 
@@ -22,8 +22,8 @@
 	eventData = []byte("data:")
 )
 
-// resumeMismatch is the reason why a response that resumes a stream does not continue after
-// the caller's last event. It is empty if the response does.
+// resumeMismatch is the reason why a response that resumes a stream does not continue
+// after the caller's last event. It is empty if the response does.
 type resumeMismatch string
 
 const (
@@ -63,8 +63,8 @@
 // checksumSeed is the seed of the event checksums in this process.
 var checksumSeed = maphash.MakeSeed()
 
-// startAfter sets the ID of the event after which the caller resumes its stream. If it is not
-// a number, the response is forwarded unchecked.
+// startAfter sets the ID of the event after which the caller resumes its stream. If it is
+// not a number, the response is forwarded unchecked.
 func (e *events) startAfter(id string) {
 	e.number, e.counted = eventNumber([]byte(id))
 	e.resumed = e.counted
@@ -82,8 +82,8 @@
 	return true
 }
 
-// feed adds received data and returns the events that may be forwarded. After a misplaced
-// event the rest of the response must be discarded.
+// feed adds received data and returns the events that may be forwarded. After a mismatch
+// the rest of the response must be discarded.
 func (e *events) feed(data []byte) ([]byte, resumeMismatch) {
 	e.part = append(e.part, data...)
 	var out []byte
@@ -157,8 +157,8 @@
 	return true, ""
 }
 
-// follows reports whether an event of a resumed response is the next one, or else why not.
-// For a duplicate that is to be dropped, it returns false without a reason.
+// follows reports whether an event of a response that resumes a stream is the next one, or
+// else why not. For a duplicate that is to be dropped, it returns false without a reason.
 func (e *events) follows(event []byte, n int64, ok bool) (bool, resumeMismatch) {
 	switch {
 	case !ok:
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -31,8 +31,8 @@
 	// unreadyRetryAfter is the Retry-After of refusals by a gateway that has no current
 	// configuration, or no room for the request's body.
 	unreadyRetryAfter = 500 * time.Millisecond
-	// resendRetryAfter is the Retry-After of requests that upstreams turned away and that
-	// may not be sent again, unless a refusal names another.
+	// resendRetryAfter is the Retry-After of requests that upstreams refused and that may
+	// not be sent again, unless a refusal specifies another.
 	resendRetryAfter = 200 * time.Millisecond
 )
 
@@ -51,7 +51,7 @@
 	regions         wardturn.Regions // where the request may be served
 	units           int64            // charged to the team's cap
 	routeLevels     int              // number of priority levels of the routes
-	mayHaveRun      bool             // at an upstream; then the units are not refunded
+	mayHaveRun      bool             // an upstream may have run it: units are not refunded
 	key             wardturn.ModelAdapter
 	prompt          wardturn.Tokens // zero if the caller does not state it
 	attempt         string
@@ -71,11 +71,11 @@
 	pending         *pendingSend // the latest send; nil once it has started or ended
 }
 
-// timing records when the parts of a response came.
+// timing records when the parts of a response arrived.
 type timing struct {
 	assignedAfter time.Duration // from the arrival to the choice of the latest upstream
-	firstByte     time.Duration // from the arrival to the first bytes, as in sendState
-	lastByte      time.Time     // when the latest bytes came
+	firstByte     time.Duration // from the arrival to the first bytes of the response
+	lastByte      time.Time     // when the latest bytes arrived
 	maxGap        time.Duration // longest gap between bytes
 	maxWrite      time.Duration // longest write to the caller during the latest send
 }
@@ -117,8 +117,9 @@
 	resultErrorForwarded
 )
 
-// ending returns what the result of the latest send says about its upstream: nothing if
-// the gateway aborted the send.
+// ending returns what the result of the latest send says about its upstream. That is
+// decide.OutcomeUnknown if the gateway aborted the send or a slow caller may have caused the
+// truncation of the response.
 func (x *exchange) ending(r result) decide.Outcome {
 	if x.send.aborted || r == resultTruncated && x.slowCaller() {
 		return decide.OutcomeUnknown
@@ -179,7 +180,7 @@
 			x.giveUp(ctx)
 			return
 		}
-		if x.rejectCrashing() { // may have become known while the request waited
+		if x.rejectCrashing() { // crashes may have become known while the request waited
 			x.releaseAssignment(a)
 			x.giveUp(ctx)
 			return
@@ -230,8 +231,8 @@
 	}
 }
 
-// logLate logs a response that missed the route's latency objective, with what took the
-// time.
+// logLate logs a response that missed the route's latency objective, with a breakdown of
+// its latency.
 func (x *exchange) logLate(a assignment) {
 	t := x.timing
 	if t.firstByte <= x.route.Objective && (x.route.MaxPause == 0 || t.maxGap <= x.route.MaxPause) {
--- a/gateway/fleetfacts.go
+++ b/gateway/fleetfacts.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// saveInterval is the least time between two writes of the fleet facts to the store.
+	// saveInterval is the minimum interval between writes of the fleet facts to the store.
 	saveInterval = 10 * time.Second
 	// saveThreshold is the fraction by which a fact must have changed to be written again.
 	saveThreshold = 0.25
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// handleStoreRestored triggers a rewrite of records that the store may have lost when it was
-// restored from an older copy.
+// handleStoreRestored triggers a rewrite of records that the store may have lost when it
+// was restored from an older copy.
 func (g *Gateway) handleStoreRestored() {
 	g.storeRestored.Store(true)
 	signal(g.crashes.readSignal)
@@ -72,9 +72,10 @@
 	return configWait
 }
 
-// configAsOf returns a time as of which the result of a configuration read is current. A long
-// poll that found nothing is current as of the end of its wait. One that returned sooner
-// found a record, even if that changes nothing here, and counts as of the time it was sent.
+// configAsOf returns a time as of which the result of a configuration read is current. A
+// long poll that found nothing is current as of the end of its wait. One that returned
+// sooner found a record, even if that changes nothing here, and is current as of the time
+// it was sent.
 func configAsOf(sent time.Time, wait time.Duration, answered time.Time, c wardturn.ConfigChange, first bool) time.Time {
 	waited := sent.Add(wait)
 	if first || c.Table != nil || len(c.Versions) > 0 || answered.Before(waited) {
@@ -83,9 +84,9 @@
 	return waited
 }
 
-// apply applies a change of the configuration. A route table older than the current one is
-// ignored. The change was made after the time known, which is zero if no configuration was
-// known before.
+// apply applies a change of the configuration. A route table that is not newer than the
+// current one is ignored. The change was made after the time known, which is zero if no
+// configuration was known before.
 func (g *Gateway) apply(c wardturn.ConfigChange, known time.Time) {
 	now := g.clock.Now()
 	var out decide.Actions
@@ -134,8 +135,8 @@
 	})
 }
 
-// followMembers keeps the list of upstreams up to date from its own reads and from announced
-// changes.
+// followMembers keeps the list of upstreams up to date from its own reads and from
+// announced changes.
 func (g *Gateway) followMembers() {
 	for {
 		change, due, ok := g.reads.awaitMembers(g.membership.nextRetentionEnd())
@@ -162,6 +163,7 @@
 	g.setMembers(view)
 }
 
+// readMembers reads the list of upstreams and announces the change.
 func (g *Gateway) readMembers() {
 	sent := g.clock.Now()
 	g.reads.startMembersRead(sent)
@@ -181,6 +183,7 @@
 	g.reads.finishMembersRead(sent, change)
 }
 
+// setMembers applies the upstreams that are considered present after a read.
 func (g *Gateway) setMembers(view membershipView) {
 	if view.unchanged {
 		return
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -20,7 +20,7 @@
 	tickInterval  = 10 * time.Millisecond  // interval for rescheduling waiting requests
 	usageInterval = 100 * time.Millisecond // interval of adapter usage reports to keepers
 	checkInterval = 100 * time.Millisecond // interval for checking relays and retained evacuations
-	sweepInterval = time.Second            // interval for closing idle connections
+	sweepInterval = time.Second            // interval of Gateway.sweep
 	// configWait is how long a long poll of the configuration blocks in the store. A
 	// poll whose response was lost never completes, so polls must time out and be
 	// repeated within the 2 s in which a change must be in force. With the slack and
@@ -35,11 +35,16 @@
 	// configRetryDelay is the initial delay after a failed read, doubled up to
 	// configMaxRetryDelay. Together with the poll's wait and timeout margin, the first
 	// retry starts 1.9 s after a read whose response was lost.
-	configRetryDelay      = 100 * time.Millisecond
-	configMaxRetryDelay   = 500 * time.Millisecond
-	membersMinInterval    = 250 * time.Millisecond // minimum interval between reads of the upstream list
-	membersDrainFraction  = 0.5                    // read interval as a fraction of the drain time: the last gateway scheduled to read still meets the drain time
-	configStartTimeout    = time.Second            // after this, requests are rejected instead of waiting for a configuration
+	configRetryDelay    = 100 * time.Millisecond
+	configMaxRetryDelay = 500 * time.Millisecond
+	// membersMinInterval is the minimum interval between reads of the upstream list.
+	membersMinInterval = 250 * time.Millisecond
+	// membersDrainFraction is the interval of reads of the upstream list as a fraction of the
+	// drain time. With it the last gateway scheduled to read still meets the drain time.
+	membersDrainFraction = 0.5
+	// configStartTimeout is how long requests wait for the first configuration. After it they
+	// are rejected.
+	configStartTimeout    = time.Second
 	defaultMaxHeaderBytes = 16 << 10
 	defaultIdleTimeout    = 15 * time.Second
 	defaultReadTimeout    = 3 * time.Second
@@ -47,18 +52,25 @@
 
 // Config holds the settings of a gateway.
 type Config struct {
-	Process          wardturn.Incarnation
-	Host             string // host name
-	Domain           wardturn.FailureDomain
-	KeeperPort       string        // port of the keeper beside each engine
-	Drain            time.Duration // after which a draining upstream must receive no new requests
-	ExpiryGrace      time.Duration // how long to retain entries that expired while the store was unavailable
-	MaxBody          int           // limit of a request body in bytes unless the configuration sets one
-	MaxBufferedBytes int64         // limit of buffered request bodies in bytes, over all requests; zero means none
-	RetryShare       float64       // retries allowed over all gateways, as a fraction of a service's requests
-	RetryExtra       float64       // additional retries allowed per RetryWindow
-	RetryWindow      time.Duration
-	ShutdownDelay    time.Duration // how long a gateway that shuts down still accepts requests
+	Process    wardturn.Incarnation
+	Host       string // host name
+	Domain     wardturn.FailureDomain
+	KeeperPort string // port of the keeper beside each engine
+	// Drain is the time after which a draining upstream must receive no new requests.
+	Drain time.Duration
+	// ExpiryGrace is how long to retain entries that expired while the store was unavailable.
+	ExpiryGrace time.Duration
+	// MaxBody limits the size of a request body in bytes unless the configuration sets a limit.
+	MaxBody int
+	// MaxBufferedBytes limits the bytes of request bodies buffered for all requests together.
+	// Zero means no limit.
+	MaxBufferedBytes int64
+	// RetryShare is the number of retries allowed over all gateways, as a fraction of a
+	// service's requests.
+	RetryShare    float64
+	RetryExtra    float64 // additional retries allowed per RetryWindow
+	RetryWindow   time.Duration
+	ShutdownDelay time.Duration // how long a gateway that shuts down still accepts requests
 	// KeyBound limits how long after an API key was revoked in the store requests with
 	// that key may still be sent, on any host. Zero means no limit.
 	KeyBound time.Duration
@@ -99,14 +111,16 @@
 	source         wardturn.ConfigSource
 	factStore      wardturn.FleetFactStore
 	// savedFacts is the latest state saved to factStore; used by a single goroutine.
-	savedFacts        wardturn.FleetFacts
-	storeRestored     atomic.Bool // the store was restored from an older copy and may have lost saved state
+	savedFacts wardturn.FleetFacts
+	// storeRestored reports that the store was restored from an older copy, so that it may
+	// have lost the saved state.
+	storeRestored     atomic.Bool
 	membership        *membership
 	reads             *readCoordinator
 	caps              *caps
 	limits            *limits
 	unknownHeaders    unknownHeaders
-	backoffsRequested atomic.Bool // an upstream has asked to be sent no requests for a while
+	backoffsRequested atomic.Bool // an upstream has requested a backoff
 	crashes           *crashes
 	routes            atomic.Pointer[routes]
 	pool              *pool
@@ -234,6 +248,7 @@
 	return !g.leaving.Load() && g.routes.Load() != nil && g.membersRead.Load()
 }
 
+// sweep updates the metrics and retry budgets, and drops idle connections and expired crashes.
 func (g *Gateway) sweep() {
 	g.mu.Lock()
 	addrs := g.fleet.Addrs()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -39,7 +39,7 @@
 		Expect(r.body).To(Equal(completeStream))
 	})
 
-	It("never asks an engine for more adapters than it has slots", func() {
+	It("never has an engine load more adapters than it has slots", func() {
 		var wg sync.WaitGroup
 		for i := range 12 {
 			wg.Add(1)
@@ -56,7 +56,7 @@
 		}
 	})
 
-	It("exceeds no engine's adapter slots when load orders are carried out late", func() {
+	It("exceeds no engine's adapter slots when load requests are carried out late", func() {
 		for _, e := range x.engines {
 			e.SetFaults(standin.WorkerFaults{
 				LateOrders: true,
@@ -254,11 +254,11 @@
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
-		time.Sleep(400 * time.Millisecond) // a read has failed
+		time.Sleep(400 * time.Millisecond) // until a read has failed
 		x.store.DropServer("a0")
 		x.store.DropServer("a1")
 		x.store.SetFaults(standin.MetaFaults{})
-		time.Sleep(400 * time.Millisecond) // the list was read without them
+		time.Sleep(400 * time.Millisecond) // until the list was read without them
 		Expect(x.get("lapsed", "/charge/", "").status).To(Equal(http.StatusOK))
 		Eventually(func() int {
 			return x.get("lapsed", "/charge/", "").status
@@ -302,7 +302,8 @@
 		Eventually(func() bool {
 			return strings.Count(x.log.String(), "upstream listed: upstream=e0~2000")+strings.Count(x.log.String(), "upstream listed: upstream=e1~2001") == 2
 		}, eventTimeout, pollInterval).Should(BeTrue())
-		r := x.get("b", "/ask/x", "m0/a5") // waits for the adapter, which no engine holds since the restart
+		// Waits for the adapter, which no engine holds since the restart.
+		r := x.get("b", "/ask/x", "m0/a5")
 		Expect(r.status).To(Equal(http.StatusOK))
 	})
 
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -103,7 +103,8 @@
 		got := x.headersOf(id)
 		Expect(got.Values("X-Wardturn-Tenant")).To(Equal([]string{"robots"}))
 		Expect(got.Values("Authorization")).To(BeEmpty())
-		Expect(got.Values("Priority")).To(Equal([]string{"9"})) // the least urgent that upstreams accept
+		// The least urgent priority that upstreams accept.
+		Expect(got.Values("Priority")).To(Equal([]string{"9"}))
 		Expect(x.log.String()).NotTo(ContainSubstring("key-c"))
 	})
 
@@ -118,7 +119,8 @@
 
 	It("order requests by the team's priority before the route's", func() {
 		first, _ := x.sendWithHeaders(x.frontURL, "/ask/a", "m0", bearerHeader("key-b"))
-		Expect(x.headersOf(first).Get("Priority")).To(Equal("3")) // team priority 1 with two route levels, plus route priority 1
+		// Team priority 1 times two route levels, plus route priority 1.
+		Expect(x.headersOf(first).Get("Priority")).To(Equal("3"))
 	})
 
 	It("set the team header also when a stream resumes at another upstream", func() {
--- a/gateway/leavingresponses_test.go
+++ b/gateway/leavingresponses_test.go
@@ -23,9 +23,9 @@
 	return n
 }
 
-// Without the header in its responses, a leaving upstream would get requests until the
-// list of upstreams shows that it leaves, which takes as long as the store does not
-// respond.
+// If gateways ignored the header, a leaving upstream would get requests until the list of
+// upstreams shows that it leaves. While the store does not respond, it would get them for
+// all that time.
 var _ = Describe("An upstream whose responses say that it leaves", func() {
 	// settled is the time in which each gateway gets such a response and its open requests
 	// arrive.
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -9,8 +9,8 @@
 	"wardturn/peer"
 )
 
-// limitInterval is the interval at which it is checked whether a message on upstream limits is
-// due.
+// limitInterval is the interval at which it is checked whether a message on upstream limits
+// is due.
 const limitInterval = 200 * time.Millisecond
 
 // limits tracks the request rate limits that overloaded upstreams announce in their
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -66,8 +66,8 @@
 	return statuses
 }
 
-// Without the limit, an overloaded upstream would keep receiving its usual load from all
-// gateways.
+// If gateways ignored the limit, an overloaded upstream would keep receiving its usual load
+// from all of them.
 var _ = Describe("An upstream that announces a limit", func() {
 	var x *rig
 	var fronts []string
--- a/gateway/link.go
+++ b/gateway/link.go
@@ -24,14 +24,14 @@
 	conn             *peer.Conn
 	createdAt        time.Time          // when the link was created
 	relay            *link              // the relay; nil if there is none
-	subscribedConn   *peer.Conn         // relay connection that carries the subscription; nil if not subscribed
+	subscribedConn   *peer.Conn         // relay connection with the subscription; nil if none
 	relaySince       time.Time          // when the relay was selected
 	relayBackoff     decide.PathBackoff // backoff after a relay failed
-	relaySuspended   bool               // a relay failed; updates come directly until the backoff ends
+	relaySuspended   bool               // a relay failed; updates are direct until the backoff ends
 	synced           bool               // a full state was received
 	seq              uint64             // of the latest update
 	syncStartedAt    time.Time          // when a full state was last requested
-	pendingMark      peer.Mark          // mark that the relay had not reached when it arrived; zero if none
+	pendingMark      peer.Mark          // mark that the relay has to reach; zero if none
 	pendingMarkAt    time.Time
 }
 
@@ -117,8 +117,8 @@
 	}
 }
 
-// handleUpdate handles an engine state update of a keeper process. Relayed reports whether the
-// update came through a relay.
+// handleUpdate handles an engine state update of a keeper process. The parameter relayed
+// reports whether the update came through a relay.
 func (l *link) handleUpdate(process wardturn.Incarnation, u *peer.EngineUpdate, relayed bool) {
 	l.updateMu.Lock()
 	defer l.updateMu.Unlock()
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -83,15 +83,15 @@
 		want    bool
 	}{
 		{name: "a change before the full state", process: "k", update: update(4, false)},
-		{name: "an answer before the full state", process: "k", update: answer(4)},
+		{name: "a requested update before the full state", process: "k", update: answer(4)},
 		{name: "a full state of an earlier keeper process", process: "old", update: update(8, true)},
 		{name: "a full state of another incarnation of the engine", process: "k", update: other},
 		{name: "the full state", process: "k", update: update(5, true), want: true},
 		{name: "the next change", process: "k", update: update(6, false), want: true},
 		{name: "the same change through the relay", process: "k", update: update(6, false)},
 		{name: "an older full state from a relay that is behind", process: "k", update: update(5, true)},
-		{name: "an answer older than the current state", process: "k", update: answer(5)},
-		{name: "an answer ahead of the changes", process: "k", update: answer(8), want: true},
+		{name: "a requested update older than the current state", process: "k", update: answer(5)},
+		{name: "a requested update ahead of the changes", process: "k", update: answer(8), want: true},
 		{name: "the change that comes after it", process: "k", update: update(7, false), want: true},
 		{name: "a change after a gap", process: "k", update: update(9, false)},
 		{name: "the next change, while the full state is requested", process: "k", update: update(10, false)},
@@ -129,8 +129,8 @@
 	}
 }
 
-// Regression test: each new configuration made each gateway send a message to each keeper,
-// and the keeper reply with its full state.
+// Regression test: for each new configuration each gateway sent a message to each keeper,
+// and the keepers replied with their full state.
 func TestLinkSendsChangedNotices(t *testing.T) {
 	spec := wardturn.EngineSpec{
 		Batch:        8,
@@ -165,10 +165,10 @@
 		{"another incarnation", peer.EngineConfig{Config: 3, Upstream: "i-2", Spec: larger}, true},
 	} {
 		if got := sent(c.engineConfig); got != c.want {
-			t.Errorf("%s: notice to be sent: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: configuration to be sent: %v, want %v", c.name, got, c.want)
 		}
 	}
 	if l.engineConfig.Config != 3 {
-		t.Errorf("notice for the next connection has version %d, want 3", l.engineConfig.Config)
+		t.Errorf("configuration for the next connection has version %d, want 3", l.engineConfig.Config)
 	}
 }
--- a/gateway/links.go
+++ b/gateway/links.go
@@ -13,12 +13,14 @@
 type links struct {
 	g *Gateway
 
-	mu                  sync.Mutex
-	byAddr              map[string]*link
-	byID                map[wardturn.UpstreamID]*link
-	keepers             map[string]*link         // by the keeper's address
-	relayCandidates     []*link                  // relay candidates at the latest updateRelays
-	announcementDomains []wardturn.FailureDomain // domains whose keepers deliver announcements, at the latest updateRelays
+	mu              sync.Mutex
+	byAddr          map[string]*link // by the engine's address
+	byID            map[wardturn.UpstreamID]*link
+	keepers         map[string]*link // by the keeper's address
+	relayCandidates []*link          // relay candidates at the latest updateRelays
+	// announcementDomains are the failure domains whose keepers forward announcements to this
+	// gateway, at the latest updateRelays.
+	announcementDomains []wardturn.FailureDomain
 	closed              bool
 }
 
@@ -32,7 +34,8 @@
 }
 
 // update applies the current list of upstreams and configuration: it connects to the
-// keepers of new engines, closes the links of removed ones, and sends changed configurations.
+// keepers of new engines, closes the links of removed ones, and sends changed engine
+// configurations.
 func (ls *links) update() {
 	rs := ls.g.routes.Load()
 	if rs == nil {
--- a/gateway/list_bench_test.go
+++ b/gateway/list_bench_test.go
@@ -105,8 +105,8 @@
 	})
 }
 
-// BenchmarkWholeList measures the steps of processing the initial list of 3,000 upstreams when
-// a gateway starts.
+// BenchmarkWholeList measures the steps of processing the initial list of 3,000 upstreams
+// when a gateway starts.
 func BenchmarkWholeList(b *testing.B) {
 	store := listStore(b)
 	logger := listLogger()
@@ -130,7 +130,7 @@
 			}
 		}
 	})
-	b.Run("roster", func(b *testing.B) {
+	b.Run("membership", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
 			newMembership(nil, process.Clock{}, logger, time.Second).merge(time.Now(), list)
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -21,7 +21,7 @@
 	current      []wardturn.Member                       // members in the latest list
 	byID         map[wardturn.UpstreamID]wardturn.Member // the same, by ID
 	retained     map[wardturn.UpstreamID]retainedEntry
-	failing      bool      // the latest read failed and no gateway has read the store successfully since
+	failing      bool      // the latest read failed, and no gateway has succeeded since
 	failingSince time.Time // first failure in the current run of failed reads
 	lastFailure  time.Time // latest failure
 	recoveredAt  time.Time // first successful read after the latest outage
@@ -99,10 +99,10 @@
 // announces nothing in the first 500 ms after an outage that it noticed itself.
 const minOutage = time.Second
 
-// recordStoreRead records a successful read, by this gateway or another, at the given time. If
-// reads had failed here for less than least, that was not an outage. Reads by others must
-// count: a gateway with one rejected read may rely on others' reads for a long time, and
-// if the outage lasted until its own next read, it would retain upstreams that left
+// recordStoreRead records a successful read, by this gateway or another, at the given time.
+// If reads had failed here for less than minDuration, that was not an outage. Reads by
+// others must count: a gateway with one rejected read may rely on others' reads for a long
+// time. If the outage lasted until its own next read, it would retain upstreams that left
 // meanwhile and send them requests.
 func (r *membership) recordStoreRead(at time.Time, least time.Duration) {
 	if !r.failing || !at.After(r.lastFailure) {
@@ -116,11 +116,13 @@
 	r.logger.Info("store answers again", "for", "upstreams", "away_for", outage)
 }
 
-// recentlyRecovered reports whether the store recovered from an outage within recoveryWindow.
+// recentlyRecovered reports whether the store recovered from an outage within the last
+// recoveryWindow.
 func (r *membership) recentlyRecovered(now time.Time) bool {
 	return !r.recoveredAt.IsZero() && now.Sub(r.recoveredAt) < recoveryWindow
 }
 
+// merge applies a list and returns the upstreams that are considered present.
 func (r *membership) merge(now time.Time, list wardturn.MemberList) membershipView {
 	if list.Restored {
 		r.recoveredAt = now
@@ -179,7 +181,7 @@
 }
 
 // dropExpired removes the retained entries whose grace period is over. Waiting for the next
-// read of the list instead would keep sending requests to upstreams that have left.
+// read of the list instead would have requests sent to upstreams that have left.
 func (r *membership) dropExpired() membershipView {
 	return membershipView{
 		members: r.withRetained(r.clock.Now()),
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -26,12 +26,12 @@
 	directUpdates     tally.Counter   // keeper updates received directly
 	relayedUpdates    tally.Counter   // keeper updates received through relays
 	replies           tally.Counter   // keeper replies to requests of this gateway
-	oldVersionStart   tally.Histogram // time from the activation of a newer version to a start on an old one
+	oldVersionStart   tally.Histogram // time from learning of a newer version to a start on an old one
 	oldVersionAborted tally.Counter   // requests aborted before they started on an old version
-	relaysAbandoned   tally.Counter   // relays abandoned because they sent nothing, were behind, or lost the keeper
+	relaysAbandoned   tally.Counter   // relays that sent nothing, were behind, or lost the keeper
 	crashes           tally.Counter   // requests that were at an upstream when it crashed
-	staleKeys         tally.Counter   // requests rejected because the API keys were not refreshed in time
-	backoffsRequested tally.Counter   // responses in which an upstream asked to be sent no requests for a while
+	staleKeys         tally.Counter   // requests rejected because the API keys were too old
+	backoffsRequested tally.Counter   // responses in which an upstream requested a backoff
 	config            recordMetrics
 	members           recordMetrics
 
@@ -197,7 +197,7 @@
 	m.coldLoads.RecordDuration(l.Took)
 }
 
-// updateLevels updates the gauges of queue and window sizes.
+// updateLevels updates the gauges of waiting requests, adapter loads and the load window.
 func (m *Metrics) updateLevels(l decide.FleetLevels) {
 	m.waiting.Update(float64(l.Waiting))
 	m.loading.Update(float64(l.LoadsInFlight))
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -9,9 +9,9 @@
 )
 
 // observe processes what the headers of a response say about its upstream, also of
-// responses that are not forwarded. own reports whether it is the response to this
-// request. Any other may be old, so it ends no back-off or limit that the upstream asked
-// for before.
+// responses that are not forwarded. The parameter own reports whether it is the response to
+// this request. Any other may be old, so it ends no backoff or limit that the upstream
+// requested before.
 func (x *exchange) observe(m wardturn.Member, head wardturn.ResponseHead, status int, own bool) {
 	g := x.g
 	for _, name := range head.Unknown {
@@ -55,7 +55,8 @@
 	return g.fleet.ListedLifetime(instance)
 }
 
-// observeBackoff processes a Retry-After: the upstream asks this gateway to back off.
+// observeBackoff records a Retry-After, by which the upstream requests a backoff of this
+// gateway.
 func (g *Gateway) observeBackoff(id wardturn.UpstreamID, backoff wardturn.HeaderValue[time.Duration]) {
 	g.backoffsRequested.Store(true)
 	g.mu.Lock()
@@ -73,14 +74,15 @@
 	}
 }
 
-// endBackoff records a response without a Retry-After to a request sent at a time.
+// endBackoff records a response without a Retry-After to a request sent at the given time.
+// It ends a backoff that was over by then.
 func (g *Gateway) endBackoff(id wardturn.UpstreamID, sent time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.fleet.ClearBackoff(id, sent)
 }
 
-// observeCold processes for how much longer a cold upstream takes only few requests.
+// observeCold records for how much longer a cold upstream takes only few requests.
 func (g *Gateway) observeCold(id wardturn.UpstreamID, cold wardturn.HeaderValue[time.Duration]) {
 	if cold.Err != nil {
 		g.logger.Warn("malformed warm-up time of a cold upstream", "upstream", id, "error", cold.Err)
--- a/gateway/oldversion.go
+++ b/gateway/oldversion.go
@@ -5,9 +5,9 @@
 )
 
 // watchStart has the send aborted if, before it starts, its adapter version is retired or
-// requests of its content turn out to crash upstreams; stop ends the watch. It reports
-// false if the version is retired already. A streamed response shows the start by its
-// first bytes; any other start is visible only to the keeper beside the engine.
+// requests of its content turn out to crash upstreams. The function stop ends the watch. The
+// result ok is false if the version is retired already. The first bytes of a streamed
+// response show the start; any other start is visible only to the keeper beside the engine.
 func (x *exchange) watchStart(ctx context.Context, a assignment) (watched context.Context, stop func(), ok bool) {
 	x.pending = &pendingSend{
 		attempt:      x.attempt,
@@ -32,8 +32,8 @@
 }
 
 // logOldVersion logs a send whose adapter version had been superseded before the send
-// started, with how long after this gateway learned of the newer version it was sent and
-// started.
+// started. The line has the times of the send and the start, relative to when this gateway
+// learned of the newer version.
 func (x *exchange) logOldVersion(a assignment) {
 	if a.Version == 0 || x.send.sent.IsZero() {
 		return
--- a/gateway/oldversion_test.go
+++ b/gateway/oldversion_test.go
@@ -129,10 +129,10 @@
 	})
 })
 
-// When a gateway learns of a newer version after the store was unavailable, it cannot
-// tell how long ago that was published, so the time for starts on older ones counts as
-// over. If it aborted the requests that wait at engines then, they would be lost though
-// the version may have been published only just now.
+// When a gateway learns of a newer version after the store was unavailable, it cannot tell
+// how long ago that was published, so it sends no more requests to older versions. If it
+// also aborted the requests that wait at engines then, they would be lost although the
+// version may have been published only just now.
 var _ = Describe("A request that waits at an engine when a newer version is read from a store that was unavailable", func() {
 	It("is not lost", func() {
 		x := newOldVersionRig()
@@ -194,8 +194,8 @@
 		x.publishNewer()
 		Eventually(x.delayed, 4*eventTimeout, pollInterval).Should(Equal(0))
 		for i, e := range x.engines {
-			// An engine that got none of the requests is full, so that the next ones have
-			// to go to the others.
+			// An engine that got none of the requests refuses the next ones as full, so that
+			// they have to go to the other engine.
 			e.SetFaults(standin.WorkerFaults{
 				Full: perEngine[i] == 0,
 			})
--- a/gateway/pendingsends.go
+++ b/gateway/pendingsends.go
@@ -36,12 +36,12 @@
 	key          wardturn.ModelAdapter
 	version      wardturn.Version // zero: none
 	content      wardturn.ContentID
-	nonStreaming bool // no streamed response: only the upstream's keeper can tell whether it started
+	nonStreaming bool // no streamed response: only the keeper can report the start
 	cancel       context.CancelCauseFunc
 
 	started bool      // the keeper has reported the start
-	abortAt time.Time // aborted then unless the keeper reports the start; zero: the version is in use
-	aborted bool      // was aborted
+	abortAt time.Time // when to abort it unless a start is reported; zero: version in use
+	aborted bool
 }
 
 func newPendingSends() *pendingSends {
@@ -50,8 +50,8 @@
 	}
 }
 
-// add tracks a send until remove. The returned context is canceled with the cause if the
-// send is aborted before.
+// add tracks a send until remove is called. If the send is aborted before, the returned
+// context is canceled with the reason as its cause.
 func (p *pendingSends) add(ctx context.Context, s *pendingSend) context.Context {
 	ctx, s.cancel = context.WithCancelCause(ctx)
 	p.mu.Lock()
@@ -87,8 +87,7 @@
 	return n, unconfirmed
 }
 
-// abortOverdue aborts the sends whose start was not reported in time, and returns how
-// many.
+// abortOverdue aborts the sends whose start was not reported in time, and returns how many.
 func (p *pendingSends) abortOverdue(now time.Time) int {
 	return p.abort(errVersionRetired, func(s *pendingSend) bool {
 		return !s.started && !s.abortAt.IsZero() && !now.Before(s.abortAt)
@@ -120,8 +119,7 @@
 	}
 }
 
-// abortContent aborts the sends of requests with the same content, and returns how
-// many.
+// abortContent aborts the sends of requests with a content, and returns how many.
 func (p *pendingSends) abortContent(content wardturn.ContentID) int {
 	return p.abort(errCrashingContent, func(s *pendingSend) bool {
 		return s.content == content
--- a/gateway/pendingsends_internal_test.go
+++ b/gateway/pendingsends_internal_test.go
@@ -74,12 +74,12 @@
 // reported.
 func TestPendingSendsUnconfirmed(t *testing.T) {
 	p := newPendingSends()
-	for _, s := range []*pendingSend{oldSend("stream", false), oldSend("told", true), oldSend("asked for", true)} {
+	for _, s := range []*pendingSend{oldSend("stream", false), oldSend("reported", true), oldSend("unreported", true)} {
 		p.add(context.Background(), s)
 	}
-	p.markStarted("u", []string{"told"})
+	p.markStarted("u", []string{"reported"})
 	list := p.unconfirmed()
-	if len(list) != 1 || list[0].attempt != "asked for" {
-		t.Errorf("got %d sends to ask for, want the one named \"asked for\"", len(list))
+	if len(list) != 1 || list[0].attempt != "unreported" {
+		t.Errorf("got %d unconfirmed sends, want only the unreported one", len(list))
 	}
 }
--- a/gateway/promptcounts.go
+++ b/gateway/promptcounts.go
@@ -25,9 +25,9 @@
 	maxPromptRoutes = 20
 )
 
-// promptCounts counts the requests of each route by prompt size since they were logged last.
-// Requests that were served in time have no log lines of their own; without these counts
-// the logs would not show which of the lost requests were the largest of their route.
+// promptCounts counts the requests of each route by prompt size since they were logged
+// last. Requests that were served in time have no log lines of their own; without these
+// counts the logs would not show whether the lost requests were the largest of their route.
 type promptCounts struct {
 	mu     sync.Mutex
 	routes map[string]map[int]int // counts by route and lower bound of the bucket
--- a/gateway/readcoordinator.go
+++ b/gateway/readcoordinator.go
@@ -72,13 +72,13 @@
 }
 
 // notifySchedules makes waiting goroutines re-evaluate their schedules. The caller must
-// hold n.mu.
+// hold rc.mu.
 func (rc *readCoordinator) notifySchedules() {
 	close(rc.scheduleChanged)
 	rc.scheduleChanged = make(chan struct{})
 }
 
-// awaitRead blocks until a read is due by the schedule t. It reports false when the gateway
+// awaitRead blocks until a read is due by the schedule s. It reports false when the gateway
 // shuts down.
 func (rc *readCoordinator) awaitRead(s *decide.ReadScheduler) bool {
 	for rc.g.tasks.Context().Err() == nil {
@@ -95,7 +95,7 @@
 	return false
 }
 
-// checkSchedule reports whether a read is due by the schedule t. If not, it returns a
+// checkSchedule reports whether a read is due by the schedule s. If not, it returns a
 // context that expires when the read is due or at the time until, unless that is zero, and
 // a channel that is closed when the schedule has to be evaluated again.
 func (rc *readCoordinator) checkSchedule(s *decide.ReadScheduler, until time.Time) (limit context.Context, cancel context.CancelFunc, woken <-chan struct{}, due bool) {
@@ -114,8 +114,8 @@
 }
 
 // awaitMembers waits for an announced change of the list, until a read of the list is due,
-// or until the given time unless that is zero. Due reports whether a read is due. The result
-// ok is false when the gateway shuts down.
+// or until the given time unless that is zero. The result due reports whether a read is
+// due, and ok is false when the gateway shuts down.
 func (rc *readCoordinator) awaitMembers(until time.Time) (change *announcedChange, due, ok bool) {
 	for rc.g.tasks.Context().Err() == nil {
 		limit, cancel, woken, due := rc.checkSchedule(rc.members, until)
@@ -138,8 +138,8 @@
 	return nil, false, false
 }
 
-// configCurrentAt returns the latest time at which the local configuration is known to have
-// been current, or zero before the first read.
+// configCurrentAt returns the latest time at which the local configuration is known to
+// have been current, or zero before the first read.
 func (rc *readCoordinator) configCurrentAt() time.Time {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -255,7 +255,7 @@
 }
 
 // queueMembers queues an announced change of the list. If the queue is full, the list is
-// marked as out of date. The caller must hold n.mu.
+// marked as out of date. The caller must hold rc.mu.
 func (rc *readCoordinator) queueMembers(now time.Time, m *peer.ReadAnnouncement) {
 	if m.Members.From < 0 {
 		// The change was too long to announce, so the list is read as scheduled. If all
@@ -265,7 +265,8 @@
 		return
 	}
 	defer rc.notifySchedules()
-	if len(rc.changes) == cap(rc.changes) { // no other goroutine sends on the channel while the lock is held
+	// No other goroutine sends on the channel while the lock is held.
+	if len(rc.changes) == cap(rc.changes) {
 		rc.members.Invalidate(now)
 		return
 	}
--- a/gateway/relays.go
+++ b/gateway/relays.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	// relayConnectGrace is how long a new link in the own failure domain counts as a relay
-	// candidate before it is connected, so that gateways that start together select the
-	// same relay, and only once. Selecting among the connected links only would change
+	// relayConnectGrace is how long a new link in the gateway's own failure domain counts as
+	// a relay candidate before it is connected, so that gateways that start together select
+	// the same relay, and only once. Selecting among the connected links only would change
 	// the relay with each new connection.
 	relayConnectGrace = 2 * time.Second
-	// relaySyncTimeout is how long to wait for a full state through a relay before requesting
-	// it from the keeper directly. A dial to an unreachable host times out after 300 ms
-	// and is then retried.
+	// relaySyncTimeout is how long to wait for a full state through a relay before
+	// requesting it from the keeper directly. A dial to an unreachable host times out after
+	// 300 ms and is then retried.
 	relaySyncTimeout = time.Second
-	// relayMarkTimeout is how long a relay may take to reach a keeper's mark: far longer than
-	// the few milliseconds that relaying adds, also on a slow host. A frozen relay is
-	// abandoned after this time and a tick of links.checkRelays, before its missing heartbeat
-	// is noticed.
+	// relayMarkTimeout is how long a relay may take to reach a keeper's mark: far longer
+	// than the few milliseconds that relaying adds, even on a slow host. A frozen relay is
+	// abandoned after this time plus one interval of links.checkRelays, before its missing
+	// heartbeat is noticed.
 	relayMarkTimeout = 500 * time.Millisecond
 )
 
-// updateRelay selects the relay for a keeper when the link to it was connected or lost. If the
-// keeper is in the own failure domain, it may itself be a relay, so the relays of all
-// links are selected again.
+// updateRelay selects the relay for a keeper after the link to it was connected or lost. A
+// keeper in the gateway's own failure domain may itself be a relay, so the relays of all
+// links are then selected again.
 func (ls *links) updateRelay(l *link) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -40,9 +40,9 @@
 	ls.chooseRelay(ls.g.clock.Now(), l)
 }
 
-// updateRelays selects the relays of all links. Updates of a keeper in another failure domain
-// are relayed by one in the own domain; all gateways in the domain select the same one.
-// The caller must hold ls.mu.
+// updateRelays selects the relays of all links. Updates of a keeper in another failure
+// domain are relayed by one in the gateway's own domain; all gateways in the domain select
+// the same one. The caller must hold ls.mu.
 func (ls *links) updateRelays() {
 	if ls.closed {
 		return
@@ -55,8 +55,8 @@
 	}
 }
 
-// chooseRelay selects the relay for one keeper, and whether the keeper forwards announcements
-// to this gateway. The caller must hold ls.mu.
+// chooseRelay selects the relay for one keeper, and whether the keeper forwards
+// announcements to this gateway. The caller must hold ls.mu.
 func (ls *links) chooseRelay(now time.Time, l *link) {
 	l.setAnnouncements(ls.announcementDomains)
 	relay, _ := decide.First(l.addr(), ls.relayCandidates, (*link).addr)
@@ -88,8 +88,8 @@
 	return list
 }
 
-// reachable returns the keeper's failure domain, and whether the keeper is connected or was
-// added so recently that the connection may still be in progress.
+// reachable returns the keeper's failure domain, and whether the keeper is connected or
+// its link is so new that it may still be connecting.
 func (l *link) reachable(now time.Time) (wardturn.FailureDomain, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,8 +112,9 @@
 	}
 }
 
-// relayNeedsChange reports whether a relay has to be selected again: because the current one
-// sends nothing or is behind, or because the backoff after a failure is over.
+// relayNeedsChange reports whether a relay has to be selected again, because the current
+// one sends nothing or is behind, or because the backoff after a failure is over. In the
+// first two cases it suspends the relay.
 func (l *link) relayNeedsChange(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,8 +172,8 @@
 	l.subscribedConn = nil
 }
 
-// subscribe subscribes to the keeper's updates at the relay, once per relay connection. The
-// caller must hold l.mu.
+// subscribe subscribes to the keeper's updates at the relay, once per relay connection.
+// The caller must hold l.mu.
 func (l *link) subscribe() {
 	conn, _ := l.relay.current()
 	if conn == nil || conn == l.subscribedConn {
@@ -196,8 +197,8 @@
 	l.engineConfigSent = false
 }
 
-// handleRelayed handles a keeper's update that came through a relay. If the relay has lost its
-// connection to the keeper, the gateway switches to direct updates.
+// handleRelayed handles a keeper's update that came through a relay. If the relay has lost
+// its connection to the keeper, the gateway switches to direct updates.
 func (ls *links) handleRelayed(m *peer.RelayedUpdate) {
 	ls.mu.Lock()
 	l := ls.keepers[m.Keeper]
@@ -221,8 +222,8 @@
 	}
 }
 
-// suspendRelay records a failure of the relay and starts the backoff during which the keeper
-// sends its updates directly. The caller must hold l.mu.
+// suspendRelay records a failure of the relay and starts the backoff during which the
+// keeper sends its updates directly. The caller must hold l.mu.
 func (l *link) suspendRelay(now time.Time) {
 	l.relaySuspended = true
 	l.relayBackoff.Fail(now, l.relaySince)
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -25,9 +25,9 @@
 		}
 		return c.Value()
 	}
-	// load requests new adapters through the other gateway; some are loaded at the remote
-	// engine.
 	loads := 0
+	// loadAdapters requests new adapters through the other gateway; some are loaded at the
+	// remote engine.
 	loadAdapters := func() {
 		own := x.frontURL
 		x.frontURL = front
@@ -52,7 +52,7 @@
 		Eventually(other.Ready, eventTimeout, pollInterval).Should(BeTrue())
 	})
 
-	It("is received through a relay in the own failure domain", func() {
+	It("is received through a relay in the gateway's failure domain", func() {
 		Eventually(func() int64 {
 			loadAdapters()
 			return updates("relay")
@@ -82,10 +82,12 @@
 		before := updates("direct")
 		Eventually(func() int64 {
 			loadAdapters()
-			x.get("use", "/ask/x", fmt.Sprintf("m0/l%d", loads)) // an adapter that one of the engines holds
+			// Use an adapter that one of the engines holds.
+			x.get("use", "/ask/x", fmt.Sprintf("m0/l%d", loads))
 			return updates("direct")
 		}, eventTimeout, pollInterval).Should(BeNumerically(">", before+3))
-		Expect(time.Since(frozen)).To(BeNumerically("<", 3*time.Second)) // a missing heartbeat is noticed after 5 s
+		// A missing heartbeat is noticed only after 5 s.
+		Expect(time.Since(frozen)).To(BeNumerically("<", 3*time.Second))
 	})
 
 	It("is received through the relay again once it is reachable", func() {
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -13,7 +13,7 @@
 // resolve finds the request's route, team and service and reads its headers. It reports
 // false after it has answered a request that cannot be served.
 func (x *exchange) resolve() bool {
-	// Read before the routes, which are then at least as new as this time says.
+	// Read before the routes are loaded, so that they are at least as recent as this time.
 	configAsOf := x.g.reads.configCurrentAt()
 	rs := x.g.routes.Load()
 	if rs == nil {
@@ -65,8 +65,8 @@
 	return true
 }
 
-// readBody reads the complete body before the request is sent to an upstream, so that a
-// slow caller does not occupy one. It reports false after it has answered the request.
+// readBody reads the complete body before the request is sent, so that a slow caller does
+// not occupy an upstream. It reports false after it has answered the request.
 func (x *exchange) readBody() bool {
 	limit := int64(x.g.cfg.MaxBody)
 	if l := x.g.routes.Load().table.Limits.MaxBody; l > 0 {
@@ -117,8 +117,8 @@
 	return body, r.exhausted, err
 }
 
-// identifyContent computes the id of the request's content, by which logs and decisions
-// recognize the request when it comes again as another attempt.
+// identifyContent computes the ID of the request's content, by which logs and decisions
+// recognize the request when it is repeated under another attempt ID.
 func (x *exchange) identifyContent() {
 	c := wardturn.Content{
 		Method:  x.r.Method,
--- a/gateway/resumemismatch_test.go
+++ b/gateway/resumemismatch_test.go
@@ -114,7 +114,7 @@
 		}),
 	)
 
-	DescribeTable("is not requested if the position to resume from is not known",
+	DescribeTable("is not resumed if the position to resume from is not known",
 		func(fresh standin.StreamShape) {
 			x.loadAndSetFaults(standin.WorkerFaults{
 				CutFresh: 2,
@@ -177,7 +177,7 @@
 	It("is resumed at another engine if the first does not continue after the last event", func() {
 		x.loadAndSetFaults(standin.WorkerFaults{})
 		faulty := 0
-		Eventually(func() int64 { // until the faulty engine was the first to be asked
+		Eventually(func() int64 { // until the faulty engine was the first to get the request
 			x.engines[faulty%2].SetFaults(standin.WorkerFaults{})
 			faulty++
 			x.engines[faulty%2].SetFaults(standin.WorkerFaults{
--- a/gateway/retained_test.go
+++ b/gateway/retained_test.go
@@ -10,8 +10,8 @@
 	"wardturn/standin"
 )
 
-// If retained entries were removed only at the next read of the list, their upstreams
-// would receive requests beyond the drain time.
+// If retained entries were removed only at the next read of the list, their upstreams would
+// receive requests beyond the drain time.
 var _ = Describe("Entries that expired while the store was unavailable", func() {
 	It("are removed at the end of the grace period, without a read of the list", func() {
 		x := newRigWithDrain(6*time.Second, "d", "d") // the list is read every 3 s
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -53,8 +53,8 @@
 // rigMaxBuffered is how many bytes of request bodies a gateway of a rig buffers at once.
 const rigMaxBuffered = 256 << 10
 
-// rig is a gateway with a store, two engines with keepers and two application
-// workers, all in this process on loopback addresses.
+// rig is a gateway with a store, two engines with keepers and two application workers, all
+// in this process on loopback addresses.
 type rig struct {
 	store      *standin.MetaStore
 	storeAddr  string
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -61,8 +61,8 @@
 		}
 		return nil, err
 	}
-	// Checked only after the dial, which may take as long as the time in which a leaving
-	// upstream may still get new requests.
+	// Checked only after the dial, during which the time may end in which a leaving upstream
+	// may still receive new requests.
 	if !g.accepts(a) {
 		c.returnUnused(g.pool)
 		return nil, errNotAccepting
@@ -119,7 +119,7 @@
 }
 
 // release ends the use of a response that was read completely. It returns the connection
-// to the pool if that can be reused, or closes it.
+// to the pool if the connection can be reused, or closes it.
 func (r *response) release() {
 	keep := idleTimeAfter(r.res)
 	if !r.stop() || keep <= 0 || r.conn.br.Buffered() > 0 {
@@ -173,8 +173,8 @@
 }
 
 const (
-	headSize    = 1 << 10
-	maxPriority = 9 // the least urgent that upstreams accept
+	headSize    = 1 << 10 // initial capacity for the encoded header
+	maxPriority = 9       // the least urgent priority that upstreams accept
 )
 
 // stripsHeader reports whether a header of the caller is not forwarded, because the
@@ -191,8 +191,8 @@
 	case http.CanonicalHeaderKey(n.LastEventID):
 		return x.events.last != ""
 	}
-	// A caller that reserves memory of an upstream would take it from other callers, whose
-	// requests would be refused for it.
+	// Reserved headers claim memory of an upstream. For lack of that memory, requests of
+	// other callers would be refused.
 	return slices.Contains(n.Reserved, name)
 }
 
--- a/gateway/slowcaller_internal_test.go
+++ b/gateway/slowcaller_internal_test.go
@@ -7,8 +7,8 @@
 	"wardturn/decide"
 )
 
-// An upstream ends a response early if its caller does not read it. That must not count as
-// a fault of the upstream.
+// An upstream closes the connection of a response that the caller does not read. That must
+// not count as a fault of the upstream.
 func TestEndingOfUnreadAnswers(t *testing.T) {
 	for write, want := range map[time.Duration]decide.Outcome{
 		slowWriteTime / 4: decide.OutcomeBroken,
@@ -20,10 +20,10 @@
 			},
 		}
 		if got := x.ending(resultTruncated); got != want {
-			t.Errorf("cut after a write to the caller took %v: ending %v, want %v", write, got, want)
+			t.Errorf("truncated after a write to the caller took %v: outcome %v, want %v", write, got, want)
 		}
 		if got := x.ending(resultErrorForwarded); got != decide.OutcomeError {
-			t.Errorf("error response of the upstream: ending %v, want %v", got, decide.OutcomeError)
+			t.Errorf("error response of the upstream: outcome %v, want %v", got, decide.OutcomeError)
 		}
 	}
 }
--- a/gateway/storecalls_test.go
+++ b/gateway/storecalls_test.go
@@ -18,9 +18,9 @@
 	topicCrashes  = "keyed.wardturn.crashes"
 )
 
-// Before upstreams are registered, gateways cannot receive each other's announcements. Each
-// gateway then read the configuration and the crashes every 1.2 s, which cost twenty store
-// calls for each host that started.
+// Before upstreams are registered, gateways cannot receive each other's announcements. In a
+// former version each gateway then read the configuration and the crashes every 1.2 s, which
+// cost twenty store calls for each host that started.
 var _ = Describe("A gateway without upstreams", func() {
 	It("reads the configuration rarely, and the crashes once there is an upstream", func() {
 		x := newRig()
@@ -42,9 +42,9 @@
 	})
 })
 
-// When a change was too long to be announced in full, all gateways that received the
-// announcement read the list at once and announced the same change again: up to four reads per
-// second and gateway while upstreams registered.
+// Regression test: when a change was too long to be announced in full, all gateways that
+// received the announcement read the list at once and announced the same change again. That
+// gave up to four reads per second and gateway while upstreams registered.
 var _ = Describe("Gateways while many upstreams register", func() {
 	It("read the list as scheduled", func() {
 		const (
@@ -57,7 +57,7 @@
 			g, _, _ := x.startGateway(wardturn.Incarnation(fmt.Sprint("more", i)), platform.NewStore(x.storeAddr, x.metrics))
 			Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		}
-		time.Sleep(drain) // all have received announcements of the one that reads
+		time.Sleep(drain) // until all have received announcements of the one that reads
 		before := x.store.ReadsOf(topicServers)
 		n := 0
 		for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
--- a/gateway/storereads_test.go
+++ b/gateway/storereads_test.go
@@ -38,7 +38,7 @@
 	})
 
 	It("read it about as often as a single gateway", func() {
-		time.Sleep(1500 * time.Millisecond) // both have received announcements of each other
+		time.Sleep(1500 * time.Millisecond) // until both have received each other's announcements
 		operator, servers := x.store.Reads()
 		time.Sleep(3 * time.Second)
 		operatorNow, serversNow := x.store.Reads()
--- a/gateway/storerestore_test.go
+++ b/gateway/storerestore_test.go
@@ -16,9 +16,9 @@
 // gateway.
 const configBound = 2 * time.Second
 
-// Gateways that compared positions from before and after the restore considered their own
-// state newer, and ignored changes until the store had assigned the offsets they knew
-// again.
+// Regression test: gateways that compared positions from before and after the restore
+// considered their own state newer, and ignored changes until the store had assigned again
+// the offsets that they knew.
 var _ = Describe("A store that is restored from an older copy", func() {
 	var x *rig
 	var fronts []string
@@ -58,7 +58,7 @@
 			putConfig("")
 			time.Sleep(50 * time.Millisecond)
 		}
-		time.Sleep(configBound) // all gateways have read these changes
+		time.Sleep(configBound) // until all gateways have read these changes
 		x.store.SetFaults(standin.MetaFaults{
 			Away: true,
 		})
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -32,7 +32,7 @@
 	return cmp.Or(x.events.last, x.r.Header.Get(x.g.names.LastEventID))
 }
 
-// forwardStream forwards a response as it comes. A response that resumes a stream is
+// forwardStream forwards a response as it arrives. A response that resumes a stream is
 // appended to what the caller has, without headers of its own.
 func (x *exchange) forwardStream(a assignment, resp *response) result {
 	x.writeStreamHeader(resp.res)
@@ -82,8 +82,8 @@
 	x.headerWritten = true
 }
 
-// slowWriteTime is how long a write to the caller must take for an early end of the
-// response to say nothing about the upstream, which closes connections that are not read.
+// slowWriteTime is the duration of a write to the caller from which on a truncated response
+// does not count against the upstream, since upstreams close connections that are not read.
 const slowWriteTime = time.Second
 
 // slowCaller reports whether the caller was so slow to read the response that the upstream
@@ -141,8 +141,9 @@
 	return resultForwarded
 }
 
-// writeEvents forwards events. It returns errResumeMismatch if what follows does not
-// continue the caller's stream, for the reason that mismatch gives.
+// writeEvents forwards events. If mismatch is not empty, it is the reason why the rest of
+// the response does not continue the caller's stream, and writeEvents returns
+// errResumeMismatch.
 func (x *exchange) writeEvents(a assignment, events []byte, mismatch resumeMismatch) error {
 	if _, err := x.w.Write(events); err != nil {
 		return err
