--- a/gateway/bytelimiter_test.go
+++ b/gateway/bytelimiter_test.go
@@ -13,7 +13,7 @@
 
 // openSlowBodies opens n connections that announce a body of the given size and send a
 // part of it. It returns a function that closes them.
-func (x *rig) openSlowBodies(n, size int, chunked bool) (end func()) {
+func (x *rig) openSlowBodies(n, size int, chunked bool) (closeAll func()) {
 	front, err := url.Parse(x.frontURL)
 	Expect(err).NotTo(HaveOccurred())
 	var conns []net.Conn
@@ -42,7 +42,7 @@
 	for _, chunked := range []bool{false, true} {
 		It(fmt.Sprintf("are limited (chunked: %v); requests beyond the limit are refused as not run, and served again once the others are gone", chunked), func() {
 			x := newRig()
-			end := x.openSlowBodies(8, 60<<10, chunked)
+			closeAll := x.openSlowBodies(8, 60<<10, chunked)
 			body := strings.Repeat("y", 60<<10)
 			Eventually(func() string {
 				return x.send("POST", fmt.Sprintf("big-%d", attempts.Add(1)), "/look/a", "", body).body
@@ -52,7 +52,7 @@
 			Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 			Expect(r.header.Get("Retry-After")).NotTo(BeEmpty())
 			Expect(x.runs(id)).To(BeZero())
-			end()
+			closeAll()
 			Eventually(func() int {
 				return x.send("POST", fmt.Sprintf("big-%d", attempts.Add(1)), "/look/a", "", body).status
 			}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
--- a/gateway/caps_test.go
+++ b/gateway/caps_test.go
@@ -20,7 +20,7 @@
 
 var _ = Describe("Usage caps of teams", func() {
 	var x *rig
-	try := func(front, key, tokens string) (string, reply) {
+	sendWithTokens := func(front, key, tokens string) (string, reply) {
 		h := bearerHeader(key)
 		h["X-Wardturn-Token-Count"] = []string{tokens}
 		return x.sendWithHeaders(front, "/look/a", "", h)
@@ -29,27 +29,27 @@
 		x = newRig()
 		x.store.PutConfig(configWithTeams(2, capped+","+free))
 		Eventually(func() int {
-			_, r := try(x.frontURL, "key-a", "1,1")
+			_, r := sendWithTokens(x.frontURL, "key-a", "1,1")
 			return r.status
 		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 	})
 
 	It("reject requests over the cap with 429 and the time after which they are served", func() {
 		Eventually(func() int {
-			_, r := try(x.frontURL, "key-a", "1500,500")
+			_, r := sendWithTokens(x.frontURL, "key-a", "1500,500")
 			return r.status
 		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
-		id, r := try(x.frontURL, "key-a", "10,10")
+		id, r := sendWithTokens(x.frontURL, "key-a", "10,10")
 		Expect(r.status).To(Equal(http.StatusTooManyRequests))
 		Expect(r.body).To(Equal("quota"))
 		Expect(x.runs(id)).To(BeZero())
-		_, other := try(x.frontURL, "key-c", "9000,9000")
+		_, other := sendWithTokens(x.frontURL, "key-c", "9000,9000")
 		Expect(other.status).To(Equal(http.StatusOK))
-		back, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
+		retryAfter, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(back).To(BeNumerically(">", 0.1))
-		time.Sleep(time.Duration((back + 0.01) * float64(time.Second)))
-		_, again := try(x.frontURL, "key-a", "10,10")
+		Expect(retryAfter).To(BeNumerically(">", 0.1))
+		time.Sleep(time.Duration((retryAfter + 0.01) * float64(time.Second)))
+		_, again := sendWithTokens(x.frontURL, "key-a", "10,10")
 		Expect(again.status).To(Equal(http.StatusOK))
 		Expect(x.log.String()).To(ContainSubstring("beyond the cap"))
 	})
@@ -59,14 +59,14 @@
 		_, second, _ := x.startGateway("second", store)
 		status := func(front string) func() int {
 			return func() int {
-				_, r := try(front, "key-a", "1,0")
+				_, r := sendWithTokens(front, "key-a", "1,0")
 				return r.status
 			}
 		}
 		Eventually(status(second), eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		// Until both have received each other's messages and their buckets are full.
 		time.Sleep(1200 * time.Millisecond)
-		_, r := try(x.frontURL, "key-a", "9000,0")
+		_, r := sendWithTokens(x.frontURL, "key-a", "9000,0")
 		Expect(r.status).To(Equal(http.StatusOK))
 		Eventually(status(second), eventTimeout, pollInterval).Should(Equal(http.StatusTooManyRequests))
 		Consistently(status(second), 500*time.Millisecond, 50*time.Millisecond).Should(Equal(http.StatusTooManyRequests))
@@ -80,14 +80,14 @@
 			})
 		}
 		for range 5 {
-			_, r := try(x.frontURL, "key-a", "700,700")
+			_, r := sendWithTokens(x.frontURL, "key-a", "700,700")
 			Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 		}
 		for _, m := range x.apps {
 			m.SetFaults(standin.WorkerFaults{})
 		}
 		Eventually(func() int {
-			_, r := try(x.frontURL, "key-a", "1,1")
+			_, r := sendWithTokens(x.frontURL, "key-a", "1,1")
 			return r.status
 		}, 500*time.Millisecond, pollInterval).Should(Equal(http.StatusOK))
 	})
--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -163,8 +163,8 @@
 }
 
 // put adds a connection to the idle ones for a time, or closes it if there are too many.
-func (p *pool) put(c *upstreamConn, keep time.Duration) {
-	c.idleUntil = p.clock.Now().Add(keep)
+func (p *pool) put(c *upstreamConn, idleTime time.Duration) {
+	c.idleUntil = p.clock.Now().Add(idleTime)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[c.addr]) >= maxIdlePerAddr {
--- a/gateway/conn_internal_test.go
+++ b/gateway/conn_internal_test.go
@@ -31,12 +31,12 @@
 	}
 	c.abort()
 	time.Sleep(10 * time.Millisecond) // stands for the time that the host is frozen
-	taken, err := ln.Accept()
+	accepted, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	if _, err := io.ReadAll(taken); !errors.Is(err, syscall.ECONNRESET) {
+	defer accepted.Close()
+	if _, err := io.ReadAll(accepted); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("read ended with %v, want a connection reset", err)
 	}
 }
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -198,13 +198,13 @@
 // faulty upstream returns errors whatever the request: if those cleared it, any upstream
 // that fails occasionally would let a request that crashes upstreams pass again. ctxErr is
 // the error of the context that limits the request's time.
-func (x *exchange) recordContent(a assignment, res result, limit error) {
-	switch res {
+func (x *exchange) recordContent(a assignment, sendResult result, ctxErr error) {
+	switch sendResult {
 	case resultForwarded:
 		x.g.crashes.completed(x.content)
 	case resultUnknown, resultTruncated, resultCallerGone:
 		if !x.send.aborted && !x.slowCaller() {
-			x.g.crashes.interrupted(a.Member, x.content, res != resultCallerGone && limit == nil)
+			x.g.crashes.interrupted(a.Member, x.content, sendResult != resultCallerGone && ctxErr == nil)
 		}
 	}
 }
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -139,23 +139,23 @@
 // writeDue writes the records that are due. It reports false if the write failed.
 func (c *crashes) writeDue() bool {
 	c.mu.Lock()
-	crashes, takeBack := c.tracker.PendingWrites(c.g.clock.Now(), c.unannounced)
-	all := c.unannounced
+	crashes, deletes := c.tracker.PendingWrites(c.g.clock.Now(), c.unannounced)
+	unannounced := c.unannounced
 	c.unannounced = false
 	c.mu.Unlock()
-	if len(crashes)+len(takeBack) == 0 {
+	if len(crashes)+len(deletes) == 0 {
 		return true
 	}
-	err := c.record.Write(c.g.clock.Now(), crashes, takeBack)
+	err := c.record.Write(c.g.clock.Now(), crashes, deletes)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		c.unannounced = c.unannounced || all
-		c.g.logger.Warn("crashes not recorded", "crashes", len(crashes), "taken_back", len(takeBack), "error", err)
+		c.unannounced = c.unannounced || unannounced
+		c.g.logger.Warn("crashes not recorded", "crashes", len(crashes), "taken_back", len(deletes), "error", err)
 		return false
 	}
-	c.g.logger.Info("crashes recorded", "crashes", len(crashes), "taken_back", len(takeBack))
-	c.tracker.Written(crashes, takeBack)
+	c.g.logger.Info("crashes recorded", "crashes", len(crashes), "taken_back", len(deletes))
+	c.tracker.Written(crashes, deletes)
 	return true
 }
 
@@ -164,9 +164,9 @@
 	c.mu.Lock()
 	now := c.g.clock.Now()
 	c.tracker.Sweep(now)
-	crashes, takeBack := c.tracker.PendingWrites(now, false)
+	crashes, deletes := c.tracker.PendingWrites(now, false)
 	c.mu.Unlock()
-	if len(crashes)+len(takeBack) > 0 {
+	if len(crashes)+len(deletes) > 0 {
 		signal(c.writeSignal)
 	}
 }
--- a/gateway/decisions.go
+++ b/gateway/decisions.go
@@ -19,9 +19,9 @@
 	var out decide.Actions
 	g.mu.Lock()
 	f(g.clock.Now(), &out)
-	readings := g.fleet.PrefillReports()
+	reports := g.fleet.PrefillReports()
 	g.mu.Unlock()
-	g.links.sendPrefillReports(readings)
+	g.links.sendPrefillReports(reports)
 	g.execute(out)
 }
 
@@ -57,9 +57,9 @@
 func (g *Gateway) endPrefill(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	g.mu.Lock()
 	g.fleet.ResponseStarted(id, prompt)
-	readings := g.fleet.PrefillReports()
+	reports := g.fleet.PrefillReports()
 	g.mu.Unlock()
-	g.links.sendPrefillReports(readings)
+	g.links.sendPrefillReports(reports)
 }
 
 // recordPrefill records how long an upstream took to process prompts.
@@ -70,10 +70,10 @@
 }
 
 // endSend records the end of a send to an upstream.
-func (g *Gateway) endSend(id wardturn.UpstreamID, key wardturn.ModelAdapter, body int, how decide.Outcome) {
+func (g *Gateway) endSend(id wardturn.UpstreamID, key wardturn.ModelAdapter, body int, outcome decide.Outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fleet.RequestEnded(g.clock.Now(), id, key, how)
+	g.fleet.RequestEnded(g.clock.Now(), id, key, outcome)
 	g.fleet.ReleaseBody(id, body)
 }
 
@@ -98,10 +98,10 @@
 
 // accepts reports whether a request that was assigned to an upstream may still be sent to
 // it.
-func (g *Gateway) accepts(u wardturn.Member) bool {
+func (g *Gateway) accepts(m wardturn.Member) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.fleet.Accepts(g.clock.Now(), u)
+	return g.fleet.Accepts(g.clock.Now(), m)
 }
 
 // recordRefused records that an upstream's address refused a connection.
@@ -129,7 +129,7 @@
 
 // superseded returns the first newer version of an adapter, and when this gateway learned
 // of it.
-func (g *Gateway) superseded(key wardturn.ModelAdapter, v wardturn.Version) (newer wardturn.Version, named time.Time, ok bool) {
+func (g *Gateway) superseded(key wardturn.ModelAdapter, v wardturn.Version) (newer wardturn.Version, learnedAt time.Time, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.fleet.Superseded(key, v)
--- a/gateway/disconnect_test.go
+++ b/gateway/disconnect_test.go
@@ -41,7 +41,7 @@
 		client := &http.Client{
 			Transport: &http.Transport{},
 		}
-		begun := make(chan struct{})
+		received := make(chan struct{})
 		go func() {
 			defer GinkgoRecover()
 			res, err := client.Do(req)
@@ -50,16 +50,16 @@
 			}
 			defer res.Body.Close()
 			_, _ = io.ReadFull(res.Body, make([]byte, read))
-			close(begun)
+			close(received)
 			_, _ = io.Copy(io.Discard, res.Body)
 		}()
 		if read > 0 {
-			Eventually(begun, eventTimeout).Should(BeClosed())
+			Eventually(received, eventTimeout).Should(BeClosed())
 		}
 		DeferCleanup(disconnect)
 		return disconnect
 	}
-	faults := func(f standin.WorkerFaults) {
+	setAllFaults := func(f standin.WorkerFaults) {
 		for _, m := range append(x.engines, x.apps...) {
 			m.SetFaults(f)
 		}
@@ -70,7 +70,7 @@
 
 	for _, path := range []string{"/ask/x", "/resume/x", "/look/"} {
 		It("is canceled at its upstream before the first byte, on "+path, func() {
-			faults(standin.WorkerFaults{
+			setAllFaults(standin.WorkerFaults{
 				Think: eventTimeout,
 			})
 			model := "m0"
@@ -85,7 +85,7 @@
 	}
 
 	It("is canceled at its engine in the middle of a stream", func() {
-		faults(standin.WorkerFaults{
+		setAllFaults(standin.WorkerFaults{
 			Linger: eventTimeout,
 		})
 		disconnect := call("/ask/x", "m0", 5)
@@ -95,14 +95,14 @@
 	})
 
 	It("reaches no engine if its adapter is loaded later", func() {
-		faults(standin.WorkerFaults{
+		setAllFaults(standin.WorkerFaults{
 			LoseOrders: true,
 		})
 		disconnect := call("/ask/x", "m0/late", 0)
 		time.Sleep(100 * time.Millisecond)
 		disconnect()
 		time.Sleep(stopTimeout)
-		faults(standin.WorkerFaults{})
+		setAllFaults(standin.WorkerFaults{})
 		Consistently(func() int {
 			return x.runs("leaves")
 		}, stopTimeout, pollInterval).Should(BeZero())
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -84,10 +84,10 @@
 		x.evacuate("d")
 		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("evacuations in force: domains=[\"d\"]"))
 		x.revokeEvacuation("d")
-		back := time.Now()
+		revokedAt := time.Now()
 		Eventually(func() int {
 			x.callAll(fronts, "/look/a", "", 2, 10*time.Millisecond, 50*time.Millisecond)
-			return x.domainArrivalsAfter("d", back)
+			return x.domainArrivalsAfter("d", revokedAt)
 		}, eventTimeout, pollInterval).Should(BeNumerically(">", 5))
 	})
 
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -93,9 +93,9 @@
 			return e.overflow(out)
 		}
 		end += len(eventEnd)
-		pass, why := e.check(e.part[:end])
-		if why != "" {
-			return out, why
+		pass, mismatch := e.check(e.part[:end])
+		if mismatch != "" {
+			return out, mismatch
 		}
 		if pass {
 			out = append(out, e.part[:end]...)
@@ -109,9 +109,9 @@
 	if len(e.part) < maxEventSize {
 		return out, ""
 	}
-	pass, why := e.check(e.part)
-	if why != "" {
-		return out, why
+	pass, mismatch := e.check(e.part)
+	if mismatch != "" {
+		return out, mismatch
 	}
 	if pass {
 		out = append(out, e.part...)
@@ -129,9 +129,9 @@
 	if len(data) == 0 {
 		return nil, ""
 	}
-	pass, why := e.check(data)
-	if !pass || why != "" {
-		return nil, why
+	pass, mismatch := e.check(data)
+	if !pass || mismatch != "" {
+		return nil, mismatch
 	}
 	return data, ""
 }
@@ -143,25 +143,25 @@
 		e.overflowed = false // end of an event whose first part was recorded
 		return true, ""
 	}
-	id, data := fields(event)
+	id, data := eventFields(event)
 	if id == nil && !data {
 		return true, "" // a comment; duplicates do no harm
 	}
-	n, ok := eventNumber(id)
+	n, numbered := eventNumber(id)
 	if e.resumed {
-		if pass, why := e.follows(event, n, ok); !pass {
-			return false, why
+		if pass, mismatch := e.follows(event, n, numbered); !pass {
+			return false, mismatch
 		}
 	}
-	e.record(event, id, n, ok)
+	e.record(event, id, n, numbered)
 	return true, ""
 }
 
 // follows reports whether an event of a response that resumes a stream is the next one, or
 // else why not. For a duplicate that is to be dropped, it returns false without a reason.
-func (e *events) follows(event []byte, n int64, ok bool) (bool, resumeMismatch) {
+func (e *events) follows(event []byte, n int64, numbered bool) (bool, resumeMismatch) {
 	switch {
-	case !ok:
+	case !numbered:
 		return false, mismatchNoNumber
 	case n == e.number+1:
 		return true, ""
@@ -177,8 +177,8 @@
 }
 
 // record records an event that is forwarded.
-func (e *events) record(event, id []byte, n int64, ok bool) {
-	counted := ok && (!e.forwarded && !e.resumed || e.counted && n == e.number+1)
+func (e *events) record(event, id []byte, n int64, numbered bool) {
+	counted := numbered && (!e.forwarded && !e.resumed || e.counted && n == e.number+1)
 	if !counted {
 		e.unresumable = true
 	}
@@ -195,8 +195,8 @@
 	e.forwarded = true
 }
 
-// fields returns the ID of an event, nil if it has none, and whether the event has data.
-func fields(event []byte) (id []byte, data bool) {
+// eventFields returns the ID of an event, nil if it has none, and whether the event has data.
+func eventFields(event []byte) (id []byte, data bool) {
 	for line := range bytes.Lines(event) {
 		if rest, ok := bytes.CutPrefix(line, eventID); ok {
 			id = bytes.TrimSpace(rest)
--- a/gateway/events_internal_test.go
+++ b/gateway/events_internal_test.go
@@ -10,15 +10,15 @@
 func feedAll(e *events, pieces ...string) (string, resumeMismatch) {
 	var got strings.Builder
 	for _, p := range pieces {
-		data, why := e.feed([]byte(p))
+		data, mismatch := e.feed([]byte(p))
 		got.Write(data)
-		if why != "" {
-			return got.String(), why
+		if mismatch != "" {
+			return got.String(), mismatch
 		}
 	}
-	data, why := e.finish()
+	data, mismatch := e.finish()
 	got.Write(data)
-	return got.String(), why
+	return got.String(), mismatch
 }
 
 func TestEventsOfResumedStream(t *testing.T) {
@@ -30,10 +30,10 @@
 	)
 	long := "id: 3\ndata: " + strings.Repeat("x", maxEventSize) + "\n\n"
 	for _, c := range []struct {
-		name   string
-		answer string
-		want   string
-		why    resumeMismatch
+		name     string
+		response string
+		want     string
+		mismatch resumeMismatch
 	}{
 		{"next", three, three, ""},
 		{"end of stream", "", "", ""},
@@ -53,16 +53,16 @@
 		{"long", long, long, ""},
 		{"long, with a gap", strings.Replace(long, "id: 3", "id: 4", 1), "", mismatchMissing},
 	} {
-		for size := 1; size <= len(c.answer)+1; size += 1 + len(c.answer)/40 {
+		for size := 1; size <= len(c.response)+1; size += 1 + len(c.response)/40 {
 			e := &events{}
-			if got, why := feedAll(e, ping+one+two); got != ping+one+two || why != "" {
-				t.Fatalf("first run: %q, %q", got, why)
+			if got, mismatch := feedAll(e, ping+one+two); got != ping+one+two || mismatch != "" {
+				t.Fatalf("first run: %q, %q", got, mismatch)
 			}
 			if !e.resume() {
 				t.Fatal("not resumed")
 			}
-			if got, why := feedAll(e, split(c.answer, size)...); got != c.want || why != c.why {
-				t.Errorf("%s, pieces of %d bytes: got %.80q, %q, want %.80q, %q", c.name, size, got, why, c.want, c.why)
+			if got, mismatch := feedAll(e, split(c.response, size)...); got != c.want || mismatch != c.mismatch {
+				t.Errorf("%s, pieces of %d bytes: got %.80q, %q, want %.80q, %q", c.name, size, got, mismatch, c.want, c.mismatch)
 			}
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 func TestEventsThatCannotBeResumed(t *testing.T) {
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"last event without ID":  "id: 1\ndata: a\n\ndata: b\n\n",
 		"first event without ID": "data: a\n\nid: 1\ndata: b\n\n",
 		"duplicate number":       "id: 1\ndata: a\n\nid: 1\ndata: b\n\n",
@@ -86,8 +86,8 @@
 		"long event":             "id: 1\ndata: " + strings.Repeat("x", maxEventSize) + "\n\n",
 	} {
 		e := &events{}
-		if got, why := feedAll(e, split(answer, 8<<10)...); got != answer || why != "" {
-			t.Errorf("%s: got %.80q, %q", name, got, why)
+		if got, mismatch := feedAll(e, split(response, 8<<10)...); got != response || mismatch != "" {
+			t.Errorf("%s: got %.80q, %q", name, got, mismatch)
 		}
 		if e.resume() {
 			t.Errorf("%s: resumed", name)
@@ -103,14 +103,14 @@
 		all.WriteString(strconv.Itoa(i))
 		all.WriteString("\ndata: x\n\n")
 	}
-	if got, why := feedAll(e, all.String()); got != all.String() || why != "" {
-		t.Fatalf("got %d bytes, %q", len(got), why)
+	if got, mismatch := feedAll(e, all.String()); got != all.String() || mismatch != "" {
+		t.Fatalf("got %d bytes, %q", len(got), mismatch)
 	}
 	if !e.resume() {
 		t.Fatal("not resumed")
 	}
 	again := "id: " + strconv.Itoa(maxChecksums) + "\ndata: x\n\n"
-	if got, why := feedAll(e, again); got != "" || why != mismatchOtherRun {
-		t.Errorf("got %q, %q", got, why)
+	if got, mismatch := feedAll(e, again); got != "" || mismatch != mismatchOtherRun {
+		t.Errorf("got %q, %q", got, mismatch)
 	}
 }
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -117,10 +117,10 @@
 	resultErrorForwarded
 )
 
-// ending returns what the result of the latest send says about its upstream. That is
-// decide.OutcomeUnknown if the gateway aborted the send or a slow caller may have caused the
-// truncation of the response.
-func (x *exchange) ending(r result) decide.Outcome {
+// upstreamOutcome returns what the result of the latest send says about its upstream. That
+// is decide.OutcomeUnknown if the gateway aborted the send or a slow caller may have caused
+// the truncation of the response.
+func (x *exchange) upstreamOutcome(r result) decide.Outcome {
 	if x.send.aborted || r == resultTruncated && x.slowCaller() {
 		return decide.OutcomeUnknown
 	}
@@ -185,17 +185,17 @@
 			x.giveUp(ctx)
 			return
 		}
-		outcome := x.trySend(ctx, a)
+		sendResult := x.trySend(ctx, a)
 		x.endPrefill(a)
 		x.logOldVersion(a)
-		x.recordContent(a, outcome, ctx.Err())
-		x.g.endSend(a.Member.ID, x.key, len(x.body), x.ending(outcome))
-		if outcome == resultNotSent {
+		x.recordContent(a, sendResult, ctx.Err())
+		x.g.endSend(a.Member.ID, x.key, len(x.body), x.upstreamOutcome(sendResult))
+		if sendResult == resultNotSent {
 			continue
 		}
-		x.mayHaveRun = x.mayHaveRun || outcome != resultNotRun
+		x.mayHaveRun = x.mayHaveRun || sendResult != resultNotRun
 		x.tried = append(x.tried, a.Member.ID)
-		switch outcome {
+		switch sendResult {
 		case resultForwarded:
 			x.logLate(a)
 			x.g.metrics.finished(x, "done")
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -76,9 +76,9 @@
 // long poll that found nothing is current as of the end of its wait. One that returned
 // sooner found a record, even if that changes nothing here, and is current as of the time
 // it was sent.
-func configAsOf(sent time.Time, wait time.Duration, answered time.Time, c wardturn.ConfigChange, first bool) time.Time {
+func configAsOf(sent time.Time, wait time.Duration, returnedAt time.Time, c wardturn.ConfigChange, first bool) time.Time {
 	waited := sent.Add(wait)
-	if first || c.Table != nil || len(c.Versions) > 0 || answered.Before(waited) {
+	if first || c.Table != nil || len(c.Versions) > 0 || returnedAt.Before(waited) {
 		return sent
 	}
 	return waited
@@ -93,15 +93,15 @@
 	g.mu.Lock()
 	for _, v := range c.Versions {
 		g.fleet.VersionAnnounced(now, v, known, &out)
-		line := []any{"model", v.Model, "adapter", v.Adapter, "version", v.Version}
+		fields := []any{"model", v.Model, "adapter", v.Adapter, "version", v.Version}
 		if !known.IsZero() {
-			line = append(line, "unnamed_ago", now.Sub(known))
+			fields = append(fields, "unnamed_ago", now.Sub(known))
 		}
-		g.logger.Info("version named", line...)
+		g.logger.Info("version named", fields...)
 	}
 	g.applyEvacuations(now, c, &out)
-	present := g.routes.Load()
-	if c.Table != nil && (present == nil || c.Table.Version > present.table.Version) {
+	current := g.routes.Load()
+	if c.Table != nil && (current == nil || c.Table.Version > current.table.Version) {
 		g.fleet.SetTable(c.Table)
 		g.caps.setTeams(c.Table.Teams)
 		g.routes.Store(newRoutes(c.Table))
@@ -113,7 +113,7 @@
 	if c.Table == nil {
 		return
 	}
-	if present == nil {
+	if current == nil {
 		g.setCallerLimits(c.Table.Limits)
 	}
 	g.links.update()
--- a/gateway/headers_test.go
+++ b/gateway/headers_test.go
@@ -17,8 +17,8 @@
 		x = newRig()
 	})
 
-	// raw sends a request whose header lines are written verbatim.
-	raw := func(id, path string, lines ...string) int {
+	// sendRaw sends a request whose header lines are written verbatim.
+	sendRaw := func(id, path string, lines ...string) int {
 		c, err := net.Dial("tcp", strings.TrimPrefix(x.frontURL, "http://"))
 		Expect(err).NotTo(HaveOccurred())
 		defer c.Close()
@@ -28,7 +28,7 @@
 		res.Body.Close()
 		return res.StatusCode
 	}
-	seen := func(id string) http.Header {
+	receivedHeaders := func(id string) http.Header {
 		for _, m := range append(x.engines, x.apps...) {
 			if h := m.Headers(id); h != nil {
 				return h
@@ -43,7 +43,7 @@
 		for i, name := range []string{"Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Kv-Fetch", "Wait-Ms"} {
 			for n, path := range paths {
 				id := fmt.Sprintf("reserved-%d-%d", i, n)
-				status := raw(id, path,
+				status := sendRaw(id, path,
 					"X-Wardturn-Model: m0",
 					"Connection: keep-alive, "+name,
 					name+": 10.0.0.1:80/x",
@@ -51,8 +51,8 @@
 					strings.ToUpper(name)+":5",
 				)
 				Expect(status).To(Equal(http.StatusOK))
-				Expect(seen(id)).NotTo(HaveKey(name))
-				Expect(seen(id)).NotTo(HaveKey("Connection"))
+				Expect(receivedHeaders(id)).NotTo(HaveKey(name))
+				Expect(receivedHeaders(id)).NotTo(HaveKey("Connection"))
 			}
 		}
 	})
@@ -60,7 +60,7 @@
 	It("that the gateway sets itself are replaced", func() {
 		for n, path := range paths {
 			id := fmt.Sprintf("own-%d", n)
-			raw(id, path,
+			sendRaw(id, path,
 				"X-Wardturn-Model: m0",
 				"X-Wardturn-Deadline-Ms: 700",
 				"priority: 0",
@@ -68,7 +68,7 @@
 				"expect-version: 77",
 				"X-Wardturn-Expect-Instance: other",
 			)
-			h := seen(id)
+			h := receivedHeaders(id)
 			Expect(h.Values("X-Wardturn-Deadline-Ms")).To(HaveLen(1))
 			Expect(h.Values("X-Wardturn-Expect-Instance")).To(HaveLen(1))
 			Expect(h.Get("X-Wardturn-Expect-Instance")).NotTo(Equal("other"))
@@ -78,7 +78,7 @@
 	})
 
 	It("that are neither reserved nor set by the gateway are forwarded", func() {
-		raw("kept", "/ask/x",
+		sendRaw("kept", "/ask/x",
 			"X-Wardturn-Model: m0",
 			"X-Wardturn-Token-Count: 12,4",
 			"X-Wardturn-Prompt-Prefix: 5c1e07a2:8,91bd3f06:4",
@@ -86,7 +86,7 @@
 			"X-Own: a",
 			"X-Own: b",
 		)
-		h := seen("kept")
+		h := receivedHeaders("kept")
 		Expect(h.Get("X-Wardturn-Token-Count")).To(Equal("12,4"))
 		Expect(h.Get("X-Wardturn-Prompt-Prefix")).To(Equal("5c1e07a2:8,91bd3f06:4"))
 		Expect(h.Get("Length-Hint")).To(Equal("4"))
@@ -96,14 +96,14 @@
 	It("with malformed counts are forwarded and do no harm", func() {
 		for n, count := range []string{"", "x,y", "-5,3", "99999999999999999999,1", "4"} {
 			id := fmt.Sprintf("count-%d", n)
-			status := raw(id, "/ask/x",
+			status := sendRaw(id, "/ask/x",
 				"X-Wardturn-Model: m0",
 				"X-Wardturn-Token-Count: "+count,
 				"X-Wardturn-Prompt-Prefix: ,,:zz,5:,"+count,
 				"X-Wardturn-Deadline-Ms: soon",
 			)
 			Expect(status).To(Equal(http.StatusOK))
-			Expect(seen(id).Get("X-Wardturn-Token-Count")).To(Equal(count))
+			Expect(receivedHeaders(id).Get("X-Wardturn-Token-Count")).To(Equal(count))
 		}
 	})
 })
--- a/gateway/leave_test.go
+++ b/gateway/leave_test.go
@@ -70,7 +70,7 @@
 	var stopped chan struct{}
 	BeforeEach(func() {
 		x = newRig()
-		x.leaveAfter = 1500 * time.Millisecond
+		x.shutdownDelay = 1500 * time.Millisecond
 		x.gateway, x.frontURL, x.readyURL = x.startGateway("leaver", platform.NewStore(x.storeAddr, tally.NoopScope))
 		Eventually(x.gateway.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		Eventually(func() int {
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -79,9 +79,9 @@
 	})
 	// expectWithinLimit expects that a worker receives no more than its limit after it
 	// announced it, and not much less.
-	expectWithinLimit := func(m *standin.ModelWorker, named time.Time, rate float64) {
+	expectWithinLimit := func(m *standin.ModelWorker, announcedAt time.Time, rate float64) {
 		GinkgoHelper()
-		got := maxArrivalsWithin(m.Arrivals(), named.Add(limitGrace), limitWindow)
+		got := maxArrivalsWithin(m.Arrivals(), announcedAt.Add(limitGrace), limitWindow)
 		Expect(got).To(BeNumerically("<=", maxArrivals(rate)))
 		Expect(got).To(BeNumerically(">=", int(rate*limitWindow.Seconds())/2), "the limit is used")
 	}
@@ -90,9 +90,9 @@
 		x.apps[0].SetFaults(standin.WorkerFaults{
 			Limit: "4",
 		})
-		named := time.Now()
+		announcedAt := time.Now()
 		statuses := x.callAll(fronts, "/look/a", "", 4, 30*time.Millisecond, 6*time.Second)
-		expectWithinLimit(x.apps[0], named, 4)
+		expectWithinLimit(x.apps[0], announcedAt, 4)
 		Expect(statuses[http.StatusOK]).To(BeNumerically(">", 500))
 		Expect(statuses[http.StatusServiceUnavailable]).To(BeZero(), "%v", statuses)
 	})
@@ -101,9 +101,9 @@
 		x.engines[0].SetFaults(standin.WorkerFaults{
 			Limit: "5.5",
 		})
-		named := time.Now()
+		announcedAt := time.Now()
 		statuses := x.callAll(fronts, "/ask/a", "m0", 3, 30*time.Millisecond, 5*time.Second)
-		expectWithinLimit(x.engines[0], named, 5.5)
+		expectWithinLimit(x.engines[0], announcedAt, 5.5)
 		Expect(statuses[http.StatusServiceUnavailable]).To(BeZero(), "%v", statuses)
 	})
 
@@ -112,9 +112,9 @@
 			Limit: "4",
 			Full:  true,
 		})
-		named := time.Now()
+		announcedAt := time.Now()
 		x.callAll(fronts, "/look/a", "", 4, 30*time.Millisecond, 5*time.Second)
-		got := maxArrivalsWithin(x.apps[0].Arrivals(), named.Add(limitGrace), limitWindow)
+		got := maxArrivalsWithin(x.apps[0].Arrivals(), announcedAt.Add(limitGrace), limitWindow)
 		Expect(got).To(BeNumerically("<=", maxArrivals(4)))
 	})
 
@@ -125,13 +125,13 @@
 		x.apps[1].SetFaults(standin.WorkerFaults{
 			Limit: "0x0.1p-3",
 		})
-		named := time.Now()
+		announcedAt := time.Now()
 		x.callAll(fronts, "/look/a", "", 4, 30*time.Millisecond, 2*time.Second)
 		x.apps[0].SetFaults(standin.WorkerFaults{
 			Limit: "4000000000.-",
 		})
 		statuses := x.callAll(fronts, "/look/a", "", 4, 30*time.Millisecond, 4*time.Second)
-		expectWithinLimit(x.apps[0], named, 4)
+		expectWithinLimit(x.apps[0], announcedAt, 4)
 		Expect(statuses[http.StatusServiceUnavailable]).To(BeZero(), "%v", statuses)
 		Expect(x.log.String()).To(ContainSubstring("limit of an upstream not understood"))
 	})
@@ -166,9 +166,9 @@
 		Expect(refused.body).To(Equal("upstream_limit"))
 		Expect(took).To(BeNumerically("<", 500*time.Millisecond))
 		Expect(x.runs(id)).To(BeZero())
-		back, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
+		retryAfter, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(back).To(BeNumerically(">", 0))
+		Expect(retryAfter).To(BeNumerically(">", 0))
 	})
 
 	It("receives its usual share again once its responses carry no limit", func() {
@@ -187,11 +187,11 @@
 		x.apps[0].SetFaults(standin.WorkerFaults{
 			Limit: "4",
 		})
-		named := time.Now()
+		announcedAt := time.Now()
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, time.Second)
 		g, third, _ := x.startGateway("third", platform.NewStore(x.storeAddr, x.metrics))
 		Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		x.callAll(append(fronts, third), "/look/a", "", 2, 20*time.Millisecond, 4*time.Second)
-		expectWithinLimit(x.apps[0], named, 4)
+		expectWithinLimit(x.apps[0], announcedAt, 4)
 	})
 })
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -68,7 +68,7 @@
 			Upstream: "i-1",
 		}
 	}
-	answer := func(seq uint64) *peer.EngineUpdate {
+	requested := func(seq uint64) *peer.EngineUpdate {
 		u := update(seq, false)
 		u.Requested = true
 		return u
@@ -83,15 +83,15 @@
 		want    bool
 	}{
 		{name: "a change before the full state", process: "k", update: update(4, false)},
-		{name: "a requested update before the full state", process: "k", update: answer(4)},
+		{name: "a requested update before the full state", process: "k", update: requested(4)},
 		{name: "a full state of an earlier keeper process", process: "old", update: update(8, true)},
 		{name: "a full state of another incarnation of the engine", process: "k", update: other},
 		{name: "the full state", process: "k", update: update(5, true), want: true},
 		{name: "the next change", process: "k", update: update(6, false), want: true},
 		{name: "the same change through the relay", process: "k", update: update(6, false)},
 		{name: "an older full state from a relay that is behind", process: "k", update: update(5, true)},
-		{name: "a requested update older than the current state", process: "k", update: answer(5)},
-		{name: "a requested update ahead of the changes", process: "k", update: answer(8), want: true},
+		{name: "a requested update older than the current state", process: "k", update: requested(5)},
+		{name: "a requested update ahead of the changes", process: "k", update: requested(8), want: true},
 		{name: "the change that comes after it", process: "k", update: update(7, false), want: true},
 		{name: "a change after a gap", process: "k", update: update(9, false)},
 		{name: "the next change, while the full state is requested", process: "k", update: update(10, false)},
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -59,23 +59,23 @@
 // present, and the change to announce to other gateways, or nil if there is nothing to
 // announce. It reports false if the read failed; the current list then stays in use.
 // If part is not nil, it is called with the members received so far of a paged list.
-func (r *membership) read(part func([]wardturn.Member)) (membershipView, *wardturn.MemberChange, bool) {
-	list, err := r.source.Next(part)
-	now := r.clock.Now()
+func (ms *membership) read(part func([]wardturn.Member)) (membershipView, *wardturn.MemberChange, bool) {
+	list, err := ms.source.Next(part)
+	now := ms.clock.Now()
 	if err != nil {
-		if !r.failing {
-			r.logger.Warn("store unavailable, keeping the current list of upstreams", "error", err)
+		if !ms.failing {
+			ms.logger.Warn("store unavailable, keeping the current list of upstreams", "error", err)
 		}
-		if !r.failing {
-			r.failingSince = now
+		if !ms.failing {
+			ms.failingSince = now
 		}
-		r.failing = true
-		r.lastFailure = now
+		ms.failing = true
+		ms.lastFailure = now
 		return membershipView{}, nil, false
 	}
-	r.recordStoreRead(now, 0)
-	members := r.merge(now, list)
-	if r.recentlyRecovered(now) {
+	ms.recordStoreRead(now, 0)
+	members := ms.merge(now, list)
+	if ms.recentlyRecovered(now) {
 		// Other gateways must see for themselves that the store has recovered. Given
 		// this change, they would remove the expired entries instead of retaining them.
 		return members, nil, true
@@ -85,13 +85,13 @@
 
 // apply applies a change that another gateway read from the store at time asOf, which is
 // zero if unknown. It reports false if the change does not directly follow the local state.
-func (r *membership) apply(c wardturn.MemberChange, asOf time.Time) (membershipView, bool) {
-	r.recordStoreRead(asOf, minOutage)
-	list, ok := r.source.Apply(c)
+func (ms *membership) apply(c wardturn.MemberChange, asOf time.Time) (membershipView, bool) {
+	ms.recordStoreRead(asOf, minOutage)
+	list, ok := ms.source.Apply(c)
 	if !ok {
 		return membershipView{}, false
 	}
-	return r.merge(r.clock.Now(), list), true
+	return ms.merge(ms.clock.Now(), list), true
 }
 
 // minOutage is how long reads must have failed here before a successful read at another
@@ -104,77 +104,77 @@
 // others must count: a gateway with one rejected read may rely on others' reads for a long
 // time. If the outage lasted until its own next read, it would retain upstreams that left
 // meanwhile and send them requests.
-func (r *membership) recordStoreRead(at time.Time, least time.Duration) {
-	if !r.failing || !at.After(r.lastFailure) {
+func (ms *membership) recordStoreRead(at time.Time, minDuration time.Duration) {
+	if !ms.failing || !at.After(ms.lastFailure) {
 		return
 	}
-	r.failing = false
-	outage := at.Sub(r.failingSince)
-	if outage >= least {
-		r.recoveredAt = at
+	ms.failing = false
+	outage := at.Sub(ms.failingSince)
+	if outage >= minDuration {
+		ms.recoveredAt = at
 	}
-	r.logger.Info("store answers again", "for", "upstreams", "away_for", outage)
+	ms.logger.Info("store answers again", "for", "upstreams", "away_for", outage)
 }
 
 // recentlyRecovered reports whether the store recovered from an outage within the last
 // recoveryWindow.
-func (r *membership) recentlyRecovered(now time.Time) bool {
-	return !r.recoveredAt.IsZero() && now.Sub(r.recoveredAt) < recoveryWindow
+func (ms *membership) recentlyRecovered(now time.Time) bool {
+	return !ms.recoveredAt.IsZero() && now.Sub(ms.recoveredAt) < recoveryWindow
 }
 
 // merge applies a list and returns the upstreams that are considered present.
-func (r *membership) merge(now time.Time, list wardturn.MemberList) membershipView {
+func (ms *membership) merge(now time.Time, list wardturn.MemberList) membershipView {
 	if list.Restored {
-		r.recoveredAt = now
+		ms.recoveredAt = now
 	}
-	if list.Unchanged && len(r.retained) == 0 {
+	if list.Unchanged && len(ms.retained) == 0 {
 		return membershipView{
 			unchanged: true,
 		}
 	}
 	if !list.Unchanged {
-		r.update(now, list)
+		ms.update(now, list)
 	}
 	return membershipView{
-		members: r.withRetained(now),
+		members: ms.withRetained(now),
 	}
 }
 
 // update records a list that may have changed, and logs upstreams that entered or left.
-func (r *membership) update(now time.Time, list wardturn.MemberList) {
-	recovered := r.recentlyRecovered(now)
+func (ms *membership) update(now time.Time, list wardturn.MemberList) {
+	recovered := ms.recentlyRecovered(now)
 	current := make(map[wardturn.UpstreamID]wardturn.Member, len(list.Members))
 	for _, m := range list.Members {
 		current[m.ID] = m
-		delete(r.retained, m.ID)
-		if _, ok := r.byID[m.ID]; !ok {
-			r.logger.Info("upstream listed", "upstream", m.ID, "addr", m.Addr, "service", m.Service, "domain", m.Domain)
-		} else if m.Draining && !r.byID[m.ID].Draining {
-			r.logger.Info("upstream leaving", "upstream", m.ID, "gone_at", m.ShutdownAt)
+		delete(ms.retained, m.ID)
+		if _, ok := ms.byID[m.ID]; !ok {
+			ms.logger.Info("upstream listed", "upstream", m.ID, "addr", m.Addr, "service", m.Service, "domain", m.Domain)
+		} else if m.Draining && !ms.byID[m.ID].Draining {
+			ms.logger.Info("upstream leaving", "upstream", m.ID, "gone_at", m.ShutdownAt)
 		}
 	}
 	for _, id := range list.Expired {
-		m, ok := r.byID[id]
-		r.logger.Info("upstream left the list", "upstream", id, "store_was_away", recovered)
+		m, ok := ms.byID[id]
+		ms.logger.Info("upstream left the list", "upstream", id, "store_was_away", recovered)
 		if !ok || !recovered {
 			continue
 		}
-		r.retained[id] = retainedEntry{
+		ms.retained[id] = retainedEntry{
 			member: m,
-			until:  r.recoveredAt.Add(r.grace),
+			until:  ms.recoveredAt.Add(ms.grace),
 		}
 	}
-	r.current = list.Members
-	r.byID = current
+	ms.current = list.Members
+	ms.byID = current
 }
 
 // nextRetentionEnd returns when the next retained entry is to be removed, or zero if there
 // is none.
-func (r *membership) nextRetentionEnd() time.Time {
+func (ms *membership) nextRetentionEnd() time.Time {
 	var first time.Time
-	for _, l := range r.retained {
-		if first.IsZero() || l.until.Before(first) {
-			first = l.until
+	for _, entry := range ms.retained {
+		if first.IsZero() || entry.until.Before(first) {
+			first = entry.until
 		}
 	}
 	return first
@@ -182,25 +182,25 @@
 
 // dropExpired removes the retained entries whose grace period is over. Waiting for the next
 // read of the list instead would have requests sent to upstreams that have left.
-func (r *membership) dropExpired() membershipView {
+func (ms *membership) dropExpired() membershipView {
 	return membershipView{
-		members: r.withRetained(r.clock.Now()),
+		members: ms.withRetained(ms.clock.Now()),
 	}
 }
 
 // withRetained returns the list together with the retained entries. It drops retained
 // entries whose grace period is over or whose address is registered again.
-func (r *membership) withRetained(now time.Time) []wardturn.Member {
-	members := slices.Clone(r.current)
-	for id, l := range r.retained {
-		listed := slices.ContainsFunc(r.current, func(m wardturn.Member) bool {
-			return m.Addr == l.member.Addr
+func (ms *membership) withRetained(now time.Time) []wardturn.Member {
+	members := slices.Clone(ms.current)
+	for id, entry := range ms.retained {
+		listed := slices.ContainsFunc(ms.current, func(m wardturn.Member) bool {
+			return m.Addr == entry.member.Addr
 		})
-		if listed || !now.Before(l.until) {
-			delete(r.retained, id)
+		if listed || !now.Before(entry.until) {
+			delete(ms.retained, id)
 			continue
 		}
-		members = append(members, l.member)
+		members = append(members, entry.member)
 	}
 	return members
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -89,9 +89,9 @@
 
 // NewMetrics returns metrics that report to scope.
 func NewMetrics(scope tally.Scope) *Metrics {
-	loadTime := func(k string) tally.Histogram {
+	loadTime := func(from string) tally.Histogram {
 		return scope.Tagged(map[string]string{
-			"from": k,
+			"from": from,
 		}).Histogram("adapter_load_time", latencies)
 	}
 	return &Metrics{
@@ -127,9 +127,9 @@
 }
 
 // resumeMismatch counts a response that did not resume its stream at the right event.
-func (m *Metrics) resumeMismatch(why resumeMismatch) {
+func (m *Metrics) resumeMismatch(mismatch resumeMismatch) {
 	m.scope.Tagged(map[string]string{
-		"reason": string(why),
+		"reason": string(mismatch),
 	}).Counter("streams_misplaced").Inc(1)
 }
 
@@ -141,11 +141,11 @@
 }
 
 // keeperUpdate counts an update from a keeper.
-func (m *Metrics) keeperUpdate(relayed, answer bool) {
+func (m *Metrics) keeperUpdate(relayed, requested bool) {
 	switch {
 	case relayed:
 		m.relayedUpdates.Inc(1)
-	case answer:
+	case requested:
 		m.replies.Inc(1)
 	default:
 		m.directUpdates.Inc(1)
--- a/gateway/oldversion.go
+++ b/gateway/oldversion.go
@@ -38,19 +38,19 @@
 	if a.Version == 0 || x.send.sent.IsZero() {
 		return
 	}
-	newer, learned, ok := x.g.superseded(x.key, a.Version)
+	newer, learnedAt, ok := x.g.superseded(x.key, a.Version)
 	firstByte := x.send.firstByte
-	if !ok || !firstByte.IsZero() && !firstByte.After(learned) {
+	if !ok || !firstByte.IsZero() && !firstByte.After(learnedAt) {
 		return
 	}
-	fields := []any{"id", x.attempt, "adapter", x.key.Adapter, "version", a.Version, "newer", newer, "upstream", a.Member.ID, "sent", x.send.sent.Sub(learned)}
+	fields := []any{"id", x.attempt, "adapter", x.key.Adapter, "version", a.Version, "newer", newer, "upstream", a.Member.ID, "sent", x.send.sent.Sub(learnedAt)}
 	switch {
 	case firstByte.IsZero():
 	case x.route.Streaming:
-		x.g.metrics.oldVersionStart.RecordDuration(firstByte.Sub(learned))
-		fields = append(fields, "began", firstByte.Sub(learned))
+		x.g.metrics.oldVersionStart.RecordDuration(firstByte.Sub(learnedAt))
+		fields = append(fields, "began", firstByte.Sub(learnedAt))
 	default: // the start is not visible, only the response
-		fields = append(fields, "answered", firstByte.Sub(learned))
+		fields = append(fields, "answered", firstByte.Sub(learnedAt))
 	}
 	x.g.logger.Info("old version served", fields...)
 }
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -72,12 +72,12 @@
 	metrics    tally.TestScope
 	client     *http.Client
 	log        *logBuffer // of gateways
-	// leaveAfter is how long gateways that are started accept requests after they begin to
-	// leave.
-	leaveAfter time.Duration
-	keyBound   time.Duration // of gateways that are started; zero: none
-	drain      time.Duration // of gateways that are started
-	regions    map[wardturn.FailureDomain]wardturn.Region
+	// shutdownDelay is how long gateways that are started accept requests after they begin
+	// to shut down.
+	shutdownDelay time.Duration
+	keyBound      time.Duration // of gateways that are started; zero: none
+	drain         time.Duration // of gateways that are started
+	regions       map[wardturn.FailureDomain]wardturn.Region
 }
 
 const rigConfig = `{"version":%d,"routes":[
@@ -197,14 +197,14 @@
 // still get new requests. Gateways read the list of upstreams twice in that time.
 func newRigWithDrain(drain time.Duration, domains ...string) *rig {
 	x := &rig{
-		drain:      drain,
-		domain:     "d",
-		domains:    make(map[*standin.ModelWorker]string),
-		store:      standin.NewMetaStore(),
-		addrs:      make(map[*standin.ModelWorker]string),
-		metrics:    newTestScope(),
-		leaveAfter: 50 * time.Millisecond,
-		log:        &logBuffer{},
+		drain:         drain,
+		domain:        "d",
+		domains:       make(map[*standin.ModelWorker]string),
+		store:         standin.NewMetaStore(),
+		addrs:         make(map[*standin.ModelWorker]string),
+		metrics:       newTestScope(),
+		shutdownDelay: 50 * time.Millisecond,
+		log:           &logBuffer{},
 		client: &http.Client{
 			Timeout:   eventTimeout,
 			Transport: &http.Transport{},
@@ -267,7 +267,7 @@
 			RetryShare:       0.2,
 			RetryExtra:       52,
 			RetryWindow:      10 * time.Second,
-			ShutdownDelay:    x.leaveAfter,
+			ShutdownDelay:    x.shutdownDelay,
 			KeyBound:         x.keyBound,
 			Crashes: decide.CrashConfig{
 				Limit:  3,
--- a/gateway/routes.go
+++ b/gateway/routes.go
@@ -66,12 +66,12 @@
 	if total <= 0 {
 		return r.Targets[0].Service
 	}
-	at := hashBucket(attempt, total)
+	bucket := hashBucket(attempt, total)
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if bucket < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		bucket -= t.Weight
 	}
 	return r.Targets[0].Service
 }
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -52,8 +52,8 @@
 
 // send sends a request to an upstream and reads the response's headers. The connection is
 // aborted when ctx ends.
-func (g *Gateway) send(ctx context.Context, x *exchange, a wardturn.Member, header []byte) (*response, error) {
-	c, err := g.pool.get(ctx, a.Addr)
+func (g *Gateway) send(ctx context.Context, x *exchange, m wardturn.Member, header []byte) (*response, error) {
+	c, err := g.pool.get(ctx, m.Addr)
 	if err != nil {
 		err = errors.Mark(err, errNotSent)
 		if errors.Is(err, syscall.ECONNREFUSED) {
@@ -63,12 +63,12 @@
 	}
 	// Checked only after the dial, during which the time may end in which a leaving upstream
 	// may still receive new requests.
-	if !g.accepts(a) {
+	if !g.accepts(m) {
 		c.returnUnused(g.pool)
 		return nil, errNotAccepting
 	}
 	stop := context.AfterFunc(ctx, c.abort)
-	resp, err := x.roundTrip(c, a, header)
+	resp, err := x.roundTrip(c, m, header)
 	if err != nil {
 		stop()
 		c.abort()
@@ -121,12 +121,12 @@
 // release ends the use of a response that was read completely. It returns the connection
 // to the pool if the connection can be reused, or closes it.
 func (r *response) release() {
-	keep := idleTimeAfter(r.res)
-	if !r.stop() || keep <= 0 || r.conn.br.Buffered() > 0 {
+	idleTime := idleTimeAfter(r.res)
+	if !r.stop() || idleTime <= 0 || r.conn.br.Buffered() > 0 {
 		r.conn.Close()
 		return
 	}
-	r.pool.put(r.conn, keep)
+	r.pool.put(r.conn, idleTime)
 }
 
 // discard aborts the connection of a response whose rest is not needed.
--- a/gateway/slowcaller_internal_test.go
+++ b/gateway/slowcaller_internal_test.go
@@ -19,10 +19,10 @@
 				maxWrite: write,
 			},
 		}
-		if got := x.ending(resultTruncated); got != want {
+		if got := x.upstreamOutcome(resultTruncated); got != want {
 			t.Errorf("truncated after a write to the caller took %v: outcome %v, want %v", write, got, want)
 		}
-		if got := x.ending(resultErrorForwarded); got != decide.OutcomeError {
+		if got := x.upstreamOutcome(resultErrorForwarded); got != decide.OutcomeError {
 			t.Errorf("error response of the upstream: outcome %v, want %v", got, decide.OutcomeError)
 		}
 	}
--- a/gateway/startedquery_test.go
+++ b/gateway/startedquery_test.go
@@ -10,8 +10,8 @@
 	"wardturn/standin"
 )
 
-// newStartedRig is newOldVersionRig with another route, whose requests may run only once.
-func newStartedRig() *rig {
+// newRunOnceRig is newOldVersionRig with another route whose requests may run only once.
+func newRunOnceRig() *rig {
 	x := newOldVersionRig()
 	x.store.PutConfig(config(3, longRoute+longBufferedRoute+longOnceRoute))
 	Eventually(func() int {
@@ -37,17 +37,17 @@
 
 var _ = Describe("A request without a streamed response that started before its version was retired", func() {
 	It("gets its response after that, if it may run only once", func() {
-		newStartedRig().expectResponse("begun-once", "/once/x", standin.WorkerFaults{})
+		newRunOnceRig().expectResponse("begun-once", "/once/x", standin.WorkerFaults{})
 	})
 
 	It("gets its response after that, if its engine does not report its runs", func() {
-		newStartedRig().expectResponse("begun-unnamed", "/once/x", standin.WorkerFaults{
+		newRunOnceRig().expectResponse("begun-unnamed", "/once/x", standin.WorkerFaults{
 			HideRuns: true,
 		})
 	})
 
 	It("gets its response after that, if the headers have come and no keeper reports", func() {
-		x := newStartedRig()
+		x := newRunOnceRig()
 		x.setFaults(standin.WorkerFaults{
 			Linger:     oldVersionLimit / 2, // between the parts of the body
 			LoseOrders: true,                // the newer version is never loaded
@@ -67,7 +67,7 @@
 	// running requests were aborted with the version, the engines' work would be lost,
 	// and no engine could run them again.
 	It("is not run again", func() {
-		newStartedRig().expectResponse("begun-again", "/whole/x", standin.WorkerFaults{})
+		newRunOnceRig().expectResponse("begun-again", "/whole/x", standin.WorkerFaults{})
 	})
 })
 
@@ -76,7 +76,7 @@
 // the host resumes. So a request of which nothing is reported must count as not started.
 var _ = Describe("A request without a streamed response that may run only once and is delayed where no keeper reports", func() {
 	It("does not start after its version is retired", func() {
-		x := newStartedRig()
+		x := newRunOnceRig()
 		x.setFaults(standin.WorkerFaults{
 			HoldUp:     oldVersionLimit + time.Second,
 			LoseOrders: true, // the newer version is never loaded
