--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -33,8 +33,8 @@
 	if n == 0 {
 		return 0, 1
 	}
-	share := g.cfg.RetryExtra / float64(n)
-	return floorFraction * share / g.cfg.RetryWindow.Seconds(), max(1, burstFraction*share)
+	extra := g.cfg.RetryExtra / float64(n)
+	return floorFraction * extra / g.cfg.RetryWindow.Seconds(), max(1, burstFraction*extra)
 }
 
 // resizeBudgets adapts the retry budgets to the number of gateways. The caller must hold
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// crashCheckPause is the delay between a broken connection and the check whether the
+	// crashCheckDelay is the delay between a broken connection and the check whether the
 	// upstream still listens. All connections of a crashed process end within a millisecond.
-	crashCheckPause = 20 * time.Millisecond
+	crashCheckDelay = 20 * time.Millisecond
 )
 
 // crashes tracks which request contents crash upstreams, from the crashes that this gateway
@@ -22,7 +22,7 @@
 // crash another one each time it is repeated.
 type crashes struct {
 	g           *Gateway
-	record      wardturn.CrashStore
+	store       wardturn.CrashStore
 	readSignal  chan struct{} // requests a read of the store
 	writeSignal chan struct{} // requests a write of the records that are due
 
@@ -34,10 +34,10 @@
 	readAt       time.Time         // when readPosition was current; zero before the first read
 }
 
-func newCrashes(g *Gateway, record wardturn.CrashStore) *crashes {
+func newCrashes(g *Gateway, store wardturn.CrashStore) *crashes {
 	return &crashes{
 		g:           g,
-		record:      record,
+		store:       store,
 		readSignal:  make(chan struct{}, 1),
 		writeSignal: make(chan struct{}, 1),
 		tracker:     decide.NewCrashTracker(g.cfg.Crashes),
@@ -101,7 +101,7 @@
 		defer c.mu.Unlock()
 		delete(c.checking, m.ID)
 	}()
-	if !c.g.tasks.Pause(crashCheckPause) || c.g.pool.listens(c.g.tasks.Context(), m.Addr) {
+	if !c.g.tasks.Pause(crashCheckDelay) || c.g.pool.listens(c.g.tasks.Context(), m.Addr) {
 		return
 	}
 	c.g.recordRefused(m.ID)
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -75,7 +75,7 @@
 	failing := false
 	first := true
 	for c.awaitSignal(c.readSignal) {
-		change, err := c.record.Next()
+		change, err := c.store.Next()
 		if err != nil {
 			if !failing {
 				c.g.logger.Warn("failed to read crash records, using the known ones", "error", err)
@@ -126,12 +126,12 @@
 // down.
 func (c *crashes) writeLoop() {
 	for c.awaitSignal(c.writeSignal) && c.g.tasks.Pause(crashBatchDelay) {
-		pause := crashRetryDelay
+		retryDelay := crashRetryDelay
 		for !c.writeDue() {
-			if !c.g.tasks.Pause(pause) {
+			if !c.g.tasks.Pause(retryDelay) {
 				return
 			}
-			pause = min(2*pause, crashMaxRetryDelay)
+			retryDelay = min(2*retryDelay, crashMaxRetryDelay)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	if len(crashes)+len(deletes) == 0 {
 		return true
 	}
-	err := c.record.Write(c.g.clock.Now(), crashes, deletes)
+	err := c.store.Write(c.g.clock.Now(), crashes, deletes)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -144,8 +144,8 @@
 		arrived: g.clock.Now(),
 		attempt: r.Header.Get(g.names.AttemptID),
 	}
-	g.open.Add(1)
-	defer g.open.Add(-1)
+	g.openRequests.Add(1)
+	defer g.openRequests.Add(-1)
 	w.Header()["Date"] = nil // omits the header, callers do not use it
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -10,7 +10,7 @@
 
 // followConfig keeps the configuration up to date by long polls of the store.
 func (g *Gateway) followConfig() {
-	pause := configRetryDelay
+	retryDelay := configRetryDelay
 	unavailable := false
 	first := true
 	for {
@@ -20,7 +20,7 @@
 		sent := g.clock.Now()
 		g.reads.startConfigRead(sent)
 		wait := g.configWait()
-		change, err := g.source.Next(wait)
+		change, err := g.configSource.Next(wait)
 		if err == nil {
 			g.metrics.config.succeeded.Inc(1)
 			asOf := configAsOf(sent, wait, g.clock.Now(), change, first)
@@ -29,7 +29,7 @@
 				g.logger.Info("store answers again", "for", "configuration")
 			}
 			unavailable = false
-			pause = configRetryDelay
+			retryDelay = configRetryDelay
 			if change.Restored {
 				g.handleStoreRestored()
 			}
@@ -48,10 +48,10 @@
 		}
 		unavailable = true
 		g.reads.readFailed(g.reads.config)
-		if !g.tasks.Pause(pause) {
+		if !g.tasks.Pause(retryDelay) {
 			return
 		}
-		pause = min(2*pause, configMaxRetryDelay)
+		retryDelay = min(2*retryDelay, configMaxRetryDelay)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -108,7 +108,7 @@
 	promptCounts   *promptCounts
 	names          wardturn.HeaderNames
 	responseReader wardturn.ResponseReader
-	source         wardturn.ConfigSource
+	configSource   wardturn.ConfigSource
 	factStore      wardturn.FleetFactStore
 	// savedFacts is the latest state saved to factStore; used by a single goroutine.
 	savedFacts wardturn.FleetFacts
@@ -127,9 +127,9 @@
 	links             *links
 	pendingSends      *pendingSends
 	server            *http.Server
-	ready             *http.Server
+	readyServer       *http.Server
 	listener          net.Listener
-	open              atomic.Int64
+	openRequests      atomic.Int64
 	bodyLimiter       byteLimiter
 	leaving           atomic.Bool
 	membersRead       atomic.Bool // the list of upstreams has been read
@@ -156,7 +156,7 @@
 		promptCounts:   newPromptCounts(),
 		names:          d.Names,
 		responseReader: d.ResponseReader,
-		source:         d.Source,
+		configSource:   d.Source,
 		factStore:      d.FactStore,
 		pool:           newPool(d.Clock),
 		listener:       d.Listener,
@@ -219,12 +219,12 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	g.ready = &http.Server{
+	g.readyServer = &http.Server{
 		Handler:           mux,
 		ReadHeaderTimeout: defaultReadTimeout,
 	}
 	g.tasks.Go(func() {
-		if err := g.ready.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+		if err := g.readyServer.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			g.logger.Error("readiness server failed", "error", err)
 		}
 	})
@@ -268,21 +268,21 @@
 // It then closes the listener and returns when all requests have completed or ctx is done.
 func (g *Gateway) Shutdown(ctx context.Context) {
 	g.leaving.Store(true)
-	g.logger.Info("leaving", "requests", g.open.Load())
+	g.logger.Info("leaving", "requests", g.openRequests.Load())
 	wardturn.Sleep(ctx, g.clock, g.cfg.ShutdownDelay)
 	if err := g.server.Shutdown(ctx); err != nil {
-		g.logger.Warn("graceful shutdown timed out with open requests", "requests", g.open.Load(), "error", err)
+		g.logger.Warn("graceful shutdown timed out with open requests", "requests", g.openRequests.Load(), "error", err)
 	}
 	g.logPromptCounts()
-	g.logger.Info("left", "requests", g.open.Load())
+	g.logger.Info("left", "requests", g.openRequests.Load())
 }
 
 // Close stops the gateway immediately, without waiting for open requests.
 func (g *Gateway) Close() {
 	g.tasks.Stop()
 	_ = g.server.Close()
-	if g.ready != nil {
-		_ = g.ready.Close()
+	if g.readyServer != nil {
+		_ = g.readyServer.Close()
 	}
 	g.listener.Close()
 	g.links.close()
--- a/gateway/readcoordinator.go
+++ b/gateway/readcoordinator.go
@@ -54,7 +54,7 @@
 
 func newReadCoordinator(g *Gateway) *readCoordinator {
 	now := g.clock.Now()
-	every := time.Duration(membersDrainFraction * float64(g.cfg.Drain))
+	interval := time.Duration(membersDrainFraction * float64(g.cfg.Drain))
 	return &readCoordinator{
 		g:               g,
 		changes:         make(chan announcedChange, maxQueuedChanges),
@@ -64,8 +64,8 @@
 			MinInvalidatedInterval: configMinInterval,
 		}),
 		members: decide.NewReadScheduler(now, g.cfg.Process, decide.ReadSchedulerConfig{
-			MaxAge:      every,
-			Interval:    every,
+			MaxAge:      interval,
+			Interval:    interval,
 			MinInterval: membersMinInterval,
 		}),
 	}
