--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -19,7 +19,7 @@
 const (
 	tickInterval  = 10 * time.Millisecond  // interval for rescheduling waiting requests
 	usageInterval = 100 * time.Millisecond // interval of adapter usage reports to keepers
-	checkInterval = 100 * time.Millisecond // interval for checking relays and retained evacuations
+	checkInterval = 100 * time.Millisecond // interval of checks of relays and evacuations
 	sweepInterval = time.Second            // interval of Gateway.sweep
 	// configWait is how long a long poll of the configuration blocks in the store. A
 	// poll whose response was lost never completes, so polls must time out and be
@@ -60,7 +60,7 @@
 	Drain time.Duration
 	// ExpiryGrace is how long to retain entries that expired while the store was unavailable.
 	ExpiryGrace time.Duration
-	// MaxBody limits the size of a request body in bytes unless the configuration sets a limit.
+	// MaxBody limits a request body in bytes unless the configuration sets a limit.
 	MaxBody int
 	// MaxBufferedBytes limits the bytes of request bodies buffered for all requests together.
 	// Zero means no limit.
