--- a/crash.go
+++ b/crash.go
@@ -14,8 +14,8 @@
 	To      Position // end of the range that was read
 	Crashes []RecordedCrash
 	Removed []Crash // records that were removed
-	// Restored reports that the store was restored from an older copy since the previous
-	// read: records that are not in Crashes are lost.
+	// Restored reports that the metadata store was restored from an older copy since the
+	// previous read: records that are not in Crashes are lost.
 	Restored bool
 }
 
@@ -25,8 +25,8 @@
 	At time.Time
 }
 
-// CrashStore stores crashes in the platform's store, so that they outlive gateways and
-// reach gateways that receive no messages from others.
+// CrashStore stores crashes in the platform's metadata store, so that they outlive gateways
+// and reach gateways that receive no messages from others.
 type CrashStore interface {
 	// Next returns all records on the first call, and the changes since the previous call
 	// after that. It must be called from one goroutine only.
--- a/ids.go
+++ b/ids.go
@@ -17,7 +17,7 @@
 // UpstreamID identifies one lifetime of an upstream, which is a model engine or an
 // instance of a plain service. A lifetime is one run of the upstream from its start to
 // its end; an upstream that restarts under the same instance name has a new UpstreamID.
-// See Lifetime.
+// See NewUpstreamID.
 type UpstreamID string
 
 // FailureDomain identifies a group of hosts that can fail together.
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -103,7 +103,8 @@
 	return f.next, nil
 }
 
-// fakeGateway is the gateway's side of a connection to a keeper.
+// fakeGateway is the gateway's side of a connection to a keeper. It keeps the received state
+// updates.
 type fakeGateway struct {
 	conn    chan *peer.Conn
 	updates chan *peer.EngineUpdate
@@ -315,7 +316,8 @@
 		Eventually(func() wardturn.UpstreamID {
 			return (<-g.updates).Upstream
 		}, eventTimeout).Should(Equal(wardturn.NewUpstreamID("i-1", 2000)))
-		sendConfig(wardturn.NewUpstreamID("i-1", 1000), 11) // the entry of the earlier lifetime was written again
+		// The entry of the earlier lifetime was written again.
+		sendConfig(wardturn.NewUpstreamID("i-1", 1000), 11)
 		requestLoad()
 		Eventually(e.givenOrders, eventTimeout).Should(HaveLen(2))
 		Expect(e.givenOrders()[1].Upstream).To(Equal(wardturn.NewUpstreamID("i-1", 2000)))
@@ -332,7 +334,8 @@
 		sendConfig("i-2", 20)
 		requestLoad()
 		Eventually(e.givenOrders, eventTimeout, time.Millisecond).Should(HaveLen(2))
-		Expect(time.Since(restarted)).To(BeNumerically("<", 400*time.Millisecond)) // invalidPause is 500 ms
+		// The delay after an invalid order, invalidDelay, is 500 ms.
+		Expect(time.Since(restarted)).To(BeNumerically("<", 400*time.Millisecond))
 		Expect(e.givenOrders()[1].Upstream).To(BeEquivalentTo("i-2"))
 	})
 
--- a/keeper/listeners.go
+++ b/keeper/listeners.go
@@ -16,9 +16,10 @@
 // relay for this keeper get the updates from it and only those of the adapters that they
 // requested from here; the other gateways get all updates from here.
 type listeners struct {
-	allUpdates map[*peer.Conn]bool                                // connections that get all updates
-	requested  map[wardturn.ModelAdapter]map[*peer.Conn]time.Time // time of the request
-	lastMark   map[*peer.Conn]uint64                              // sequence number of the last Mark
+	allUpdates map[*peer.Conn]bool // connections that get all updates
+	// requested has the requests of the other connections by adapter, with their times.
+	requested map[wardturn.ModelAdapter]map[*peer.Conn]time.Time
+	lastMark  map[*peer.Conn]uint64 // sequence number of the last Mark sent
 }
 
 func newListeners() listeners {
--- a/keeper/relay.go
+++ b/keeper/relay.go
@@ -77,7 +77,7 @@
 }
 
 // relayFor returns the relay of a keeper and creates it if there is none. It returns nil if
-// maxRelays is reached. The lock must be held.
+// maxRelays is reached or the relays are closed. The lock must be held.
 func (rs *relays) relayFor(keeper string) *relay {
 	r := rs.byKeeper[keeper]
 	if r != nil || rs.closed {
@@ -130,7 +130,8 @@
 	r.client.Close()
 }
 
-// unfollowAll removes a gateway whose connection has ended from the followers of all keepers.
+// unfollowAll removes a gateway whose connection has ended from the followers of all
+// keepers.
 func (rs *relays) unfollowAll(c *peer.Conn) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -175,14 +176,14 @@
 	}
 }
 
-// Closed implements peer.Handler. It notifies the followers, so that they can get the updates
-// from the keeper directly if they reach it.
+// Closed implements peer.Handler. It notifies the followers, so that they can get the
+// updates from the keeper directly if they reach it.
 func (r *relay) Closed(_ *peer.Conn, err error) {
 	r.relays.mu.Lock()
 	defer r.relays.mu.Unlock()
 	r.mirror.Reset()
 	if r.relays.closed || len(r.followers) == 0 {
-		return // closed by end or close
+		return // closed by closeIdle or close
 	}
 	r.relays.logger.Info("keeper that is relayed was lost", "keeper", r.keeper, "followers", len(r.followers), "error", err)
 	for f := range r.followers {
--- a/keeper/relay_test.go
+++ b/keeper/relay_test.go
@@ -223,7 +223,7 @@
 		_, second := startKeeper("second", emptyEngine())
 		Expect(conn.Send(&peer.Follow{Keeper: addr, Stop: true})).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: second})).To(Succeed())
-		Eventually(func() string { // updates sent before the end have arrived by then
+		Eventually(func() string { // updates sent before the stop have arrived by then
 			return next[*peer.RelayedUpdate](gateway).Keeper
 		}, eventTimeout).Should(Equal(second))
 		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
--- a/keeper/snapshot.go
+++ b/keeper/snapshot.go
@@ -170,8 +170,8 @@
 	k.listeners.sendRequested(now, m)
 }
 
-// addListener adds a connection to the listeners and sends it the full state. The lock must be
-// held.
+// addListener adds a connection to the listeners and sends it the full state. The lock must
+// be held.
 func (k *Keeper) addListener(c *peer.Conn) {
 	k.listeners.allUpdates[c] = true
 	_ = c.Send(k.snapshot().fullUpdate())
--- a/keeper/startedquery.go
+++ b/keeper/startedquery.go
@@ -7,9 +7,9 @@
 	"wardturn/peer"
 )
 
-// startedQueries are the pending queries of gateways about which of their requests the engine
-// has started. Queries that arrive while a report is being read are answered together from
-// the next one.
+// startedQueries are the pending queries of gateways about which of their requests the
+// engine has started. Queries that arrive while a report is being read are answered together
+// from the next one.
 type startedQueries struct {
 	mu      sync.Mutex
 	ids     map[*peer.Conn][]string
--- a/peer/conn_test.go
+++ b/peer/conn_test.go
@@ -140,7 +140,7 @@
 	}
 }
 
-// busyRecorder is a recorder that implements peer.Busier.
+// busyRecorder is a recorder that implements peer.ActivityReporter.
 type busyRecorder struct {
 	*recorder
 	busy atomic.Bool
--- a/peer/keeper.go
+++ b/peer/keeper.go
@@ -7,9 +7,9 @@
 	"wardturn/decide"
 )
 
-// The messages between the gateway on an entry host and the keeper on the host of
-// an engine. The gateway sends requests to engines directly. These messages
-// control which adapters an engine holds and exchange state between gateways.
+// The messages between the gateway on an entry host and the keeper on the host of an engine.
+// The gateway sends requests to engines directly. These messages control which adapters an
+// engine holds and exchange state between gateways.
 
 // HeldState is the state of an adapter on an engine.
 type HeldState uint8
@@ -36,9 +36,11 @@
 type EngineUpdate struct {
 	// Seq numbers the changes since the keeper's start. A full state has the number
 	// of the latest change that it includes.
-	Seq           uint64
-	Full          bool
-	Requested     bool // only an adapter that a gateway requested; earlier changes may be missing
+	Seq  uint64
+	Full bool
+	// Requested means that the update has only an adapter that the gateway requested. Earlier
+	// changes may be missing.
+	Requested     bool
 	Known         bool // the keeper has a report of the engine
 	Upstream      wardturn.UpstreamID
 	Models        []wardturn.BaseModel
@@ -46,9 +48,9 @@
 	Unloaded      []wardturn.ModelAdapter // no longer held; empty if full
 	Running       int
 	Queued        int
-	PrefillTokens int // tokens of long prompts in prefill at the engine, as reported by gateways
+	PrefillTokens int // tokens of long prompts in prefill, as reported by gateways
 	FreeSlots     int // free adapter slots, counted up to decide.MaxFreeSlots
-	Gateways      int // connected to the keeper
+	Gateways      int // number of gateways connected to the keeper
 	// Limit is the limit on requests per second that the engine announced; zero means
 	// none.
 	Limit   wardturn.RequestRate
@@ -58,11 +60,14 @@
 // EngineConfig passes the operator's configuration of an engine to its keeper,
 // together with what the gateway wants to receive on this connection.
 type EngineConfig struct {
-	Config        int64 // version of the configuration
-	Upstream      wardturn.UpstreamID
-	Position      wardturn.Position // of the upstream's entry in the list; higher for later lifetimes
-	Spec          wardturn.EngineSpec
-	ViaRelay      bool // a relay sends the updates to the gateway; send only adapters that it requests
+	Config   int64 // version of the configuration
+	Upstream wardturn.UpstreamID
+	// Position is that of the upstream's entry in the list; it is higher for later lifetimes.
+	Position wardturn.Position
+	Spec     wardturn.EngineSpec
+	// ViaRelay means that a relay sends the updates to the gateway. The keeper sends it only
+	// the adapters that it requests.
+	ViaRelay      bool
 	Announcements bool // send the announcements of other gateways to this gateway
 }
 
--- a/peer/message.go
+++ b/peer/message.go
@@ -53,7 +53,8 @@
 	Kind() Kind
 }
 
-// Role is the role of a process in the protocol.
+// Role is the role of a process in the protocol: RoleEntry of entries and gateways, RoleAgent
+// of agents and keepers.
 type Role string
 
 // The roles.
--- a/peer/mirror_test.go
+++ b/peer/mirror_test.go
@@ -37,7 +37,7 @@
 	m := &peer.EngineUpdate{
 		Seq: s.seq,
 	}
-	if rapid.Bool().Draw(t, "gone") {
+	if rapid.Bool().Draw(t, "unloaded") {
 		delete(s.adapters, key)
 		m.Unloaded = append(m.Unloaded, key)
 		return m
--- a/platform.go
+++ b/platform.go
@@ -105,7 +105,8 @@
 	Hosts(ctx context.Context) ([]Host, error)
 }
 
-// Store is the rate-limited store from which engines fetch adapter weights.
+// Store is the rate-limited store from which engines fetch adapter weights. It is not the
+// platform's metadata store, which package platform reads and writes.
 type Store interface {
 	// Fetch reads the weights and calls done exactly once, with nil, ErrStoreBusy or
 	// ErrUnavailable.
--- a/position.go
+++ b/position.go
@@ -2,10 +2,10 @@
 
 import "strconv"
 
-// Position is a position in a topic of the platform's store. It combines an offset with
-// an era, a number that increases each time the store is restored from an older copy and
-// reuses offsets. So a later position always compares higher. A negative position is
-// before all others.
+// Position is a position in a topic of the platform's metadata store. It combines an offset
+// with an era, a number that increases each time the store is restored from an older copy and
+// reuses offsets. So a later position always compares higher. A negative position is before
+// all others.
 type Position int64
 
 // eraShift is the number of bits of a position that hold the offset.
--- a/responsehead.go
+++ b/responsehead.go
@@ -8,14 +8,15 @@
 // ResponseHead is the decoded head, status and headers, of an upstream's response.
 type ResponseHead struct {
 	Attempt     string // ID of the attempt that it responds to
-	Instance    string // of the upstream that responded; empty if the response does not name it
-	Receipt     bool   // the response has the receipt that proves that the upstream itself produced it
+	Instance    string // instance name of the upstream that responded; empty if absent
+	Receipt     bool   // the response has the receipt that proves that the upstream produced it
 	NotExecuted bool   // the request was not executed and will not be
 	Leaving     bool   // the upstream is about to shut down and must get no new requests
 	// Limit is the number of requests per second that an overloaded upstream accepts from
 	// all gateways together. It applies while the upstream's responses carry it.
 	Limit HeaderValue[RequestRate]
-	Cold  HeaderValue[time.Duration] // how much longer the upstream is cold and accepts few requests
+	// Cold is how much longer the upstream is cold and accepts only few requests.
+	Cold HeaderValue[time.Duration]
 	// RetryAfter is how long an upstream that refused the request wants this gateway to
 	// send it no other.
 	RetryAfter HeaderValue[time.Duration]
--- a/routes.go
+++ b/routes.go
@@ -117,8 +117,8 @@
 	Expired   []UpstreamID // entries that ended since the previous read
 	Change    MemberChange // since the previous read, to be passed on to other readers
 	Unchanged bool         // unchanged since the previous read; Members is nil
-	// Restored reports that the store was restored from an older copy since the previous
-	// read: some upstreams have to write their entries again.
+	// Restored reports that the metadata store was restored from an older copy since the
+	// previous read: some upstreams have to write their entries again.
 	Restored bool
 }
 
@@ -247,8 +247,8 @@
 	Versions []AdapterVersion // newest versions of weights that were announced
 	// Evacuated is the set of all evacuated failure domains; nil: unchanged.
 	Evacuated Evacuations
-	// Restored reports that the store was restored from an older copy since the previous
-	// call: the operator has to write some records again.
+	// Restored reports that the metadata store was restored from an older copy since the
+	// previous call: the operator has to write some records again.
 	Restored bool
 }
 
@@ -282,7 +282,7 @@
 	Gateways   int // number of gateways; zero: not known
 }
 
-// FleetFactStore stores FleetFacts in the platform's store.
+// FleetFactStore stores FleetFacts in the platform's metadata store.
 type FleetFactStore interface {
 	// ReadFleetFacts returns the facts that were written last.
 	ReadFleetFacts() (FleetFacts, error)
--- a/sleep.go
+++ b/sleep.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// WithTimeout returns a context that is cancelled after d, as measured by clock, or with its
+// WithTimeout returns a context that is canceled after d, as measured by clock, or with its
 // parent.
 func WithTimeout(parent context.Context, clock Clock, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(parent)
--- a/upstream.go
+++ b/upstream.go
@@ -50,7 +50,7 @@
 type Engine interface {
 	// Run generates a response and passes each piece of it to emit, in order.
 	// ErrNotStarted and ErrNotLoaded mean that the request did not run; after any
-	// other error it may have run. Cancelling ctx cancels the generation.
+	// other error it may have run. Canceling ctx cancels the generation.
 	Run(ctx context.Context, req EngineRequest, emit func([]byte) error) (EngineResult, error)
 	// Load fetches an adapter version into a free slot. ErrStoreBusy, ErrNoSlot and
 	// ErrFenced mean that nothing was loaded; after any other error the state of
--- a/upstreamid.go
+++ b/upstreamid.go
@@ -8,12 +8,13 @@
 // lifetimeSeparator separates the instance name and the start time in an UpstreamID.
 const lifetimeSeparator = "~"
 
-// NewUpstreamID returns the ID of one lifetime of an upstream. Instance is the name that the
-// upstream reports of itself and that it keeps when it restarts. The second argument is
-// its start time in Unix milliseconds; zero if the upstream does not report it. State of
-// an upstream is stored by lifetime and so is dropped at a restart. A message about an
-// earlier lifetime that is delayed or relayed cannot be mistaken for one about the
-// current lifetime.
+// NewUpstreamID returns the ID of one lifetime of an upstream. The instance is the name that
+// the upstream reports of itself and keeps when it restarts; startMS is its start time in
+// Unix milliseconds, or zero if the upstream does not report it.
+//
+// The state of an upstream is stored by lifetime, so it is dropped at a restart. A delayed or
+// relayed message about an earlier lifetime cannot be mistaken for one about the current
+// lifetime.
 func NewUpstreamID(instance string, startMS int64) UpstreamID {
 	if instance == "" || startMS == 0 {
 		return UpstreamID(instance)
