--- a/ids.go
+++ b/ids.go
@@ -133,14 +133,14 @@
 		return false
 	}
 	for i := 0; i < len(s); i++ {
-		if !nameByte(s[i]) {
+		if !isNameByte(s[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func nameByte(c byte) bool {
+func isNameByte(c byte) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return true
--- a/keeper/announcements_test.go
+++ b/keeper/announcements_test.go
@@ -19,7 +19,7 @@
 	)
 	connectGateway := func(announcements bool) (*gatewayClient, *peer.Conn) {
 		g, c := connect(addr)
-		cfg := engineNotice(true)
+		cfg := engineConfig(true)
 		cfg.Announcements = announcements
 		Expect(c.Send(cfg)).To(Succeed())
 		return g, c
@@ -55,7 +55,7 @@
 	})
 
 	It("applies a gateway's change of whether it gets announcements from this keeper", func() {
-		cfg := engineNotice(true)
+		cfg := engineConfig(true)
 		Expect(receiverConn.Send(cfg)).To(Succeed())
 		sync(receiver, receiverConn)
 		announce(7)
--- a/keeper/gatewaycount_test.go
+++ b/keeper/gatewaycount_test.go
@@ -12,11 +12,11 @@
 		const others = 20
 		_, addr := startKeeper("k", emptyEngine())
 		gateway, conn := connect(addr)
-		Expect(conn.Send(engineNotice(false))).To(Succeed())
+		Expect(conn.Send(engineConfig(false))).To(Succeed())
 		Expect(next[*peer.EngineUpdate](gateway).Full).To(BeTrue())
 		for range others {
 			_, c := connect(addr)
-			Expect(c.Send(engineNotice(true))).To(Succeed())
+			Expect(c.Send(engineConfig(true))).To(Succeed())
 		}
 		updates := 0
 		Eventually(func() int {
@@ -30,14 +30,14 @@
 	It("counts processes of one host once, because one may have ended without notice", func() {
 		_, addr := startKeeper("k", emptyEngine())
 		gateway, conn := connect(addr)
-		Expect(conn.Send(engineNotice(false))).To(Succeed())
+		Expect(conn.Send(engineConfig(false))).To(Succeed())
 		gateways := func() int {
 			return next[*peer.EngineUpdate](gateway).Gateways
 		}
 		Eventually(gateways, eventTimeout).Should(Equal(1))
 		for _, host := range []string{"h", "h", "other"} {
 			_, c := connectFrom(host, addr)
-			Expect(c.Send(engineNotice(true))).To(Succeed())
+			Expect(c.Send(engineConfig(true))).To(Succeed())
 		}
 		Eventually(gateways, eventTimeout).Should(Equal(3))
 		Consistently(gateway.messages, "300ms").ShouldNot(Receive())
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -72,8 +72,8 @@
 	gateways         map[string]int      // number of these connections, by the gateway's host
 	forwardTo        map[*peer.Conn]bool // connections that get messages between gateways
 	prefill          map[*peer.Conn]int  // tokens of long prompts in prefill, by gateway
-	sent             *engineSnapshot     // snapshot that the listeners have
-	listeners        listeners
+	sent             *engineSnapshot     // snapshot that the subscribers have
+	subscribers      subscribers
 	gatewayCountAt   time.Time // when an update with only a new number of gateways may be sent
 	pendingGossip    gossip
 	startedQueries   startedQueries
@@ -96,7 +96,7 @@
 		prefill:        make(map[*peer.Conn]int),
 		placement:      decide.NewPlacement(d.Clock.Now(), d.Policy),
 		sent:           &engineSnapshot{},
-		listeners:      newListeners(),
+		subscribers:    newSubscribers(),
 		startedQueries: newStartedQueries(),
 	}
 	k.takeFence()
@@ -125,8 +125,8 @@
 	k.tasks.Wait()
 }
 
-// takeFence writes a start record in the background, with retries. The record's offset is
-// the fence of all orders after it. Until then no orders are given.
+// takeFence writes a start record in the background, with retries. The fence of all orders
+// after it is derived from the record's position. Until then no orders are given.
 func (k *Keeper) takeFence() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -293,9 +293,9 @@
 		k.subscribeAdapter(c, m.Adapter.Key())
 		k.wakeUp()
 	case *peer.Subscribe:
-		k.addListener(c)
+		k.addSubscriber(c)
 	case *peer.Ping:
-		k.listeners.sendMark(c, k.sent.seq)
+		k.subscribers.sendMark(c, k.sent.seq)
 	case *peer.PrefillReport:
 		k.prefill[c] = m.Tokens
 		k.sendUpdate()
@@ -315,7 +315,7 @@
 		for _, u := range m.Uses {
 			k.placement.ReportUse(now, c.Peer().Process, u.Adapter, u.Started, u.Running)
 		}
-		k.listeners.sendMark(c, k.sent.seq)
+		k.subscribers.sendMark(c, k.sent.seq)
 	}
 }
 
@@ -342,9 +342,9 @@
 		delete(k.forwardTo, c)
 	}
 	if m.ViaRelay {
-		delete(k.listeners.allUpdates, c)
+		delete(k.subscribers.allUpdates, c)
 	} else {
-		k.addListener(c)
+		k.addSubscriber(c)
 	}
 	k.wakeUp()
 }
@@ -372,7 +372,7 @@
 	k.relays.unfollowAll(c)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.listeners.remove(c)
+	k.subscribers.remove(c)
 	k.placement.GatewayLost(c.Peer().Process)
 	delete(k.prefill, c)
 	delete(k.forwardTo, c)
--- a/keeper/keeper_test.go
+++ b/keeper/keeper_test.go
@@ -65,10 +65,10 @@
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, o)
 	if len(e.results) > 0 {
-		a := e.results[0]
+		result := e.results[0]
 		e.results = e.results[1:]
-		if a != wardturn.OrderAccepted {
-			return a
+		if result != wardturn.OrderAccepted {
+			return result
 		}
 	}
 	e.state.Seq++
--- a/keeper/relay_test.go
+++ b/keeper/relay_test.go
@@ -88,12 +88,12 @@
 	}
 }
 
-func engineNotice(relayed bool) *peer.EngineConfig {
+func engineConfig(viaRelay bool) *peer.EngineConfig {
 	return &peer.EngineConfig{
 		Config:   1,
 		Upstream: "i-1",
 		Position: 1,
-		ViaRelay: relayed,
+		ViaRelay: viaRelay,
 		Spec: wardturn.EngineSpec{
 			AdapterSlots: 4,
 			Models: []wardturn.ModelSpec{
@@ -142,9 +142,9 @@
 		_, addr = startKeeper("k", emptyEngine())
 		gateway, conn = connect(addr)
 		otherGateway, otherConn = connect(addr)
-		Expect(otherConn.Send(engineNotice(false))).To(Succeed())
+		Expect(otherConn.Send(engineConfig(false))).To(Succeed())
 		Expect(next[*peer.EngineUpdate](otherGateway).Full).To(BeTrue())
-		Expect(conn.Send(engineNotice(true))).To(Succeed())
+		Expect(conn.Send(engineConfig(true))).To(Succeed())
 	})
 
 	It("sends that gateway only the adapters that it requested", func() {
@@ -192,7 +192,7 @@
 		_, relay := startKeeper("relay", emptyEngine())
 		gateway, conn = connect(relay)
 		_, relayedConn = connect(addr)
-		Expect(relayedConn.Send(engineNotice(true))).To(Succeed())
+		Expect(relayedConn.Send(engineConfig(true))).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
 		m := next[*peer.RelayedUpdate](gateway)
 		Expect(m.Keeper).To(Equal(addr))
--- a/keeper/snapshot.go
+++ b/keeper/snapshot.go
@@ -145,7 +145,7 @@
 	return max(before-now, now-before) >= minLoadChange
 }
 
-// sendUpdate sends the changes since the last update to the listeners, or the full state if
+// sendUpdate sends the changes since the last update to the subscribers, or the full state if
 // the lifetime of the engine changed. The lock must be held.
 func (k *Keeper) sendUpdate() {
 	s := k.snapshot()
@@ -164,16 +164,16 @@
 	s.seq++
 	m.Seq = s.seq
 	k.sent = s
-	for c := range k.listeners.allUpdates {
+	for c := range k.subscribers.allUpdates {
 		_ = c.Send(m)
 	}
-	k.listeners.sendRequested(now, m)
+	k.subscribers.sendRequested(now, m)
 }
 
-// addListener adds a connection to the listeners and sends it the full state. The lock must
-// be held.
-func (k *Keeper) addListener(c *peer.Conn) {
-	k.listeners.allUpdates[c] = true
+// addSubscriber adds a connection to the subscribers and sends it the full state. The lock
+// must be held.
+func (k *Keeper) addSubscriber(c *peer.Conn) {
+	k.subscribers.allUpdates[c] = true
 	_ = c.Send(k.snapshot().fullUpdate())
 }
 
@@ -181,9 +181,9 @@
 // adapter's last sent state, which may not have reached it through its relay yet. The lock
 // must be held.
 func (k *Keeper) subscribeAdapter(c *peer.Conn, key wardturn.ModelAdapter) {
-	k.listeners.addRequest(k.clock.Now(), c, key)
+	k.subscribers.addRequest(k.clock.Now(), c, key)
 	a, ok := k.sent.adapters[key]
-	if ok && !k.listeners.allUpdates[c] {
+	if ok && !k.subscribers.allUpdates[c] {
 		_ = c.Send(adapterUpdate(k.sent.update(), a))
 	}
 }
--- a/keeper/startedquery_test.go
+++ b/keeper/startedquery_test.go
@@ -13,7 +13,7 @@
 	query := func(e *fakeEngine, ids ...string) *gatewayClient {
 		_, addr := startKeeper("k", e)
 		g, conn := connect(addr)
-		Expect(conn.Send(engineNotice(true))).To(Succeed())
+		Expect(conn.Send(engineConfig(true))).To(Succeed())
 		Expect(conn.Send(&peer.StartedQuery{
 			IDs: ids,
 		})).To(Succeed())
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -71,7 +71,7 @@
 	pingDelay  time.Duration    // duration of the current timer
 	lastRead   atomic.Int64     // clock time in nanoseconds
 	lastUse    atomic.Int64     // clock time of the last message other than a heartbeat
-	busier     ActivityReporter // nil if the handler doesn't implement it
+	activity   ActivityReporter // nil if the handler doesn't implement it
 	dialed     bool             // this side sends the pings, the other replies
 	pingSentAt atomic.Int64     // clock time of the oldest ping without a reply; zero: none
 	seq        uint64
@@ -201,7 +201,7 @@
 
 // pingInterval returns the current heartbeat interval.
 func (c *Conn) pingInterval() time.Duration {
-	if c.busier != nil && c.busier.Busy() {
+	if c.activity != nil && c.activity.Busy() {
 		return activePingInterval
 	}
 	idleFor := c.clock.Now().Sub(time.Unix(0, c.lastUse.Load()))
@@ -242,7 +242,7 @@
 
 // run serves the connection until it ends.
 func (c *Conn) run(r *bufio.Reader, h Handler) {
-	c.busier, _ = h.(ActivityReporter)
+	c.activity, _ = h.(ActivityReporter)
 	c.schedulePing()
 	done := make(chan struct{})
 	go func() {
--- a/routes.go
+++ b/routes.go
@@ -207,8 +207,8 @@
 )
 
 // String returns the name used in logs.
-func (a OrderResult) String() string {
-	switch a {
+func (r OrderResult) String() string {
+	switch r {
 	case OrderAccepted:
 		return "taken"
 	case OrderNoChange:
