--- a/content_test.go
+++ b/content_test.go
@@ -21,8 +21,8 @@
 	// Output: true false
 }
 
-// Guards against hashing the parts without separating them: then a character that moves from
-// the end of one part to the start of the next would not change the ID.
+// TestContentParts guards against hashing the parts without separating them: then a character
+// that moves from the end of one part to the start of the next would not change the ID.
 func TestContentParts(t *testing.T) {
 	x := wardturn.Content{
 		Host:   "ab",
@@ -37,7 +37,8 @@
 	}
 }
 
-// Uses a body of 730 bytes, the usual size of a prompt, and takes 1.1 us.
+// BenchmarkContentID uses a body of 730 bytes, the usual size of a prompt. It takes 1.1 us
+// per ID.
 func BenchmarkContentID(b *testing.B) {
 	c := wardturn.Content{
 		Method: "POST",
--- a/keeper/relay.go
+++ b/keeper/relay.go
@@ -143,10 +143,10 @@
 func (rs *relays) close() {
 	rs.mu.Lock()
 	rs.closed = true
-	list := rs.byKeeper
+	byKeeper := rs.byKeeper
 	rs.byKeeper = nil
 	rs.mu.Unlock()
-	for _, r := range list {
+	for _, r := range byKeeper {
 		r.client.Close()
 	}
 }
--- a/keeper/relay_test.go
+++ b/keeper/relay_test.go
@@ -189,8 +189,8 @@
 	)
 	BeforeEach(func() {
 		relayed, addr = startKeeper("far", emptyEngine())
-		_, relay := startKeeper("relay", emptyEngine())
-		gateway, conn = connect(relay)
+		_, relayAddr := startKeeper("relay", emptyEngine())
+		gateway, conn = connect(relayAddr)
 		_, relayedConn = connect(addr)
 		Expect(relayedConn.Send(engineConfig(true))).To(Succeed())
 		Expect(conn.Send(&peer.Follow{Keeper: addr})).To(Succeed())
@@ -220,12 +220,12 @@
 	})
 
 	It("sends nothing more to a gateway that stops following", func() {
-		_, second := startKeeper("second", emptyEngine())
+		_, secondAddr := startKeeper("second", emptyEngine())
 		Expect(conn.Send(&peer.Follow{Keeper: addr, Stop: true})).To(Succeed())
-		Expect(conn.Send(&peer.Follow{Keeper: second})).To(Succeed())
+		Expect(conn.Send(&peer.Follow{Keeper: secondAddr})).To(Succeed())
 		Eventually(func() string { // updates sent before the stop have arrived by then
 			return next[*peer.RelayedUpdate](gateway).Keeper
-		}, eventTimeout).Should(Equal(second))
+		}, eventTimeout).Should(Equal(secondAddr))
 		Expect(relayedConn.Send(loadRequest("a"))).To(Succeed())
 		Consistently(func() bool {
 			select {
--- a/position_test.go
+++ b/position_test.go
@@ -15,7 +15,8 @@
 	// Output: 1/900 2/7 true 2 7
 }
 
-// Guards against an overflow: with parts out of range, a position must not become negative.
+// TestPositionStaysInBounds guards against an overflow: with parts out of range, a position
+// must not become negative.
 func TestPositionStaysInBounds(t *testing.T) {
 	p := wardturn.NewPosition(math.MaxInt64, math.MaxInt64)
 	if p < 0 || p.Era() != wardturn.MaxEra || p.Offset() != wardturn.MaxOffset {
--- a/request.go
+++ b/request.go
@@ -41,8 +41,8 @@
 	Class      Class
 	Adapter    AdapterRef
 	Service    ServiceName
-	Prompt     Tokens
-	Output     Tokens
+	Prompt     Tokens    // estimated length of the prompt
+	Output     Tokens    // maximum length of the response
 	Deadline   time.Time // zero: none
 	Repeatable bool
 	Key        IdempotencyKey
