--- a/ids.go
+++ b/ids.go
@@ -17,7 +17,7 @@
 // UpstreamID identifies one lifetime of an upstream, which is a model engine or an
 // instance of a plain service. A lifetime is one run of the upstream from its start to
 // its end; an upstream that restarts under the same instance name has a new UpstreamID.
-// See Lifetime.
+// See NewUpstreamID.
 type UpstreamID string
 
 // FailureDomain identifies a group of hosts that can fail together.
@@ -133,14 +133,14 @@
 		return false
 	}
 	for i := 0; i < len(s); i++ {
-		if !nameByte(s[i]) {
+		if !isNameByte(s[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func nameByte(c byte) bool {
+func isNameByte(c byte) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return true
