--- a/gateway/caps_internal_test.go
+++ b/gateway/caps_internal_test.go
@@ -25,7 +25,7 @@
 
 // If a sudden rise in a team's usage were announced only at the next interval, the team
 // would exceed its cap by what all gateways admit until then.
-func TestChargeRequestsMessageOnUsageJump(t *testing.T) {
+func TestChargeAsksForMessageWhenTeamJumps(t *testing.T) {
 	clock := &manualClock{
 		now: time.Unix(1000, 0),
 	}
--- a/gateway/crashrecord_internal_test.go
+++ b/gateway/crashrecord_internal_test.go
@@ -23,7 +23,7 @@
 
 // An announced configuration read must not count as a read of the crash records, or else two
 // gateways that read the configuration alternately would never read the crashes.
-func TestCrashRecordsAreReadByOneOfTwo(t *testing.T) {
+func TestCrashesAreReadByOneOfTwo(t *testing.T) {
 	clock := &fixedClock{
 		now: time.Unix(1000, 0),
 	}
--- a/gateway/link_internal_test.go
+++ b/gateway/link_internal_test.go
@@ -131,7 +131,7 @@
 
 // Regression test: for each new configuration each gateway sent a message to each keeper,
 // and the keepers replied with their full state.
-func TestLinkSendsChangedNotices(t *testing.T) {
+func TestLinkTellsWhatChanged(t *testing.T) {
 	spec := wardturn.EngineSpec{
 		Batch:        8,
 		AdapterSlots: 2,
