--- a/decide/agent.go
+++ b/decide/agent.go
@@ -40,7 +40,8 @@
 	HistoryTTL   time.Duration // idle time after which the history of an adapter is dropped
 	StarveAfter  time.Duration // waiting time after which requests are served by age alone
 	DrainAfter   time.Duration // waiting time after which a busy slot is drained
-	AdmitAll     bool          // refuse nothing before its deadline, like a system without admission control
+	// AdmitAll turns admission control off: no request is refused before its deadline.
+	AdmitAll bool
 }
 
 func (c AgentConfig) withDefaults() AgentConfig {
--- a/decide/cause.go
+++ b/decide/cause.go
@@ -9,17 +9,19 @@
 
 // Causes of a load.
 const (
-	LoadFirst      LoadCause = "first"   // no engine held it, as far as this gateway knows
-	LoadHeldBefore LoadCause = "again"   // the engine held it before
-	LoadMoved      LoadCause = "moved"   // another engine held it before but no longer does
-	LoadCopy       LoadCause = "second"  // other engines hold it, but are full or would answer too late
-	LoadLocal      LoadCause = "near"    // only engines in other failure domains hold it, and many bytes were sent there
-	LoadRelief     LoadCause = "relief"  // the engine that holds it is busier than others
-	LoadVersion    LoadCause = "version" // a newer version was announced
+	LoadFirst      LoadCause = "first"  // no engine held it, as far as this gateway knows
+	LoadHeldBefore LoadCause = "again"  // the engine held it before
+	LoadMoved      LoadCause = "moved"  // another engine held it before but no longer does
+	LoadCopy       LoadCause = "second" // other engines hold it, but are full or too slow
+	// LoadLocal means that only engines in other failure domains hold the adapter, and
+	// that many bytes were sent there.
+	LoadLocal   LoadCause = "near"
+	LoadRelief  LoadCause = "relief"  // the engine that holds it is busier than others
+	LoadVersion LoadCause = "version" // a newer version was announced
 )
 
-// causeOf returns why an engine is asked for a wanted adapter, for missing adapters without
-// a cause set elsewhere.
+// causeOf returns why an engine is asked to load a missing adapter whose cause is not set
+// elsewhere.
 func (f *Fleet) causeOf(missing *missingAdapter, home *Member) LoadCause {
 	if home.everHeld[missing.key] {
 		return LoadHeldBefore
--- a/decide/copies.go
+++ b/decide/copies.go
@@ -6,12 +6,13 @@
 
 const (
 	// copyMinLoad is the least number of requests at an engine for which its load can be a
-	// reason for a copy of an adapter elsewhere. Engines run at full speed up to it.
+	// reason for a copy of an adapter on another one. Engines run at full speed up to it.
 	copyMinLoad = 8
-	// copyLoadFactor is the least ratio of that number to the mean over all engines.
+	// copyLoadFactor is the least ratio of that number to its mean over all engines for
+	// which an engine counts as overloaded.
 	copyLoadFactor = 1.4
-	// copyMinOwnRequests is how many of these requests must be this gateway's for the
-	// adapter.
+	// copyMinOwnRequests is how many of the engine's requests must be requests of this
+	// gateway for the adapter.
 	copyMinOwnRequests = 2
 	// copyMinRequests is the least estimated number of requests for an adapter, over all
 	// gateways, for which paused streams can be a reason for a copy.
--- a/decide/crashtracker.go
+++ b/decide/crashtracker.go
@@ -23,7 +23,7 @@
 	cfg            CrashConfig
 	contents       map[wardturn.ContentID]*suspectContent
 	answered       map[wardturn.ContentID]time.Time  // when each was last answered successfully
-	brokenRequests map[wardturn.Crash]time.Time      // requests that broke off, whose upstream may have ended
+	brokenRequests map[wardturn.Crash]time.Time      // incomplete requests; their upstream may have ended
 	ended          map[wardturn.UpstreamID]time.Time // when each upstream ended without notice
 	pendingDeletes map[wardturn.Crash]bool           // records to be deleted from the store
 }
@@ -175,7 +175,7 @@
 }
 
 // StoreRestored records that the store may have lost records because it was restored from
-// an older copy. Call Recorded with the remaining records afterwards. The gateways that
+// an older copy. Call AddRecorded with the remaining records afterwards. The gateways that
 // observed a crash write its record again; other gateways do so only if that fails to
 // happen.
 func (c *CrashTracker) StoreRestored(now time.Time) {
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -66,6 +66,16 @@
 //	loadwindow.go         LoadWindow: how many concurrent loads the store can serve
 //	loadshare.go          a gateway's share of the free load window
 //	readscheduler.go      ReadScheduler: which gateway reads the store for all
+//	limits.go             Limits: rate limits of upstreams, shared by all gateways
+//	limitgossip.go        messages between gateways on limits
+//	limited.go            refusals when all upstreams are limited or backing off
+//	cold.go               rate limits of cold upstreams
+//	sharedrate.go         a gateway's share of a rate
+//	gatewaycount.go       GatewayCount: number of gateways for computing shares
+//	lags.go               delays of messages from other processes
+//	evacuation.go         failure domains that are evacuated
+//	prefillrate.go        prefill rate of engines
+//	pauses.go             pauses of streams while engines prefill prompts
 //	backoff.go            backoffs that upstreams asked for
 //	pathbackoff.go        PathBackoff: avoids a path for a while after it failed
 //
@@ -73,6 +83,7 @@
 //
 //	placement.go          Placement: adapters of an engine
 //	placement_evict.go    which adapter is evicted, and which slots are reported free
+//	placement_report.go   the engine's reports
 //
 // Used by both:
 //
--- a/decide/engineupdate.go
+++ b/decide/engineupdate.go
@@ -7,7 +7,7 @@
 	"wardturn"
 )
 
-// EngineUpdate is a keeper's report on its engine. A keeper is the process beside an engine
+// EngineUpdate is a keeper's update on its engine. A keeper is the process beside an engine
 // that loads and unloads the engine's adapters.
 type EngineUpdate struct {
 	Connected     bool // a keeper is connected
@@ -15,14 +15,14 @@
 	Models        []wardturn.BaseModel
 	Full          bool // Adapters lists all adapters; otherwise only those that changed
 	Adapters      []HeldVersion
-	Unloaded      []wardturn.ModelAdapter // unloaded since the previous report
+	Unloaded      []wardturn.ModelAdapter // unloaded since the previous update
 	Running       int
 	Queued        int
 	PrefillTokens int // tokens of long prompts in prefill, for all gateways together
 	FreeSlots     int // adapter slots that could be used at once, counted up to MaxFreeSlots
 	Gateways      int // gateways connected to the keeper
 	// Limit is the rate limit in requests per second that the engine announces. Zero means
-	// that this report carries none; the engine's responses may still announce one.
+	// that this update carries none; the engine's responses may still announce one.
 	Limit   wardturn.RequestRate
 	Leaving bool // the engine announced that it is shutting down
 }
@@ -42,7 +42,7 @@
 	warm    bool      // loaded from the engine's own memory, not from the weight store
 }
 
-// ApplyEngineUpdate applies a keeper's report on its engine.
+// ApplyEngineUpdate applies a keeper's update on its engine.
 func (f *Fleet) ApplyEngineUpdate(now time.Time, id wardturn.UpstreamID, u EngineUpdate, out *Actions) {
 	m := f.members[id]
 	if m == nil {
@@ -83,7 +83,7 @@
 }
 
 // reportedState returns the state of a reported adapter, given its state before the
-// report. In a full report the start of a load was not seen, so since stays zero.
+// update. In a full update the start of a load was not seen, so since stays zero.
 func (m *Member) reportedState(now time.Time, a HeldVersion, before heldAdapter, full bool) heldAdapter {
 	h := heldAdapter{
 		version: a.Adapter.Version,
@@ -112,8 +112,8 @@
 	}
 }
 
-// applyRemovals removes the adapters that the report says are unloaded, and those whose
-// state the report replaces.
+// applyRemovals removes the adapters that the update says are unloaded, and those whose
+// state the update replaces.
 func (f *Fleet) applyRemovals(m *Member, u EngineUpdate) {
 	if u.Full {
 		f.removeAllHeld(m)
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -12,7 +12,7 @@
 const presumedCold = 3500 * time.Millisecond
 
 // preloadWantedFor is how long an adapter that was in use in an evacuated failure domain
-// is wanted elsewhere although no request waits for it.
+// counts as missing elsewhere although no request waits for it.
 const preloadWantedFor = 3 * time.Second
 
 // SetEvacuated sets the failure domains whose upstreams get no requests. The upstreams of a
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -13,30 +13,35 @@
 // available engine holds. Its state comes from the platform's list of upstreams, from the
 // keepers beside the engines and from responses to requests. It is not persisted.
 type Fleet struct {
-	cfg              FleetConfig
-	table            *wardturn.RouteTable
-	announcements    map[wardturn.ModelAdapter][]announcement // announced versions of each adapter, oldest first
-	rollouts         map[wardturn.ModelAdapter]*rollout
-	members          map[wardturn.UpstreamID]*Member
-	services         map[wardturn.ServiceName][]*Member // sorted by ID
-	local            map[wardturn.ServiceName][]*Member // those of services in this gateway's failure domain
-	leaving          map[wardturn.UpstreamID]time.Time  // upstreams that announced that they are leaving, and when the list last had them
-	holders          engineIndex                        // engines that hold an adapter ready
-	loaders          engineIndex                        // engines that are loading it
-	heldBefore       engineIndex                        // engines that have held it since they started
-	missing          missingAdapters
-	gateways         int       // as reported by keepers
-	gatewaysAt       time.Time // when gateways was last updated
-	window           LoadWindow
-	refilledBy       map[wardturn.ServiceName]time.Time // when services whose engines were all empty are expected to hold adapters again
-	reportsDue       []*Member                          // members whose keepers have to be sent changed prefill counts
-	loadsInFlight    int                                // loads under way from the weight store, of all gateways
-	lastDrawAt       time.Time                          // latest random draw for a share of the window below one
-	crossDomainBytes map[wardturn.ModelAdapter]int      // bytes sent to other failure domains
+	cfg           FleetConfig
+	table         *wardturn.RouteTable
+	announcements map[wardturn.ModelAdapter][]announcement // of each adapter, oldest first
+	rollouts      map[wardturn.ModelAdapter]*rollout
+	members       map[wardturn.UpstreamID]*Member
+	services      map[wardturn.ServiceName][]*Member // sorted by ID
+	// local holds those of services that are in this gateway's failure domain.
+	local map[wardturn.ServiceName][]*Member
+	// leaving holds the upstreams that announced that they are leaving, and when the list
+	// last had them.
+	leaving    map[wardturn.UpstreamID]time.Time
+	holders    engineIndex // engines that hold an adapter ready
+	loaders    engineIndex // engines that are loading it
+	heldBefore engineIndex // engines that have held it since they started
+	missing    missingAdapters
+	gateways   int       // as reported by keepers
+	gatewaysAt time.Time // when gateways was last updated
+	window     LoadWindow
+	// refilledBy holds when services whose engines were all empty are expected to hold
+	// adapters again.
+	refilledBy       map[wardturn.ServiceName]time.Time
+	reportsDue       []*Member                     // members with prefill counts to be sent to keepers
+	loadsInFlight    int                           // loads from the weight store, of all gateways
+	lastDrawAt       time.Time                     // latest random draw for a share below one load
+	crossDomainBytes map[wardturn.ModelAdapter]int // bytes sent to other failure domains
 	limits           *Limits
 	prefillRates     map[wardturn.ServiceName]*prefillRate // prefill rates of engines
 	evacuated        wardturn.Evacuations
-	backoffs         map[string]*upstreamBackoff // pauses requested by upstreams, by instance
+	backoffs         map[string]*upstreamBackoff // backoffs asked for by upstreams, by instance
 }
 
 // FleetConfig holds the limits of a Fleet.
@@ -221,7 +226,7 @@
 	return f.window.Learned()
 }
 
-// Members returns the members of a service.
+// Members returns the members of a service, sorted by ID.
 func (f *Fleet) Members(s wardturn.ServiceName) []*Member {
 	return f.services[s]
 }
@@ -272,7 +277,7 @@
 }
 
 // refusalOverride is how long an engine's refusal takes precedence over its keeper's
-// report, until the keeper's next report has arrived.
+// update, until the keeper's next update has arrived.
 const refusalOverride = 300 * time.Millisecond
 
 // NotHeld records that an engine refused a request because it does not hold the adapter
--- a/decide/hint.go
+++ b/decide/hint.go
@@ -11,12 +11,15 @@
 // Hint is an agent's load as reported with its replies. It is already out of date on
 // arrival and expires soon after.
 type Hint struct {
-	Running         int  `msgpack:"r" json:"running"`
-	Queued          int  `msgpack:"q" json:"queued"`
-	Capacity        int  `msgpack:"c" json:"capacity"`         // requests that can run at once
-	WaitingAdapters int  `msgpack:"w" json:"waiting_adapters"` // adapters that wait for a slot
-	SpareSlots      int  `msgpack:"s" json:"spare_slots"`      // slots that are empty or can be reused at once
-	Leaving         bool `msgpack:"l" json:"leaving"`
+	Running int `msgpack:"r" json:"running"`
+	Queued  int `msgpack:"q" json:"queued"`
+	// Capacity is the number of requests that can run at once.
+	Capacity int `msgpack:"c" json:"capacity"`
+	// WaitingAdapters is the number of adapters that wait for a slot.
+	WaitingAdapters int `msgpack:"w" json:"waiting_adapters"`
+	// SpareSlots is the number of slots that are empty or can be reused at once.
+	SpareSlots int  `msgpack:"s" json:"spare_slots"`
+	Leaving    bool `msgpack:"l" json:"leaving"`
 }
 
 // Hint returns the agent's present load.
--- a/decide/ledger.go
+++ b/decide/ledger.go
@@ -34,7 +34,7 @@
 	limit          int
 	attemptTTL     time.Duration
 	attempts       map[wardturn.AttemptID]*ledgerEntry
-	ended          *list.List // of *entry, in the order in which they ended
+	ended          *list.List // of *ledgerEntry, in the order in which they ended
 	highWaterMarks map[wardturn.Incarnation]*highWaterMark
 }
 
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -228,8 +228,8 @@
 	}
 }
 
-// inForce returns the limit of an upstream, or nil if there is none. The limit of a worker
-// that restarts under the same name stays in force until its responses end it.
+// inForce returns the limit of an upstream, or nil if there is none. The limit of an
+// upstream that restarts under the same name stays in force until its responses end it.
 func (l *Limits) inForce(id wardturn.UpstreamID) *upstreamLimit {
 	if len(l.upstreams) == 0 {
 		return nil
--- a/decide/loadshare.go
+++ b/decide/loadshare.go
@@ -6,7 +6,7 @@
 )
 
 // requestSettleTime is how long a load request counts as a load in flight before its
-// keeper reports the load. It is far longer than an order and its report take. An engine
+// keeper reports the load. It is far longer than a load order and the report on it take. An engine
 // without a free slot starts the load later, and until then the load uses no capacity of
 // the store.
 const requestSettleTime = 100 * time.Millisecond
--- a/decide/loadwindow.go
+++ b/decide/loadwindow.go
@@ -31,12 +31,22 @@
 }
 
 const (
-	windowShrink   = 0.85            // factor applied after slow loads
-	windowMinUse   = 0.7             // fraction of the window that must be in use for it to grow
-	windowSamples  = 15              // loads in the median: single slow loads are due to their engine, not the store
-	slowLoadRatio  = 1.3             // ratio of the median to the baseline above which loads count as slow
-	baselineMemory = 5 * time.Minute // time constant with which the baseline follows longer load times
-	windowProbe    = 0.5             // growth per load before the first slow one: by half in each load time
+	// windowShrink is the factor applied to the window after slow loads.
+	windowShrink = 0.85
+	// windowMinUse is the fraction of the window that must be in use for it to grow.
+	windowMinUse = 0.7
+	// windowSamples is the number of loads in the median. Single slow loads are due to
+	// their engine, not the store.
+	windowSamples = 15
+	// slowLoadRatio is the ratio of the median to the baseline above which loads count as
+	// slow.
+	slowLoadRatio = 1.3
+	// baselineMemory is the time constant with which the baseline follows longer load
+	// times.
+	baselineMemory = 5 * time.Minute
+	// windowProbe is the growth per load before the first slow one: by half in each load
+	// time.
+	windowProbe = 0.5
 	// windowStartRatio is the initial window as a fraction of the number of engines. Stores
 	// are sized for their engines: the known ones serve 0.33 to 2 concurrent loads per
 	// engine at full speed. From a small window it takes over a second to grow to what a
@@ -50,9 +60,11 @@
 	// If loads still take at least ineffectiveTime of their earlier duration when the
 	// window has shrunk to ineffectiveSize of its earlier size, the window is not what
 	// slows them down, and their duration becomes the baseline.
-	ineffectiveSize  = 0.6
-	ineffectiveTime  = 0.9
-	ineffectiveLoads = 2 * windowSamples // slow loads seen by then, so that the median has none from before
+	ineffectiveSize = 0.6
+	ineffectiveTime = 0.9
+	// ineffectiveLoads is the number of slow loads that must have been observed by then,
+	// so that the median contains none from before.
+	ineffectiveLoads = 2 * windowSamples
 	// memoryLoadRatio is the fraction of the baseline below which a load is assumed not
 	// to come from the store. An engine restores an adapter that it held before in a
 	// tenth of the baseline, and a gateway that has just started does not know which
@@ -62,8 +74,9 @@
 	// fastLoadsInRow is the number of consecutive such loads after which the store is
 	// assumed to have become faster. Where this mattered, one load in three was from
 	// memory.
-	fastLoadsInRow  = 30
-	initialLoadTime = 300 * time.Millisecond // load time reported to callers before any load was observed
+	fastLoadsInRow = 30
+	// initialLoadTime is the median load time assumed before any load was observed.
+	initialLoadTime = 300 * time.Millisecond
 )
 
 // LoadWindow bounds the number of concurrent loads from the weight store for all gateways
--- a/decide/member.go
+++ b/decide/member.go
@@ -11,32 +11,36 @@
 // Member is an upstream together with the state that this gateway keeps of it.
 type Member struct {
 	wardturn.Member
-	hash              uint64
-	breaker           Breaker
-	failureShare      float64       // moving average of the share of its requests that failed
-	latency           float64       // moving average of its response time, in milliseconds; plain services only
-	latencyAt         time.Time     // when latency was last updated
-	running           int           // requests of this gateway in flight
-	bodyBytes         int           // total size of their bodies, in bytes
-	prefillTokens     int           // prompt tokens of those without a byte of response yet
-	prefill           prefillCounts // long prompts being prefilled, of all gateways
-	prefillRate       *prefillRate  // prefill rate of the engines of its service
-	lastUpdate        EngineUpdate
-	updatedAt         time.Time // when lastUpdate was received
-	runningAtUpdate   int       // value of running when lastUpdate was received
-	held              map[wardturn.ModelAdapter]heldAdapter
-	loadsInFlight     int // adapters of held being loaded from the weight store
-	everHeld          map[wardturn.ModelAdapter]bool
-	requested         map[wardturn.ModelAdapter]bool // adapters that this gateway has asked it for
-	uses              map[wardturn.ModelAdapter]*AdapterCount
-	notHeldUntil      map[wardturn.ModelAdapter]time.Time // adapters that it refused as not held, and until when that overrides lastUpdate
-	replaced          bool                                // another incarnation answers at its address
-	refusedUntil      time.Time                           // set when it refuses a connection
-	backoff           *upstreamBackoff                    // a pause that it asked for, or nil
-	coldUntil         time.Time                           // according to its entry and its responses
-	coldEntry         wardturn.Position                   // position of the entry behind coldUntil; negative if none
-	presumedColdUntil time.Time                           // until when it may be cold without having reported it
-	evacuated         bool                                // its failure domain is being evacuated
+	hash         uint64
+	breaker      Breaker
+	failureShare float64 // moving average of the share of its requests that failed
+	// latency is the moving average of its response time, in milliseconds. It is kept for
+	// plain services only.
+	latency         float64
+	latencyAt       time.Time     // when latency was last updated
+	running         int           // requests of this gateway in flight
+	bodyBytes       int           // total size of their bodies, in bytes
+	prefillTokens   int           // prompt tokens of those without a byte of response yet
+	prefill         prefillCounts // long prompts being prefilled, of all gateways
+	prefillRate     *prefillRate  // prefill rate of the engines of its service
+	lastUpdate      EngineUpdate
+	updatedAt       time.Time // when lastUpdate was received
+	runningAtUpdate int       // value of running when lastUpdate was received
+	held            map[wardturn.ModelAdapter]heldAdapter
+	loadsInFlight   int // adapters of held being loaded from the weight store
+	everHeld        map[wardturn.ModelAdapter]bool
+	requested       map[wardturn.ModelAdapter]bool // adapters that this gateway has asked it for
+	uses            map[wardturn.ModelAdapter]*AdapterCount
+	// notHeldUntil holds the adapters that it refused as not held, and until when that
+	// overrides lastUpdate.
+	notHeldUntil      map[wardturn.ModelAdapter]time.Time
+	replaced          bool              // another incarnation answers at its address
+	refusedUntil      time.Time         // set when it refuses a connection
+	backoff           *upstreamBackoff  // backoff that it asked for, or nil
+	coldUntil         time.Time         // according to its entry and its responses
+	coldEntry         wardturn.Position // of the entry behind coldUntil; negative if none
+	presumedColdUntil time.Time         // until when it may be cold without having reported it
+	evacuated         bool              // its failure domain is being evacuated
 }
 
 // Terms of the cost of sending a request to a member, in milliseconds of expected delay.
@@ -148,8 +152,8 @@
 	return m.available(now) && !m.backoff.inForce(now)
 }
 
-// available is usable without regard to a requested pause and to the members that a
-// request has already tried.
+// available is usable without regard to a backoff and to the members that a request has
+// already tried.
 func (m *Member) available(now time.Time) bool {
 	return !m.Draining && !m.evacuated && !m.replaced && !now.Before(m.refusedUntil) && m.breaker.Allows(now)
 }
--- a/decide/missing.go
+++ b/decide/missing.go
@@ -12,9 +12,8 @@
 // message doesn't let the load request expire.
 const loadRequestInterval = 300 * time.Millisecond
 
-// missingAdapter is a missing adapter: one that requests wait for, or that is loaded for
-// requests that were refused with a retry time. The engine that is asked to load it is its
-// home.
+// missingAdapter is an adapter that requests wait for, or that is loaded for requests that
+// were refused with a retry time. The engine that is asked to load it is its home.
 type missingAdapter struct {
 	key              wardturn.ModelAdapter
 	service          wardturn.ServiceName
@@ -30,7 +29,7 @@
 	firstRequestedAt time.Time           // of the first load request; zero if there is none
 	requestedAt      time.Time           // of the latest load request or attempt to send one
 	cause            LoadCause           // of the load request
-	warm             bool                // the home held it before: not loaded from the weight store
+	warm             bool                // the home held it before and needs no load from the store
 }
 
 // missingAdapters are the missing adapters, by adapter and by the regions in which their
@@ -202,7 +201,7 @@
 	return missing.expectedRetries > 0 && missing.backlog(now) == 0
 }
 
-// before orders missing adapters: those with more requests first, then those whose latest
+// before reports whether an adapter is requested before another: those with more requests first, then those whose latest
 // request arrived later. When loads fall behind, requests for the adapter that has waited
 // longest are refused before its load completes. Loading in order of arrival would make the
 // requests for all adapters late.
--- a/decide/objective.go
+++ b/decide/objective.go
@@ -41,7 +41,7 @@
 	return home != nil && meetsObjective(now, r, home, f.timeToAvailable(now, missing, home))
 }
 
-// timeToAvailable estimates how long it takes until a wanted adapter is available at an
+// timeToAvailable estimates how long it takes until a missing adapter is available at an
 // engine.
 func (f *Fleet) timeToAvailable(now time.Time, missing *missingAdapter, m *Member) time.Duration {
 	d := f.window.MedianLoadTime()
--- a/decide/pauses.go
+++ b/decide/pauses.go
@@ -8,8 +8,8 @@
 	// longPauseCost is the cost of a stream that pauses for longer than its route allows,
 	// in milliseconds.
 	longPauseCost = 250.0
-	// pauseThreshold is the fraction of the longest allowed pause that reading prompts may
-	// take before longer pauses become likely, since other prompts arrive meanwhile.
+	// pauseThreshold is the fraction of the longest allowed pause that prefilling prompts
+	// may take before longer pauses become likely, since other prompts arrive meanwhile.
 	pauseThreshold = 0.5
 	// spreadPauseCost is the pause cost of one prompt, in milliseconds, above which an adapter
 	// is loaded on another engine.
@@ -17,8 +17,8 @@
 )
 
 // pauseCost returns the expected cost, in milliseconds, of pauses in the streams of an
-// engine while it reads the prompt of a request and those before it. Each step of an
-// engine reads a part of its prompts and generates one token of each stream, so many
+// engine while it prefills the prompt of a request and those before it. Each step of an
+// engine prefills a part of its prompts and generates one token of each stream, so many
 // prompts together stall all streams.
 func (m *Member) pauseCost(now time.Time, r *PendingRequest) float64 {
 	if r.MaxPause == 0 {
--- a/decide/pending.go
+++ b/decide/pending.go
@@ -26,7 +26,7 @@
 	Key       wardturn.ModelAdapter // zero for a plain service
 	Arrived   time.Time
 	Objective time.Duration
-	MaxPause  time.Duration // longest gap allowed between two events of the response; zero: unlimited
+	MaxPause  time.Duration // longest allowed pause of the response stream; zero: unlimited
 	Deadline  time.Time
 	Prompt    wardturn.Tokens
 	Body      int // bytes of the request body
@@ -36,7 +36,7 @@
 	Assign    func(Assignment) // called once, under the fleet's lock
 
 	missing     *missingAdapter
-	prefillAt   *Member // the engine whose adapter it waits for and for which its prompt is counted
+	prefillAt   *Member // engine that loads its adapter and for which its prompt is counted
 	acceptsSlow bool    // accepts a slow engine instead of waiting longer
 }
 
@@ -50,7 +50,7 @@
 	RetryAfter time.Duration
 }
 
-// LoadRequest is a load request: it asks the keeper of an engine to load an adapter.
+// LoadRequest asks the keeper of an engine to load an adapter.
 type LoadRequest struct {
 	Upstream wardturn.UpstreamID
 	Adapter  wardturn.AdapterVersion
--- a/decide/permits.go
+++ b/decide/permits.go
@@ -16,9 +16,10 @@
 	Pending  int                 `msgpack:"w"` // loads waiting for a permit
 	Loading  int                 `msgpack:"l"` // loads in progress
 	Busy     int                 `msgpack:"b"` // loads refused by the store since the start
-	Misses   uint64              `msgpack:"m"` // adapter misses since the start, those of refused requests included
-	Epoch    uint64              `msgpack:"e"` // of the allocator whose permits Used counts
-	Used     uint64              `msgpack:"s"` // permits used or returned in that epoch
+	// Misses counts the adapter misses since the start, including those of refused requests.
+	Misses uint64 `msgpack:"m"`
+	Epoch  uint64 `msgpack:"e"` // of the allocator whose permits Used counts
+	Used   uint64 `msgpack:"s"` // permits used or returned in that epoch
 }
 
 // Grant is the allocator's response to a permit request: the total number of permits that
--- a/decide/readscheduler.go
+++ b/decide/readscheduler.go
@@ -15,7 +15,7 @@
 	cfg                 ReadSchedulerConfig
 	self                wardturn.Incarnation
 	start               time.Time // origin of the timestamps sent to other processes
-	spread              float64   // position of this process in the spread of read times, from 0 to 1
+	spread              float64   // position of this process among the read times, from 0 to 1
 	asOf                time.Time // time of the latest known read of the record
 	asOfOwn             bool      // asOf is from a read of this process
 	confirmedAsOf       time.Time // as asOf, but without reports whose transit time is not known
@@ -42,13 +42,13 @@
 
 const (
 	// followerSlack and followerSpread delay the reads of a process that relies on
-	// others, as fractions of Every. The slack lets the regular report arrive; the spread
+	// others, as fractions of MaxAge. The slack lets the regular report arrive; the spread
 	// keeps the processes from reading all at once when it does not. When the leader is
 	// gone, the others take over within the slack.
 	followerSlack  = 0.15
 	followerSpread = 0.25
 	// leaderTimeout is how long a process with a lower ID counts as alive after its last
-	// message, as a multiple of Every.
+	// message, as a multiple of MaxAge.
 	leaderTimeout = 2
 	// invalidationSpread spreads the reads of processes that find their copies out of date
 	// through the same event: the report of the first one serves the others.
--- a/decide/teamcaps.go
+++ b/decide/teamcaps.go
@@ -23,7 +23,7 @@
 	gateways          int // assumed number of gateways
 	counted           GatewayCount
 	previousGateways  int     // number of gateways known before this process started
-	reachablePart     float64 // fraction of each cap available to the gateways reachable from here
+	reachablePart     float64 // fraction of each cap for the gateways reachable from here
 	gatewaysCountedAt time.Time
 	caps              map[wardturn.TeamID]*teamCap
 	others            map[wardturn.Incarnation]*otherGateway
@@ -58,7 +58,7 @@
 	level        float64 // units that may be taken now; negative: a debt
 	reserved     float64 // units reserved for callers told to retry later
 	at           time.Time
-	unusedRefill float64 // refill since the start that was left to missing gateways or overflowed
+	unusedRefill float64 // refill left to missing gateways or lost to overflow, since the start
 	offsetLeft   float64 // part of it that no late report has been offset against
 	used         int64   // taken by this gateway since its start
 	reported     int64   // value of used in the latest report
--- a/decide/teamreports.go
+++ b/decide/teamreports.go
@@ -31,7 +31,7 @@
 	reportHeartbeat = 500 * time.Millisecond
 	// reportTimeout is the time after its latest report at which a gateway counts as
 	// unreachable. It allows for the loss of two reports sent through a relay that has
-	// just died.
+	// just failed.
 	reportTimeout = 1600 * time.Millisecond
 	// nextReportDue is the age of a report by which the next one is due: reportHeartbeat
 	// plus the 200 ms between two checks whether a report is due.
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -28,7 +28,8 @@
 	u.changed = true
 }
 
-// ResponseStarted records that the response to a request started, so its prompt has been read.
+// ResponseStarted records that the response to a request started, so its prompt has been
+// prefilled.
 func (f *Fleet) ResponseStarted(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	if m := f.members[id]; m != nil {
 		f.addPrefill(m, -prompt)
--- a/decide/waitlimit.go
+++ b/decide/waitlimit.go
@@ -55,7 +55,7 @@
 
 // minTimeToFirstToken returns the minimum time until the first token of a request: the
 // time to load its adapter, unless an engine already holds it and is merely full, and to
-// read its prompt.
+// prefill its prompt.
 func (f *Fleet) minTimeToFirstToken(missing *missingAdapter, r *PendingRequest) time.Duration {
 	read := f.prefillRateOf(r.Service).time(int(r.Prompt))
 	switch {
