--- a/decide/announcement.go
+++ b/decide/announcement.go
@@ -21,13 +21,13 @@
 	for len(list) > 1 && !receivedAt.Before(list[1].end) {
 		list = list[1:]
 	}
-	n := announcement{
+	a := announcement{
 		version:    v.Version,
 		receivedAt: receivedAt,
 		end:        end,
 	}
-	f.announcements[key] = append(list, n)
-	return n
+	f.announcements[key] = append(list, a)
+	return a
 }
 
 // newest returns the newest announced version of an adapter, or zero if there is none.
@@ -53,11 +53,11 @@
 // Superseded returns the first announced version of an adapter that is newer than v and
 // when this gateway learned of it. It reports false while there is none.
 func (f *Fleet) Superseded(key wardturn.ModelAdapter, v wardturn.Version) (newer wardturn.Version, receivedAt time.Time, ok bool) {
-	n := f.firstNewer(key, v)
-	if n == nil {
+	a := f.firstNewer(key, v)
+	if a == nil {
 		return 0, time.Time{}, false
 	}
-	return n.version, n.receivedAt, true
+	return a.version, a.receivedAt, true
 }
 
 // VersionInUse reports whether requests may start on a version of an adapter. The newest
@@ -66,8 +66,8 @@
 // postpone it, and under announcements in quick succession old versions would never stop
 // serving.
 func (f *Fleet) VersionInUse(now time.Time, key wardturn.ModelAdapter, v wardturn.Version) bool {
-	n := f.firstNewer(key, v)
-	return n == nil || now.Before(n.end)
+	a := f.firstNewer(key, v)
+	return a == nil || now.Before(a.end)
 }
 
 // oldVersionServes reports whether requests may still start on some old version of an
--- a/decide/copies.go
+++ b/decide/copies.go
@@ -27,11 +27,11 @@
 // of the request's prompt, or if m is in another failure domain and the traffic sent
 // there exceeds FleetConfig.MaxCrossDomainBytes, the equivalent of a load.
 func (f *Fleet) considerCopy(now time.Time, r *PendingRequest, m *Member, out *Actions) {
-	near := m.Domain == f.cfg.Domain
-	if !near {
+	local := m.Domain == f.cfg.Domain
+	if !local {
 		f.crossDomainBytes[r.Key] += r.Bytes
 	}
-	costly := !near && f.crossDomainBytes[r.Key] >= f.cfg.MaxCrossDomainBytes
+	costly := !local && f.crossDomainBytes[r.Key] >= f.cfg.MaxCrossDomainBytes
 	busy := f.overloaded(r, m) || f.pausesStreams(now, r, m)
 	if !costly && !busy {
 		return
@@ -82,13 +82,13 @@
 // nil. It is the first one in home order that costs sufficiently less, or with near set
 // the first in the gateway's own failure domain. Gateways that need a copy at the same
 // time thus choose the same engine.
-func (f *Fleet) copyHome(now time.Time, r *PendingRequest, m *Member, near bool) *Member {
+func (f *Fleet) copyHome(now time.Time, r *PendingRequest, m *Member, localOnly bool) *Member {
 	maxCost := f.costForRequest(now, r, m) - copyMinSaving
-	for o := range f.homes(now, r.Service, r.Key, near) {
+	for o := range f.homes(now, r.Service, r.Key, localOnly) {
 		if _, holds := o.held[r.Key]; holds || o.loading() >= MaxConcurrentLoads {
 			continue
 		}
-		if near || f.costForRequest(now, r, o) <= maxCost {
+		if localOnly || f.costForRequest(now, r, o) <= maxCost {
 			return o
 		}
 	}
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -11,9 +11,9 @@
 // whatever its entry says. By then it has written a new entry and the list has been read.
 const presumedCold = 3500 * time.Millisecond
 
-// preloadWantedFor is how long an adapter that was in use in an evacuated failure domain
+// preloadLifetime is how long an adapter that was in use in an evacuated failure domain
 // counts as missing elsewhere although no request waits for it.
-const preloadWantedFor = 3 * time.Second
+const preloadLifetime = 3 * time.Second
 
 // SetEvacuated sets the failure domains whose upstreams get no requests. The upstreams of a
 // domain whose evacuation is withdrawn are presumed cold for presumedCold.
@@ -50,7 +50,7 @@
 		}
 		missing := f.missingFor(now, key, m.Service, region)
 		missing.expectedRetries += u.Running
-		missing.retriesUntil = now.Add(preloadWantedFor)
+		missing.retriesUntil = now.Add(preloadLifetime)
 	}
 }
 
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -195,13 +195,13 @@
 
 // membersByServiceIn returns, for each service, the members in a failure domain.
 func membersByServiceIn(services map[wardturn.ServiceName][]*Member, d wardturn.FailureDomain) map[wardturn.ServiceName][]*Member {
-	near := make(map[wardturn.ServiceName][]*Member, len(services))
+	inDomain := make(map[wardturn.ServiceName][]*Member, len(services))
 	for s, list := range services {
-		near[s] = slices.DeleteFunc(slices.Clone(list), func(m *Member) bool {
+		inDomain[s] = slices.DeleteFunc(slices.Clone(list), func(m *Member) bool {
 			return m.Domain != d
 		})
 	}
-	return near
+	return inDomain
 }
 
 // updateEngineCount updates the number of engines in the load window.
--- a/decide/homecandidates.go
+++ b/decide/homecandidates.go
@@ -51,8 +51,8 @@
 // for the loads that this gateway has requested there and the keeper has not reported yet.
 func (m *Member) slotFree(key wardturn.ModelAdapter) bool {
 	taken := 0
-	for asked := range m.requested {
-		if asked != key && !m.held[asked].loading {
+	for requested := range m.requested {
+		if requested != key && !m.held[requested].loading {
 			taken++
 		}
 	}
--- a/decide/homeorder.go
+++ b/decide/homeorder.go
@@ -104,9 +104,9 @@
 
 // homes returns the engines that may load an adapter in home order. With near set it
 // returns only engines in the gateway's own failure domain.
-func (f *Fleet) homes(now time.Time, s wardturn.ServiceName, key wardturn.ModelAdapter, near bool) iter.Seq[*Member] {
+func (f *Fleet) homes(now time.Time, s wardturn.ServiceName, key wardturn.ModelAdapter, localOnly bool) iter.Seq[*Member] {
 	list := f.services[s]
-	if near {
+	if localOnly {
 		list = f.local[s]
 	}
 	return func(yield func(*Member) bool) {
--- a/decide/ledger.go
+++ b/decide/ledger.go
@@ -60,10 +60,10 @@
 
 // NewLedger returns a ledger that keeps up to limit ended attempts, each for the given
 // time.
-func NewLedger(limit int, remember time.Duration) *Ledger {
+func NewLedger(limit int, attemptTTL time.Duration) *Ledger {
 	return &Ledger{
 		limit:          limit,
-		attemptTTL:     remember,
+		attemptTTL:     attemptTTL,
 		attempts:       make(map[wardturn.AttemptID]*ledgerEntry),
 		ended:          list.New(),
 		highWaterMarks: make(map[wardturn.Incarnation]*highWaterMark),
--- a/decide/limitgossip.go
+++ b/decide/limitgossip.go
@@ -54,16 +54,16 @@
 	}
 	hasLimits := l.expectsCold || len(l.cold) > 0
 	for _, instance := range slices.Sorted(maps.Keys(l.upstreams)) {
-		n := l.upstreams[instance]
-		hasLimits = hasLimits || n.rate > 0
-		if !n.dirty && !l.repeatDue(now, n) {
+		u := l.upstreams[instance]
+		hasLimits = hasLimits || u.rate > 0
+		if !u.dirty && !l.repeatDue(now, u) {
 			continue
 		}
-		dirty = dirty || n.dirty
-		n.dirty = false
-		n.announcedAt = now
-		n.announcedFor = latest(n.announcedFor, n.observedAt)
-		msg.Limits = append(msg.Limits, n.update(now, instance))
+		dirty = dirty || u.dirty
+		u.dirty = false
+		u.announcedAt = now
+		u.announcedFor = latest(u.announcedFor, u.observedAt)
+		msg.Limits = append(msg.Limits, u.update(now, instance))
 	}
 	heartbeat := hasLimits && now.Sub(l.announcedAt) >= limitHeartbeat
 	if len(msg.Limits) == 0 && !heartbeat {
@@ -81,25 +81,25 @@
 // a later response than the one announced, or no gateway has announced the limit recently.
 // The second check uses a different delay in each gateway, so that few announce it at the
 // same time.
-func (l *Limits) repeatDue(now time.Time, n *upstreamLimit) bool {
-	if n.rate == 0 {
+func (l *Limits) repeatDue(now time.Time, u *upstreamLimit) bool {
+	if u.rate == 0 {
 		return false
 	}
-	if n.observedAt.Sub(n.announcedFor) >= limitRefresh {
+	if u.observedAt.Sub(u.announcedFor) >= limitRefresh {
 		return true
 	}
 	spread := float64(l.hash) / (1 << 64)
-	return now.Sub(n.announcedAt) >= limitRefresh+time.Duration(spread*float64(limitRefresh))
+	return now.Sub(u.announcedAt) >= limitRefresh+time.Duration(spread*float64(limitRefresh))
 }
 
-func (n *upstreamLimit) update(now time.Time, instance string) LimitUpdate {
-	at := n.observedAt
-	if n.rate == 0 {
-		at = n.endedAt
+func (u *upstreamLimit) update(now time.Time, instance string) LimitUpdate {
+	at := u.observedAt
+	if u.rate == 0 {
+		at = u.endedAt
 	}
 	return LimitUpdate{
 		Instance: instance,
-		Rate:     n.rate,
+		Rate:     u.rate,
 		Ago:      now.Sub(at),
 	}
 }
@@ -138,31 +138,31 @@
 // at, and reports whether it was new. The later response wins. The delay of the first message
 // from a gateway cannot be measured, so that message may be old and does not end a limit.
 func (l *Limits) merge(now time.Time, u LimitUpdate, at time.Time, measured bool) (changed bool) {
-	n := l.upstreams[u.Instance]
+	known := l.upstreams[u.Instance]
 	switch {
-	case n == nil && u.Rate == 0:
+	case known == nil && u.Rate == 0:
 		return false
-	case n == nil:
-		n = newUpstreamLimit()
-		l.upstreams[u.Instance] = n
+	case known == nil:
+		known = newUpstreamLimit()
+		l.upstreams[u.Instance] = known
 	case u.Rate == 0:
-		ends := n.rate > 0 && measured && at.After(n.observedAt)
+		ends := known.rate > 0 && measured && at.After(known.observedAt)
 		if ends {
-			n.end(at)
+			known.end(at)
 		}
 		return ends
-	case !at.After(n.endedAt.Add(limitTimeTolerance)):
+	case !at.After(known.endedAt.Add(limitTimeTolerance)):
 		// The sender does not know that the limit has ended.
-		n.dirty = n.dirty || n.rate == 0 && now.Sub(n.announcedAt) >= limitRefresh
+		known.dirty = known.dirty || known.rate == 0 && now.Sub(known.announcedAt) >= limitRefresh
 		return false
 	}
-	n.announcedAt = now
-	n.announcedFor = latest(n.announcedFor, at)
-	if n.rate > 0 && !at.After(n.observedAt.Add(limitTimeTolerance)) {
+	known.announcedAt = now
+	known.announcedFor = latest(known.announcedFor, at)
+	if known.rate > 0 && !at.After(known.observedAt.Add(limitTimeTolerance)) {
 		return false
 	}
-	changed = n.rate != u.Rate
-	l.set(now, n, at, u.Rate)
+	changed = known.rate != u.Rate
+	l.set(now, known, at, u.Rate)
 	return changed
 }
 
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -102,18 +102,18 @@
 // Observe records a response that carries a limit and reports whether the limit changed.
 func (l *Limits) Observe(now time.Time, id wardturn.UpstreamID, rate wardturn.RequestRate) (changed bool) {
 	r := max(float64(rate), minLimit)
-	n := l.entry(id)
-	changed = n.rate != r
-	n.dirty = n.dirty || changed
-	l.set(now, n, now, r)
+	u := l.entry(id)
+	changed = u.rate != r
+	u.dirty = u.dirty || changed
+	l.set(now, u, now, r)
 	return changed
 }
 
 // ObserveUnparsed records a response whose limit cannot be parsed. A known limit stays in
 // force.
 func (l *Limits) ObserveUnparsed(now time.Time, id wardturn.UpstreamID) {
-	if n := l.upstreams[id.Instance()]; n != nil && n.rate > 0 {
-		n.confirm(now)
+	if u := l.upstreams[id.Instance()]; u != nil && u.rate > 0 {
+		u.confirm(now)
 	}
 }
 
@@ -121,26 +121,26 @@
 // reports whether it ends a limit. Responses to requests sent before the latest response that
 // carries the limit are ignored.
 func (l *Limits) ObserveNone(now time.Time, id wardturn.UpstreamID, sent time.Time) (ended bool) {
-	n := l.upstreams[id.Instance()]
-	if n == nil || n.rate == 0 || !sent.After(n.observedAt) {
+	u := l.upstreams[id.Instance()]
+	if u == nil || u.rate == 0 || !sent.After(u.observedAt) {
 		return false
 	}
-	if n.unlimitedResponses == 0 {
-		n.unlimitedSince = now
+	if u.unlimitedResponses == 0 {
+		u.unlimitedSince = now
 	}
-	n.unlimitedResponses++
-	if n.unlimitedResponses < limitEndResponses || now.Sub(n.unlimitedSince) < limitEndDelay {
+	u.unlimitedResponses++
+	if u.unlimitedResponses < limitEndResponses || now.Sub(u.unlimitedSince) < limitEndDelay {
 		return false
 	}
-	n.end(n.unlimitedSince)
-	n.dirty = true
+	u.end(u.unlimitedSince)
+	u.dirty = true
 	return true
 }
 
 // Any reports whether any upstream announces a limit.
 func (l *Limits) Any() bool {
-	for _, n := range l.upstreams {
-		if n.rate > 0 {
+	for _, u := range l.upstreams {
+		if u.rate > 0 {
 			return true
 		}
 	}
@@ -163,8 +163,8 @@
 	if c := l.coldOf(now, id); c != nil && !c.allows(now) {
 		return false
 	}
-	n := l.inForce(id)
-	return n == nil || n.allows(now) || n.mayProbe(now)
+	u := l.inForce(id)
+	return u == nil || u.allows(now) || u.mayProbe(now)
 }
 
 // Sent records that a request is sent to an upstream. It counts against the limit even if
@@ -173,14 +173,14 @@
 	if c := l.coldOf(now, id); c != nil {
 		c.spend(now)
 	}
-	n := l.inForce(id)
-	if n == nil {
+	u := l.inForce(id)
+	if u == nil {
 		return
 	}
-	if !n.allows(now) {
-		n.probedAt = now
+	if !u.allows(now) {
+		u.probedAt = now
 	}
-	n.spend(now)
+	u.spend(now)
 }
 
 // RetryDelay returns the delay after which a refused caller's retry may be sent to an
@@ -194,11 +194,11 @@
 			wait, known = c.until.Sub(now), true
 		}
 	}
-	n := l.inForce(id)
-	if n == nil {
+	u := l.inForce(id)
+	if u == nil {
 		return wait, known
 	}
-	limitWait, known := n.retryDelay(now)
+	limitWait, known := u.retryDelay(now)
 	return max(wait, limitWait), known
 }
 
@@ -207,8 +207,8 @@
 	if c := l.coldOf(now, id); c != nil {
 		c.reserved++
 	}
-	if n := l.inForce(id); n != nil {
-		n.reserved++
+	if u := l.inForce(id); u != nil {
+		u.reserved++
 	}
 }
 
@@ -216,8 +216,8 @@
 // are kept until then because a list read while the store was unavailable may be
 // incomplete.
 func (l *Limits) Retain(now time.Time, present func(instance string) bool) {
-	for instance, n := range l.upstreams {
-		if !present(instance) && now.Sub(latest(n.observedAt, n.endedAt)) > gatewayCountRetention {
+	for instance, u := range l.upstreams {
+		if !present(instance) && now.Sub(latest(u.observedAt, u.endedAt)) > gatewayCountRetention {
 			delete(l.upstreams, instance)
 		}
 	}
@@ -234,20 +234,20 @@
 	if len(l.upstreams) == 0 {
 		return nil
 	}
-	if n := l.upstreams[id.Instance()]; n != nil && n.rate > 0 {
-		return n
+	if u := l.upstreams[id.Instance()]; u != nil && u.rate > 0 {
+		return u
 	}
 	return nil
 }
 
 // entry returns the entry of an upstream, creating it if necessary.
 func (l *Limits) entry(id wardturn.UpstreamID) *upstreamLimit {
-	n := l.upstreams[id.Instance()]
-	if n == nil {
-		n = newUpstreamLimit()
-		l.upstreams[id.Instance()] = n
+	u := l.upstreams[id.Instance()]
+	if u == nil {
+		u = newUpstreamLimit()
+		l.upstreams[id.Instance()] = u
 	}
-	return n
+	return u
 }
 
 func newUpstreamLimit() *upstreamLimit {
@@ -260,43 +260,43 @@
 
 // set stores a limit from a response given at the time observed. A new limit starts with an
 // empty bucket.
-func (l *Limits) set(now time.Time, n *upstreamLimit, observed time.Time, rate float64) {
-	if n.rate == 0 {
-		n.level = 0
-		n.reserved = 0
-		n.share = 0
-		n.at = now
-		n.probedAt = now
+func (l *Limits) set(now time.Time, u *upstreamLimit, observed time.Time, rate float64) {
+	if u.rate == 0 {
+		u.level = 0
+		u.reserved = 0
+		u.share = 0
+		u.at = now
+		u.probedAt = now
 	}
-	n.confirm(observed)
-	if n.rate == rate {
+	u.confirm(observed)
+	if u.rate == rate {
 		return
 	}
-	n.refill(now)
-	n.rate = rate
+	u.refill(now)
+	u.rate = rate
 	l.sharesAt = time.Time{}
 	l.updateShares(now)
 }
 
 // confirm records that a response given at the time observed carried the limit.
-func (n *upstreamLimit) confirm(observed time.Time) {
-	n.observedAt = latest(n.observedAt, observed)
-	if observed.After(n.unlimitedSince) {
-		n.unlimitedResponses = 0
+func (u *upstreamLimit) confirm(observed time.Time) {
+	u.observedAt = latest(u.observedAt, observed)
+	if observed.After(u.unlimitedSince) {
+		u.unlimitedResponses = 0
 	}
 }
 
 // end ends a limit because of a response given at the time at.
-func (n *upstreamLimit) end(at time.Time) {
-	n.rate = 0
-	n.unlimitedResponses = 0
-	n.endedAt = at
+func (u *upstreamLimit) end(at time.Time) {
+	u.rate = 0
+	u.unlimitedResponses = 0
+	u.endedAt = at
 }
 
 // mayProbe reports whether a gateway without a share of the limit may send a request to
 // find out whether the limit is still in force.
-func (n *upstreamLimit) mayProbe(now time.Time) bool {
-	return n.share == 0 && now.Sub(latest(n.observedAt, n.probedAt)) > n.probeAfter
+func (u *upstreamLimit) mayProbe(now time.Time) bool {
+	return u.share == 0 && now.Sub(latest(u.observedAt, u.probedAt)) > u.probeAfter
 }
 
 // updateShares computes this gateway's shares of all limits, at most once per
@@ -307,13 +307,13 @@
 	}
 	l.sharesAt = now
 	l.forget(now)
-	for instance, n := range l.upstreams {
-		if n.rate == 0 {
+	for instance, u := range l.upstreams {
+		if u.rate == 0 {
 			continue
 		}
-		n.setShare(now, l.shareOf(instance, limitExtraSenders+int(limitSendersPerRate*n.rate)))
-		if n.share == 0 {
-			n.probeAfter = l.probeAfter(instance)
+		u.setShare(now, l.shareOf(instance, limitExtraSenders+int(limitSendersPerRate*u.rate)))
+		if u.share == 0 {
+			u.probeAfter = l.probeAfter(instance)
 		}
 	}
 	for instance, c := range l.cold {
--- a/decide/loadwindow.go
+++ b/decide/loadwindow.go
@@ -158,7 +158,7 @@
 
 // ObserveLoad records the duration of a load and the number of loads that were in flight
 // when it ended, including itself.
-func (w *LoadWindow) ObserveLoad(now time.Time, d time.Duration, under int) {
+func (w *LoadWindow) ObserveLoad(now time.Time, d time.Duration, inFlight int) {
 	if w.fromMemory(d) {
 		return
 	}
@@ -181,7 +181,7 @@
 	case slow:
 		w.probing = false
 		w.shrink(now)
-	case float64(under) < windowMinUse*w.size:
+	case float64(inFlight) < windowMinUse*w.size:
 		// A window that is not used up gives no evidence for a larger one.
 	case w.probing:
 		w.size = min(w.cfg.Max, w.size+windowProbe)
@@ -222,13 +222,13 @@
 // ineffective counts a slow load and reports whether loads stayed slow although the
 // window has shrunk.
 func (w *LoadWindow) ineffective() bool {
-	n := &w.slowPhase
-	if n.size == 0 {
-		n.size = w.size
-		n.median = w.median
+	p := &w.slowPhase
+	if p.size == 0 {
+		p.size = w.size
+		p.median = w.median
 	}
-	n.loads++
-	return n.loads > ineffectiveLoads && w.size <= ineffectiveSize*n.size && float64(w.median) >= ineffectiveTime*float64(n.median)
+	p.loads++
+	return p.loads > ineffectiveLoads && w.size <= ineffectiveSize*p.size && float64(w.median) >= ineffectiveTime*float64(p.median)
 }
 
 // shrink reduces the window, at most once per load time, so that loads that were in flight
--- a/decide/pending.go
+++ b/decide/pending.go
@@ -95,8 +95,8 @@
 	if f.tryAssign(now, r, out) {
 		return
 	}
-	if reason, back, none := f.refusedByLimits(now, r); none {
-		r.refuse(reason, back)
+	if reason, retryAfter, none := f.refusedByLimits(now, r); none {
+		r.refuse(reason, retryAfter)
 		return
 	}
 	f.enqueue(now, r, out)
@@ -111,8 +111,8 @@
 		f.assign(now, r, m, 0)
 		return
 	}
-	if reason, back, none := f.refusedByLimits(now, r); none {
-		r.refuse(reason, back)
+	if reason, retryAfter, none := f.refusedByLimits(now, r); none {
+		r.refuse(reason, retryAfter)
 		return
 	}
 	r.refuse(f.unavailableReason(now, r), fullRetryAfter)
@@ -226,7 +226,7 @@
 
 // unservable reports whether no upstream may take a waiting request, whatever the
 // upstreams' load. If so, it returns the reason and the retry time for the caller.
-func (f *Fleet) unservable(now time.Time, r *PendingRequest) (reason wardturn.Reason, back time.Duration, none bool) {
+func (f *Fleet) unservable(now time.Time, r *PendingRequest) (reason wardturn.Reason, retryAfter time.Duration, none bool) {
 	if reason, none := f.noneEligible(r); none {
 		return reason, maxLoadRetryDelay, true
 	}
@@ -291,7 +291,7 @@
 func (f *Fleet) expire(now time.Time, missing *missingAdapter, out *Actions) {
 	kept := missing.waiting[:0]
 	for _, r := range missing.waiting {
-		reason, back, none := f.unservable(now, r)
+		reason, retryAfter, none := f.unservable(now, r)
 		if !none && !f.shouldRefuse(now, missing, r) {
 			kept = append(kept, r)
 			continue
@@ -299,17 +299,17 @@
 		r.missing = nil
 		f.reservePrefill(r, nil)
 		if none {
-			r.refuse(reason, back)
+			r.refuse(reason, retryAfter)
 			continue
 		}
 		r.acceptsSlow = true
 		if f.tryAssign(now, r, out) {
 			continue
 		}
-		back = f.loadRetryDelay(now, missing)
+		retryAfter = f.loadRetryDelay(now, missing)
 		missing.expectedRetries++
-		missing.retriesUntil = now.Add(min(back, maxLoadRetryDelay) + r.Objective)
-		r.refuse(wardturn.ReasonLoading, min(back, maxLoadRetryDelay))
+		missing.retriesUntil = now.Add(min(retryAfter, maxLoadRetryDelay) + r.Objective)
+		r.refuse(wardturn.ReasonLoading, min(retryAfter, maxLoadRetryDelay))
 	}
 	clear(missing.waiting[len(kept):])
 	missing.waiting = kept
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -67,8 +67,8 @@
 
 // waiting returns the number of requests that wait at all gateways whose load request
 // has not expired, and the longest wait.
-func (w *pendingLoad) waiting(now time.Time) (n int, oldest time.Duration) {
-	for _, g := range w.gateways {
+func (l *pendingLoad) waiting(now time.Time) (n int, oldest time.Duration) {
+	for _, g := range l.gateways {
 		if now.Sub(g.updatedAt) > loadRequestLifetime {
 			continue
 		}
@@ -104,25 +104,25 @@
 
 // RequestLoad records or renews a gateway's load request for an adapter.
 func (p *Placement) RequestLoad(now time.Time, gateway wardturn.Incarnation, a wardturn.AdapterVersion, waiting int, oldest time.Duration) {
-	w := p.pending[a.Key()]
-	if w == nil {
-		w = &pendingLoad{
+	l := p.pending[a.Key()]
+	if l == nil {
+		l = &pendingLoad{
 			gateways: make(map[wardturn.Incarnation]gatewayRequest),
 		}
-		p.pending[a.Key()] = w
+		p.pending[a.Key()] = l
 	}
 	if p.holds(a.Key(), a.Version) {
 		delete(p.leaving, a.Key()) // cancels a pending eviction
 		u := p.useOf(a.Key())
 		u.last = now
 	}
-	w.version = max(w.version, a.Version)
-	w.gateways[gateway] = gatewayRequest{
+	l.version = max(l.version, a.Version)
+	l.gateways[gateway] = gatewayRequest{
 		waiting:   waiting,
 		oldest:    oldest,
 		updatedAt: now,
 	}
-	w.updatedAt = now
+	l.updatedAt = now
 }
 
 // ReportUse records a gateway's request counts for an adapter: those started since its
@@ -237,8 +237,8 @@
 // expire drops load requests that are fulfilled or were not repeated, evictions that were
 // announced but not needed any more, and assumed requests of disconnected gateways.
 func (p *Placement) expire(now time.Time) {
-	for key, w := range p.pending {
-		if now.Sub(w.updatedAt) > loadRequestLifetime || p.holds(key, w.version) {
+	for key, l := range p.pending {
+		if now.Sub(l.updatedAt) > loadRequestLifetime || p.holds(key, l.version) {
 			delete(p.pending, key)
 		}
 	}
@@ -349,8 +349,8 @@
 			in.Running += n
 		}
 	}
-	if w := p.pending[key]; w != nil {
-		in.Waiting, in.OldestWaiting = w.waiting(now)
+	if l := p.pending[key]; l != nil {
+		in.Waiting, in.OldestWaiting = l.waiting(now)
 	}
 	_, in.Resident = p.resident(key)
 	return p.policy.Slot(in)
@@ -359,13 +359,13 @@
 // nextOrderFor returns the next order needed to get an adapter loaded, if one can be
 // given now.
 func (p *Placement) nextOrderFor(now time.Time, key wardturn.ModelAdapter) (PlacementOrder, bool) {
-	w := p.pending[key]
+	l := p.pending[key]
 	if !p.modelLoaded(key.Model) || p.isLoading(key) {
 		return PlacementOrder{}, false
 	}
 	load := PlacementOrder{
 		Target:  key,
-		Version: w.version,
+		Version: l.version,
 	}
 	if _, ok := p.resident(key); ok {
 		// While requests run on the old version, the order would block all other orders
--- a/decide/queue.go
+++ b/decide/queue.go
@@ -167,12 +167,12 @@
 	if ad == nil {
 		return
 	}
-	wanted := ad.slot == noSlot && ad.waiting() > 0
+	isMissing := ad.slot == noSlot && ad.waiting() > 0
 	switch {
-	case wanted && ad.missingIndex == notMissing:
+	case isMissing && ad.missingIndex == notMissing:
 		ad.missingIndex = len(a.missing)
 		a.missing = append(a.missing, ad)
-	case !wanted && ad.missingIndex != notMissing:
+	case !isMissing && ad.missingIndex != notMissing:
 		a.removeMissing(ad)
 	}
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -13,20 +13,20 @@
 }
 
 // NewRetryBudget returns a budget that allows retries for a share of the requests, plus
-// floor retries a second regardless of traffic, in bursts of at most burst.
-func NewRetryBudget(share, floor, burst float64) *RetryBudget {
+// minRate retries a second regardless of traffic, in bursts of at most burst.
+func NewRetryBudget(share, minRate, burst float64) *RetryBudget {
 	return &RetryBudget{
 		share:   share,
 		tokens:  burst,
 		burst:   burst,
-		minRate: floor,
+		minRate: minRate,
 	}
 }
 
 // Resize changes the parameters of the budget; see NewRetryBudget.
-func (b *RetryBudget) Resize(share, floor, burst float64) {
+func (b *RetryBudget) Resize(share, minRate, burst float64) {
 	b.share = share
-	b.minRate = floor
+	b.minRate = minRate
 	b.burst = burst
 	b.tokens = min(b.tokens, burst)
 }
--- a/decide/rollout.go
+++ b/decide/rollout.go
@@ -27,29 +27,29 @@
 	pendingEnds []announcement // announcements whose end is still to come, earliest first
 }
 
-// VersionAnnounced records the newest version of an adapter. The version was not yet announced
-// at the time known, so the bound on older versions runs from then. If it ran from the
-// time of receipt, late messages would postpone it. A zero known means that this gateway
-// had no earlier knowledge; then no older version serves.
-func (f *Fleet) VersionAnnounced(now time.Time, v wardturn.AdapterVersion, known time.Time, out *Actions) {
+// VersionAnnounced records the newest version of an adapter. The version was not yet
+// announced at the time announcedAfter, so the bound on older versions runs from then. If
+// it ran from the time of receipt, late messages would postpone it. If announcedAfter is
+// zero, this gateway had no earlier knowledge, and no older version serves.
+func (f *Fleet) VersionAnnounced(now time.Time, v wardturn.AdapterVersion, announcedAfter time.Time, out *Actions) {
 	key := v.Key()
 	if v.Version <= f.newest(key) {
 		return
 	}
 	end := now
-	if !known.IsZero() {
-		end = known.Add(f.cfg.VersionBound - versionEndMargin)
+	if !announcedAfter.IsZero() {
+		end = announcedAfter.Add(f.cfg.VersionBound - versionEndMargin)
 	}
 	r := f.rollouts[key]
 	if r == nil {
 		r = &rollout{}
 		f.rollouts[key] = r
 	}
-	n := f.recordAnnouncement(v, now, end)
+	a := f.recordAnnouncement(v, now, end)
 	if end.After(now) {
 		// Otherwise this gateway was cut off, and the version may have been announced
 		// just now: cancelling the requests sent before would lose them without need.
-		r.pendingEnds = append(r.pendingEnds, n)
+		r.pendingEnds = append(r.pendingEnds, a)
 	}
 	f.advanceRollout(now, key, r, out)
 }
--- a/decide/shadow.go
+++ b/decide/shadow.go
@@ -42,13 +42,13 @@
 }
 
 // shadowLoad compares a load that is about to start with the shadow policy's choice.
-func (a *Agent) shadowLoad(now time.Time, want *adapter, slot int) {
+func (a *Agent) shadowLoad(now time.Time, missing *adapter, slot int) {
 	if a.shadow == nil {
 		return
 	}
 	st := &a.shadow.stats
 	st.Loads++
-	if a.shadowMissing(now) != want {
+	if a.shadowMissing(now) != missing {
 		st.OtherAdapters++
 	}
 	if a.slots[slot].state != SlotEmpty && a.shadowVictim(now) != slot {
--- a/decide/teamcaps.go
+++ b/decide/teamcaps.go
@@ -12,8 +12,8 @@
 // team may use the whole cap at any of them, however its callers are distributed.
 //
 // This handles a team whose load on all gateways multiplies from one second to the next:
-// the usage that is not yet reported is bounded (unreportedPart), and usage over the cap
-// becomes a debt that the bucket works off. A gateway that receives nothing from the
+// the usage that is not yet reported is bounded (maxUnreportedSeconds), and usage over the
+// cap becomes a debt that the bucket works off. A gateway that receives nothing from the
 // others uses an equal share of the cap, and the others leave the shares of missing
 // gateways unused.
 type TeamCaps struct {
--- a/decide/teamreports.go
+++ b/decide/teamreports.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// unreportedPart bounds the unreported usage of all gateways together while a cap is
-	// nearly used up, in seconds of the cap's rate. Usage may exceed the cap by about this
-	// amount.
-	unreportedPart = 0.25
-	// unreportedLevelPart is the same bound as a fraction of the bucket level: far from
-	// the cap, fewer reports are needed.
-	unreportedLevelPart = 0.5
+	// maxUnreportedSeconds bounds the unreported usage of all gateways together while a
+	// cap is nearly used up, in seconds of the cap's rate. Usage may exceed the cap by
+	// about this amount.
+	maxUnreportedSeconds = 0.25
+	// maxUnreportedLevelFraction is the same bound as a fraction of the bucket level: far
+	// from the cap, fewer reports are needed.
+	maxUnreportedLevelFraction = 0.5
 	// earlyReportFactor is the multiple of the unreported usage allowed at which a report
 	// is sent before the next regular check. Steady usage up to the cap hardly ever
 	// reaches it.
@@ -134,7 +134,7 @@
 // unreported.
 func (t *teamCap) unreportedBound(now time.Time, part float64) float64 {
 	t.refill(now, part)
-	return max(unreportedPart*t.limit.Rate, unreportedLevelPart*t.level)
+	return max(maxUnreportedSeconds*t.limit.Rate, maxUnreportedLevelFraction*t.level)
 }
 
 // Receive processes a report of another gateway.
--- a/decide/waitlimit.go
+++ b/decide/waitlimit.go
@@ -57,14 +57,14 @@
 // time to load its adapter, unless an engine already holds it and is merely full, and to
 // prefill its prompt.
 func (f *Fleet) minTimeToFirstToken(missing *missingAdapter, r *PendingRequest) time.Duration {
-	read := f.prefillRateOf(r.Service).time(int(r.Prompt))
+	prefill := f.prefillRateOf(r.Service).time(int(r.Prompt))
 	switch {
 	case missing.key.Adapter == "" || len(f.holders[missing.key]) > 0:
-		return read
+		return prefill
 	case missing.warm:
-		return read + warmLoadTime
+		return prefill + warmLoadTime
 	}
-	return read + f.window.MedianLoadTime()
+	return prefill + f.window.MedianLoadTime()
 }
 
 // loadRetryDelay returns the retry delay for a caller, from the estimated time until the
