--- a/decide/backoff_test.go
+++ b/decide/backoff_test.go
@@ -45,7 +45,7 @@
 		x.f.SetMembers(x.now, again)
 		x.setAdapters(string(again[0].ID), readyAdapter("a", 1))
 		x.now = x.now.Add(2900 * time.Millisecond)
-		Expect(x.takes(x.now, again[0].ID)).To(BeFalse())
+		Expect(x.accepts(x.now, again[0].ID)).To(BeFalse())
 		x.admit("during", "a")
 		Expect(x.assigned).NotTo(HaveKey("during"))
 		x.now = x.now.Add(101 * time.Millisecond)
@@ -95,7 +95,7 @@
 			f.BackOff(x.now, m.ID, 20*time.Second)
 		}
 		retryDelay := func() (back time.Duration) {
-			r := x.ticket("plain", "")
+			r := x.newRequest("plain", "")
 			r.Assign = func(a decide.Assignment) {
 				back = a.RetryAfter
 			}
@@ -109,9 +109,9 @@
 
 	It("gets a backoff of at most one hour, and none if it asks for zero", func() {
 		x.f.BackOff(x.now, "n0", 0)
-		Expect(x.takes(x.now, "n0")).To(BeTrue())
+		Expect(x.accepts(x.now, "n0")).To(BeTrue())
 		x.f.BackOff(x.now, "n0", 1e8*time.Second)
-		Expect(x.takes(x.now.Add(59*time.Minute), "n0")).To(BeFalse())
-		Expect(x.takes(x.now.Add(61*time.Minute), "n0")).To(BeTrue())
+		Expect(x.accepts(x.now.Add(59*time.Minute), "n0")).To(BeFalse())
+		Expect(x.accepts(x.now.Add(61*time.Minute), "n0")).To(BeTrue())
 	})
 })
--- a/decide/bodies_test.go
+++ b/decide/bodies_test.go
@@ -29,7 +29,7 @@
 		}, &x.out)
 	}
 	admit := func(id string, body int) {
-		request := x.ticket(id, "a")
+		request := x.newRequest(id, "a")
 		request.Body = body
 		x.f.Admit(x.now, request, &x.out)
 	}
--- a/decide/crashtracker_model_test.go
+++ b/decide/crashtracker_model_test.go
@@ -19,19 +19,19 @@
 // callers; and of fatal requests, each sent several times a second through any gateway.
 // Once, all engines end at the same time.
 type crashSimulation struct {
-	variant      crashVariant
-	rand         *rand.Rand
-	now          time.Time
-	events       simEvents
-	gateways     []*decide.CrashTracker
-	up           []bool
-	incarnations []int
-	running      []map[*simRequest]bool // by engine
-	stored       []wardturn.RecordedCrash
-	storedRead   []int // number of stored records read, by gateway
-	fatal        map[wardturn.ContentID]*fatalResult
-	result       crashResult
-	starts       int
+	variant    crashVariant
+	rand       *rand.Rand
+	now        time.Time
+	events     simEvents
+	gateways   []*decide.CrashTracker
+	up         []bool
+	restarts   []int
+	running    []map[*simRequest]bool // by engine
+	stored     []wardturn.RecordedCrash
+	storedRead []int // number of stored records read, by gateway
+	fatal      map[wardturn.ContentID]*fatalResult
+	result     crashResult
+	starts     int
 }
 
 // start starts a request at an engine.
@@ -122,12 +122,12 @@
 
 func runCrashSimulation(variant crashVariant, seed uint64) crashResult {
 	s := &crashSimulation{
-		variant:      variant,
-		rand:         rand.New(rand.NewPCG(seed, 1)),
-		now:          time.Unix(1_000_000, 0),
-		storedRead:   make([]int, simGateways),
-		fatal:        make(map[wardturn.ContentID]*fatalResult),
-		incarnations: make([]int, simEngines),
+		variant:    variant,
+		rand:       rand.New(rand.NewPCG(seed, 1)),
+		now:        time.Unix(1_000_000, 0),
+		storedRead: make([]int, simGateways),
+		fatal:      make(map[wardturn.ContentID]*fatalResult),
+		restarts:   make([]int, simEngines),
 	}
 	for range simGateways {
 		s.gateways = append(s.gateways, decide.NewCrashTracker(decide.CrashConfig{
@@ -302,7 +302,7 @@
 		return
 	}
 	s.up[e] = false
-	id := wardturn.UpstreamID(fmt.Sprintf("e%d-%d", e, s.incarnations[e]))
+	id := wardturn.UpstreamID(fmt.Sprintf("e%d-%d", e, s.restarts[e]))
 	affected := make(map[int]bool)
 	// In order of their start: the order of a map would make the result depend on more
 	// than the seed.
@@ -332,7 +332,7 @@
 		}
 	}
 	s.after(simRestartTime, func() {
-		s.incarnations[e]++
+		s.restarts[e]++
 		s.up[e] = true
 	})
 }
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -61,14 +61,14 @@
 	}
 	x.f.SetMembers(x.now, list)
 	for _, m := range list {
-		x.setHolding(m.ID, decide.EngineUpdate{
+		x.applyUpdate(m.ID, decide.EngineUpdate{
 			Full: true,
 		})
 	}
 	return x
 }
 
-func (x *emptyFleet) setHolding(id wardturn.UpstreamID, u decide.EngineUpdate) {
+func (x *emptyFleet) applyUpdate(id wardturn.UpstreamID, u decide.EngineUpdate) {
 	u.Connected = true
 	u.Known = true
 	u.Models = []wardturn.BaseModel{"m"}
@@ -99,14 +99,14 @@
 		panic("nobody was asked")
 	}
 	id := out.LoadRequests[0].Upstream
-	x.setHolding(id, decide.EngineUpdate{
+	x.applyUpdate(id, decide.EngineUpdate{
 		Adapters: []decide.HeldVersion{readyAdapter(name, 1)},
 	})
 	if !served {
 		panic("not served")
 	}
 	x.f.RequestEnded(x.now, id, adapterKey(name), decide.OutcomeOK)
-	x.setHolding(id, decide.EngineUpdate{
+	x.applyUpdate(id, decide.EngineUpdate{
 		Unloaded: []wardturn.ModelAdapter{adapterKey(name)},
 	})
 }
@@ -118,7 +118,7 @@
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			x := newEmptyFleet(engines)
 			for i := range engines {
-				x.setHolding(wardturn.UpstreamID(fmt.Sprint("e", i)), decide.EngineUpdate{
+				x.applyUpdate(wardturn.UpstreamID(fmt.Sprint("e", i)), decide.EngineUpdate{
 					Adapters: []decide.HeldVersion{readyAdapter(fmt.Sprint("a", i), 1)},
 				})
 			}
--- a/decide/fleet_fixture_test.go
+++ b/decide/fleet_fixture_test.go
@@ -130,7 +130,7 @@
 	}, &x.out)
 }
 
-func (x *fleetFixture) ticket(id, adapter string) *decide.PendingRequest {
+func (x *fleetFixture) newRequest(id, adapter string) *decide.PendingRequest {
 	return &decide.PendingRequest{
 		Service:   fleetService,
 		Key:       adapterKey(adapter),
@@ -145,7 +145,7 @@
 }
 
 func (x *fleetFixture) admit(id, adapter string) *decide.PendingRequest {
-	r := x.ticket(id, adapter)
+	r := x.newRequest(id, adapter)
 	x.f.Admit(x.now, r, &x.out)
 	return r
 }
@@ -155,8 +155,8 @@
 	x.f.Tick(x.now, &x.out)
 }
 
-// takes reports whether a request that was assigned to an engine may still be sent there.
-func (x *fleetFixture) takes(now time.Time, id wardturn.UpstreamID) bool {
+// accepts reports whether a request that was assigned to an engine may still be sent there.
+func (x *fleetFixture) accepts(now time.Time, id wardturn.UpstreamID) bool {
 	return x.f.Accepts(now, wardturn.Member{
 		ID:     id,
 		Domain: "near",
--- a/decide/fleet_loads_test.go
+++ b/decide/fleet_loads_test.go
@@ -53,7 +53,7 @@
 		for i := range 4 {
 			name := fmt.Sprint("a", i)
 			x.admit(name, name)
-			other.Admit(x.now, x.ticket(name, name), &otherActions)
+			other.Admit(x.now, x.newRequest(name, name), &otherActions)
 		}
 		Expect(x.out.LoadRequests).To(HaveLen(4))
 		Expect(otherActions.LoadRequests).To(Equal(x.out.LoadRequests))
--- a/decide/fleet_prefill_test.go
+++ b/decide/fleet_prefill_test.go
@@ -39,7 +39,7 @@
 
 	It("reports its long prompts to keepers, and does not count them as those of others", func() {
 		x.setAdapters("n0", readyAdapter("a", 1))
-		r := x.ticket("long", "a")
+		r := x.newRequest("long", "a")
 		r.Prompt = 9000
 		x.f.Admit(x.now, r, &x.out)
 		Expect(x.f.PrefillReports()).To(Equal([]decide.PrefillReport{
--- a/decide/homecandidates_test.go
+++ b/decide/homecandidates_test.go
@@ -15,14 +15,14 @@
 	var x *fleetFixture
 	// report sends a keeper's report with an engine's free slots, its tokens in prefill and
 	// the adapters that it has unloaded.
-	report := func(id wardturn.UpstreamID, free, reading int, gone ...wardturn.ModelAdapter) {
+	report := func(id wardturn.UpstreamID, free, prefill int, unloaded ...wardturn.ModelAdapter) {
 		x.f.ApplyEngineUpdate(x.now, id, decide.EngineUpdate{
 			Connected:     true,
 			Known:         true,
 			Models:        []wardturn.BaseModel{"m"},
 			FreeSlots:     free,
-			PrefillTokens: reading,
-			Unloaded:      gone,
+			PrefillTokens: prefill,
+			Unloaded:      unloaded,
 		}, &x.out)
 	}
 	// homeOf returns the engine that is asked to load an adapter.
--- a/decide/leaving_test.go
+++ b/decide/leaving_test.go
@@ -39,16 +39,16 @@
 		x.setAdapters("n0", readyAdapter("a", 1))
 		x.admit("r0", "a")
 		Expect(x.assigned["r0"].Member.ID).To(BeEquivalentTo("n0"))
-		Expect(x.takes(x.now, "n0")).To(BeTrue())
+		Expect(x.accepts(x.now, "n0")).To(BeTrue())
 		x.f.MarkLeaving(x.now, "n0", &x.out)
 		Expect(x.out.Leaving).To(ConsistOf(wardturn.UpstreamID("n0")))
-		Expect(x.takes(x.now, "n0")).To(BeFalse(), "a request assigned just before")
+		Expect(x.accepts(x.now, "n0")).To(BeFalse(), "a request assigned just before")
 		for _, list := range [][]wardturn.Member{fleetMembers(), fleetMembers()[1:], fleetMembers()} {
 			x.f.SetMembers(x.now, list)
-			Expect(x.takes(x.now, "n0")).To(BeFalse())
+			Expect(x.accepts(x.now, "n0")).To(BeFalse())
 			x.out.LoadRequests = nil
 			x.admit("r1", "a")
-			x.tick(wishRepeatOver)
+			x.tick(afterLoadRequestInterval)
 			for _, r := range x.out.LoadRequests {
 				Expect(r.Upstream).NotTo(BeEquivalentTo("n0"))
 			}
@@ -61,11 +61,11 @@
 		for _, list := range [][]wardturn.Member{fleetMembers(), fleetMembers()[1:]} {
 			x.f.SetEvacuated(x.now, nil, &x.out)
 			x.f.SetMembers(x.now, list)
-			Expect(x.takes(x.now, "n0")).To(BeTrue())
+			Expect(x.accepts(x.now, "n0")).To(BeTrue())
 			x.f.SetEvacuated(x.now, wardturn.Evacuations{
 				"near": true,
 			}, &x.out)
-			Expect(x.takes(x.now, "n0")).To(BeFalse())
+			Expect(x.accepts(x.now, "n0")).To(BeFalse())
 		}
 	})
 
@@ -76,7 +76,7 @@
 		list[0].ID = wardturn.NewUpstreamID("n0", 1)
 		list[0].Position = 1
 		x.f.SetMembers(x.now, list)
-		Expect(x.takes(x.now, list[0].ID)).To(BeTrue())
+		Expect(x.accepts(x.now, list[0].ID)).To(BeTrue())
 		x.setAdapters(string(list[0].ID), readyAdapter("a", 1))
 		x.admit("r", "a")
 		Expect(x.assigned["r"].Member.ID).To(Equal(list[0].ID))
@@ -89,9 +89,9 @@
 			Known:     true,
 			Leaving:   true,
 		}, &x.out)
-		Expect(x.takes(x.now, "n0")).To(BeFalse())
+		Expect(x.accepts(x.now, "n0")).To(BeFalse())
 	})
 })
 
-// wishRepeatOver is longer than the interval between two load requests for one adapter.
-const wishRepeatOver = 400 * time.Millisecond
+// afterLoadRequestInterval is longer than the interval between two load requests for one adapter.
+const afterLoadRequestInterval = 400 * time.Millisecond
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -16,25 +16,25 @@
 	limitWindow    = 4 * time.Second
 	limitLearnTime = time.Second            // from the first response with a limit until all must keep it
 	limitGraceTime = 500 * time.Millisecond // until a gateway that had such a response must keep it
-	answerTime     = 30 * time.Millisecond
+	responseTime   = 30 * time.Millisecond
 )
 
 // limitSim simulates gateways in front of an upstream that announces a limit, with callers
 // that send requests at a rate, responses, delayed and lost gossip messages, and gateways
 // that are partitioned, frozen and restarted.
 type limitSim struct {
-	now          time.Time
-	rate         float64 // limit in the upstream's responses; negative: none
-	gateways     []*limitGateway
-	messages     []limitMessage
-	answers      []limitAnswer
-	sent         []int // by step, of all gateways
-	sentInformed []int // of these, from gateways that knew the limit for limitGraceTime
-	firstAnswer  int   // step of the first response with the limit; negative: none yet
-	sentTotal    int
-	refused      int
-	countOwnSide bool // keepers count the gateways of their own side only
-	started      int
+	now           time.Time
+	rate          float64 // limit in the upstream's responses; negative: none
+	gateways      []*limitGateway
+	messages      []limitMessage
+	responses     []limitResponse
+	sent          []int // by step, of all gateways
+	sentInformed  []int // of these, from gateways that knew the limit for limitGraceTime
+	firstResponse int   // step of the first response with the limit; negative: none yet
+	sentTotal     int
+	refused       int
+	countOwnSide  bool // keepers count the gateways of their own side only
+	started       int
 }
 
 type limitGateway struct {
@@ -51,7 +51,7 @@
 	message decide.LimitGossip
 }
 
-type limitAnswer struct {
+type limitResponse struct {
 	to   *limitGateway
 	sent time.Time
 	at   time.Time
@@ -60,9 +60,9 @@
 
 func newLimitSim(n int) *limitSim {
 	s := &limitSim{
-		now:         start,
-		rate:        -1,
-		firstAnswer: -1,
+		now:           start,
+		rate:          -1,
+		firstResponse: -1,
 	}
 	for range n {
 		g := &limitGateway{}
@@ -119,10 +119,10 @@
 			if !g.informedAt.IsZero() && s.now.Sub(g.informedAt) >= limitGraceTime {
 				informed++
 			}
-			s.answers = append(s.answers, limitAnswer{
+			s.responses = append(s.responses, limitResponse{
 				to:   g,
 				sent: s.now,
-				at:   s.now.Add(answerTime),
+				at:   s.now.Add(responseTime),
 				rate: s.rate,
 			})
 		}
@@ -155,32 +155,32 @@
 
 func (s *limitSim) deliver() {
 	messages := s.messages[:0]
-	for _, w := range s.messages {
-		if w.at.After(s.now) || w.to.frozen > 0 {
-			messages = append(messages, w)
+	for _, m := range s.messages {
+		if m.at.After(s.now) || m.to.frozen > 0 {
+			messages = append(messages, m)
 			continue
 		}
-		w.to.limits.Receive(s.now, w.message)
+		m.to.limits.Receive(s.now, m.message)
 	}
 	s.messages = messages
-	answers := s.answers[:0]
-	for _, a := range s.answers {
+	responses := s.responses[:0]
+	for _, r := range s.responses {
 		switch {
-		case a.at.After(s.now) || a.to.frozen > 0:
-			answers = append(answers, a)
-		case a.rate >= 0:
-			if a.to.informedAt.IsZero() {
-				a.to.informedAt = s.now
+		case r.at.After(s.now) || r.to.frozen > 0:
+			responses = append(responses, r)
+		case r.rate >= 0:
+			if r.to.informedAt.IsZero() {
+				r.to.informedAt = s.now
 			}
-			if s.firstAnswer < 0 {
-				s.firstAnswer = len(s.sent)
+			if s.firstResponse < 0 {
+				s.firstResponse = len(s.sent)
 			}
-			a.to.limits.Observe(s.now, limitID, wardturn.RequestRate(a.rate))
+			r.to.limits.Observe(s.now, limitID, wardturn.RequestRate(r.rate))
 		default:
-			a.to.limits.ObserveNone(s.now, limitID, a.sent)
+			r.to.limits.ObserveNone(s.now, limitID, r.sent)
 		}
 	}
-	s.answers = answers
+	s.responses = responses
 }
 
 func (s *limitSim) run(demand float64, span time.Duration) {
@@ -192,7 +192,7 @@
 // announce sets the limit that the upstream announces from now on; negative: none.
 func (s *limitSim) announce(rate float64) {
 	s.rate = rate
-	s.firstAnswer = -1
+	s.firstResponse = -1
 }
 
 // partition partitions the first n gateways from the others.
@@ -208,10 +208,10 @@
 // maxSent returns the highest number of requests that the upstream got in a window from
 // all gateways, after they had time to learn of the limit.
 func (s *limitSim) maxSent() int {
-	if s.firstAnswer < 0 {
+	if s.firstResponse < 0 {
 		return 0
 	}
-	from := s.firstAnswer + steps(limitLearnTime)
+	from := s.firstResponse + steps(limitLearnTime)
 	return maxSum(s.sent[min(from, len(s.sent)):], steps(limitWindow))
 }
 
--- a/decide/objective_test.go
+++ b/decide/objective_test.go
@@ -19,7 +19,7 @@
 		x.setAdapters("n0", readyAdapter("hot", 1))
 	})
 	admit := func(id, adapter string, prompt wardturn.Tokens) {
-		r := x.ticket(id, adapter)
+		r := x.newRequest(id, adapter)
 		r.Prompt = prompt
 		x.f.Admit(x.now, r, &x.out)
 	}
--- a/decide/pauses_test.go
+++ b/decide/pauses_test.go
@@ -14,41 +14,41 @@
 type hotAdapter struct {
 	now      time.Time
 	gateways []*decide.Fleet
-	engines  map[wardturn.UpstreamID]*readingEngine
+	engines  map[wardturn.UpstreamID]*prefillingEngine
 	pause    time.Duration // longest pause allowed by the requests' route
 	stalled  int           // requests sent to an engine that then reads for longer than hotPause
 	sent     int
 }
 
-// readingEngine simulates an engine that reads prompts one after another and streams tokens
+// prefillingEngine simulates an engine that reads prompts one after another and streams tokens
 // to each request for two seconds.
-type readingEngine struct {
-	adapter   bool
-	loadedAt  time.Time
-	running   int
-	reading   map[*decide.Fleet]int
-	readUntil time.Time
+type prefillingEngine struct {
+	adapter      bool
+	loadedAt     time.Time
+	running      int
+	prefill      map[*decide.Fleet]int
+	prefillUntil time.Time
 }
 
 const (
-	readRate  = 20 // tokens per millisecond
-	hotPrompt = 2400
-	hotLoad   = 300 * time.Millisecond
-	hotPause  = 400 * time.Millisecond
+	hotPrefillRate = 20 // tokens per millisecond
+	hotPrompt      = 2400
+	hotLoad        = 300 * time.Millisecond
+	hotPause       = 400 * time.Millisecond
 )
 
 func newHotAdapter(gateways, engines int, pause time.Duration) *hotAdapter {
 	h := &hotAdapter{
 		now:     start,
-		engines: make(map[wardturn.UpstreamID]*readingEngine),
+		engines: make(map[wardturn.UpstreamID]*prefillingEngine),
 		pause:   pause,
 	}
 	var members []wardturn.Member
 	for i := range engines {
 		id := wardturn.UpstreamID(string(rune('a' + i)))
-		h.engines[id] = &readingEngine{
+		h.engines[id] = &prefillingEngine{
 			adapter: i == 0,
-			reading: make(map[*decide.Fleet]int),
+			prefill: make(map[*decide.Fleet]int),
 		}
 		members = append(members, wardturn.Member{
 			ID:      id,
@@ -73,15 +73,15 @@
 		}))
 		f.SetMembers(h.now, members)
 		for range 100 {
-			f.PrefillMeasured(fleetService, hotPrompt, hotPrompt/readRate*time.Millisecond)
+			f.PrefillMeasured(fleetService, hotPrompt, hotPrompt/hotPrefillRate*time.Millisecond)
 		}
 		h.gateways = append(h.gateways, f)
 	}
 	return h
 }
 
-// deliverHoldings delivers the state of all engines to all gateways, as keepers report it.
-func (h *hotAdapter) deliverHoldings() {
+// deliverEngineUpdates delivers the state of all engines to all gateways, as keepers report it.
+func (h *hotAdapter) deliverEngineUpdates() {
 	for _, f := range h.gateways {
 		for id, e := range h.engines {
 			update := decide.EngineUpdate{
@@ -93,7 +93,7 @@
 				FreeSlots: decide.MaxFreeSlots,
 				Gateways:  len(h.gateways),
 			}
-			for _, tokens := range e.reading {
+			for _, tokens := range e.prefill {
 				update.PrefillTokens += tokens
 			}
 			if e.adapter {
@@ -136,19 +136,19 @@
 		Assign: func(a decide.Assignment) {
 			e := h.engines[a.Member.ID]
 			e.running++
-			e.readUntil = latestOf(e.readUntil, h.now).Add(hotPrompt / readRate * time.Millisecond)
+			e.prefillUntil = latestOf(e.prefillUntil, h.now).Add(hotPrompt / hotPrefillRate * time.Millisecond)
 			h.sent++
-			if e.running > 1 && e.readUntil.Sub(h.now) > hotPause {
+			if e.running > 1 && e.prefillUntil.Sub(h.now) > hotPause {
 				h.stalled++
 			}
 			began = event{
-				at: e.readUntil,
+				at: e.prefillUntil,
 				do: func() {
 					f.ResponseStarted(a.Member.ID, hotPrompt)
 				},
 			}
 			ended = event{
-				at: e.readUntil.Add(2 * time.Second),
+				at: e.prefillUntil.Add(2 * time.Second),
 				do: func() {
 					f.RequestEnded(h.now, a.Member.ID, adapterKey("hot"), decide.OutcomeOK)
 					e.running--
@@ -157,15 +157,15 @@
 		},
 	}, &out)
 	h.load(out)
-	h.deliverReadings()
+	h.deliverPrefillReports()
 	return began, ended
 }
 
-// deliverReadings delivers the gateways' reports of prompts being read to the keepers.
-func (h *hotAdapter) deliverReadings() {
+// deliverPrefillReports delivers the gateways' reports of prompts being read to the keepers.
+func (h *hotAdapter) deliverPrefillReports() {
 	for _, f := range h.gateways {
 		for _, r := range f.PrefillReports() {
-			h.engines[r.Upstream].reading[f] = r.Tokens
+			h.engines[r.Upstream].prefill[f] = r.Tokens
 		}
 	}
 }
@@ -196,8 +196,8 @@
 			e.do()
 		}
 		events = later
-		h.deliverReadings()
-		h.deliverHoldings()
+		h.deliverPrefillReports()
+		h.deliverEngineUpdates()
 		if at%every == 0 {
 			began, ended := h.send(h.gateways[int(at/every)%len(h.gateways)])
 			if began.do != nil {
--- a/decide/readscheduler_scaling_test.go
+++ b/decide/readscheduler_scaling_test.go
@@ -40,34 +40,34 @@
 		})
 	}
 	ids := make([]wardturn.Incarnation, n)
-	turns := make([]*decide.ReadScheduler, n)
-	for i := range turns {
-		ids[i], turns[i] = startGateway()
+	schedulers := make([]*decide.ReadScheduler, n)
+	for i := range schedulers {
+		ids[i], schedulers[i] = startGateway()
 	}
 	reads := 0
 	replaced := time.Minute / time.Duration(max(1, n/100))
 	for ; now.Sub(start) < readDuration; now = now.Add(readStep) {
 		if now.Sub(start)%replaced < readStep {
 			i := reads % n
-			ids[i], turns[i] = startGateway()
+			ids[i], schedulers[i] = startGateway()
 		}
-		reads += readDue(now, ids, turns)
+		reads += readDue(now, ids, schedulers)
 	}
 	return float64(reads) * time.Hour.Hours() / readDuration.Hours()
 }
 
 // readDue performs the reads that are due and reports each to the other gateways.
-func readDue(now time.Time, ids []wardturn.Incarnation, turns []*decide.ReadScheduler) int {
+func readDue(now time.Time, ids []wardturn.Incarnation, schedulers []*decide.ReadScheduler) int {
 	var due []int
-	for i, s := range turns {
+	for i, s := range schedulers {
 		if !s.DueAt(now).After(now) {
 			due = append(due, i)
 		}
 	}
 	for _, i := range due {
-		turns[i].ReadStarted(now)
-		stamp := turns[i].ReadSucceeded(now)
-		for j, s := range turns {
+		schedulers[i].ReadStarted(now)
+		stamp := schedulers[i].ReadSucceeded(now)
+		for j, s := range schedulers {
 			if j != i {
 				s.PeerRead(now.Add(readStep), ids[i], stamp)
 			}
--- a/decide/superseded_version_test.go
+++ b/decide/superseded_version_test.go
@@ -108,7 +108,7 @@
 		x.setAdapters("n0", readyAdapter("a", 1))
 		x.f.VersionAnnounced(x.now, adapterVersion("a", 2), x.now, &x.out)
 		x.now = x.now.Add(2500 * time.Millisecond)
-		long := x.ticket("long", "a")
+		long := x.newRequest("long", "a")
 		long.Prompt = 24000 // 600 ms of prefill
 		x.f.Admit(x.now, long, &x.out)
 		Expect(x.assigned).NotTo(HaveKey("long"))
--- a/decide/teamcaps_test.go
+++ b/decide/teamcaps_test.go
@@ -165,12 +165,12 @@
 
 func (s *capSim) deliver() {
 	kept := s.reports[:0]
-	for _, w := range s.reports {
-		if w.at.After(s.now) || w.to.frozen > 0 {
-			kept = append(kept, w)
+	for _, r := range s.reports {
+		if r.at.After(s.now) || r.to.frozen > 0 {
+			kept = append(kept, r)
 			continue
 		}
-		w.to.caps.Receive(s.now, w.report)
+		r.to.caps.Receive(s.now, r.report)
 	}
 	s.reports = kept
 }
--- a/decide/waitlimit_test.go
+++ b/decide/waitlimit_test.go
@@ -37,7 +37,7 @@
 	})
 
 	It("is shorter for a long prompt, which takes time to read", func() {
-		r := x.ticket("long", "a")
+		r := x.newRequest("long", "a")
 		r.Prompt = 8000 // 200 ms to read
 		x.f.Admit(x.now, r, &x.out)
 		x.tick(90 * time.Millisecond)
@@ -57,7 +57,7 @@
 	})
 
 	It("ends before the deadline in any case", func() {
-		r := x.ticket("r", "a")
+		r := x.newRequest("r", "a")
 		r.Deadline = x.now.Add(time.Second)
 		x.f.Admit(x.now, r, &x.out)
 		x.setAdapters(string(x.out.LoadRequests[0].Upstream), loading("a"))
