--- a/decide/adopted_slot_test.go
+++ b/decide/adopted_slot_test.go
@@ -55,7 +55,7 @@
 		unloading := unload.Adapter.Adapter
 
 		// The engine drops the other adapter by itself, and a delayed load ordered by an
-		// earlier agent loads the wanted one.
+		// earlier agent loads the requested one.
 		now = now.Add(time.Second)
 		agent.Report(now, report(unloading), &out)
 		now = now.Add(time.Second)
--- a/decide/agent_model_test.go
+++ b/decide/agent_model_test.go
@@ -16,19 +16,23 @@
 // refused or lost with either effect, the engine may restart empty, and reports arrive
 // late. The invariants in Check must hold after each step.
 type agentModel struct {
-	now             time.Time
-	agent           *decide.Agent
-	slots           int
-	out             decide.Orders
-	resident        map[wardturn.AdapterRef]int // running requests of each adapter, as the engine counts them
-	loads           []decide.SlotOrder
-	unloads         []decide.SlotOrder
-	state           map[wardturn.AttemptID]attemptState
-	adapter         map[wardturn.AttemptID]wardturn.AdapterRef
-	running         []wardturn.AttemptID
-	reports         []wardturn.EngineReport // made and not yet delivered
-	foreignLoads    []wardturn.AdapterRef   // adapters whose loads were ordered by an earlier agent and are still under way
-	foreignRequests []wardturn.AdapterRef   // adapters of requests sent by an earlier agent that are still running
+	now      time.Time
+	agent    *decide.Agent
+	slots    int
+	out      decide.Orders
+	resident map[wardturn.AdapterRef]int // running requests by adapter, as counted by the engine
+	loads    []decide.SlotOrder
+	unloads  []decide.SlotOrder
+	state    map[wardturn.AttemptID]attemptState
+	adapter  map[wardturn.AttemptID]wardturn.AdapterRef
+	running  []wardturn.AttemptID
+	reports  []wardturn.EngineReport // made and not yet delivered
+	// foreignLoads are the adapters whose loads were ordered by an earlier agent and are
+	// still in progress.
+	foreignLoads []wardturn.AdapterRef
+	// foreignRequests are the adapters of requests sent by an earlier agent that are still
+	// running.
+	foreignRequests []wardturn.AdapterRef
 	permits         int
 	next            uint64
 	leaving         bool
--- a/decide/allocator.go
+++ b/decide/allocator.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Request applies an agent's permit request and appends the grants to send to out. They always
-// include one for the agent itself.
+// Request applies an agent's permit request and appends the grants to send to out. They
+// always include one for the agent itself.
 func (l *Allocator) Request(now time.Time, r PermitRequest, out []Grant) []Grant {
 	a := l.agent(r.Upstream)
 	if r.Busy > a.busy && !a.requestedAt.IsZero() {
--- a/decide/allocator_test.go
+++ b/decide/allocator_test.go
@@ -34,7 +34,7 @@
 		l.Request(start, newRequest("low", 2), nil)
 		l.Request(start, newRequest("high", 3), nil)
 		now := start.Add(100 * time.Millisecond)
-		Expect(l.Tick(now, nil)).To(BeEmpty(), "no place is free")
+		Expect(l.Tick(now, nil)).To(BeEmpty(), "all parallel loads are in use")
 		grants := l.Request(now, decide.PermitRequest{
 			Upstream: "w",
 			Epoch:    1,
--- a/decide/announcement.go
+++ b/decide/announcement.go
@@ -77,8 +77,8 @@
 	return len(list) > 0 && now.Before(list[len(list)-1].end)
 }
 
-// startsBeforeEnd reports whether a request sent to a member now is expected to start on the
-// version held there before that version stops serving.
+// startsBeforeEnd reports whether a request sent to a member now is expected to start on
+// the version held there before that version stops serving.
 func (f *Fleet) startsBeforeEnd(now time.Time, m *Member, r *PendingRequest) bool {
 	prefill := m.prefillRate.time(m.pendingPrefill(now) + int(r.Prompt))
 	return f.VersionInUse(now.Add(versionStartMargin+prefill), r.Key, m.held[r.Key].version)
--- a/decide/backoff.go
+++ b/decide/backoff.go
@@ -123,8 +123,9 @@
 	}
 }
 
-// jitteredDelay returns the retry delay for a caller after a backoff with the given time left.
-// It adds jitter, since callers that all retried at the end would be refused together.
+// jitteredDelay returns the retry delay for a caller after a backoff with the given time
+// left. It adds jitter, since callers that all retried at the end would be refused
+// together.
 func (f *Fleet) jitteredDelay(left time.Duration) time.Duration {
 	jitter := max(minBackoffJitter, time.Duration(backoffJitterPart*float64(left)))
 	return left + time.Duration(f.cfg.Random()*float64(jitter))
--- a/decide/backoff_test.go
+++ b/decide/backoff_test.go
@@ -64,7 +64,7 @@
 		Expect(x.assigned).NotTo(HaveKey("second"))
 		x.f.ClearBackoff("n0", sent.Add(-time.Millisecond))
 		x.tick(10 * time.Millisecond)
-		Expect(x.assigned).NotTo(HaveKey("second"), "an answer to a request sent before the end of the backoff does not count")
+		Expect(x.assigned).NotTo(HaveKey("second"), "a response to a request sent before the end of the backoff does not count")
 		x.f.ClearBackoff("n0", sent)
 		x.tick(10 * time.Millisecond)
 		Expect(x.assigned["second"].Member.ID).To(BeEquivalentTo("n0"))
--- a/decide/cold.go
+++ b/decide/cold.go
@@ -33,8 +33,8 @@
 	l.sharesAt = time.Time{}
 }
 
-// SetCold marks an upstream as cold until the given time, with a bound on its request rate. A
-// time that has passed, or a rate of zero, removes the bound.
+// SetCold marks an upstream as cold until the given time, with a bound on its request
+// rate. A time that has passed, or a rate of zero, removes the bound.
 func (l *Limits) SetCold(now time.Time, id wardturn.UpstreamID, rate float64, until time.Time) {
 	c := l.cold[id.Instance()]
 	if !now.Before(until) || rate <= 0 {
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -134,8 +134,9 @@
 	}
 }
 
-// After a loss of all processes, keepers count only the gateways that are back so far, and
-// each gateway assumed that it was the only one.
+// After a loss of all processes, keepers count only the gateways that are back so far.
+// Without the number from before the loss, each gateway would assume that it is the only
+// one.
 func TestColdUpstreamAfterALossOfAll(t *testing.T) {
 	for _, n := range []int{2, 9, 22} {
 		s := newColdSim(n)
--- a/decide/crashtracker.go
+++ b/decide/crashtracker.go
@@ -9,11 +9,11 @@
 	"wardturn"
 )
 
-// CrashTracker decides which requests are refused because they crash upstreams. A request is
-// identified by its content, across all of its attempts. Once a number of upstreams have
-// ended while they served the same content, the content is refused until it has caused no
-// crash for a long time. Gateways report crashes to each other, and each does its own
-// counting.
+// CrashTracker decides which requests are refused because they crash upstreams. A request
+// is identified by its content, across all of its attempts. Once a number of upstreams
+// have ended while they served the same content, the content is refused until it has
+// caused no crash for a long time. Gateways report crashes to each other, and each does
+// its own counting.
 //
 // Upstreams also end for other reasons, and every request they were serving becomes
 // suspect along with the one that caused the crash. A successful response tells them
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// UpstreamEnded records that an upstream has ended without notice. It returns the new crashes
-// that follow from this.
+// UpstreamEnded records that an upstream has ended without notice. It returns the new
+// crashes that follow from this.
 func (c *CrashTracker) UpstreamEnded(now time.Time, id wardturn.UpstreamID) []wardturn.Crash {
 	c.ended[id] = now
 	var list []wardturn.Crash
--- a/decide/crashtracker_model_test.go
+++ b/decide/crashtracker_model_test.go
@@ -54,8 +54,10 @@
 }
 
 type crashResult struct {
-	ended    int // engines ended by fatal requests
-	late     int // largest number of times a fatal request was sent more than 3 s after it ended its third engine
+	ended int // engines ended by fatal requests
+	// late is the largest number of times that a fatal request was sent more than 3 s after
+	// it had ended its third engine.
+	late     int
 	cut      int // other requests that were cut off
 	refused  int // other requests refused as crashing
 	answered int
@@ -98,7 +100,7 @@
 	simDuration       = 60 * time.Second
 	simRestartTime    = 3300 * time.Millisecond // time until an engine that ended is back
 	simFatalTime      = 60 * time.Millisecond   // run time of a fatal request
-	simDetectionDelay = 25 * time.Millisecond   // time until a gateway knows that an engine has ended
+	simDetectionDelay = 25 * time.Millisecond   // until a gateway knows that an engine has ended
 	simMessageDelay   = 10 * time.Millisecond
 	simReadInterval   = 1200 * time.Millisecond // interval between reads of the store
 	simUniqueRate     = 200                     // unique requests per second
@@ -362,7 +364,8 @@
 	s.gateways[gateway].Written(due, deletes)
 }
 
-// Compares variants of crash handling over ten seeds of a minute each.
+// With crash handling, few engines end, fatal requests are refused in time and others are
+// not refused. The test compares variants over ten seeds of a minute each.
 func TestCrashesOfManyGateways(t *testing.T) {
 	const never = 1 << 20
 	sum := func(variant crashVariant) crashResult {
@@ -391,7 +394,7 @@
 		limit: 3,
 	})
 	noClear := sum(crashVariant{
-		name:    "answers do not clear",
+		name:    "responses do not clear",
 		limit:   3,
 		noClear: true,
 	})
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -7,8 +7,9 @@
 	"wardturn"
 )
 
-// presumedCold is how long an upstream that may have become cold unnoticed is presumed cold,
-// whatever its entry says. By then it has written a new entry and the list has been read.
+// presumedCold is how long an upstream that may have become cold unnoticed is presumed
+// cold, whatever its entry says. By then it has written a new entry and the list has been
+// read.
 const presumedCold = 3500 * time.Millisecond
 
 // preloadLifetime is how long an adapter that was in use in an evacuated failure domain
@@ -68,8 +69,8 @@
 	})
 }
 
-// ObserveCold records an upstream's statement, in a response, that it stays cold for the given
-// time.
+// ObserveCold records an upstream's statement, in a response, that it stays cold for the
+// given time.
 func (f *Fleet) ObserveCold(now time.Time, id wardturn.UpstreamID, left time.Duration) {
 	m := f.members[id]
 	if m == nil || left <= 0 {
@@ -107,9 +108,9 @@
 	}
 }
 
-// noneEligible reports whether no upstream of a request's service is eligible for it, whatever
-// their load, and why. Such a request is refused at once, since waiting in the gateway
-// would gain it nothing.
+// noneEligible reports whether no upstream of a request's service is eligible for it,
+// whatever their load, and why. Such a request is refused at once, since waiting in the
+// gateway would gain it nothing.
 func (f *Fleet) noneEligible(r *PendingRequest) (wardturn.Reason, bool) {
 	if r.Regions == nil && len(f.evacuated) == 0 {
 		return "", false
--- a/decide/evacuation_test.go
+++ b/decide/evacuation_test.go
@@ -10,8 +10,8 @@
 
 const plainService = wardturn.ServiceName("app")
 
-// newEvacuationRig is newFleetFixture with a rate limit for cold engines and a plain service
-// whose only upstream is in the failure domain near.
+// newEvacuationRig is newFleetFixture with a rate limit for cold engines and a plain
+// service whose only upstream is in the failure domain near.
 func newEvacuationRig() (x *fleetFixture, members []wardturn.Member) {
 	limits := decide.NewLimits(start, "p")
 	x = newLimitedFixture(limits)
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -117,7 +117,7 @@
 	return addrs
 }
 
-// currentEntries removes entries of earlier incarnations. An upstream that restarted is
+// currentEntries removes entries of earlier lifetimes. An upstream that restarted is
 // listed twice until its old entry expires; the entry written last is the current one.
 func currentEntries(list []wardturn.Member) []wardturn.Member {
 	latest := make(map[string]wardturn.Position, len(list))
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -11,10 +11,10 @@
 )
 
 // BenchmarkNowhere serves a request for an adapter that no engine holds: an engine is
-// chosen as its home, asked for the adapter, and holds it for a moment. On a machine with
-// five busy processes, sorting all engines for each choice and visiting all missing
-// adapters for each engine took 17 us at 18 engines, 49 us at 74, 158 us at 262, 674 us at
-// 1,000 and 1.6 ms at 2,100. The present code takes 14, 11, 14, 22 and 32 us.
+// chosen as its home, asked to load the adapter, and holds it for a moment. On a machine
+// with five busy processes, sorting all engines for each choice and visiting all missing
+// adapters for each engine took 17 us at 18 engines, 49 us at 74, 158 us at 262, 674 us
+// at 1,000 and 1.6 ms at 2,100. The present code takes 14, 11, 14, 22 and 32 us.
 func BenchmarkNowhere(b *testing.B) {
 	for _, engines := range []int{18, 74, 262, 1000, 2100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -96,7 +96,7 @@
 		},
 	}, &out)
 	if len(out.LoadRequests) != 1 {
-		panic("nobody was asked")
+		panic("no load was requested")
 	}
 	id := out.LoadRequests[0].Upstream
 	x.applyUpdate(id, decide.EngineUpdate{
--- a/decide/fleet_fixture_test.go
+++ b/decide/fleet_fixture_test.go
@@ -10,8 +10,8 @@
 // fleetService is the service of the engines of a fleetFixture.
 const fleetService = wardturn.ServiceName("llm")
 
-// fleetFixture is a Fleet with two engines in its own failure domain and two in another, and
-// the results of its decisions.
+// fleetFixture is a Fleet with two engines in its own failure domain and two in another,
+// and the results of its decisions.
 type fleetFixture struct {
 	f        *decide.Fleet
 	now      time.Time
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -36,7 +36,7 @@
 		Expect(x.assigned["r"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 
-	It("skips engines that leave or were replaced by another incarnation", func() {
+	It("skips engines that leave or whose address another lifetime answers at", func() {
 		x.setAdapters("n0", readyAdapter("a", 1))
 		x.setAdapters("n1", readyAdapter("a", 1))
 		x.f.IncarnationReplaced("n0")
@@ -62,7 +62,7 @@
 		Expect(x.assigned["r"].Member.ID).To(BeEquivalentTo("n0-again"))
 	})
 
-	It("ignores a keeper's report for a moment after its engine refused a request as not held", func() {
+	It("ignores a keeper's update for a moment after its engine refused a request as not held", func() {
 		x.setAdapters("n0", readyAdapter("a", 1))
 		x.f.NotHeld(x.now, "n0", adapterKey("a"))
 		x.admit("r", "a")
@@ -71,7 +71,7 @@
 		Expect(x.assigned["r"].Member.ID).To(BeEquivalentTo("n0"))
 	})
 
-	It("applies incremental changes of a holding", func() {
+	It("applies incremental engine updates", func() {
 		x.setAdapters("n0", readyAdapter("a", 1), readyAdapter("b", 1))
 		x.f.ApplyEngineUpdate(x.now, "n0", decide.EngineUpdate{
 			Connected: true,
--- a/decide/homecandidates_test.go
+++ b/decide/homecandidates_test.go
@@ -13,8 +13,8 @@
 
 var _ = Describe("The home of an adapter that no engine holds", func() {
 	var x *fleetFixture
-	// report sends a keeper's report with an engine's free slots, its tokens in prefill and
-	// the adapters that it has unloaded.
+	// report applies a keeper's update with an engine's free slots, its tokens in prefill
+	// and the adapters that it has unloaded.
 	report := func(id wardturn.UpstreamID, free, prefill int, unloaded ...wardturn.ModelAdapter) {
 		x.f.ApplyEngineUpdate(x.now, id, decide.EngineUpdate{
 			Connected:     true,
@@ -49,7 +49,8 @@
 			}
 			report(m.ID, decide.MaxFreeSlots, 20000)
 		}
-		Expect(homeOf("a")).To(BeElementOf(first, second)) // not a third one, on which gateways may disagree
+		// It is not a third one, on which gateways may disagree.
+		Expect(homeOf("a")).To(BeElementOf(first, second))
 	})
 
 	It("has a free slot if any engine has one", func() {
--- a/decide/homeorder_internal_test.go
+++ b/decide/homeorder_internal_test.go
@@ -13,7 +13,8 @@
 // The batches of inHomeOrder must give the same order as sorting all engines by score.
 func TestInHomeOrderMatchesSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		hashes := rapid.SliceOfN(rapid.Uint64Range(0, 40), 0, 300).Draw(t, "hashes") // with some duplicates
+		// The small range yields some duplicates.
+		hashes := rapid.SliceOfN(rapid.Uint64Range(0, 40), 0, 300).Draw(t, "hashes")
 		var list []*Member
 		for i, h := range hashes {
 			list = append(list, &Member{
--- a/decide/leaving_test.go
+++ b/decide/leaving_test.go
@@ -82,7 +82,7 @@
 		Expect(x.assigned["r"].Member.ID).To(Equal(list[0].ID))
 	})
 
-	It("is recognized by its keeper's report alone", func() {
+	It("is recognized by its keeper's update alone", func() {
 		x := newFleetFixture()
 		x.f.ApplyEngineUpdate(x.now, "n0", decide.EngineUpdate{
 			Connected: true,
@@ -93,5 +93,6 @@
 	})
 })
 
-// afterLoadRequestInterval is longer than the interval between two load requests for one adapter.
+// afterLoadRequestInterval is longer than the interval between two load requests for one
+// adapter.
 const afterLoadRequestInterval = 400 * time.Millisecond
--- a/decide/limitgossip.go
+++ b/decide/limitgossip.go
@@ -134,9 +134,10 @@
 	return changes
 }
 
-// merge applies an update from another gateway that is based on a response given at the time
-// at, and reports whether it was new. The later response wins. The delay of the first message
-// from a gateway cannot be measured, so that message may be old and does not end a limit.
+// merge applies an update from another gateway that is based on a response given at the
+// time at, and reports whether it was new. The later response wins. The delay of the
+// first message from a gateway cannot be measured, so that message may be old and does
+// not end a limit.
 func (l *Limits) merge(now time.Time, u LimitUpdate, at time.Time, measured bool) (changed bool) {
 	known := l.upstreams[u.Instance]
 	switch {
--- a/decide/limits.go
+++ b/decide/limits.go
@@ -42,14 +42,15 @@
 	minLimit = 0.5
 	// limitBurst is the burst size, in seconds of a gateway's share of the limit.
 	limitBurst = 0.25
-	// limitEndDelay is how long an upstream's responses must carry no limit before the limit
-	// ends. A single response without one may come from an intermediary.
+	// limitEndDelay is how long an upstream's responses must carry no limit before the
+	// limit ends. A single response without one may come from an intermediary.
 	limitEndDelay = time.Second
 	// limitEndResponses is the minimum number of consecutive responses without a limit that
 	// end it.
 	limitEndResponses = 2
-	// minProbeAge is the minimum age of the latest known response before a gateway without a
-	// share of the limit sends a probe request. It may have missed the end of the limit.
+	// minProbeAge is the minimum age of the latest known response before a gateway
+	// without a share of the limit sends a probe request. It may have missed the end of
+	// the limit.
 	minProbeAge = 10 * time.Second
 	// shareInterval is the minimum interval between two computations of the shares.
 	shareInterval = 100 * time.Millisecond
@@ -118,8 +119,8 @@
 }
 
 // ObserveNone records a response without a limit to a request sent at the given time, and
-// reports whether it ends a limit. Responses to requests sent before the latest response that
-// carries the limit are ignored.
+// reports whether it ends a limit. Responses to requests sent before the latest response
+// that carries the limit are ignored.
 func (l *Limits) ObserveNone(now time.Time, id wardturn.UpstreamID, sent time.Time) (ended bool) {
 	u := l.upstreams[id.Instance()]
 	if u == nil || u.rate == 0 || !sent.After(u.observedAt) {
@@ -212,8 +213,8 @@
 	}
 }
 
-// Retain drops the limits of upstreams that have been absent for gatewayCountRetention. They
-// are kept until then because a list read while the store was unavailable may be
+// Retain drops the limits of upstreams that have been absent for gatewayCountRetention.
+// They are kept until then because a list read while the store was unavailable may be
 // incomplete.
 func (l *Limits) Retain(now time.Time, present func(instance string) bool) {
 	for instance, u := range l.upstreams {
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -12,10 +12,14 @@
 )
 
 const (
-	limitID        = wardturn.UpstreamID("u")
-	limitWindow    = 4 * time.Second
-	limitLearnTime = time.Second            // from the first response with a limit until all must keep it
-	limitGraceTime = 500 * time.Millisecond // until a gateway that had such a response must keep it
+	limitID     = wardturn.UpstreamID("u")
+	limitWindow = 4 * time.Second
+	// limitLearnTime is the time from the first response with a limit until all gateways
+	// must keep it.
+	limitLearnTime = time.Second
+	// limitGraceTime is the time after which a gateway that got such a response must keep
+	// it.
+	limitGraceTime = 500 * time.Millisecond
 	responseTime   = 30 * time.Millisecond
 )
 
@@ -80,7 +84,7 @@
 }
 
 // counted returns the number of gateways that keepers report to a gateway; zero if it is
-// cut off from them.
+// partitioned from them.
 func (s *limitSim) counted(g *limitGateway) int {
 	switch {
 	case !s.countOwnSide && g.side == 0:
@@ -357,8 +361,8 @@
 	}
 }
 
-// A single response without a limit among responses with one does not end the limit, nor does
-// a response to a request sent before the latest response with the limit.
+// A single response without a limit among responses with one does not end the limit, nor
+// does a response to a request sent before the latest response with the limit.
 func TestLimitsSingleAnswers(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
@@ -367,10 +371,10 @@
 		now = now.Add(500 * time.Millisecond)
 		l.Observe(now, limitID, 5)
 		if l.ObserveNone(now.Add(time.Millisecond), limitID, now.Add(-time.Second)) {
-			t.Fatal("limit ended by an answer to a request sent before the latest answer with the limit")
+			t.Fatal("limit ended by a response to a request sent before the latest response with the limit")
 		}
 		if i%2 == 0 && l.ObserveNone(now.Add(400*time.Millisecond), limitID, now.Add(time.Millisecond)) {
-			t.Fatal("limit ended by a single answer")
+			t.Fatal("limit ended by a single response")
 		}
 	}
 	if !l.Limited(limitID) {
@@ -384,7 +388,7 @@
 	l.SetGateways(start, 1)
 	l.ObserveUnparsed(start, limitID)
 	if l.Limited(limitID) {
-		t.Error("limit set by an answer whose limit cannot be parsed")
+		t.Error("limit set by a response whose limit cannot be parsed")
 	}
 	l.Observe(start, limitID, 5)
 	for i := range 50 {
@@ -393,12 +397,12 @@
 		l.ObserveUnparsed(now, limitID)
 	}
 	if !l.Limited(limitID) {
-		t.Error("limit ended while answers carry one")
+		t.Error("limit ended while responses carry one")
 	}
 }
 
-// The limit of a worker that restarts under the same name stays in force; a worker with
-// another name has none.
+// The limit of an upstream that restarts under the same name stays in force; an upstream
+// with another name has none.
 func TestLimitsRestartedWorker(t *testing.T) {
 	l := decide.NewLimits(start, "p")
 	l.SetGateways(start, 1)
--- a/decide/loadshare.go
+++ b/decide/loadshare.go
@@ -6,9 +6,9 @@
 )
 
 // requestSettleTime is how long a load request counts as a load in flight before its
-// keeper reports the load. It is far longer than a load order and the report on it take. An engine
-// without a free slot starts the load later, and until then the load uses no capacity of
-// the store.
+// keeper reports the load. It is far longer than a load order and the report on it take.
+// An engine without a free slot starts the load later, and until then the load uses no
+// capacity of the store.
 const requestSettleTime = 100 * time.Millisecond
 
 // drawInterval is the least time between two random draws, about the time until other
--- a/decide/loadwindow.go
+++ b/decide/loadwindow.go
@@ -52,10 +52,10 @@
 	// engine at full speed. From a small window it takes over a second to grow to what a
 	// store for many engines serves, and the requests of that time are late.
 	windowStartRatio = 0.5
-	// initialBaseline is the baseline at the start, the duration of a load from a store that
-	// is not overloaded: 250 ms by the platform's description, and 20 ms for the order and the
-	// report. It holds until shorter loads are observed. Without it, a window that starts
-	// above the store's capacity would take the slow loads for normal.
+	// initialBaseline is the baseline at the start, the duration of a load from a store
+	// that is not overloaded: 250 ms by the platform's description, and 20 ms for the
+	// order and the report. It holds until shorter loads are observed. Without it, a
+	// window that starts above the store's capacity would take the slow loads for normal.
 	initialBaseline = 270 * time.Millisecond
 	// If loads still take at least ineffectiveTime of their earlier duration when the
 	// window has shrunk to ineffectiveSize of its earlier size, the window is not what
@@ -132,8 +132,8 @@
 	}
 }
 
-// Restore restores a size that earlier processes learned. The window starts from it if it is
-// larger than the initial size.
+// Restore restores a size that earlier processes learned. The window starts from it if it
+// is larger than the initial size.
 func (w *LoadWindow) Restore(size int) {
 	w.restored = float64(size)
 	if !w.learned {
--- a/decide/loadwindow_test.go
+++ b/decide/loadwindow_test.go
@@ -13,8 +13,8 @@
 
 const usualLoad = 250 * time.Millisecond
 
-// store simulates a weight store that serves atOnce concurrent loads at full speed. Beyond
-// that, loads take longer in proportion to their number.
+// store simulates a weight store that serves parallel concurrent loads at full speed.
+// Beyond that, loads take longer in proportion to their number.
 type store struct {
 	parallel int
 }
@@ -182,7 +182,8 @@
 			})
 			most := x.run(store{parallel: 16}, 3*time.Second)
 			Expect(most).To(BeNumerically("<=", 16+16*6/10), fmt.Sprint(gateways))
-			Expect(x.loads).To(BeNumerically(">=", 100), fmt.Sprint(gateways)) // of at most 192 that the store can serve
+			// The store can serve at most 192.
+			Expect(x.loads).To(BeNumerically(">=", 100), fmt.Sprint(gateways))
 		}
 	})
 })
@@ -190,10 +191,11 @@
 // storeRig simulates gateways that constantly request adapters which no engine holds, and
 // engines that load them at the speed of one store.
 type storeRig struct {
-	fleets    []*decide.Fleet
-	members   []wardturn.Member
-	now       time.Time
-	loading   map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time // start of each load; zero: not started
+	fleets  []*decide.Fleet
+	members []wardturn.Member
+	now     time.Time
+	// loading holds the start of each load in progress, or zero if it has not started.
+	loading   map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time
 	requested int
 	loads     int
 }
--- a/decide/member.go
+++ b/decide/member.go
@@ -34,7 +34,7 @@
 	// notHeldUntil holds the adapters that it refused as not held, and until when that
 	// overrides lastUpdate.
 	notHeldUntil      map[wardturn.ModelAdapter]time.Time
-	replaced          bool              // another incarnation answers at its address
+	replaced          bool              // another lifetime answers at its address
 	refusedUntil      time.Time         // set when it refuses a connection
 	backoff           *upstreamBackoff  // backoff that it asked for, or nil
 	coldUntil         time.Time         // according to its entry and its responses
@@ -173,8 +173,8 @@
 	return m.eligible(now) && m.lastUpdate.Connected && m.lastUpdate.Known && slices.Contains(m.lastUpdate.Models, model)
 }
 
-// IncarnationReplaced records that another incarnation answers at an upstream's address:
-// this one has ended, even if it is still listed.
+// IncarnationReplaced records that another lifetime answers at an upstream's address: this
+// one has ended, even if it is still listed.
 func (f *Fleet) IncarnationReplaced(id wardturn.UpstreamID) {
 	if m := f.members[id]; m != nil {
 		m.replaced = true
--- a/decide/missing.go
+++ b/decide/missing.go
@@ -51,8 +51,8 @@
 	return k
 }
 
-// unrestricted returns the entry of an adapter for requests without a region restriction, or
-// nil.
+// unrestricted returns the entry of an adapter for requests without a region restriction,
+// or nil.
 func (m missingAdapters) unrestricted(adapter wardturn.ModelAdapter) *missingAdapter {
 	return m[missingKeyOf(adapter, nil)]
 }
@@ -71,8 +71,8 @@
 	return list
 }
 
-// missingFor returns the entry of an adapter for requests that may be served in the regions r,
-// and creates it if there is none.
+// missingFor returns the entry of an adapter for requests that may be served in the
+// regions r, and creates it if there is none.
 func (f *Fleet) missingFor(now time.Time, key wardturn.ModelAdapter, s wardturn.ServiceName, r wardturn.Regions) *missingAdapter {
 	k := missingKeyOf(key, r)
 	missing := f.missing[k]
@@ -201,10 +201,10 @@
 	return missing.expectedRetries > 0 && missing.backlog(now) == 0
 }
 
-// before reports whether an adapter is requested before another: those with more requests first, then those whose latest
-// request arrived later. When loads fall behind, requests for the adapter that has waited
-// longest are refused before its load completes. Loading in order of arrival would make the
-// requests for all adapters late.
+// before reports whether an adapter is requested before another: those with more requests
+// first, then those whose latest request arrived later. When loads fall behind, requests
+// for the adapter that has waited longest are refused before its load completes. Loading
+// in order of arrival would make the requests for all adapters late.
 func (missing *missingAdapter) before(now time.Time, o *missingAdapter) bool {
 	if x, y := missing.backlog(now), o.backlog(now); x != y {
 		return x > y
@@ -316,8 +316,8 @@
 	f.requestLoad(now, missing, home, out)
 }
 
-// homeIsLoading reports whether the home is loading the adapter. Giving up such a load would
-// only start it again elsewhere.
+// homeIsLoading reports whether the home is loading the adapter. Giving up such a load
+// would only start it again elsewhere.
 func (f *Fleet) homeIsLoading(missing *missingAdapter) bool {
 	m := f.members[missing.home]
 	return m != nil && m.held[missing.key].loading
--- a/decide/objective_test.go
+++ b/decide/objective_test.go
@@ -27,7 +27,8 @@
 	It("are made for a long prompt that would miss its objective where its adapter is, and it waits for the copy", func() {
 		admit("first", "hot", longPrompt)
 		admit("second", "hot", longPrompt)
-		Expect(x.assigned["second"].Member.ID).To(BeEquivalentTo("n0")) // 420 ms of prefill, with an objective of 600 ms
+		// The two prompts take 420 ms of prefill, with an objective of 600 ms.
+		Expect(x.assigned["second"].Member.ID).To(BeEquivalentTo("n0"))
 		admit("third", "hot", longPrompt)
 		Expect(x.assigned).NotTo(HaveKey("third"))
 		Expect(x.out.LoadRequests).To(HaveLen(1))
--- a/decide/pauses.go
+++ b/decide/pauses.go
@@ -11,8 +11,8 @@
 	// pauseThreshold is the fraction of the longest allowed pause that prefilling prompts
 	// may take before longer pauses become likely, since other prompts arrive meanwhile.
 	pauseThreshold = 0.5
-	// spreadPauseCost is the pause cost of one prompt, in milliseconds, above which an adapter
-	// is loaded on another engine.
+	// spreadPauseCost is the pause cost of one prompt, in milliseconds, above which an
+	// adapter is loaded on another engine.
 	spreadPauseCost = 150.0
 )
 
--- a/decide/pauses_test.go
+++ b/decide/pauses_test.go
@@ -8,20 +8,20 @@
 	"wardturn/decide"
 )
 
-// hotAdapter simulates requests for one adapter that arrive faster than one engine can read
-// their prompts without stalling its streams, spread over gateways that each send a few of
-// them.
+// hotAdapter simulates requests for one adapter that arrive faster than one engine can
+// prefill their prompts without stalling its streams. They are spread over gateways that
+// each send a few of them.
 type hotAdapter struct {
 	now      time.Time
 	gateways []*decide.Fleet
 	engines  map[wardturn.UpstreamID]*prefillingEngine
 	pause    time.Duration // longest pause allowed by the requests' route
-	stalled  int           // requests sent to an engine that then reads for longer than hotPause
+	stalled  int           // requests to an engine with streams that prefills longer than hotPause
 	sent     int
 }
 
-// prefillingEngine simulates an engine that reads prompts one after another and streams tokens
-// to each request for two seconds.
+// prefillingEngine simulates an engine that prefills prompts one after another and
+// streams tokens to each request for two seconds.
 type prefillingEngine struct {
 	adapter      bool
 	loadedAt     time.Time
@@ -80,7 +80,8 @@
 	return h
 }
 
-// deliverEngineUpdates delivers the state of all engines to all gateways, as keepers report it.
+// deliverEngineUpdates delivers the state of all engines to all gateways, as keepers report
+// it.
 func (h *hotAdapter) deliverEngineUpdates() {
 	for _, f := range h.gateways {
 		for id, e := range h.engines {
@@ -121,7 +122,7 @@
 	}
 }
 
-// send sends a request through a gateway, and returns the events that end the reading of
+// send sends a request through a gateway, and returns the events that end the prefill of
 // its prompt and its response.
 func (h *hotAdapter) send(f *decide.Fleet) (began, ended event) {
 	var out decide.Actions
@@ -161,7 +162,8 @@
 	return began, ended
 }
 
-// deliverPrefillReports delivers the gateways' reports of prompts being read to the keepers.
+// deliverPrefillReports delivers the gateways' reports of prompts in prefill to the
+// keepers.
 func (h *hotAdapter) deliverPrefillReports() {
 	for _, f := range h.gateways {
 		for _, r := range f.PrefillReports() {
--- a/decide/permits.go
+++ b/decide/permits.go
@@ -16,7 +16,8 @@
 	Pending  int                 `msgpack:"w"` // loads waiting for a permit
 	Loading  int                 `msgpack:"l"` // loads in progress
 	Busy     int                 `msgpack:"b"` // loads refused by the store since the start
-	// Misses counts the adapter misses since the start, including those of refused requests.
+	// Misses counts the adapter misses since the start, including those of refused
+	// requests.
 	Misses uint64 `msgpack:"m"`
 	Epoch  uint64 `msgpack:"e"` // of the allocator whose permits Used counts
 	Used   uint64 `msgpack:"s"` // permits used or returned in that epoch
--- a/decide/placement_evict.go
+++ b/decide/placement_evict.go
@@ -6,8 +6,8 @@
 	"wardturn"
 )
 
-// MaxFreeSlots is the largest number of free slots that is reported. A larger number makes no
-// difference to the choice of an engine for an adapter.
+// MaxFreeSlots is the largest number of free slots that is reported. A larger number
+// makes no difference to the choice of an engine for an adapter.
 const MaxFreeSlots = 2
 
 // FreeSlots counts, up to MaxFreeSlots, the slots that another adapter could take now:
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -12,7 +12,7 @@
 	"wardturn/policy"
 )
 
-var _ = Describe("Places", func() {
+var _ = Describe("Placement", func() {
 	var (
 		p   *decide.Placement
 		now time.Time
--- a/decide/prefill.go
+++ b/decide/prefill.go
@@ -38,8 +38,8 @@
 	Tokens   int
 }
 
-// addPrefill adds the tokens of a prompt whose prefill starts at an engine. A negative number
-// removes a prompt whose prefill has finished.
+// addPrefill adds the tokens of a prompt whose prefill starts at an engine. A negative
+// number removes a prompt whose prefill has finished.
 func (f *Fleet) addPrefill(m *Member, tokens wardturn.Tokens) {
 	m.prefillTokens = max(0, m.prefillTokens+int(tokens))
 	if tokens < minReportedPrompt && tokens > -minReportedPrompt {
@@ -80,8 +80,8 @@
 	f.reportsDue = append(f.reportsDue, m)
 }
 
-// PrefillReports returns the counts that changed since they were last sent to the keepers, and
-// marks them as sent.
+// PrefillReports returns the counts that changed since they were last sent to the
+// keepers, and marks them as sent.
 func (f *Fleet) PrefillReports() []PrefillReport {
 	var reports []PrefillReport
 	for _, m := range f.reportsDue {
--- a/decide/readscheduler.go
+++ b/decide/readscheduler.go
@@ -6,11 +6,11 @@
 	"wardturn"
 )
 
-// ReadScheduler decides when a process reads a record of the platform's store itself and when
-// it relies on the reads of another process. Processes that follow the same record report
-// their reads to each other, and usually only the process with the lowest ID, the leader,
-// reads. There is no agreement protocol: each process bounds the age of its own copy, and
-// reads itself when the reports of others fail to arrive.
+// ReadScheduler decides when a process reads a record of the platform's store itself and
+// when it relies on the reads of another process. Processes that follow the same record
+// report their reads to each other, and usually only the process with the lowest ID, the
+// leader, reads. There is no agreement protocol: each process bounds the age of its own
+// copy, and reads itself when the reports of others fail to arrive.
 type ReadScheduler struct {
 	cfg                 ReadSchedulerConfig
 	self                wardturn.Incarnation
@@ -153,8 +153,8 @@
 	return max(0, now.Sub(s.asOf))
 }
 
-// IsLeader reports whether this process is the leader: no process with a lower ID has sent a
-// message lately.
+// IsLeader reports whether this process is the leader: no process with a lower ID has
+// sent a message lately.
 func (s *ReadScheduler) IsLeader(now time.Time) bool {
 	return s.leaderSeenAt.IsZero() || now.Sub(s.leaderSeenAt) > leaderTimeout*s.cfg.MaxAge
 }
@@ -167,9 +167,9 @@
 	s.earliestRead = now.Add(s.cfg.MinInterval)
 }
 
-// ReadFailed records that a read of this process failed. It is retried after the minimum time
-// between reads unless another process reports a later read. Exponential backoff was no
-// better for callers and saved few reads.
+// ReadFailed records that a read of this process failed. It is retried after the minimum
+// time between reads unless another process reports a later read. Exponential backoff was
+// no better for callers and saved few reads.
 func (s *ReadScheduler) ReadFailed(now time.Time) {
 	s.failed = true
 	s.earliestRead = now.Add(s.cfg.MinInterval)
--- a/decide/readscheduler_delayed_report_test.go
+++ b/decide/readscheduler_delayed_report_test.go
@@ -9,10 +9,10 @@
 	"wardturn/decide"
 )
 
-// The end of old versions is computed from ReadScheduler.AsOf. The first report of a process
-// sets the lag that its later reports are compared with. A delayed first report would
-// therefore make an old copy look recent, and old versions would serve longer by the
-// delay.
+// The end of old versions is computed from ReadScheduler.AsOf. The first report of a
+// process sets the lag that its later reports are compared with. A delayed first report
+// would therefore make an old copy look recent, and old versions would serve longer by
+// the delay.
 var _ = Describe("A delayed first report of another process", func() {
 	It("does not make the copy look newer than the reported read", func() {
 		s := decide.NewReadScheduler(start, "b", decide.ReadSchedulerConfig{
--- a/decide/readscheduler_test.go
+++ b/decide/readscheduler_test.go
@@ -11,7 +11,7 @@
 	"wardturn/decide"
 )
 
-var _ = Describe("ReadTurn", func() {
+var _ = Describe("ReadScheduler", func() {
 	const (
 		every = time.Second
 		least = 250 * time.Millisecond
@@ -57,8 +57,8 @@
 		Expect(due(s)).To(Equal(least))
 	})
 
-	// Every gateway reads each change itself, so changes in quick succession would cost
-	// one read per gateway and change.
+	// Every gateway reads the store itself when it learns of a change, so without this
+	// changes in quick succession would cost one read per gateway and change.
 	It("reads changes in quick succession together, and a single change soon", func() {
 		const gather = 800 * time.Millisecond
 		s := decide.NewReadScheduler(now, "b", decide.ReadSchedulerConfig{
@@ -79,7 +79,8 @@
 			case changed(at):
 				s.Invalidate(now)
 				waits = append(waits, now)
-			case at%time.Second == 0 && len(waits) == 0: // a process that has not read a change does not count
+			case at%time.Second == 0 && len(waits) == 0:
+				// A read of another process counts only if it includes all changes.
 				s.PeerRead(now, "a", at)
 			}
 			if len(waits) > 0 && due(s) <= 0 {
@@ -180,7 +181,8 @@
 			for range 5000 {
 				step()
 			}
-			Expect(reads).To(BeNumerically("<=", 25)) // one per second, plus some until the new leader is known
+			// One read per second, plus some until the new leader is known.
+			Expect(reads).To(BeNumerically("<=", 25))
 		}
 	})
 
--- a/decide/regions_test.go
+++ b/decide/regions_test.go
@@ -35,8 +35,8 @@
 	return x
 }
 
-// A request that may be served in one region only was sent to the upstream of the least
-// cost in any region.
+// A request that may be served in one region only used to be sent to the upstream of the
+// least cost in any region.
 func TestRegionsOfRequests(t *testing.T) {
 	x := newRegionRig()
 	x.holdEverywhere("a")
--- a/decide/rollout.go
+++ b/decide/rollout.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// advanceRollout asks engines for the newest version: those whose old version no longer serves
-// at once, the others as soon as another engine has the newest.
+// advanceRollout asks engines for the newest version: those whose old version no longer
+// serves at once, the others as soon as another engine has the newest.
 func (f *Fleet) advanceRollout(now time.Time, key wardturn.ModelAdapter, r *rollout, out *Actions) {
 	r.nextAt = now.Add(rolloutInterval)
 	var serving, expired []*Member
--- a/decide/slots.go
+++ b/decide/slots.go
@@ -272,8 +272,8 @@
 	a.release(s, now)
 }
 
-// slotLost empties a slot whose adapter the engine no longer holds. Requests in progress end
-// with their own connections.
+// slotLost empties a slot whose adapter the engine no longer holds. Requests in progress
+// end with their own connections.
 func (a *Agent) slotLost(s *slot, now time.Time) {
 	a.stats.Dropped++
 	a.release(s, now)
--- a/decide/teamcaps.go
+++ b/decide/teamcaps.go
@@ -182,9 +182,9 @@
 	}
 }
 
-// Charge charges a request's units to its team's cap. If the cap is used up, it returns false
-// and the delay after which to retry. A request may be larger than the remaining level or
-// the burst; the excess becomes a debt.
+// Charge charges a request's units to its team's cap. If the cap is used up, it returns
+// false and the delay after which to retry. A request may be larger than the remaining
+// level or the burst; the excess becomes a debt.
 func (c *TeamCaps) Charge(now time.Time, team wardturn.TeamID, units int64) (retryAfter time.Duration, ok bool) {
 	t := c.caps[team]
 	if t == nil || t.limit.Rate <= 0 {
--- a/decide/teamcaps_heal_test.go
+++ b/decide/teamcaps_heal_test.go
@@ -81,7 +81,7 @@
 		fault func(g *capGateway, steps int)
 		most  float64
 	}{
-		{name: "cut off", fault: isolate, most: partitioned},
+		{name: "isolated", fault: isolate, most: partitioned},
 		{name: "with reports that reach nobody", most: usual, fault: func(g *capGateway, steps int) {
 			g.sendsNothing = steps
 		}},
@@ -103,7 +103,7 @@
 	}
 }
 
-// Restarted processes that reach nobody assumed that they are the only gateways: with a
+// Restarted processes that reach nobody assumed that they were the only gateways: with a
 // team at 4.2 times its cap, the excess in the worst 8 s was 9.4 s of the rate with 9 of
 // 26 restarted and 24.7 s with all. They now know the number of gateways before their
 // start.
--- a/decide/teamcaps_partition_test.go
+++ b/decide/teamcaps_partition_test.go
@@ -12,8 +12,8 @@
 
 // When gateways are partitioned, each side uses the whole cap and the content of the
 // bucket until it notices: a team that sent 4.2 times its cap from that moment on exceeded
-// it by 2.4 to 5.6 s of its rate. The aim cannot be met if a gateway that has been silent
-// for 0.7 s still counts as reachable.
+// it by 2.4 to 5.6 s of its rate. maxCapExcess cannot be kept if a gateway that has been
+// silent for 0.7 s still counts as reachable.
 func TestTeamCapsApart(t *testing.T) {
 	for _, parts := range []string{"9 of 26", "13 of 26", "one of two", "each of 26"} {
 		expectBoundedExcess(t, parts, excessPartitioned)
--- a/decide/teamcaps_test.go
+++ b/decide/teamcaps_test.go
@@ -23,7 +23,7 @@
 )
 
 // capSim simulates gateways that share a cap, with callers at a rate, reports that are
-// delayed, lost and reordered, and gateways that are killed, frozen and cut off.
+// delayed, lost and reordered, and gateways that are killed, frozen and isolated.
 type capSim struct {
 	now            time.Time
 	gateways       []*capGateway
@@ -204,7 +204,7 @@
 func noLoss() bool { return false }
 
 // Under random order, loss and delay of reports, and with gateways that are killed, frozen
-// and cut off, the excess over the cap is at most the demand during the time until a
+// and isolated, the excess over the cap is at most the demand during the time until a
 // missing gateway is noticed.
 func TestTeamCapsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/decide/waitlimit.go
+++ b/decide/waitlimit.go
@@ -23,8 +23,8 @@
 
 // shouldRefuse reports whether a waiting request should be refused now, because it can no
 // longer be served within its objective and its adapter is not being loaded. While its
-// adapter is being loaded the request continues to wait, since a late response is worth more
-// to the caller than none.
+// adapter is being loaded the request continues to wait, since a late response is worth
+// more to the caller than none.
 func (f *Fleet) shouldRefuse(now time.Time, missing *missingAdapter, r *PendingRequest) bool {
 	if !now.Before(r.Deadline.Add(-refusalMargin)) {
 		return true
--- a/decide/waitlimit_test.go
+++ b/decide/waitlimit_test.go
@@ -36,9 +36,9 @@
 		Expect(x.assigned["again"].Member.ID).To(Equal(x.out.LoadRequests[0].Upstream))
 	})
 
-	It("is shorter for a long prompt, which takes time to read", func() {
+	It("is shorter for a long prompt, which takes time to prefill", func() {
 		r := x.newRequest("long", "a")
-		r.Prompt = 8000 // 200 ms to read
+		r.Prompt = 8000 // 200 ms of prefill
 		x.f.Admit(x.now, r, &x.out)
 		x.tick(90 * time.Millisecond)
 		Expect(x.assigned).To(BeEmpty())
@@ -105,7 +105,7 @@
 		}
 	})
 
-	It("ends with a longer retry delay the more adapters are wanted before", func() {
+	It("ends with a longer retry delay the more adapters are missing", func() {
 		for i := range 4 {
 			x.admit(fmt.Sprint("first", i), fmt.Sprint("a", i)) // fill the window
 		}
