--- a/decide/backoff_test.go
+++ b/decide/backoff_test.go
@@ -94,13 +94,13 @@
 		for _, m := range fleetMembers() {
 			f.BackOff(x.now, m.ID, 20*time.Second)
 		}
-		retryDelay := func() (back time.Duration) {
+		retryDelay := func() (retryAfter time.Duration) {
 			r := x.newRequest("plain", "")
 			r.Assign = func(a decide.Assignment) {
-				back = a.RetryAfter
+				retryAfter = a.RetryAfter
 			}
 			f.Admit(x.now, r, &x.out)
-			return back
+			return retryAfter
 		}
 		Expect(retryDelay()).To(Equal(20 * time.Second))
 		draw = 0.9
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -24,7 +24,7 @@
 }
 
 // BenchmarkPick routes a request and records its end, for cold adapters, which the router
-// has not placed recently, and for warm ones.
+// has not sent anywhere recently, and for warm ones.
 func BenchmarkPick(b *testing.B) {
 	refs := benchRefs()
 	for _, upstreams := range []int{18, 2100} {
--- a/decide/evacuation_test.go
+++ b/decide/evacuation_test.go
@@ -10,9 +10,9 @@
 
 const plainService = wardturn.ServiceName("app")
 
-// newEvacuationRig is newFleetFixture with a rate limit for cold engines and a plain
+// newEvacuationFixture is newFleetFixture with a rate limit for cold engines and a plain
 // service whose only upstream is in the failure domain near.
-func newEvacuationRig() (x *fleetFixture, members []wardturn.Member) {
+func newEvacuationFixture() (x *fleetFixture, members []wardturn.Member) {
 	limits := decide.NewLimits(start, "p")
 	x = newLimitedFixture(limits)
 	table := fleetTable(&wardturn.EngineSpec{
@@ -78,7 +78,7 @@
 // An evacuated failure domain gets no requests and no loads. The operator's evacuation list
 // used to be ignored.
 func TestEvacuatedDomainGetsNothing(t *testing.T) {
-	x, members := newEvacuationRig()
+	x, members := newEvacuationFixture()
 	x.holdEverywhere("a")
 	near := wardturn.Evacuations{
 		"near": true,
@@ -120,7 +120,7 @@
 
 // Requests that wait for an adapter are refused as soon as no engine is eligible for them.
 func TestEvacuationEndsHopelessWaits(t *testing.T) {
-	x, _ := newEvacuationRig()
+	x, _ := newEvacuationFixture()
 	x.holdEverywhere("a")
 	refused := false
 	x.f.Admit(x.now, &decide.PendingRequest{
@@ -146,7 +146,7 @@
 // Engines of a failure domain whose evacuation is withdrawn may have become cold since
 // their entries were written.
 func TestTakenBackCountsAsCold(t *testing.T) {
-	x, members := newEvacuationRig()
+	x, members := newEvacuationFixture()
 	x.holdEverywhere("a")
 	count := func() (near int) {
 		for range 8 {
@@ -184,7 +184,7 @@
 // The cold time in an entry counts from when the entry was first read. Reading it again, in
 // another list or from another gateway, does not extend it.
 func TestColdByEntry(t *testing.T) {
-	x, members := newEvacuationRig()
+	x, members := newEvacuationFixture()
 	x.holdEverywhere("a")
 	cold := func(seen wardturn.Position, left time.Duration) {
 		for i := range members {
@@ -229,7 +229,7 @@
 // Adapters in use in an evacuated failure domain are loaded elsewhere at once. Otherwise
 // the next requests for all of them would wait for loads that begin at the same time.
 func TestAdaptersInUseAreLoadedElsewhere(t *testing.T) {
-	x, _ := newEvacuationRig()
+	x, _ := newEvacuationFixture()
 	x.setAdapters("n0", readyAdapter("used", 1), readyAdapter("idle", 1), readyAdapter("spread", 1))
 	x.setAdapters("f0", readyAdapter("spread", 1))
 	for _, name := range []string{"used", "spread"} {
--- a/decide/fleet_loads_test.go
+++ b/decide/fleet_loads_test.go
@@ -32,7 +32,7 @@
 		}
 	})
 
-	It("chooses the same engine as other gateways to load a cold adapter", func() {
+	It("chooses the same engine as other gateways to load an adapter that no engine holds", func() {
 		other := decide.NewFleet(decide.FleetConfig{
 			Domain: "far",
 		})
--- a/decide/fleet_prefill_test.go
+++ b/decide/fleet_prefill_test.go
@@ -18,7 +18,7 @@
 	})
 
 	It("avoids an engine that prefills a long prompt of another gateway, for a limited time", func() {
-		reading := func(tokens int) {
+		reportPrefill := func(tokens int) {
 			x.f.ApplyEngineUpdate(x.now, "n0", decide.EngineUpdate{
 				Connected:     true,
 				Known:         true,
@@ -28,7 +28,7 @@
 		}
 		x.setAdapters("n0", readyAdapter("a", 1))
 		x.setAdapters("n1", readyAdapter("a", 1))
-		reading(9000)
+		reportPrefill(9000)
 		x.admit("there", "a")
 		Expect(x.assigned["there"].Member.ID).To(BeEquivalentTo("n1"))
 		x.f.RequestEnded(x.now, "n1", adapterKey("a"), decide.OutcomeOK)
--- a/decide/loadwindow_test.go
+++ b/decide/loadwindow_test.go
@@ -176,7 +176,7 @@
 		const engines = 24
 		for _, gateways := range []int{1, 4, 26} {
 			draws := 0
-			x := newStoreRig(gateways, engines, func() float64 {
+			x := newStoreSim(gateways, engines, func() float64 {
 				draws++
 				return float64(draws*37%100) / 100
 			})
@@ -188,9 +188,9 @@
 	})
 })
 
-// storeRig simulates gateways that constantly request adapters which no engine holds, and
+// storeSim simulates gateways that constantly request adapters which no engine holds, and
 // engines that load them at the speed of one store.
-type storeRig struct {
+type storeSim struct {
 	fleets  []*decide.Fleet
 	members []wardturn.Member
 	now     time.Time
@@ -200,8 +200,8 @@
 	loads     int
 }
 
-func newStoreRig(gateways, engines int, draw func() float64) *storeRig {
-	x := &storeRig{
+func newStoreSim(gateways, engines int, draw func() float64) *storeSim {
+	x := &storeSim{
 		now:     start,
 		loading: make(map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time),
 	}
@@ -236,7 +236,7 @@
 	return x
 }
 
-func (x *storeRig) report(id wardturn.UpstreamID, u decide.EngineUpdate) {
+func (x *storeSim) report(id wardturn.UpstreamID, u decide.EngineUpdate) {
 	u.Connected = true
 	u.Known = true
 	u.Models = []wardturn.BaseModel{"m"}
@@ -249,7 +249,7 @@
 }
 
 // recordRequests records the requested loads, which start at the next step.
-func (x *storeRig) recordRequests(out decide.Actions) {
+func (x *storeSim) recordRequests(out decide.Actions) {
 	for _, r := range out.LoadRequests {
 		if _, ok := x.loading[r.Upstream][r.Adapter.Key()]; !ok {
 			x.loading[r.Upstream][r.Adapter.Key()] = time.Time{}
@@ -258,7 +258,7 @@
 }
 
 // run advances the time by d in steps and returns the largest number of loads in flight.
-func (x *storeRig) run(s store, d time.Duration) (most int) {
+func (x *storeSim) run(s store, d time.Duration) (most int) {
 	const step = 10 * time.Millisecond
 	for end := x.now.Add(d); x.now.Before(end); {
 		x.now = x.now.Add(step)
@@ -290,7 +290,7 @@
 
 // advance starts an engine's requested loads, completes those that have run for the store's
 // current load duration, and reports both to the gateways.
-func (x *storeRig) advance(id wardturn.UpstreamID, takes time.Duration) {
+func (x *storeSim) advance(id wardturn.UpstreamID, loadTime time.Duration) {
 	var u decide.EngineUpdate
 	for key, began := range x.loading[id] {
 		v := decide.HeldVersion{
@@ -300,7 +300,7 @@
 		case began.IsZero():
 			x.loading[id][key] = x.now
 			v.Loading = true
-		case x.now.Sub(began) >= takes:
+		case x.now.Sub(began) >= loadTime:
 			delete(x.loading[id], key)
 			v.Ready = true
 			x.loads++
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -36,16 +36,16 @@
 // the next report or rejected as outdated once the engine has accepted another order, so
 // no state is kept for orders in flight.
 type Placement struct {
-	policy    wardturn.Policy
-	start     time.Time
-	spec      wardturn.EngineSpec
-	state     wardturn.EngineState
-	known     bool
-	pending   map[wardturn.ModelAdapter]*pendingLoad
-	uses      map[wardturn.ModelAdapter]*adapterUse
-	leaving   map[wardturn.ModelAdapter]time.Time
-	readyAt   map[wardturn.ModelAdapter]time.Time
-	notBefore time.Time // earliest time of the next order
+	policy              wardturn.Policy
+	start               time.Time
+	spec                wardturn.EngineSpec
+	state               wardturn.EngineState
+	known               bool
+	pending             map[wardturn.ModelAdapter]*pendingLoad
+	uses                map[wardturn.ModelAdapter]*adapterUse
+	evictionAnnouncedAt map[wardturn.ModelAdapter]time.Time
+	readyAt             map[wardturn.ModelAdapter]time.Time
+	notBefore           time.Time // earliest time of the next order
 	// orphaned holds the adapters that requests of disconnected gateways may still use, and
 	// until when that is assumed.
 	orphaned   map[wardturn.ModelAdapter]time.Time
@@ -87,13 +87,13 @@
 // NewPlacement returns the placement for an engine that has not reported yet.
 func NewPlacement(now time.Time, p wardturn.Policy) *Placement {
 	return &Placement{
-		policy:   p,
-		start:    now,
-		pending:  make(map[wardturn.ModelAdapter]*pendingLoad),
-		uses:     make(map[wardturn.ModelAdapter]*adapterUse),
-		leaving:  make(map[wardturn.ModelAdapter]time.Time),
-		readyAt:  make(map[wardturn.ModelAdapter]time.Time),
-		orphaned: make(map[wardturn.ModelAdapter]time.Time),
+		policy:              p,
+		start:               now,
+		pending:             make(map[wardturn.ModelAdapter]*pendingLoad),
+		uses:                make(map[wardturn.ModelAdapter]*adapterUse),
+		evictionAnnouncedAt: make(map[wardturn.ModelAdapter]time.Time),
+		readyAt:             make(map[wardturn.ModelAdapter]time.Time),
+		orphaned:            make(map[wardturn.ModelAdapter]time.Time),
 	}
 }
 
@@ -112,7 +112,7 @@
 		p.pending[a.Key()] = l
 	}
 	if p.holds(a.Key(), a.Version) {
-		delete(p.leaving, a.Key()) // cancels a pending eviction
+		delete(p.evictionAnnouncedAt, a.Key()) // cancels a pending eviction
 		u := p.useOf(a.Key())
 		u.last = now
 	}
@@ -195,7 +195,7 @@
 
 // Leaving reports whether an adapter is about to be unloaded or replaced.
 func (p *Placement) Leaving(key wardturn.ModelAdapter) bool {
-	_, ok := p.leaving[key]
+	_, ok := p.evictionAnnouncedAt[key]
 	return ok
 }
 
@@ -209,7 +209,7 @@
 
 // MayHaveOrder reports whether Next may have an order.
 func (p *Placement) MayHaveOrder() bool {
-	return len(p.pending) > 0 || len(p.state.Loading) > 0 || len(p.leaving) > 0 || len(p.state.Models) == 0
+	return len(p.pending) > 0 || len(p.state.Loading) > 0 || len(p.evictionAnnouncedAt) > 0 || len(p.state.Models) == 0
 }
 
 // Next returns the order to give now, or false if there is none. A busy engine rejects
@@ -242,9 +242,9 @@
 			delete(p.pending, key)
 		}
 	}
-	for key, at := range p.leaving {
+	for key, at := range p.evictionAnnouncedAt {
 		if now.Sub(at) > loadRequestLifetime {
-			delete(p.leaving, key)
+			delete(p.evictionAnnouncedAt, key)
 		}
 	}
 	for key, until := range p.orphaned {
@@ -394,9 +394,9 @@
 // announceEviction marks an adapter as leaving and reports whether the eviction notice
 // has passed since it was first marked.
 func (p *Placement) announceEviction(now time.Time, key wardturn.ModelAdapter) bool {
-	at, ok := p.leaving[key]
+	at, ok := p.evictionAnnouncedAt[key]
 	if !ok {
-		p.leaving[key] = now
+		p.evictionAnnouncedAt[key] = now
 		return false
 	}
 	return now.Sub(at) >= evictionNotice
--- a/decide/placement_report.go
+++ b/decide/placement_report.go
@@ -24,7 +24,7 @@
 	for key := range p.readyAt {
 		if !held[key] {
 			delete(p.readyAt, key)
-			delete(p.leaving, key)
+			delete(p.evictionAnnouncedAt, key)
 		}
 	}
 }
@@ -32,7 +32,7 @@
 // EngineRestarted resets the state after a restart of the engine: it holds no adapters and
 // runs no requests.
 func (p *Placement) EngineRestarted() {
-	clear(p.leaving)
+	clear(p.evictionAnnouncedAt)
 	clear(p.readyAt)
 	clear(p.orphaned)
 	for _, u := range p.uses {
--- a/decide/readscheduler_test.go
+++ b/decide/readscheduler_test.go
@@ -142,15 +142,15 @@
 
 	It("does not have all processes read at once when the leader is gone", func() {
 		const n = 200
-		var turns []*decide.ReadScheduler
+		var schedulers []*decide.ReadScheduler
 		var ids []wardturn.Incarnation
 		for i := range n {
 			ids = append(ids, wardturn.Incarnation(fmt.Sprintf("%03d", i)))
-			turns = append(turns, newScheduler(ids[i]))
+			schedulers = append(schedulers, newScheduler(ids[i]))
 		}
 		read := func(i int) {
-			stamp := turns[i].ReadSucceeded(now)
-			for j, s := range turns {
+			stamp := schedulers[i].ReadSucceeded(now)
+			for j, s := range schedulers {
 				if j != i {
 					s.PeerRead(now, ids[i], stamp)
 				}
@@ -160,8 +160,8 @@
 		step := func() { // a report takes one step
 			now = now.Add(time.Millisecond)
 			var all []int
-			for i := range turns {
-				if due(turns[i]) <= 0 {
+			for i := range schedulers {
+				if due(schedulers[i]) <= 0 {
 					all = append(all, i)
 				}
 			}
@@ -176,7 +176,7 @@
 		}
 		Expect(reads).To(BeNumerically("<=", 8))
 		for range 5 {
-			turns, ids = turns[1:], ids[1:]
+			schedulers, ids = schedulers[1:], ids[1:]
 			reads = 0
 			for range 5000 {
 				step()
--- a/decide/regions_test.go
+++ b/decide/regions_test.go
@@ -7,8 +7,8 @@
 	"wardturn/decide"
 )
 
-// newRegionRig is newEvacuationRig with a region for each failure domain.
-func newRegionRig() *fleetFixture {
+// newRegionFixture is newFleetFixture with a region for each failure domain.
+func newRegionFixture() *fleetFixture {
 	x := newFleetFixture()
 	x.f = decide.NewFleet(decide.FleetConfig{
 		Domain: "near",
@@ -38,7 +38,7 @@
 // A request that may be served in one region only used to be sent to the upstream of the
 // least cost in any region.
 func TestRegionsOfRequests(t *testing.T) {
-	x := newRegionRig()
+	x := newRegionFixture()
 	x.holdEverywhere("a")
 	for range 4 {
 		a, ok := x.admitFor(fleetService, adapterKey("a"), wardturn.Regions{"south"})
@@ -55,7 +55,7 @@
 
 // An adapter that two requests need in different regions is loaded in both.
 func TestRegionsOfLoads(t *testing.T) {
-	x := newRegionRig()
+	x := newRegionFixture()
 	x.holdEverywhere("a")
 	x.out.LoadRequests = nil
 	x.admitFor(fleetService, adapterKey("b"), wardturn.Regions{"south"})
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -72,11 +72,11 @@
 	default:
 		m.breaker.Succeed()
 	}
-	bad := 0.0
+	failed := 0.0
 	if outcome != OutcomeOK {
-		bad = 1
+		failed = 1
 	}
-	m.failureShare += failureWeight * (bad - m.failureShare)
+	m.failureShare += failureWeight * (failed - m.failureShare)
 }
 
 // bodyFits reports whether the body of a request fits within this gateway's share of
