--- a/decide/crashtracker.go
+++ b/decide/crashtracker.go
@@ -23,7 +23,7 @@
 	cfg            CrashConfig
 	contents       map[wardturn.ContentID]*suspectContent
 	answered       map[wardturn.ContentID]time.Time  // when each was last answered successfully
-	brokenRequests map[wardturn.Crash]time.Time      // incomplete requests; their upstream may have ended
+	brokenRequests map[wardturn.Crash]time.Time      // requests that broke off, and when
 	ended          map[wardturn.UpstreamID]time.Time // when each upstream ended without notice
 	pendingDeletes map[wardturn.Crash]bool           // records to be deleted from the store
 }
--- a/decide/crashtracker_test.go
+++ b/decide/crashtracker_test.go
@@ -187,11 +187,11 @@
 		due, _ := c.PendingWrites(now, false)
 		c.Written(due, nil)
 		c.Answered(now, bad)
-		_, back := c.PendingWrites(now, false)
-		Expect(back).To(Equal(due))
-		c.Written(nil, back)
-		_, back = c.PendingWrites(now, false)
-		Expect(back).To(BeEmpty())
+		_, deletes := c.PendingWrites(now, false)
+		Expect(deletes).To(Equal(due))
+		c.Written(nil, deletes)
+		_, deletes = c.PendingWrites(now, false)
+		Expect(deletes).To(BeEmpty())
 	})
 
 	It("delete a record that was written while its content was answered", func() {
@@ -200,8 +200,8 @@
 		due, _ := c.PendingWrites(now, false)
 		c.Answered(now, bad)
 		c.Written(due, nil)
-		_, back := c.PendingWrites(now, false)
-		Expect(back).To(Equal(due))
+		_, deletes := c.PendingWrites(now, false)
+		Expect(deletes).To(Equal(due))
 	})
 
 	It("count the records of earlier gateways in the store until they expire", func() {
@@ -228,8 +228,8 @@
 		c.AddReported(now, []wardturn.Crash{crash(other, "u9")})
 		now = now.Add(24 * time.Hour)
 		c.Sweep(now)
-		_, back := c.PendingWrites(now, false)
-		Expect(back).To(Equal(due))
+		_, deletes := c.PendingWrites(now, false)
+		Expect(deletes).To(Equal(due))
 		endUpstream("u4", bad)
 		Expect(refuses(bad)).To(BeFalse())
 	})
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -34,9 +34,9 @@
 	// refilledBy holds when services whose engines were all empty are expected to hold
 	// adapters again.
 	refilledBy       map[wardturn.ServiceName]time.Time
-	reportsDue       []*Member                     // members with prefill counts to be sent to keepers
+	reportsDue       []*Member                     // members whose prefill counts are to be sent
 	loadsInFlight    int                           // loads from the weight store, of all gateways
-	lastDrawAt       time.Time                     // latest random draw for a share below one load
+	lastDrawAt       time.Time                     // latest random draw for a load
 	crossDomainBytes map[wardturn.ModelAdapter]int // bytes sent to other failure domains
 	limits           *Limits
 	prefillRates     map[wardturn.ServiceName]*prefillRate // prefill rates of engines
--- a/decide/loadwindow_test.go
+++ b/decide/loadwindow_test.go
@@ -60,22 +60,22 @@
 	})
 
 	It("settles near the store's capacity at full speed, small or large", func() {
-		for _, atOnce := range []int{8, 16, 88, 300} {
+		for _, parallel := range []int{8, 16, 88, 300} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
-			use(&w, store{parallel: atOnce}, start, 60)
-			Expect(w.Size()).To(BeNumerically(">=", atOnce*8/10), fmt.Sprint(atOnce))
-			Expect(w.Size()).To(BeNumerically("<=", atOnce*16/10), fmt.Sprint(atOnce))
+			use(&w, store{parallel: parallel}, start, 60)
+			Expect(w.Size()).To(BeNumerically(">=", parallel*8/10), fmt.Sprint(parallel))
+			Expect(w.Size()).To(BeNumerically("<=", parallel*16/10), fmt.Sprint(parallel))
 		}
 	})
 
 	It("starts at a size for the number of engines and shrinks to the store's capacity", func() {
-		for _, tc := range []struct{ engines, atOnce int }{{74, 72}, {48, 16}, {12, 8}, {50, 88}} {
+		for _, tc := range []struct{ engines, parallel int }{{74, 72}, {48, 16}, {12, 8}, {50, 88}} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
 			w.SetEngineCount(tc.engines)
-			now := use(&w, store{parallel: tc.atOnce}, start, 2)
-			Expect(w.Size()).To(BeNumerically(">=", min(tc.engines, tc.atOnce)*9/10), fmt.Sprint(tc))
-			use(&w, store{parallel: tc.atOnce}, now, 20)
-			Expect(w.Size()).To(BeNumerically("<=", tc.atOnce*16/10), fmt.Sprint(tc))
+			now := use(&w, store{parallel: tc.parallel}, start, 2)
+			Expect(w.Size()).To(BeNumerically(">=", min(tc.engines, tc.parallel)*9/10), fmt.Sprint(tc))
+			use(&w, store{parallel: tc.parallel}, now, 20)
+			Expect(w.Size()).To(BeNumerically("<=", tc.parallel*16/10), fmt.Sprint(tc))
 		}
 	})
 
--- a/decide/missing.go
+++ b/decide/missing.go
@@ -29,7 +29,7 @@
 	firstRequestedAt time.Time           // of the first load request; zero if there is none
 	requestedAt      time.Time           // of the latest load request or attempt to send one
 	cause            LoadCause           // of the load request
-	warm             bool                // the home held it before and needs no load from the store
+	warm             bool                // the home held it before: no load from the store
 }
 
 // missingAdapters are the missing adapters, by adapter and by the regions in which their
--- a/decide/pauses_test.go
+++ b/decide/pauses_test.go
@@ -16,7 +16,7 @@
 	gateways []*decide.Fleet
 	engines  map[wardturn.UpstreamID]*prefillingEngine
 	pause    time.Duration // longest pause allowed by the requests' route
-	stalled  int           // requests to an engine with streams that prefills longer than hotPause
+	stalled  int           // requests whose prefill pauses other streams beyond hotPause
 	sent     int
 }
 
--- a/decide/teamreports.go
+++ b/decide/teamreports.go
@@ -68,11 +68,12 @@
 	// firstAge is the Age of its first report received here.
 	firstAge     time.Duration
 	used         map[wardturn.TeamID]int64
-	unusedRefill map[wardturn.TeamID]float64       // teamCap.unusedRefill at the latest report
-	minLag       time.Duration                     // minimum difference between arrival time and Age
-	age          time.Duration                     // Age of its latest report
-	gapEnd       time.Duration                     // Age of the first report after a gap; zero: no gap
-	reportedAge  map[wardturn.TeamID]time.Duration // Age of the latest report on a team
+	unusedRefill map[wardturn.TeamID]float64 // teamCap.unusedRefill at the latest report
+	// minLag is the minimum difference between the arrival time and the Age of its reports.
+	minLag      time.Duration
+	age         time.Duration                     // Age of its latest report
+	gapEnd      time.Duration                     // Age of its first report after a gap, or zero
+	reportedAge map[wardturn.TeamID]time.Duration // Age of its latest report on a team
 }
 
 // Report returns the report to send to the other gateways, if one is due.
