--- a/decide/crashtracker.go
+++ b/decide/crashtracker.go
@@ -20,10 +20,11 @@
 // apart: content that was answered successfully does not crash upstreams, so its crashes
 // are cleared, and for a while it does not become suspect again.
 type CrashTracker struct {
-	cfg            CrashConfig
-	contents       map[wardturn.ContentID]*suspectContent
-	answered       map[wardturn.ContentID]time.Time  // when each was last answered successfully
-	brokenRequests map[wardturn.Crash]time.Time      // requests that broke off, and when
+	cfg      CrashConfig
+	contents map[wardturn.ContentID]*suspectContent
+	answered map[wardturn.ContentID]time.Time // when each was last answered successfully
+	// brokenRequests holds when requests broke off whose upstream may have ended.
+	brokenRequests map[wardturn.Crash]time.Time
 	ended          map[wardturn.UpstreamID]time.Time // when each upstream ended without notice
 	pendingDeletes map[wardturn.Crash]bool           // records to be deleted from the store
 }
