--- a/decide/copies.go
+++ b/decide/copies.go
@@ -6,12 +6,13 @@
 
 const (
 	// copyMinLoad is the least number of requests at an engine for which its load can be a
-	// reason for a copy of an adapter elsewhere. Engines run at full speed up to it.
+	// reason for a copy of an adapter on another one. Engines run at full speed up to it.
 	copyMinLoad = 8
-	// copyLoadFactor is the least ratio of that number to the mean over all engines.
+	// copyLoadFactor is the least ratio of that number to its mean over all engines for
+	// which an engine counts as overloaded.
 	copyLoadFactor = 1.4
-	// copyMinOwnRequests is how many of these requests must be this gateway's for the
-	// adapter.
+	// copyMinOwnRequests is how many of the engine's requests must be requests of this
+	// gateway for the adapter.
 	copyMinOwnRequests = 2
 	// copyMinRequests is the least estimated number of requests for an adapter, over all
 	// gateways, for which paused streams can be a reason for a copy.
@@ -26,11 +27,11 @@
 // of the request's prompt, or if m is in another failure domain and the traffic sent
 // there exceeds FleetConfig.MaxCrossDomainBytes, the equivalent of a load.
 func (f *Fleet) considerCopy(now time.Time, r *PendingRequest, m *Member, out *Actions) {
-	near := m.Domain == f.cfg.Domain
-	if !near {
+	local := m.Domain == f.cfg.Domain
+	if !local {
 		f.crossDomainBytes[r.Key] += r.Bytes
 	}
-	costly := !near && f.crossDomainBytes[r.Key] >= f.cfg.MaxCrossDomainBytes
+	costly := !local && f.crossDomainBytes[r.Key] >= f.cfg.MaxCrossDomainBytes
 	busy := f.overloaded(r, m) || f.pausesStreams(now, r, m)
 	if !costly && !busy {
 		return
@@ -81,13 +82,13 @@
 // nil. It is the first one in home order that costs sufficiently less, or with near set
 // the first in the gateway's own failure domain. Gateways that need a copy at the same
 // time thus choose the same engine.
-func (f *Fleet) copyHome(now time.Time, r *PendingRequest, m *Member, near bool) *Member {
+func (f *Fleet) copyHome(now time.Time, r *PendingRequest, m *Member, localOnly bool) *Member {
 	maxCost := f.costForRequest(now, r, m) - copyMinSaving
-	for o := range f.homes(now, r.Service, r.Key, near) {
+	for o := range f.homes(now, r.Service, r.Key, localOnly) {
 		if _, holds := o.held[r.Key]; holds || o.loading() >= MaxConcurrentLoads {
 			continue
 		}
-		if near || f.costForRequest(now, r, o) <= maxCost {
+		if localOnly || f.costForRequest(now, r, o) <= maxCost {
 			return o
 		}
 	}
--- a/decide/crashtracker.go
+++ b/decide/crashtracker.go
@@ -9,21 +9,22 @@
 	"wardturn"
 )
 
-// CrashTracker decides which requests are refused because they crash upstreams. A request is
-// identified by its content, across all of its attempts. Once a number of upstreams have
-// ended while they served the same content, the content is refused until it has caused no
-// crash for a long time. Gateways report crashes to each other, and each does its own
-// counting.
+// CrashTracker decides which requests are refused because they crash upstreams. A request
+// is identified by its content, across all of its attempts. Once a number of upstreams
+// have ended while they served the same content, the content is refused until it has
+// caused no crash for a long time. Gateways report crashes to each other, and each does
+// its own counting.
 //
 // Upstreams also end for other reasons, and every request they were serving becomes
 // suspect along with the one that caused the crash. A successful response tells them
 // apart: content that was answered successfully does not crash upstreams, so its crashes
 // are cleared, and for a while it does not become suspect again.
 type CrashTracker struct {
-	cfg            CrashConfig
-	contents       map[wardturn.ContentID]*suspectContent
-	answered       map[wardturn.ContentID]time.Time  // when each was last answered successfully
-	brokenRequests map[wardturn.Crash]time.Time      // requests that broke off, whose upstream may have ended
+	cfg      CrashConfig
+	contents map[wardturn.ContentID]*suspectContent
+	answered map[wardturn.ContentID]time.Time // when each was last answered successfully
+	// brokenRequests holds when requests broke off whose upstream may have ended.
+	brokenRequests map[wardturn.Crash]time.Time
 	ended          map[wardturn.UpstreamID]time.Time // when each upstream ended without notice
 	pendingDeletes map[wardturn.Crash]bool           // records to be deleted from the store
 }
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// UpstreamEnded records that an upstream has ended without notice. It returns the new crashes
-// that follow from this.
+// UpstreamEnded records that an upstream has ended without notice. It returns the new
+// crashes that follow from this.
 func (c *CrashTracker) UpstreamEnded(now time.Time, id wardturn.UpstreamID) []wardturn.Crash {
 	c.ended[id] = now
 	var list []wardturn.Crash
@@ -175,7 +176,7 @@
 }
 
 // StoreRestored records that the store may have lost records because it was restored from
-// an older copy. Call Recorded with the remaining records afterwards. The gateways that
+// an older copy. Call AddRecorded with the remaining records afterwards. The gateways that
 // observed a crash write its record again; other gateways do so only if that fails to
 // happen.
 func (c *CrashTracker) StoreRestored(now time.Time) {
--- a/decide/crashtracker_model_test.go
+++ b/decide/crashtracker_model_test.go
@@ -19,19 +19,19 @@
 // callers; and of fatal requests, each sent several times a second through any gateway.
 // Once, all engines end at the same time.
 type crashSimulation struct {
-	variant      crashVariant
-	rand         *rand.Rand
-	now          time.Time
-	events       simEvents
-	gateways     []*decide.CrashTracker
-	up           []bool
-	incarnations []int
-	running      []map[*simRequest]bool // by engine
-	stored       []wardturn.RecordedCrash
-	storedRead   []int // number of stored records read, by gateway
-	fatal        map[wardturn.ContentID]*fatalResult
-	result       crashResult
-	starts       int
+	variant    crashVariant
+	rand       *rand.Rand
+	now        time.Time
+	events     simEvents
+	gateways   []*decide.CrashTracker
+	up         []bool
+	restarts   []int
+	running    []map[*simRequest]bool // by engine
+	stored     []wardturn.RecordedCrash
+	storedRead []int // number of stored records read, by gateway
+	fatal      map[wardturn.ContentID]*fatalResult
+	result     crashResult
+	starts     int
 }
 
 // start starts a request at an engine.
@@ -54,8 +54,10 @@
 }
 
 type crashResult struct {
-	ended    int // engines ended by fatal requests
-	late     int // largest number of times a fatal request was sent more than 3 s after it ended its third engine
+	ended int // engines ended by fatal requests
+	// late is the largest number of times that a fatal request was sent more than 3 s after
+	// it had ended its third engine.
+	late     int
 	cut      int // other requests that were cut off
 	refused  int // other requests refused as crashing
 	answered int
@@ -98,7 +100,7 @@
 	simDuration       = 60 * time.Second
 	simRestartTime    = 3300 * time.Millisecond // time until an engine that ended is back
 	simFatalTime      = 60 * time.Millisecond   // run time of a fatal request
-	simDetectionDelay = 25 * time.Millisecond   // time until a gateway knows that an engine has ended
+	simDetectionDelay = 25 * time.Millisecond   // until a gateway knows that an engine has ended
 	simMessageDelay   = 10 * time.Millisecond
 	simReadInterval   = 1200 * time.Millisecond // interval between reads of the store
 	simUniqueRate     = 200                     // unique requests per second
@@ -122,12 +124,12 @@
 
 func runCrashSimulation(variant crashVariant, seed uint64) crashResult {
 	s := &crashSimulation{
-		variant:      variant,
-		rand:         rand.New(rand.NewPCG(seed, 1)),
-		now:          time.Unix(1_000_000, 0),
-		storedRead:   make([]int, simGateways),
-		fatal:        make(map[wardturn.ContentID]*fatalResult),
-		incarnations: make([]int, simEngines),
+		variant:    variant,
+		rand:       rand.New(rand.NewPCG(seed, 1)),
+		now:        time.Unix(1_000_000, 0),
+		storedRead: make([]int, simGateways),
+		fatal:      make(map[wardturn.ContentID]*fatalResult),
+		restarts:   make([]int, simEngines),
 	}
 	for range simGateways {
 		s.gateways = append(s.gateways, decide.NewCrashTracker(decide.CrashConfig{
@@ -302,7 +304,7 @@
 		return
 	}
 	s.up[e] = false
-	id := wardturn.UpstreamID(fmt.Sprintf("e%d-%d", e, s.incarnations[e]))
+	id := wardturn.UpstreamID(fmt.Sprintf("e%d-%d", e, s.restarts[e]))
 	affected := make(map[int]bool)
 	// In order of their start: the order of a map would make the result depend on more
 	// than the seed.
@@ -332,7 +334,7 @@
 		}
 	}
 	s.after(simRestartTime, func() {
-		s.incarnations[e]++
+		s.restarts[e]++
 		s.up[e] = true
 	})
 }
@@ -362,7 +364,8 @@
 	s.gateways[gateway].Written(due, deletes)
 }
 
-// Compares variants of crash handling over ten seeds of a minute each.
+// With crash handling, few engines end, fatal requests are refused in time and others are
+// not refused. The test compares variants over ten seeds of a minute each.
 func TestCrashesOfManyGateways(t *testing.T) {
 	const never = 1 << 20
 	sum := func(variant crashVariant) crashResult {
@@ -391,7 +394,7 @@
 		limit: 3,
 	})
 	noClear := sum(crashVariant{
-		name:    "answers do not clear",
+		name:    "responses do not clear",
 		limit:   3,
 		noClear: true,
 	})
--- a/decide/evacuation.go
+++ b/decide/evacuation.go
@@ -7,13 +7,14 @@
 	"wardturn"
 )
 
-// presumedCold is how long an upstream that may have become cold unnoticed is presumed cold,
-// whatever its entry says. By then it has written a new entry and the list has been read.
+// presumedCold is how long an upstream that may have become cold unnoticed is presumed
+// cold, whatever its entry says. By then it has written a new entry and the list has been
+// read.
 const presumedCold = 3500 * time.Millisecond
 
-// preloadWantedFor is how long an adapter that was in use in an evacuated failure domain
-// is wanted elsewhere although no request waits for it.
-const preloadWantedFor = 3 * time.Second
+// preloadLifetime is how long an adapter that was in use in an evacuated failure domain
+// counts as missing elsewhere although no request waits for it.
+const preloadLifetime = 3 * time.Second
 
 // SetEvacuated sets the failure domains whose upstreams get no requests. The upstreams of a
 // domain whose evacuation is withdrawn are presumed cold for presumedCold.
@@ -50,7 +51,7 @@
 		}
 		missing := f.missingFor(now, key, m.Service, region)
 		missing.expectedRetries += u.Running
-		missing.retriesUntil = now.Add(preloadWantedFor)
+		missing.retriesUntil = now.Add(preloadLifetime)
 	}
 }
 
@@ -68,8 +69,8 @@
 	})
 }
 
-// ObserveCold records an upstream's statement, in a response, that it stays cold for the given
-// time.
+// ObserveCold records an upstream's statement, in a response, that it stays cold for the
+// given time.
 func (f *Fleet) ObserveCold(now time.Time, id wardturn.UpstreamID, left time.Duration) {
 	m := f.members[id]
 	if m == nil || left <= 0 {
@@ -107,9 +108,9 @@
 	}
 }
 
-// noneEligible reports whether no upstream of a request's service is eligible for it, whatever
-// their load, and why. Such a request is refused at once, since waiting in the gateway
-// would gain it nothing.
+// noneEligible reports whether no upstream of a request's service is eligible for it,
+// whatever their load, and why. Such a request is refused at once, since waiting in the
+// gateway would gain it nothing.
 func (f *Fleet) noneEligible(r *PendingRequest) (wardturn.Reason, bool) {
 	if r.Regions == nil && len(f.evacuated) == 0 {
 		return "", false
--- a/decide/fleet_bench_test.go
+++ b/decide/fleet_bench_test.go
@@ -11,10 +11,10 @@
 )
 
 // BenchmarkNowhere serves a request for an adapter that no engine holds: an engine is
-// chosen as its home, asked for the adapter, and holds it for a moment. On a machine with
-// five busy processes, sorting all engines for each choice and visiting all missing
-// adapters for each engine took 17 us at 18 engines, 49 us at 74, 158 us at 262, 674 us at
-// 1,000 and 1.6 ms at 2,100. The present code takes 14, 11, 14, 22 and 32 us.
+// chosen as its home, asked to load the adapter, and holds it for a moment. On a machine
+// with five busy processes, sorting all engines for each choice and visiting all missing
+// adapters for each engine took 17 us at 18 engines, 49 us at 74, 158 us at 262, 674 us
+// at 1,000 and 1.6 ms at 2,100. The present code takes 14, 11, 14, 22 and 32 us.
 func BenchmarkNowhere(b *testing.B) {
 	for _, engines := range []int{18, 74, 262, 1000, 2100} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -61,14 +61,14 @@
 	}
 	x.f.SetMembers(x.now, list)
 	for _, m := range list {
-		x.setHolding(m.ID, decide.EngineUpdate{
+		x.applyUpdate(m.ID, decide.EngineUpdate{
 			Full: true,
 		})
 	}
 	return x
 }
 
-func (x *emptyFleet) setHolding(id wardturn.UpstreamID, u decide.EngineUpdate) {
+func (x *emptyFleet) applyUpdate(id wardturn.UpstreamID, u decide.EngineUpdate) {
 	u.Connected = true
 	u.Known = true
 	u.Models = []wardturn.BaseModel{"m"}
@@ -96,17 +96,17 @@
 		},
 	}, &out)
 	if len(out.LoadRequests) != 1 {
-		panic("nobody was asked")
+		panic("no load was requested")
 	}
 	id := out.LoadRequests[0].Upstream
-	x.setHolding(id, decide.EngineUpdate{
+	x.applyUpdate(id, decide.EngineUpdate{
 		Adapters: []decide.HeldVersion{readyAdapter(name, 1)},
 	})
 	if !served {
 		panic("not served")
 	}
 	x.f.RequestEnded(x.now, id, adapterKey(name), decide.OutcomeOK)
-	x.setHolding(id, decide.EngineUpdate{
+	x.applyUpdate(id, decide.EngineUpdate{
 		Unloaded: []wardturn.ModelAdapter{adapterKey(name)},
 	})
 }
@@ -118,7 +118,7 @@
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			x := newEmptyFleet(engines)
 			for i := range engines {
-				x.setHolding(wardturn.UpstreamID(fmt.Sprint("e", i)), decide.EngineUpdate{
+				x.applyUpdate(wardturn.UpstreamID(fmt.Sprint("e", i)), decide.EngineUpdate{
 					Adapters: []decide.HeldVersion{readyAdapter(fmt.Sprint("a", i), 1)},
 				})
 			}
--- a/decide/ledger.go
+++ b/decide/ledger.go
@@ -34,7 +34,7 @@
 	limit          int
 	attemptTTL     time.Duration
 	attempts       map[wardturn.AttemptID]*ledgerEntry
-	ended          *list.List // of *entry, in the order in which they ended
+	ended          *list.List // of *ledgerEntry, in the order in which they ended
 	highWaterMarks map[wardturn.Incarnation]*highWaterMark
 }
 
@@ -60,10 +60,10 @@
 
 // NewLedger returns a ledger that keeps up to limit ended attempts, each for the given
 // time.
-func NewLedger(limit int, remember time.Duration) *Ledger {
+func NewLedger(limit int, attemptTTL time.Duration) *Ledger {
 	return &Ledger{
 		limit:          limit,
-		attemptTTL:     remember,
+		attemptTTL:     attemptTTL,
 		attempts:       make(map[wardturn.AttemptID]*ledgerEntry),
 		ended:          list.New(),
 		highWaterMarks: make(map[wardturn.Incarnation]*highWaterMark),
--- a/decide/loadwindow.go
+++ b/decide/loadwindow.go
@@ -31,28 +31,40 @@
 }
 
 const (
-	windowShrink   = 0.85            // factor applied after slow loads
-	windowMinUse   = 0.7             // fraction of the window that must be in use for it to grow
-	windowSamples  = 15              // loads in the median: single slow loads are due to their engine, not the store
-	slowLoadRatio  = 1.3             // ratio of the median to the baseline above which loads count as slow
-	baselineMemory = 5 * time.Minute // time constant with which the baseline follows longer load times
-	windowProbe    = 0.5             // growth per load before the first slow one: by half in each load time
+	// windowShrink is the factor applied to the window after slow loads.
+	windowShrink = 0.85
+	// windowMinUse is the fraction of the window that must be in use for it to grow.
+	windowMinUse = 0.7
+	// windowSamples is the number of loads in the median. Single slow loads are due to
+	// their engine, not the store.
+	windowSamples = 15
+	// slowLoadRatio is the ratio of the median to the baseline above which loads count as
+	// slow.
+	slowLoadRatio = 1.3
+	// baselineMemory is the time constant with which the baseline follows longer load
+	// times.
+	baselineMemory = 5 * time.Minute
+	// windowProbe is the growth per load before the first slow one: by half in each load
+	// time.
+	windowProbe = 0.5
 	// windowStartRatio is the initial window as a fraction of the number of engines. Stores
 	// are sized for their engines: the known ones serve 0.33 to 2 concurrent loads per
 	// engine at full speed. From a small window it takes over a second to grow to what a
 	// store for many engines serves, and the requests of that time are late.
 	windowStartRatio = 0.5
-	// initialBaseline is the baseline at the start, the duration of a load from a store that
-	// is not overloaded: 250 ms by the platform's description, and 20 ms for the order and the
-	// report. It holds until shorter loads are observed. Without it, a window that starts
-	// above the store's capacity would take the slow loads for normal.
+	// initialBaseline is the baseline at the start, the duration of a load from a store
+	// that is not overloaded: 250 ms by the platform's description, and 20 ms for the
+	// order and the report. It holds until shorter loads are observed. Without it, a
+	// window that starts above the store's capacity would take the slow loads for normal.
 	initialBaseline = 270 * time.Millisecond
 	// If loads still take at least ineffectiveTime of their earlier duration when the
 	// window has shrunk to ineffectiveSize of its earlier size, the window is not what
 	// slows them down, and their duration becomes the baseline.
-	ineffectiveSize  = 0.6
-	ineffectiveTime  = 0.9
-	ineffectiveLoads = 2 * windowSamples // slow loads seen by then, so that the median has none from before
+	ineffectiveSize = 0.6
+	ineffectiveTime = 0.9
+	// ineffectiveLoads is the number of slow loads that must have been observed by then,
+	// so that the median contains none from before.
+	ineffectiveLoads = 2 * windowSamples
 	// memoryLoadRatio is the fraction of the baseline below which a load is assumed not
 	// to come from the store. An engine restores an adapter that it held before in a
 	// tenth of the baseline, and a gateway that has just started does not know which
@@ -62,8 +74,9 @@
 	// fastLoadsInRow is the number of consecutive such loads after which the store is
 	// assumed to have become faster. Where this mattered, one load in three was from
 	// memory.
-	fastLoadsInRow  = 30
-	initialLoadTime = 300 * time.Millisecond // load time reported to callers before any load was observed
+	fastLoadsInRow = 30
+	// initialLoadTime is the median load time assumed before any load was observed.
+	initialLoadTime = 300 * time.Millisecond
 )
 
 // LoadWindow bounds the number of concurrent loads from the weight store for all gateways
@@ -119,8 +132,8 @@
 	}
 }
 
-// Restore restores a size that earlier processes learned. The window starts from it if it is
-// larger than the initial size.
+// Restore restores a size that earlier processes learned. The window starts from it if it
+// is larger than the initial size.
 func (w *LoadWindow) Restore(size int) {
 	w.restored = float64(size)
 	if !w.learned {
@@ -145,7 +158,7 @@
 
 // ObserveLoad records the duration of a load and the number of loads that were in flight
 // when it ended, including itself.
-func (w *LoadWindow) ObserveLoad(now time.Time, d time.Duration, under int) {
+func (w *LoadWindow) ObserveLoad(now time.Time, d time.Duration, inFlight int) {
 	if w.fromMemory(d) {
 		return
 	}
@@ -168,7 +181,7 @@
 	case slow:
 		w.probing = false
 		w.shrink(now)
-	case float64(under) < windowMinUse*w.size:
+	case float64(inFlight) < windowMinUse*w.size:
 		// A window that is not used up gives no evidence for a larger one.
 	case w.probing:
 		w.size = min(w.cfg.Max, w.size+windowProbe)
@@ -209,13 +222,13 @@
 // ineffective counts a slow load and reports whether loads stayed slow although the
 // window has shrunk.
 func (w *LoadWindow) ineffective() bool {
-	n := &w.slowPhase
-	if n.size == 0 {
-		n.size = w.size
-		n.median = w.median
+	p := &w.slowPhase
+	if p.size == 0 {
+		p.size = w.size
+		p.median = w.median
 	}
-	n.loads++
-	return n.loads > ineffectiveLoads && w.size <= ineffectiveSize*n.size && float64(w.median) >= ineffectiveTime*float64(n.median)
+	p.loads++
+	return p.loads > ineffectiveLoads && w.size <= ineffectiveSize*p.size && float64(w.median) >= ineffectiveTime*float64(p.median)
 }
 
 // shrink reduces the window, at most once per load time, so that loads that were in flight
--- a/decide/loadwindow_test.go
+++ b/decide/loadwindow_test.go
@@ -13,8 +13,8 @@
 
 const usualLoad = 250 * time.Millisecond
 
-// store simulates a weight store that serves atOnce concurrent loads at full speed. Beyond
-// that, loads take longer in proportion to their number.
+// store simulates a weight store that serves parallel concurrent loads at full speed.
+// Beyond that, loads take longer in proportion to their number.
 type store struct {
 	parallel int
 }
@@ -60,22 +60,22 @@
 	})
 
 	It("settles near the store's capacity at full speed, small or large", func() {
-		for _, atOnce := range []int{8, 16, 88, 300} {
+		for _, parallel := range []int{8, 16, 88, 300} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
-			use(&w, store{parallel: atOnce}, start, 60)
-			Expect(w.Size()).To(BeNumerically(">=", atOnce*8/10), fmt.Sprint(atOnce))
-			Expect(w.Size()).To(BeNumerically("<=", atOnce*16/10), fmt.Sprint(atOnce))
+			use(&w, store{parallel: parallel}, start, 60)
+			Expect(w.Size()).To(BeNumerically(">=", parallel*8/10), fmt.Sprint(parallel))
+			Expect(w.Size()).To(BeNumerically("<=", parallel*16/10), fmt.Sprint(parallel))
 		}
 	})
 
 	It("starts at a size for the number of engines and shrinks to the store's capacity", func() {
-		for _, tc := range []struct{ engines, atOnce int }{{74, 72}, {48, 16}, {12, 8}, {50, 88}} {
+		for _, tc := range []struct{ engines, parallel int }{{74, 72}, {48, 16}, {12, 8}, {50, 88}} {
 			w := decide.NewLoadWindow(decide.WindowConfig{})
 			w.SetEngineCount(tc.engines)
-			now := use(&w, store{parallel: tc.atOnce}, start, 2)
-			Expect(w.Size()).To(BeNumerically(">=", min(tc.engines, tc.atOnce)*9/10), fmt.Sprint(tc))
-			use(&w, store{parallel: tc.atOnce}, now, 20)
-			Expect(w.Size()).To(BeNumerically("<=", tc.atOnce*16/10), fmt.Sprint(tc))
+			now := use(&w, store{parallel: tc.parallel}, start, 2)
+			Expect(w.Size()).To(BeNumerically(">=", min(tc.engines, tc.parallel)*9/10), fmt.Sprint(tc))
+			use(&w, store{parallel: tc.parallel}, now, 20)
+			Expect(w.Size()).To(BeNumerically("<=", tc.parallel*16/10), fmt.Sprint(tc))
 		}
 	})
 
@@ -176,30 +176,32 @@
 		const engines = 24
 		for _, gateways := range []int{1, 4, 26} {
 			draws := 0
-			x := newStoreRig(gateways, engines, func() float64 {
+			x := newStoreSim(gateways, engines, func() float64 {
 				draws++
 				return float64(draws*37%100) / 100
 			})
 			most := x.run(store{parallel: 16}, 3*time.Second)
 			Expect(most).To(BeNumerically("<=", 16+16*6/10), fmt.Sprint(gateways))
-			Expect(x.loads).To(BeNumerically(">=", 100), fmt.Sprint(gateways)) // of at most 192 that the store can serve
+			// The store can serve at most 192.
+			Expect(x.loads).To(BeNumerically(">=", 100), fmt.Sprint(gateways))
 		}
 	})
 })
 
-// storeRig simulates gateways that constantly request adapters which no engine holds, and
+// storeSim simulates gateways that constantly request adapters which no engine holds, and
 // engines that load them at the speed of one store.
-type storeRig struct {
-	fleets    []*decide.Fleet
-	members   []wardturn.Member
-	now       time.Time
-	loading   map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time // start of each load; zero: not started
+type storeSim struct {
+	fleets  []*decide.Fleet
+	members []wardturn.Member
+	now     time.Time
+	// loading holds the start of each load in progress, or zero if it has not started.
+	loading   map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time
 	requested int
 	loads     int
 }
 
-func newStoreRig(gateways, engines int, draw func() float64) *storeRig {
-	x := &storeRig{
+func newStoreSim(gateways, engines int, draw func() float64) *storeSim {
+	x := &storeSim{
 		now:     start,
 		loading: make(map[wardturn.UpstreamID]map[wardturn.ModelAdapter]time.Time),
 	}
@@ -234,7 +236,7 @@
 	return x
 }
 
-func (x *storeRig) report(id wardturn.UpstreamID, u decide.EngineUpdate) {
+func (x *storeSim) report(id wardturn.UpstreamID, u decide.EngineUpdate) {
 	u.Connected = true
 	u.Known = true
 	u.Models = []wardturn.BaseModel{"m"}
@@ -247,7 +249,7 @@
 }
 
 // recordRequests records the requested loads, which start at the next step.
-func (x *storeRig) recordRequests(out decide.Actions) {
+func (x *storeSim) recordRequests(out decide.Actions) {
 	for _, r := range out.LoadRequests {
 		if _, ok := x.loading[r.Upstream][r.Adapter.Key()]; !ok {
 			x.loading[r.Upstream][r.Adapter.Key()] = time.Time{}
@@ -256,7 +258,7 @@
 }
 
 // run advances the time by d in steps and returns the largest number of loads in flight.
-func (x *storeRig) run(s store, d time.Duration) (most int) {
+func (x *storeSim) run(s store, d time.Duration) (most int) {
 	const step = 10 * time.Millisecond
 	for end := x.now.Add(d); x.now.Before(end); {
 		x.now = x.now.Add(step)
@@ -288,7 +290,7 @@
 
 // advance starts an engine's requested loads, completes those that have run for the store's
 // current load duration, and reports both to the gateways.
-func (x *storeRig) advance(id wardturn.UpstreamID, takes time.Duration) {
+func (x *storeSim) advance(id wardturn.UpstreamID, loadTime time.Duration) {
 	var u decide.EngineUpdate
 	for key, began := range x.loading[id] {
 		v := decide.HeldVersion{
@@ -298,7 +300,7 @@
 		case began.IsZero():
 			x.loading[id][key] = x.now
 			v.Loading = true
-		case x.now.Sub(began) >= takes:
+		case x.now.Sub(began) >= loadTime:
 			delete(x.loading[id], key)
 			v.Ready = true
 			x.loads++
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -36,16 +36,16 @@
 // the next report or rejected as outdated once the engine has accepted another order, so
 // no state is kept for orders in flight.
 type Placement struct {
-	policy    wardturn.Policy
-	start     time.Time
-	spec      wardturn.EngineSpec
-	state     wardturn.EngineState
-	known     bool
-	pending   map[wardturn.ModelAdapter]*pendingLoad
-	uses      map[wardturn.ModelAdapter]*adapterUse
-	leaving   map[wardturn.ModelAdapter]time.Time
-	readyAt   map[wardturn.ModelAdapter]time.Time
-	notBefore time.Time // earliest time of the next order
+	policy              wardturn.Policy
+	start               time.Time
+	spec                wardturn.EngineSpec
+	state               wardturn.EngineState
+	known               bool
+	pending             map[wardturn.ModelAdapter]*pendingLoad
+	uses                map[wardturn.ModelAdapter]*adapterUse
+	evictionAnnouncedAt map[wardturn.ModelAdapter]time.Time
+	readyAt             map[wardturn.ModelAdapter]time.Time
+	notBefore           time.Time // earliest time of the next order
 	// orphaned holds the adapters that requests of disconnected gateways may still use, and
 	// until when that is assumed.
 	orphaned   map[wardturn.ModelAdapter]time.Time
@@ -67,8 +67,8 @@
 
 // waiting returns the number of requests that wait at all gateways whose load request
 // has not expired, and the longest wait.
-func (w *pendingLoad) waiting(now time.Time) (n int, oldest time.Duration) {
-	for _, g := range w.gateways {
+func (l *pendingLoad) waiting(now time.Time) (n int, oldest time.Duration) {
+	for _, g := range l.gateways {
 		if now.Sub(g.updatedAt) > loadRequestLifetime {
 			continue
 		}
@@ -87,13 +87,13 @@
 // NewPlacement returns the placement for an engine that has not reported yet.
 func NewPlacement(now time.Time, p wardturn.Policy) *Placement {
 	return &Placement{
-		policy:   p,
-		start:    now,
-		pending:  make(map[wardturn.ModelAdapter]*pendingLoad),
-		uses:     make(map[wardturn.ModelAdapter]*adapterUse),
-		leaving:  make(map[wardturn.ModelAdapter]time.Time),
-		readyAt:  make(map[wardturn.ModelAdapter]time.Time),
-		orphaned: make(map[wardturn.ModelAdapter]time.Time),
+		policy:              p,
+		start:               now,
+		pending:             make(map[wardturn.ModelAdapter]*pendingLoad),
+		uses:                make(map[wardturn.ModelAdapter]*adapterUse),
+		evictionAnnouncedAt: make(map[wardturn.ModelAdapter]time.Time),
+		readyAt:             make(map[wardturn.ModelAdapter]time.Time),
+		orphaned:            make(map[wardturn.ModelAdapter]time.Time),
 	}
 }
 
@@ -104,25 +104,25 @@
 
 // RequestLoad records or renews a gateway's load request for an adapter.
 func (p *Placement) RequestLoad(now time.Time, gateway wardturn.Incarnation, a wardturn.AdapterVersion, waiting int, oldest time.Duration) {
-	w := p.pending[a.Key()]
-	if w == nil {
-		w = &pendingLoad{
+	l := p.pending[a.Key()]
+	if l == nil {
+		l = &pendingLoad{
 			gateways: make(map[wardturn.Incarnation]gatewayRequest),
 		}
-		p.pending[a.Key()] = w
+		p.pending[a.Key()] = l
 	}
 	if p.holds(a.Key(), a.Version) {
-		delete(p.leaving, a.Key()) // cancels a pending eviction
+		delete(p.evictionAnnouncedAt, a.Key()) // cancels a pending eviction
 		u := p.useOf(a.Key())
 		u.last = now
 	}
-	w.version = max(w.version, a.Version)
-	w.gateways[gateway] = gatewayRequest{
+	l.version = max(l.version, a.Version)
+	l.gateways[gateway] = gatewayRequest{
 		waiting:   waiting,
 		oldest:    oldest,
 		updatedAt: now,
 	}
-	w.updatedAt = now
+	l.updatedAt = now
 }
 
 // ReportUse records a gateway's request counts for an adapter: those started since its
@@ -195,7 +195,7 @@
 
 // Leaving reports whether an adapter is about to be unloaded or replaced.
 func (p *Placement) Leaving(key wardturn.ModelAdapter) bool {
-	_, ok := p.leaving[key]
+	_, ok := p.evictionAnnouncedAt[key]
 	return ok
 }
 
@@ -209,7 +209,7 @@
 
 // MayHaveOrder reports whether Next may have an order.
 func (p *Placement) MayHaveOrder() bool {
-	return len(p.pending) > 0 || len(p.state.Loading) > 0 || len(p.leaving) > 0 || len(p.state.Models) == 0
+	return len(p.pending) > 0 || len(p.state.Loading) > 0 || len(p.evictionAnnouncedAt) > 0 || len(p.state.Models) == 0
 }
 
 // Next returns the order to give now, or false if there is none. A busy engine rejects
@@ -237,14 +237,14 @@
 // expire drops load requests that are fulfilled or were not repeated, evictions that were
 // announced but not needed any more, and assumed requests of disconnected gateways.
 func (p *Placement) expire(now time.Time) {
-	for key, w := range p.pending {
-		if now.Sub(w.updatedAt) > loadRequestLifetime || p.holds(key, w.version) {
+	for key, l := range p.pending {
+		if now.Sub(l.updatedAt) > loadRequestLifetime || p.holds(key, l.version) {
 			delete(p.pending, key)
 		}
 	}
-	for key, at := range p.leaving {
+	for key, at := range p.evictionAnnouncedAt {
 		if now.Sub(at) > loadRequestLifetime {
-			delete(p.leaving, key)
+			delete(p.evictionAnnouncedAt, key)
 		}
 	}
 	for key, until := range p.orphaned {
@@ -349,8 +349,8 @@
 			in.Running += n
 		}
 	}
-	if w := p.pending[key]; w != nil {
-		in.Waiting, in.OldestWaiting = w.waiting(now)
+	if l := p.pending[key]; l != nil {
+		in.Waiting, in.OldestWaiting = l.waiting(now)
 	}
 	_, in.Resident = p.resident(key)
 	return p.policy.Slot(in)
@@ -359,13 +359,13 @@
 // nextOrderFor returns the next order needed to get an adapter loaded, if one can be
 // given now.
 func (p *Placement) nextOrderFor(now time.Time, key wardturn.ModelAdapter) (PlacementOrder, bool) {
-	w := p.pending[key]
+	l := p.pending[key]
 	if !p.modelLoaded(key.Model) || p.isLoading(key) {
 		return PlacementOrder{}, false
 	}
 	load := PlacementOrder{
 		Target:  key,
-		Version: w.version,
+		Version: l.version,
 	}
 	if _, ok := p.resident(key); ok {
 		// While requests run on the old version, the order would block all other orders
@@ -394,9 +394,9 @@
 // announceEviction marks an adapter as leaving and reports whether the eviction notice
 // has passed since it was first marked.
 func (p *Placement) announceEviction(now time.Time, key wardturn.ModelAdapter) bool {
-	at, ok := p.leaving[key]
+	at, ok := p.evictionAnnouncedAt[key]
 	if !ok {
-		p.leaving[key] = now
+		p.evictionAnnouncedAt[key] = now
 		return false
 	}
 	return now.Sub(at) >= evictionNotice
--- a/decide/readscheduler.go
+++ b/decide/readscheduler.go
@@ -6,16 +6,16 @@
 	"wardturn"
 )
 
-// ReadScheduler decides when a process reads a record of the platform's store itself and when
-// it relies on the reads of another process. Processes that follow the same record report
-// their reads to each other, and usually only the process with the lowest ID, the leader,
-// reads. There is no agreement protocol: each process bounds the age of its own copy, and
-// reads itself when the reports of others fail to arrive.
+// ReadScheduler decides when a process reads a record of the platform's store itself and
+// when it relies on the reads of another process. Processes that follow the same record
+// report their reads to each other, and usually only the process with the lowest ID, the
+// leader, reads. There is no agreement protocol: each process bounds the age of its own
+// copy, and reads itself when the reports of others fail to arrive.
 type ReadScheduler struct {
 	cfg                 ReadSchedulerConfig
 	self                wardturn.Incarnation
 	start               time.Time // origin of the timestamps sent to other processes
-	spread              float64   // position of this process in the spread of read times, from 0 to 1
+	spread              float64   // position of this process among the read times, from 0 to 1
 	asOf                time.Time // time of the latest known read of the record
 	asOfOwn             bool      // asOf is from a read of this process
 	confirmedAsOf       time.Time // as asOf, but without reports whose transit time is not known
@@ -42,13 +42,13 @@
 
 const (
 	// followerSlack and followerSpread delay the reads of a process that relies on
-	// others, as fractions of Every. The slack lets the regular report arrive; the spread
+	// others, as fractions of MaxAge. The slack lets the regular report arrive; the spread
 	// keeps the processes from reading all at once when it does not. When the leader is
 	// gone, the others take over within the slack.
 	followerSlack  = 0.15
 	followerSpread = 0.25
 	// leaderTimeout is how long a process with a lower ID counts as alive after its last
-	// message, as a multiple of Every.
+	// message, as a multiple of MaxAge.
 	leaderTimeout = 2
 	// invalidationSpread spreads the reads of processes that find their copies out of date
 	// through the same event: the report of the first one serves the others.
@@ -153,8 +153,8 @@
 	return max(0, now.Sub(s.asOf))
 }
 
-// IsLeader reports whether this process is the leader: no process with a lower ID has sent a
-// message lately.
+// IsLeader reports whether this process is the leader: no process with a lower ID has
+// sent a message lately.
 func (s *ReadScheduler) IsLeader(now time.Time) bool {
 	return s.leaderSeenAt.IsZero() || now.Sub(s.leaderSeenAt) > leaderTimeout*s.cfg.MaxAge
 }
@@ -167,9 +167,9 @@
 	s.earliestRead = now.Add(s.cfg.MinInterval)
 }
 
-// ReadFailed records that a read of this process failed. It is retried after the minimum time
-// between reads unless another process reports a later read. Exponential backoff was no
-// better for callers and saved few reads.
+// ReadFailed records that a read of this process failed. It is retried after the minimum
+// time between reads unless another process reports a later read. Exponential backoff was
+// no better for callers and saved few reads.
 func (s *ReadScheduler) ReadFailed(now time.Time) {
 	s.failed = true
 	s.earliestRead = now.Add(s.cfg.MinInterval)
--- a/decide/readscheduler_test.go
+++ b/decide/readscheduler_test.go
@@ -11,7 +11,7 @@
 	"wardturn/decide"
 )
 
-var _ = Describe("ReadTurn", func() {
+var _ = Describe("ReadScheduler", func() {
 	const (
 		every = time.Second
 		least = 250 * time.Millisecond
@@ -57,8 +57,8 @@
 		Expect(due(s)).To(Equal(least))
 	})
 
-	// Every gateway reads each change itself, so changes in quick succession would cost
-	// one read per gateway and change.
+	// Every gateway reads the store itself when it learns of a change, so without this
+	// changes in quick succession would cost one read per gateway and change.
 	It("reads changes in quick succession together, and a single change soon", func() {
 		const gather = 800 * time.Millisecond
 		s := decide.NewReadScheduler(now, "b", decide.ReadSchedulerConfig{
@@ -79,7 +79,8 @@
 			case changed(at):
 				s.Invalidate(now)
 				waits = append(waits, now)
-			case at%time.Second == 0 && len(waits) == 0: // a process that has not read a change does not count
+			case at%time.Second == 0 && len(waits) == 0:
+				// A read of another process counts only if it includes all changes.
 				s.PeerRead(now, "a", at)
 			}
 			if len(waits) > 0 && due(s) <= 0 {
@@ -141,15 +142,15 @@
 
 	It("does not have all processes read at once when the leader is gone", func() {
 		const n = 200
-		var turns []*decide.ReadScheduler
+		var schedulers []*decide.ReadScheduler
 		var ids []wardturn.Incarnation
 		for i := range n {
 			ids = append(ids, wardturn.Incarnation(fmt.Sprintf("%03d", i)))
-			turns = append(turns, newScheduler(ids[i]))
+			schedulers = append(schedulers, newScheduler(ids[i]))
 		}
 		read := func(i int) {
-			stamp := turns[i].ReadSucceeded(now)
-			for j, s := range turns {
+			stamp := schedulers[i].ReadSucceeded(now)
+			for j, s := range schedulers {
 				if j != i {
 					s.PeerRead(now, ids[i], stamp)
 				}
@@ -159,8 +160,8 @@
 		step := func() { // a report takes one step
 			now = now.Add(time.Millisecond)
 			var all []int
-			for i := range turns {
-				if due(turns[i]) <= 0 {
+			for i := range schedulers {
+				if due(schedulers[i]) <= 0 {
 					all = append(all, i)
 				}
 			}
@@ -175,12 +176,13 @@
 		}
 		Expect(reads).To(BeNumerically("<=", 8))
 		for range 5 {
-			turns, ids = turns[1:], ids[1:]
+			schedulers, ids = schedulers[1:], ids[1:]
 			reads = 0
 			for range 5000 {
 				step()
 			}
-			Expect(reads).To(BeNumerically("<=", 25)) // one per second, plus some until the new leader is known
+			// One read per second, plus some until the new leader is known.
+			Expect(reads).To(BeNumerically("<=", 25))
 		}
 	})
 
--- a/decide/teamcaps.go
+++ b/decide/teamcaps.go
@@ -12,8 +12,8 @@
 // team may use the whole cap at any of them, however its callers are distributed.
 //
 // This handles a team whose load on all gateways multiplies from one second to the next:
-// the usage that is not yet reported is bounded (unreportedPart), and usage over the cap
-// becomes a debt that the bucket works off. A gateway that receives nothing from the
+// the usage that is not yet reported is bounded (maxUnreportedSeconds), and usage over the
+// cap becomes a debt that the bucket works off. A gateway that receives nothing from the
 // others uses an equal share of the cap, and the others leave the shares of missing
 // gateways unused.
 type TeamCaps struct {
@@ -23,7 +23,7 @@
 	gateways          int // assumed number of gateways
 	counted           GatewayCount
 	previousGateways  int     // number of gateways known before this process started
-	reachablePart     float64 // fraction of each cap available to the gateways reachable from here
+	reachablePart     float64 // fraction of each cap for the gateways reachable from here
 	gatewaysCountedAt time.Time
 	caps              map[wardturn.TeamID]*teamCap
 	others            map[wardturn.Incarnation]*otherGateway
@@ -58,7 +58,7 @@
 	level        float64 // units that may be taken now; negative: a debt
 	reserved     float64 // units reserved for callers told to retry later
 	at           time.Time
-	unusedRefill float64 // refill since the start that was left to missing gateways or overflowed
+	unusedRefill float64 // refill left to missing gateways or lost to overflow, since the start
 	offsetLeft   float64 // part of it that no late report has been offset against
 	used         int64   // taken by this gateway since its start
 	reported     int64   // value of used in the latest report
@@ -182,9 +182,9 @@
 	}
 }
 
-// Charge charges a request's units to its team's cap. If the cap is used up, it returns false
-// and the delay after which to retry. A request may be larger than the remaining level or
-// the burst; the excess becomes a debt.
+// Charge charges a request's units to its team's cap. If the cap is used up, it returns
+// false and the delay after which to retry. A request may be larger than the remaining
+// level or the burst; the excess becomes a debt.
 func (c *TeamCaps) Charge(now time.Time, team wardturn.TeamID, units int64) (retryAfter time.Duration, ok bool) {
 	t := c.caps[team]
 	if t == nil || t.limit.Rate <= 0 {
--- a/decide/teamcaps_test.go
+++ b/decide/teamcaps_test.go
@@ -23,7 +23,7 @@
 )
 
 // capSim simulates gateways that share a cap, with callers at a rate, reports that are
-// delayed, lost and reordered, and gateways that are killed, frozen and cut off.
+// delayed, lost and reordered, and gateways that are killed, frozen and isolated.
 type capSim struct {
 	now            time.Time
 	gateways       []*capGateway
@@ -165,12 +165,12 @@
 
 func (s *capSim) deliver() {
 	kept := s.reports[:0]
-	for _, w := range s.reports {
-		if w.at.After(s.now) || w.to.frozen > 0 {
-			kept = append(kept, w)
+	for _, r := range s.reports {
+		if r.at.After(s.now) || r.to.frozen > 0 {
+			kept = append(kept, r)
 			continue
 		}
-		w.to.caps.Receive(s.now, w.report)
+		r.to.caps.Receive(s.now, r.report)
 	}
 	s.reports = kept
 }
@@ -204,7 +204,7 @@
 func noLoss() bool { return false }
 
 // Under random order, loss and delay of reports, and with gateways that are killed, frozen
-// and cut off, the excess over the cap is at most the demand during the time until a
+// and isolated, the excess over the cap is at most the demand during the time until a
 // missing gateway is noticed.
 func TestTeamCapsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -319,10 +319,10 @@
 		s.now = s.now.Add(2 * time.Second)
 		_, ok := c.Charge(s.now, capTeam, 3*capRate)
 		Expect(ok).To(BeTrue())
-		back, ok := c.Charge(s.now, capTeam, capUnits)
+		retryAfter, ok := c.Charge(s.now, capTeam, capUnits)
 		Expect(ok).To(BeFalse())
-		Expect(back).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond))
-		s.now = s.now.Add(back)
+		Expect(retryAfter).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond))
+		s.now = s.now.Add(retryAfter)
 		_, ok = c.Charge(s.now, capTeam, capUnits)
 		Expect(ok).To(BeTrue())
 	})
--- a/decide/teamreports.go
+++ b/decide/teamreports.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// unreportedPart bounds the unreported usage of all gateways together while a cap is
-	// nearly used up, in seconds of the cap's rate. Usage may exceed the cap by about this
-	// amount.
-	unreportedPart = 0.25
-	// unreportedLevelPart is the same bound as a fraction of the bucket level: far from
-	// the cap, fewer reports are needed.
-	unreportedLevelPart = 0.5
+	// maxUnreportedSeconds bounds the unreported usage of all gateways together while a
+	// cap is nearly used up, in seconds of the cap's rate. Usage may exceed the cap by
+	// about this amount.
+	maxUnreportedSeconds = 0.25
+	// maxUnreportedLevelFraction is the same bound as a fraction of the bucket level: far
+	// from the cap, fewer reports are needed.
+	maxUnreportedLevelFraction = 0.5
 	// earlyReportFactor is the multiple of the unreported usage allowed at which a report
 	// is sent before the next regular check. Steady usage up to the cap hardly ever
 	// reaches it.
@@ -31,7 +31,7 @@
 	reportHeartbeat = 500 * time.Millisecond
 	// reportTimeout is the time after its latest report at which a gateway counts as
 	// unreachable. It allows for the loss of two reports sent through a relay that has
-	// just died.
+	// just failed.
 	reportTimeout = 1600 * time.Millisecond
 	// nextReportDue is the age of a report by which the next one is due: reportHeartbeat
 	// plus the 200 ms between two checks whether a report is due.
@@ -68,11 +68,12 @@
 	// firstAge is the Age of its first report received here.
 	firstAge     time.Duration
 	used         map[wardturn.TeamID]int64
-	unusedRefill map[wardturn.TeamID]float64       // teamCap.unusedRefill at the latest report
-	minLag       time.Duration                     // minimum difference between arrival time and Age
-	age          time.Duration                     // Age of its latest report
-	gapEnd       time.Duration                     // Age of the first report after a gap; zero: no gap
-	reportedAge  map[wardturn.TeamID]time.Duration // Age of the latest report on a team
+	unusedRefill map[wardturn.TeamID]float64 // teamCap.unusedRefill at the latest report
+	// minLag is the minimum difference between the arrival time and the Age of its reports.
+	minLag      time.Duration
+	age         time.Duration                     // Age of its latest report
+	gapEnd      time.Duration                     // Age of its first report after a gap, or zero
+	reportedAge map[wardturn.TeamID]time.Duration // Age of its latest report on a team
 }
 
 // Report returns the report to send to the other gateways, if one is due.
@@ -134,7 +135,7 @@
 // unreported.
 func (t *teamCap) unreportedBound(now time.Time, part float64) float64 {
 	t.refill(now, part)
-	return max(unreportedPart*t.limit.Rate, unreportedLevelPart*t.level)
+	return max(maxUnreportedSeconds*t.limit.Rate, maxUnreportedLevelFraction*t.level)
 }
 
 // Receive processes a report of another gateway.
--- a/decide/usage.go
+++ b/decide/usage.go
@@ -28,7 +28,8 @@
 	u.changed = true
 }
 
-// ResponseStarted records that the response to a request started, so its prompt has been read.
+// ResponseStarted records that the response to a request started, so its prompt has been
+// prefilled.
 func (f *Fleet) ResponseStarted(id wardturn.UpstreamID, prompt wardturn.Tokens) {
 	if m := f.members[id]; m != nil {
 		f.addPrefill(m, -prompt)
@@ -71,11 +72,11 @@
 	default:
 		m.breaker.Succeed()
 	}
-	bad := 0.0
+	failed := 0.0
 	if outcome != OutcomeOK {
-		bad = 1
+		failed = 1
 	}
-	m.failureShare += failureWeight * (bad - m.failureShare)
+	m.failureShare += failureWeight * (failed - m.failureShare)
 }
 
 // bodyFits reports whether the body of a request fits within this gateway's share of
--- a/decide/waitlimit.go
+++ b/decide/waitlimit.go
@@ -23,8 +23,8 @@
 
 // shouldRefuse reports whether a waiting request should be refused now, because it can no
 // longer be served within its objective and its adapter is not being loaded. While its
-// adapter is being loaded the request continues to wait, since a late response is worth more
-// to the caller than none.
+// adapter is being loaded the request continues to wait, since a late response is worth
+// more to the caller than none.
 func (f *Fleet) shouldRefuse(now time.Time, missing *missingAdapter, r *PendingRequest) bool {
 	if !now.Before(r.Deadline.Add(-refusalMargin)) {
 		return true
@@ -55,16 +55,16 @@
 
 // minTimeToFirstToken returns the minimum time until the first token of a request: the
 // time to load its adapter, unless an engine already holds it and is merely full, and to
-// read its prompt.
+// prefill its prompt.
 func (f *Fleet) minTimeToFirstToken(missing *missingAdapter, r *PendingRequest) time.Duration {
-	read := f.prefillRateOf(r.Service).time(int(r.Prompt))
+	prefill := f.prefillRateOf(r.Service).time(int(r.Prompt))
 	switch {
 	case missing.key.Adapter == "" || len(f.holders[missing.key]) > 0:
-		return read
+		return prefill
 	case missing.warm:
-		return read + warmLoadTime
+		return prefill + warmLoadTime
 	}
-	return read + f.window.MedianLoadTime()
+	return prefill + f.window.MedianLoadTime()
 }
 
 // loadRetryDelay returns the retry delay for a caller, from the estimated time until the
