--- a/agent/agent.go
+++ b/agent/agent.go
@@ -120,7 +120,7 @@
 		Role:     peer.RoleAgent,
 		Process:  a.cfg.Process,
 		Upstream: a.cfg.Upstream,
-		Config:   a.replica.Applied,
+		Config:   a.replica.AppliedOffset,
 	}
 }
 
@@ -158,9 +158,9 @@
 	a.tasks.Wait()
 }
 
-// Leave makes the agent refuse new requests and return the queued ones as not run. It
+// Shutdown makes the agent refuse new requests and return the queued ones as not run. It
 // returns a channel that is closed when the last running request has ended.
-func (a *Agent) Leave() <-chan struct{} {
+func (a *Agent) Shutdown() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.startLeaving("signal")
@@ -274,9 +274,9 @@
 	Config  wardturn.Offset
 	Leaving bool
 	Policy  string // name of the policy in force
-	// Refusals counts the orders that the agent did not send because it had no fence.
-	Refusals int
-	Shadow   *decide.ShadowStats // nil if there is no shadow policy
+	// SuppressedOrders counts the orders that the agent did not send because it had no fence.
+	SuppressedOrders int
+	Shadow           *decide.ShadowStats // nil if there is no shadow policy
 }
 
 // Status returns a snapshot of the agent's state.
@@ -287,11 +287,11 @@
 		Hint:    a.core.Hint(),
 		Slots:   a.core.Slots(),
 		Fence:   a.fence,
-		Config:  a.replica.Applied(),
+		Config:  a.replica.AppliedOffset(),
 		Leaving: a.leaving,
 		Policy:  a.core.PolicyName(),
 
-		Refusals: a.suppressedOrders,
+		SuppressedOrders: a.suppressedOrders,
 	}
 	if sh, ok := a.core.Shadow(); ok {
 		st.Shadow = &sh
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -89,7 +89,7 @@
 func (a *Agent) acquireFence() {
 	wait := minFenceRetry
 	for a.tasks.Context().Err() == nil {
-		fence, err := a.replica.AppendStart(a.tasks.Context(), control.Start{
+		fence, err := a.replica.AppendStart(a.tasks.Context(), control.AgentStart{
 			Upstream: a.cfg.Upstream,
 			Process:  a.cfg.Process,
 		})
@@ -102,7 +102,7 @@
 		}
 		// If the reply was lost, the retry appends a second start record. That is
 		// harmless: it only gives this agent a higher fence.
-		if !a.tasks.Pause(wait) {
+		if !a.tasks.Sleep(wait) {
 			return
 		}
 		wait = min(2*wait, maxFenceRetry)
@@ -111,7 +111,7 @@
 
 // watchEngine polls the engine's report.
 func (a *Agent) watchEngine() {
-	for a.tasks.Pause(a.cfg.ReportEvery) {
+	for a.tasks.Sleep(a.cfg.ReportInterval) {
 		rep, err := a.engine.Report(a.tasks.Context())
 		if err != nil {
 			continue
@@ -129,7 +129,7 @@
 		if err == nil {
 			a.onHosts(hosts)
 		}
-		if !a.tasks.Pause(a.cfg.HostsEvery) {
+		if !a.tasks.Sleep(a.cfg.HostsInterval) {
 			return
 		}
 	}
@@ -227,14 +227,14 @@
 	defer a.mu.Unlock()
 	a.core.SetPolicy(active)
 	a.core.SetShadow(shadow)
-	a.logger.Info("policy applied", "policy", active.Name(), "config", a.replica.Applied())
+	a.logger.Info("policy applied", "policy", active.Name(), "config", a.replica.AppliedOffset())
 }
 
 // applyShares applies the teams' shares of the configuration.
 func (a *Agent) applyShares() {
 	a.applyMu.Lock()
 	defer a.applyMu.Unlock()
-	weights := control.Shares(a.replica)
+	weights := control.TeamShares(a.replica)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.core.SetWeights(weights)
--- a/agent/policy_internal_test.go
+++ b/agent/policy_internal_test.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestNewerPolicyStaysInForce checks that a policy that takes long to compile, as at the
+// TestNewerPolicyStaysCurrent checks that a policy that takes long to compile, as at the
 // start of the agent, does not replace a policy that was published meanwhile.
-func TestNewerPolicyStaysInForce(t *testing.T) {
+func TestNewerPolicyStaysCurrent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	clock := process.Clock{}
 	log := standin.NewLog(clock, standin.LogConfig{
@@ -93,6 +93,6 @@
 	}()
 	publishPolicy(t, a, "quick", quickSource)
 	g.Eventually(ended).WithTimeout(20 * time.Second).Should(gomega.BeClosed())
-	g.Eventually(a.replica.Applied).WithTimeout(20 * time.Second).Should(gomega.BeNumerically(">=", 2))
+	g.Eventually(a.replica.AppliedOffset).WithTimeout(20 * time.Second).Should(gomega.BeNumerically(">=", 2))
 	g.Expect(inForce()).To(gomega.Equal("quick"))
 }
--- a/chaos/faults.go
+++ b/chaos/faults.go
@@ -21,17 +21,17 @@
 	return []Fault{
 		{
 			Name:   "connection cut",
-			inject: func(h *history) { h.randomUpstream().Relay.Cut() },
+			inject: func(h *history) { h.randomUpstream().FaultProxy.CloseConns() },
 			heal:   noop,
 		},
 		{
 			Name:   "agent unreachable",
-			inject: func(h *history) { h.randomUpstream().Relay.Block(true) },
+			inject: func(h *history) { h.randomUpstream().FaultProxy.Block(true) },
 			heal:   healNetwork,
 		},
 		{
 			Name:   "network frozen",
-			inject: func(h *history) { h.randomUpstream().Relay.Freeze(true) },
+			inject: func(h *history) { h.randomUpstream().FaultProxy.Freeze(true) },
 			heal:   healNetwork,
 		},
 		{
@@ -97,8 +97,8 @@
 
 func healNetwork(h *history) {
 	for _, u := range h.sys.Upstreams {
-		u.Relay.Block(false)
-		u.Relay.Freeze(false)
+		u.FaultProxy.Block(false)
+		u.FaultProxy.Freeze(false)
 	}
 }
 
@@ -132,7 +132,7 @@
 func (h *history) drainAgent(u *demo.Upstream) {
 	old := u.Agent
 	select {
-	case <-old.Leave():
+	case <-old.Shutdown():
 	case <-h.timeout():
 		h.addViolation("%s does not end its requests", u.ID)
 	}
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -71,7 +71,7 @@
 func validateDocs(files []docFile) []error {
 	var list []error
 	for _, f := range files {
-		if err := control.CheckDoc(f.path, f.key, f.body); err != nil {
+		if err := control.ValidateDoc(f.path, f.key, f.body); err != nil {
 			list = append(list, err)
 		}
 	}
@@ -110,12 +110,12 @@
 			return err
 		}
 		req.Docs = append(req.Docs, entry.DocRequest{
-			Key:  f.key,
-			Base: current.Version,
-			Body: string(f.body),
+			Key:         f.key,
+			BaseVersion: current.Version,
+			Body:        string(f.body),
 		})
 	}
-	var res control.Result
+	var res control.PublicationResult
 	if err := cl.do(fasthttp.MethodPost, entry.PathChanges, req, &res); err != nil {
 		return err
 	}
@@ -249,7 +249,7 @@
 	return printOutput(s.Out, c.Output, page.Entries, func(w io.Writer) {
 		fmt.Fprintln(w, "version\tat\twho\taccepted\tdocuments\tdeleted")
 		for _, e := range page.Entries {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%s\t%s\n", e.Version, e.At.UTC().Format(time.RFC3339), e.Who, e.Accepted, formatKeys(e.Keys), formatKeys(e.Deleted))
+			fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%s\t%s\n", e.Version, e.Time.UTC().Format(time.RFC3339), e.Author, e.Accepted, formatKeys(e.Keys), formatKeys(e.Deleted))
 		}
 	})
 }
@@ -296,7 +296,7 @@
 
 func printStatus(w io.Writer, st entry.StatusView) {
 	fmt.Fprintf(w, "entry %s  ready %v  configuration %d  log read %s  open requests %d  connections %d\n",
-		st.Process, st.Ready, st.Config, st.LogRead.UTC().Format(time.RFC3339), st.Open, st.Links)
+		st.Process, st.Ready, st.Config, st.LogRead.UTC().Format(time.RFC3339), st.OpenRequests, st.Connections)
 	fmt.Fprintln(w, "upstream\tserves\tdomain\tstate\trunning\tqueued\twaiting adapters\tspare slots\thint age s\tejected")
 	for _, u := range st.Upstreams {
 		serves := string(u.Model)
@@ -312,7 +312,7 @@
 			age = fmt.Sprintf("%.1f", u.HintAge)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%v\n", u.Upstream, serves, u.Domain, state,
-			u.Hint.Running, u.Hint.Queued, u.Hint.WaitingAdapters, u.Hint.SpareSlots, age, u.Open)
+			u.Hint.Running, u.Hint.Queued, u.Hint.WaitingAdapters, u.Hint.SpareSlots, age, u.BreakerOpen)
 	}
 }
 
@@ -339,13 +339,13 @@
 	req := entry.ChangeRequest{
 		ID: control.PublicationID("cli-" + string(process.NewIncarnation())),
 		Docs: []entry.DocRequest{{
-			Key:    key,
-			Base:   current.Version,
-			Delete: c.Undo,
-			Body:   "reason: " + string(body) + "\n",
+			Key:         key,
+			BaseVersion: current.Version,
+			Delete:      c.Undo,
+			Body:        "reason: " + string(body) + "\n",
 		}},
 	}
-	var res control.Result
+	var res control.PublicationResult
 	if err := cl.do(fasthttp.MethodPost, entry.PathChanges, req, &res); err != nil {
 		return err
 	}
--- a/demo/system.go
+++ b/demo/system.go
@@ -23,46 +23,46 @@
 
 // Config configures a system.
 type Config struct {
-	Engines      int
-	Services     int
-	Entries      int
-	Domains      int
-	Adapters     int
-	Slots        int
-	Batch        int
-	Store        standin.StoreConfig
-	Log          standin.LogConfig
-	HostLag      time.Duration
-	Engine       standin.EngineConfig
-	Work         time.Duration // service time of a call to a plain service
-	Logger       hclog.Logger
-	Clock        wardturn.Clock
-	Deadline     time.Duration // of requests without their own; zero: the entry's default
-	Grace        time.Duration // how long after a deadline an entry waits for the agent's result; zero: the entry's default
-	ConnectLimit time.Duration // timeout of the first connection to an agent; zero: the entry's default
-	Relays       bool          // reach each agent through a relay that can simulate network faults
+	Engines        int
+	Services       int
+	Entries        int
+	Domains        int
+	Adapters       int
+	AdapterSlots   int
+	Batch          int
+	Store          standin.StoreConfig
+	Log            standin.LogConfig
+	HostListDelay  time.Duration
+	Engine         standin.EngineConfig
+	ServiceTime    time.Duration // service time of a call to a plain service
+	Logger         hclog.Logger
+	Clock          wardturn.Clock
+	Deadline       time.Duration // of requests without their own; zero: the entry's default
+	DeadlineGrace  time.Duration // how long after a deadline an entry waits for the agent's result; zero: the entry's default
+	ConnectTimeout time.Duration // timeout of the first connection to an agent; zero: the entry's default
+	FaultProxies   bool          // reach each agent through a relay that can simulate network faults
 }
 
-// Zurich returns a configuration of the size of the present Zurich deployment.
-func Zurich() Config {
+// ZurichConfig returns a configuration of the size of the present Zurich deployment.
+func ZurichConfig() Config {
 	return Config{
-		Engines:  18,
-		Services: 3,
-		Entries:  3,
-		Domains:  3,
-		Adapters: 3000,
-		Slots:    8,
-		Batch:    16,
+		Engines:      18,
+		Services:     3,
+		Entries:      3,
+		Domains:      3,
+		Adapters:     3000,
+		AdapterSlots: 8,
+		Batch:        16,
 		Store: standin.StoreConfig{
-			Rate:     9,
-			Parallel: 4,
-			Fetch:    400 * time.Millisecond,
+			Rate:        9,
+			MaxParallel: 4,
+			FetchTime:   400 * time.Millisecond,
 		},
-		HostLag: 2 * time.Second,
-		Engine:  standin.DefaultEngine(),
-		Work:    5 * time.Millisecond,
-		Logger:  hclog.NewNullLogger(),
-		Clock:   process.Clock{},
+		HostListDelay: 2 * time.Second,
+		Engine:        standin.DefaultEngine(),
+		ServiceTime:   5 * time.Millisecond,
+		Logger:        hclog.NewNullLogger(),
+		Clock:         process.Clock{},
 	}
 }
 
@@ -80,8 +80,8 @@
 	Engine     *standin.Engine  // nil for a plain service
 	Service    *standin.Service // nil for a model engine
 	Agent      *agent.Agent
-	Relay      *standin.Relay // to the agent; nil without Config.Relays
-	addr       string         // of the upstream itself
+	FaultProxy *standin.FaultProxy // to the agent; nil without Config.FaultProxies
+	addr       string              // of the upstream itself
 	stopServer func()
 }
 
@@ -106,7 +106,7 @@
 	s := &System{
 		cfg:   cfg,
 		Log:   standin.NewLog(cfg.Clock, cfg.Log),
-		Hosts: standin.NewHostList(cfg.Clock, cfg.HostLag),
+		Hosts: standin.NewHostList(cfg.Clock, cfg.HostListDelay),
 		Store: standin.NewStore(cfg.Clock, cfg.Store),
 	}
 	if err := s.start(ctx); err != nil {
@@ -180,13 +180,13 @@
 	u.addr = ln.Addr().String()
 	if i < s.cfg.Engines {
 		cfg := s.cfg.Engine
-		cfg.Slots = s.cfg.Slots
-		cfg.Batch = s.cfg.Batch
+		cfg.Slots = s.cfg.AdapterSlots
+		cfg.MaxBatch = s.cfg.Batch
 		u.Engine = standin.NewEngine(s.cfg.Clock, s.Store, cfg)
 		u.Host.Model = Model
 		u.stopServer = standin.Serve(ln, standin.EngineHandler(u.Engine))
 	} else {
-		u.Service = standin.NewService(s.cfg.Clock, s.cfg.Work)
+		u.Service = standin.NewService(s.cfg.Clock, s.cfg.ServiceTime)
 		u.Host.Service = Service
 		u.stopServer = standin.Serve(ln, u.Service.Handler())
 	}
@@ -212,7 +212,7 @@
 			Service:  u.Host.Service,
 			Store: decide.StoreLimit{
 				Rate:     s.cfg.Store.Rate,
-				Parallel: s.cfg.Store.Parallel,
+				Parallel: s.cfg.Store.MaxParallel,
 			},
 			StoreAgents:  s.cfg.Engines,
 			MaxRunning:   s.cfg.Batch,
@@ -228,7 +228,7 @@
 	}
 	if u.Engine != nil {
 		deps.Engine = driver.NewEngine(u.addr)
-		deps.Config.Slots = s.cfg.Slots
+		deps.Config.Slots = s.cfg.AdapterSlots
 	} else {
 		deps.Service = driver.NewService(u.addr)
 	}
@@ -245,18 +245,18 @@
 // to it.
 func (s *System) setListedAddr(u *Upstream) error {
 	u.Host.Addr = u.Agent.Addr()
-	if !s.cfg.Relays {
+	if !s.cfg.FaultProxies {
 		return nil
 	}
-	if u.Relay == nil {
-		r, err := standin.NewRelay(u.Agent.Addr())
+	if u.FaultProxy == nil {
+		r, err := standin.NewFaultProxy(u.Agent.Addr())
 		if err != nil {
 			return err
 		}
-		u.Relay = r
+		u.FaultProxy = r
 	}
-	u.Relay.SetTarget(u.Agent.Addr())
-	u.Host.Addr = u.Relay.Addr()
+	u.FaultProxy.SetTarget(u.Agent.Addr())
+	u.Host.Addr = u.FaultProxy.Addr()
 	return nil
 }
 
@@ -271,14 +271,14 @@
 	s.metrics = append(s.metrics, metrics)
 	s.Entries = append(s.Entries, entry.New(entry.Deps{
 		Config: entry.Config{
-			Process:       s.newProcess("e"),
-			Region:        Region,
-			Domain:        s.failureDomain(i),
-			Open:          true,
-			Deadline:      s.cfg.Deadline,
-			DeadlineGrace: s.cfg.Grace,
-			ConnectLimit:  s.cfg.ConnectLimit,
-			OperatorKeys:  []entry.KeyGrant{{Name: "demo", Digest: control.KeyDigest(OperatorKey)}},
+			Process:        s.newProcess("e"),
+			Region:         Region,
+			Domain:         s.failureDomain(i),
+			AllowAnonymous: true,
+			Deadline:       s.cfg.Deadline,
+			DeadlineGrace:  s.cfg.DeadlineGrace,
+			ConnectTimeout: s.cfg.ConnectTimeout,
+			OperatorKeys:   []entry.KeyGrant{{Name: "demo", Digest: control.KeyDigest(OperatorKey)}},
 		},
 		Clock:    s.cfg.Clock,
 		Logger:   s.cfg.Logger.Named("entry"),
@@ -313,10 +313,10 @@
 		part := docs[:min(docsPerChange, len(docs))]
 		docs = docs[len(part):]
 		_, err := s.Entries[0].Replica().Publish(ctx, control.Change{
-			ID:   control.PublicationID(fmt.Sprintf("demo-%d", n)),
-			Who:  "demo",
-			At:   s.cfg.Clock.Now(),
-			Docs: part,
+			ID:     control.PublicationID(fmt.Sprintf("demo-%d", n)),
+			Author: "demo",
+			Time:   s.cfg.Clock.Now(),
+			Docs:   part,
 		})
 		if err != nil {
 			return errors.Wrap(err, "publish")
@@ -328,7 +328,7 @@
 // waitReady waits until every entry has read the host list and the published
 // configuration.
 func (s *System) waitReady(ctx context.Context) error {
-	last := s.Entries[0].Replica().Applied()
+	last := s.Entries[0].Replica().AppliedOffset()
 	for _, e := range s.Entries {
 		if err := e.Replica().WaitFor(ctx, last); err != nil {
 			return err
@@ -353,8 +353,8 @@
 		if u.Agent != nil {
 			u.Agent.Close()
 		}
-		if u.Relay != nil {
-			u.Relay.Close()
+		if u.FaultProxy != nil {
+			u.FaultProxy.Close()
 		}
 		u.stopServer()
 	}
--- a/entry/behind_test.go
+++ b/entry/behind_test.go
@@ -37,13 +37,13 @@
 	It("gets the configuration from an agent", func() {
 		const speed = 10
 		clock := standin.NewFastClock(speed)
-		cfg := demo.Zurich()
+		cfg := demo.ZurichConfig()
 		cfg.Clock = clock
 		cfg.Engines = 1
 		cfg.Services = 0
 		cfg.Entries = 1
 		cfg.Adapters = 2
-		cfg.HostLag = 0
+		cfg.HostListDelay = 0
 		sys, err := demo.Start(context.Background(), cfg)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(sys.Close)
@@ -56,10 +56,10 @@
 		}
 		e := entry.New(entry.Deps{
 			Config: entry.Config{
-				Process: "cut",
-				Region:  demo.Region,
-				Domain:  "d",
-				Open:    true,
+				Process:        "cut",
+				Region:         demo.Region,
+				Domain:         "d",
+				AllowAnonymous: true,
 			},
 			Clock:    clock,
 			Logger:   hclog.NewNullLogger(),
@@ -80,9 +80,9 @@
 		res, err := sys.Entries[0].Replica().Publish(ctx, control.Change{
 			ID: "newer",
 			Docs: []control.DocChange{{
-				Key:  key,
-				Base: old.Version,
-				Body: []byte("base_model: base\nteam: demo\nversion: 2\n"),
+				Key:         key,
+				BaseVersion: old.Version,
+				Body:        []byte("base_model: base\nteam: demo\nversion: 2\n"),
 			}},
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -96,9 +96,9 @@
 		res, err = e.Replica().Publish(ctx, control.Change{
 			ID: "own",
 			Docs: []control.DocChange{{
-				Key:  key,
-				Base: res.Version,
-				Body: []byte("base_model: base\nteam: demo\nversion: 3\n"),
+				Key:         key,
+				BaseVersion: res.Version,
+				Body:        []byte("base_model: base\nteam: demo\nversion: 3\n"),
 			}},
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -108,13 +108,13 @@
 		res, err = sys.Entries[0].Replica().Publish(ctx, control.Change{
 			ID: "newest",
 			Docs: []control.DocChange{{
-				Key:    key,
-				Base:   res.Version,
-				Delete: true,
+				Key:         key,
+				BaseVersion: res.Version,
+				Delete:      true,
 			}},
 		})
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(e.Replica().Applied).WithTimeout(10 * time.Second).Should(BeNumerically(">=", res.Version))
+		Eventually(e.Replica().AppliedOffset).WithTimeout(10 * time.Second).Should(BeNumerically(">=", res.Version))
 		_, ok = e.Replica().Get(key)
 		Expect(ok).To(BeFalse())
 	})
--- a/experiment/node.go
+++ b/experiment/node.go
@@ -13,13 +13,13 @@
 	req := n.sim.trace[c.index]
 	w := decide.Work{
 		Attempt: c.id,
-		Adapter: req.Ref(),
+		Adapter: req.AdapterRef(),
 		Class:   n.sim.samples[c.index].class,
 		Prompt:  req.PromptTokens,
 		Output:  req.OutputTokens,
 	}
 	if req.DeadlineMS > 0 {
-		w.Deadline = standin.Epoch.Add(req.At() + time.Duration(req.DeadlineMS)*time.Millisecond)
+		w.Deadline = standin.Epoch.Add(req.ArrivalTime() + time.Duration(req.DeadlineMS)*time.Millisecond)
 	}
 	n.calls[c.id] = c
 	n.agent.Admit(n.sim.clock.Now(), w, &n.orders)
@@ -101,18 +101,18 @@
 	gen := standin.Generation{
 		Request: wardturn.EngineRequest{
 			Attempt:  c.id,
-			Adapter:  req.Ref(),
+			Adapter:  req.AdapterRef(),
 			Priority: int(sm.class),
 			Prompt:   req.PromptTokens,
 			Output:   req.OutputTokens,
 			Path:     string(req.Caller),
 		},
-		Token: func(i int) {
+		OnToken: func(i int) {
 			if i == 0 {
 				sm.ttft = n.sim.elapsed() - c.sentAt
 			}
 		},
-		End: func(_ wardturn.EngineResult, err error) {
+		OnEnd: func(_ wardturn.EngineResult, err error) {
 			n.finish(c, err)
 		},
 	}
@@ -155,7 +155,7 @@
 	if n.alloc == nil {
 		return
 	}
-	n.sim.clock.AfterFunc(n.sim.setup.Hop, func() {
+	n.sim.clock.AfterFunc(n.sim.setup.NetworkDelay, func() {
 		n.alloc.send(n.alloc.core.Request(n.sim.clock.Now(), w, nil))
 	})
 }
--- a/experiment/trace.go
+++ b/experiment/trace.go
@@ -25,13 +25,13 @@
 	DeadlineMS   int64              `json:"deadline_ms,omitempty"` // after the arrival; zero: none
 }
 
-// At returns the arrival time, since the start of the trace.
-func (r Request) At() time.Duration {
+// ArrivalTime returns the arrival time, since the start of the trace.
+func (r Request) ArrivalTime() time.Duration {
 	return time.Duration(r.AtMS) * time.Millisecond
 }
 
-// Ref returns the requested adapter version.
-func (r Request) Ref() wardturn.AdapterRef {
+// AdapterRef returns the requested adapter version.
+func (r Request) AdapterRef() wardturn.AdapterRef {
 	return wardturn.AdapterRef{
 		Adapter: r.Adapter,
 		Version: r.Version,
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -125,10 +125,10 @@
 // writeLoop writes due records to the store whenever requested, until the gateway shuts
 // down.
 func (c *crashes) writeLoop() {
-	for c.awaitSignal(c.writeSignal) && c.g.tasks.Pause(crashBatchDelay) {
+	for c.awaitSignal(c.writeSignal) && c.g.tasks.Sleep(crashBatchDelay) {
 		retryDelay := crashRetryDelay
 		for !c.writeDue() {
-			if !c.g.tasks.Pause(retryDelay) {
+			if !c.g.tasks.Sleep(retryDelay) {
 				return
 			}
 			retryDelay = min(2*retryDelay, crashMaxRetryDelay)
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -48,7 +48,7 @@
 		}
 		unavailable = true
 		g.reads.readFailed(g.reads.config)
-		if !g.tasks.Pause(retryDelay) {
+		if !g.tasks.Sleep(retryDelay) {
 			return
 		}
 		retryDelay = min(2*retryDelay, configMaxRetryDelay)
