--- a/agent/agent.go
+++ b/agent/agent.go
@@ -274,9 +274,9 @@
 	Config  wardturn.Offset
 	Leaving bool
 	Policy  string // name of the policy in force
-	// Refusals counts the orders that the agent did not send because it had no fence.
-	Refusals int
-	Shadow   *decide.ShadowStats // nil if there is no shadow policy
+	// SuppressedOrders counts the orders that the agent did not send because it had no fence.
+	SuppressedOrders int
+	Shadow           *decide.ShadowStats // nil if there is no shadow policy
 }
 
 // Status returns a snapshot of the agent's state.
@@ -291,7 +291,7 @@
 		Leaving: a.leaving,
 		Policy:  a.core.PolicyName(),
 
-		Refusals: a.suppressedOrders,
+		SuppressedOrders: a.suppressedOrders,
 	}
 	if sh, ok := a.core.Shadow(); ok {
 		st.Shadow = &sh
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -135,7 +135,7 @@
 		Rate:     100,
 		Parallel: 1,
 	}
-	cfg.ReportEvery = time.Millisecond
+	cfg.ReportInterval = time.Millisecond
 	x := &testEntry{
 		t:         t,
 		engine:    newFakeEngine(clock),
@@ -245,7 +245,7 @@
 	}
 }
 
-func TestAskedForBeforeItCame(t *testing.T) {
+func TestAttachBeforeSubmit(t *testing.T) {
 	x := newTestEntry(t, agent.Config{})
 	x.send(&peer.Attach{
 		Attempt: attempt(7),
@@ -263,7 +263,7 @@
 	}
 }
 
-func TestAnotherProcessIsUnknown(t *testing.T) {
+func TestAttachToPreviousProcess(t *testing.T) {
 	x := newTestEntry(t, agent.Config{})
 	x.send(&peer.Attach{
 		Attempt: attempt(1),
@@ -318,7 +318,7 @@
 	}
 }
 
-func TestSlowCallerHoldsUpOnlyItself(t *testing.T) {
+func TestSlowCallerBlocksOnlyItself(t *testing.T) {
 	x := newTestEntry(t, agent.Config{
 		ResponseBuffer: 8,
 	})
@@ -337,11 +337,11 @@
 	}
 }
 
-// TestKeptAnswersAreBounded ends two attempts whose responses together exceed KeepBytes.
+// TestKeptAnswersAreBounded ends two attempts whose responses together exceed RetainedBytes.
 // An entry that asks for the older one must get an unknown outcome, never a wrong one.
 func TestKeptAnswersAreBounded(t *testing.T) {
 	x := newTestEntry(t, agent.Config{
-		KeepBytes: 15,
+		RetainedBytes: 15,
 	})
 	for seq := uint64(1); seq <= 2; seq++ {
 		x.submit(seq, peer.CreditWindow)
@@ -385,7 +385,7 @@
 		t.Fatalf("%+v", e)
 	}
 	// Wait until the agent has suppressed the load order a few times.
-	for x.agent.Status().Refusals < 2 {
+	for x.agent.Status().SuppressedOrders < 2 {
 		if len(x.engine.loads) != 0 {
 			t.Fatal("order sent without a fence")
 		}
--- a/agent/attempt.go
+++ b/agent/attempt.go
@@ -144,12 +144,12 @@
 }
 
 // retain keeps the response of an ended attempt for an entry that lost its connection.
-// The oldest responses are dropped when the total exceeds Config.KeepBytes; an entry
+// The oldest responses are dropped when the total exceeds Config.RetainedBytes; an entry
 // that asks for a dropped response is told that the outcome is unknown.
 func (a *Agent) retain(t *attempt) {
 	a.retained = append(a.retained, t)
 	a.retainedBytes += len(t.buf)
-	for a.retainedBytes > a.cfg.KeepBytes && len(a.retained) > 1 {
+	for a.retainedBytes > a.cfg.RetainedBytes && len(a.retained) > 1 {
 		a.dropOldest()
 	}
 }
--- a/agent/behind_internal_test.go
+++ b/agent/behind_internal_test.go
@@ -11,11 +11,11 @@
 	"wardturn/standin"
 )
 
-// TestRefusalsWithoutTheLog checks the refusal of a non-repeatable request while the log
+// TestRefusalsWhileLogUnavailable checks the refusal of a non-repeatable request while the log
 // is unavailable. An agent that has the entry's configuration reports that the log is
 // unavailable for the claim; an agent that is behind reports that its configuration is
 // stale. The request must run in neither case.
-func TestRefusalsWithoutTheLog(t *testing.T) {
+func TestRefusalsWhileLogUnavailable(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		config wardturn.Offset // of the entry; the agent has read no configuration
--- a/agent/claim_internal_test.go
+++ b/agent/claim_internal_test.go
@@ -96,9 +96,9 @@
 	return outcome
 }
 
-// TestChargeDoesNotBeginLate checks that a request whose deadline passes during its claim
+// TestDeadlinePassesDuringClaim checks that a request whose deadline passes during its claim
 // is not sent to the service.
-func TestChargeDoesNotBeginLate(t *testing.T) {
+func TestDeadlinePassesDuringClaim(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newPendingClaim(t, 200*time.Millisecond)
 	c.clock.Advance(300 * time.Millisecond)
@@ -106,9 +106,9 @@
 	g.Expect(c.service.calls.Load()).To(gomega.BeZero())
 }
 
-// TestChargeOfCallerThatLeftDoesNotBegin checks that a request that its entry cancels
+// TestCancelDuringClaim checks that a request that its entry cancels
 // during its claim is not sent to the service.
-func TestChargeOfCallerThatLeftDoesNotBegin(t *testing.T) {
+func TestCancelDuringClaim(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newPendingClaim(t, time.Minute)
 	c.mu.Lock()
--- a/agent/config.go
+++ b/agent/config.go
@@ -21,11 +21,11 @@
 	MaxQueue         int // maximum number of waiting requests
 	Store            decide.StoreLimit
 	StoreAgents      int           // initial estimate of the agents that share the store
-	ReportEvery      time.Duration // interval between reads of the engine's report
-	HostsEvery       time.Duration // interval between reads of the host list
+	ReportInterval   time.Duration // interval between reads of the engine's report
+	HostsInterval    time.Duration // interval between reads of the host list
 	RequireFence     bool          // send no orders before the log has assigned a fence
 	ResponseBuffer   int           // bytes of a response buffered for a slow entry
-	KeepBytes        int           // total bytes retained of the responses of ended attempts
+	RetainedBytes    int           // total bytes retained of the responses of ended attempts
 	AttemptTTL       time.Duration // how long ended attempts are remembered
 	MaxEndedAttempts int           // maximum number of ended attempts remembered
 	OrphanGrace      time.Duration // how long an attempt runs on without an entry
@@ -33,10 +33,10 @@
 
 // Default values of Config.
 const (
-	DefaultReportEvery      = 500 * time.Millisecond
-	DefaultHostsEvery       = time.Second
+	DefaultReportInterval   = 500 * time.Millisecond
+	DefaultHostsInterval    = time.Second
 	DefaultResponseBuffer   = 1 << 20
-	DefaultKeepBytes        = 16 << 20
+	DefaultRetainedBytes    = 16 << 20
 	DefaultAttemptTTL       = time.Minute
 	DefaultMaxEndedAttempts = 20_000
 	DefaultOrphanGrace      = 10 * time.Second
@@ -45,10 +45,10 @@
 
 // WithDefaults returns a copy of c with zero values replaced by their defaults.
 func (c Config) WithDefaults() Config {
-	c.ReportEvery = cmp.Or(c.ReportEvery, DefaultReportEvery)
-	c.HostsEvery = cmp.Or(c.HostsEvery, DefaultHostsEvery)
+	c.ReportInterval = cmp.Or(c.ReportInterval, DefaultReportInterval)
+	c.HostsInterval = cmp.Or(c.HostsInterval, DefaultHostsInterval)
 	c.ResponseBuffer = cmp.Or(c.ResponseBuffer, DefaultResponseBuffer)
-	c.KeepBytes = cmp.Or(c.KeepBytes, DefaultKeepBytes)
+	c.RetainedBytes = cmp.Or(c.RetainedBytes, DefaultRetainedBytes)
 	c.AttemptTTL = cmp.Or(c.AttemptTTL, DefaultAttemptTTL)
 	c.MaxEndedAttempts = cmp.Or(c.MaxEndedAttempts, DefaultMaxEndedAttempts)
 	c.OrphanGrace = cmp.Or(c.OrphanGrace, DefaultOrphanGrace)
--- a/agent/leaving_internal_test.go
+++ b/agent/leaving_internal_test.go
@@ -16,11 +16,11 @@
 	return wardturn.ServiceResponse{}, nil
 }
 
-// TestLeavingEntryOfAPredecessor guards against an agent that shuts down right after its
+// TestStaleLeavingEntry guards against an agent that shuts down right after its
 // start because the host list, which lags, still contains the leaving entry of the
 // previous process for the same upstream. The logs showed "leaving" with the reason
 // "host list" directly after "agent started", and the upstream served nothing any more.
-func TestLeavingEntryOfAPredecessor(t *testing.T) {
+func TestStaleLeavingEntry(t *testing.T) {
 	entry := func(state wardturn.HostState) []wardturn.Host {
 		return []wardturn.Host{{
 			Upstream: "u",
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -111,7 +111,7 @@
 
 // watchEngine polls the engine's report.
 func (a *Agent) watchEngine() {
-	for a.tasks.Pause(a.cfg.ReportEvery) {
+	for a.tasks.Pause(a.cfg.ReportInterval) {
 		rep, err := a.engine.Report(a.tasks.Context())
 		if err != nil {
 			continue
@@ -129,7 +129,7 @@
 		if err == nil {
 			a.onHosts(hosts)
 		}
-		if !a.tasks.Pause(a.cfg.HostsEvery) {
+		if !a.tasks.Pause(a.cfg.HostsInterval) {
 			return
 		}
 	}
--- a/agent/orphan_internal_test.go
+++ b/agent/orphan_internal_test.go
@@ -21,10 +21,10 @@
 
 func (*lostEntry) Closed(*peer.Conn, error) {}
 
-// TestOrphanIsNoticedByAnEarlierSend checks that the orphan timer of an attempt starts
+// TestFailedSendStartsOrphanTimer checks that the orphan timer of an attempt starts
 // also if a send fails because the connection is closed before the agent's Closed
 // handler has run.
-func TestOrphanIsNoticedByAnEarlierSend(t *testing.T) {
+func TestFailedSendStartsOrphanTimer(t *testing.T) {
 	g := gomega.NewWithT(t)
 	clock := standin.NewClock()
 	log := &blockingLog{
--- a/driver/engine.go
+++ b/driver/engine.go
@@ -77,7 +77,7 @@
 	req.SetRequestURI(e.base + r.Path)
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType("application/json")
-	req.Header.Set(HeaderAttempt, r.Attempt.String())
+	req.Header.Set(HeaderRequestID, r.Attempt.String())
 	req.SetBodyRaw(r.Body)
 	if err := e.stream.Do(req, res); err != nil {
 		if notSent(err) {
@@ -229,7 +229,7 @@
 
 // Load implements wardturn.Engine.
 func (e *Engine) Load(ctx context.Context, order wardturn.SlotOrder) error {
-	body := AdapterOrder{
+	body := AdapterRequest{
 		Name: order.Adapter.String(),
 		Path: "store://" + order.Adapter.String(),
 	}
@@ -238,13 +238,13 @@
 
 // Unload implements wardturn.Engine.
 func (e *Engine) Unload(ctx context.Context, order wardturn.SlotOrder) error {
-	body := AdapterOrder{
+	body := AdapterRequest{
 		Name: order.Adapter.String(),
 	}
 	return e.order(ctx, PathUnloadAdapter, order, body)
 }
 
-func (e *Engine) order(ctx context.Context, path string, order wardturn.SlotOrder, body AdapterOrder) error {
+func (e *Engine) order(ctx context.Context, path string, order wardturn.SlotOrder, body AdapterRequest) error {
 	_, ended, err := await(ctx, func() (struct{}, error) {
 		return struct{}{}, e.sendOrder(ctx, path, order, body)
 	})
@@ -254,7 +254,7 @@
 	return err
 }
 
-func (e *Engine) sendOrder(ctx context.Context, path string, order wardturn.SlotOrder, body AdapterOrder) error {
+func (e *Engine) sendOrder(ctx context.Context, path string, order wardturn.SlotOrder, body AdapterRequest) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return errors.Wrap(err, "engine: order")
@@ -267,7 +267,7 @@
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType("application/json")
 	req.Header.Set(HeaderFence, strconv.FormatInt(int64(order.Fence), 10))
-	req.Header.Set(HeaderOrder, strconv.FormatUint(uint64(order.ID), 10))
+	req.Header.Set(HeaderOrderID, strconv.FormatUint(uint64(order.ID), 10))
 	req.SetBodyRaw(data)
 	if err := e.client.DoTimeout(req, res, timeoutFor(ctx, orderTimeout)); err != nil {
 		if notSent(err) {
--- a/driver/log.go
+++ b/driver/log.go
@@ -67,7 +67,7 @@
 	default:
 		return 0, errors.Wrapf(wardturn.ErrReplyLost, "log: status %d", res.StatusCode())
 	}
-	var a Appended
+	var a AppendResponse
 	if err := json.Unmarshal(res.Body(), &a); err != nil {
 		return 0, errors.Wrap(wardturn.ErrReplyLost, "log: malformed append response")
 	}
@@ -111,7 +111,7 @@
 }
 
 func readPage(res *fasthttp.Response) (wardturn.LogPage, error) {
-	var p WirePage
+	var p LogPage
 	status := res.StatusCode()
 	if status == fasthttp.StatusOK || status == fasthttp.StatusGone {
 		if err := json.Unmarshal(res.Body(), &p); err != nil {
@@ -127,7 +127,7 @@
 	return wardturn.LogPage{}, errors.Wrapf(wardturn.ErrUnavailable, "log: status %d", status)
 }
 
-func (p WirePage) page() wardturn.LogPage {
+func (p LogPage) page() wardturn.LogPage {
 	page := wardturn.LogPage{
 		First:   p.First,
 		Next:    p.Next,
--- a/driver/service.go
+++ b/driver/service.go
@@ -49,7 +49,7 @@
 	for _, h := range r.Header {
 		req.Header.Add(h.Name, h.Value)
 	}
-	req.Header.Set(HeaderAttempt, string(r.ID))
+	req.Header.Set(HeaderRequestID, string(r.ID))
 	req.SetBodyRaw(r.Body)
 	if err := s.client.DoTimeout(req, res, timeoutFor(ctx, serviceTimeout)); err != nil {
 		if notSent(err) {
--- a/driver/wire.go
+++ b/driver/wire.go
@@ -24,32 +24,32 @@
 
 // Headers that wardturn adds to requests to engines and services.
 const (
-	HeaderFence   = "X-Order-Fence"
-	HeaderOrder   = "X-Order-Id"
-	HeaderAttempt = "X-Request-Id"
+	HeaderFence     = "X-Order-Fence"
+	HeaderOrderID   = "X-Order-Id"
+	HeaderRequestID = "X-Request-Id"
 )
 
-// Appended is the body of the log's response to an append.
-type Appended struct {
+// AppendResponse is the body of the log's response to an append.
+type AppendResponse struct {
 	Offset wardturn.Offset `json:"offset"`
 }
 
-// WireRecord is one log record. Data is encoded as base64 in JSON.
-type WireRecord struct {
+// LogRecord is one log record. Data is encoded as base64 in JSON.
+type LogRecord struct {
 	Offset wardturn.Offset `json:"offset"`
 	Time   time.Time       `json:"time"`
 	Data   []byte          `json:"data"`
 }
 
-// WirePage is the body of the log's response to a read.
-type WirePage struct {
+// LogPage is the body of the log's response to a read.
+type LogPage struct {
 	First   wardturn.Offset `json:"first"`
 	Next    wardturn.Offset `json:"next"`
-	Records []WireRecord    `json:"records"`
+	Records []LogRecord     `json:"records"`
 }
 
-// AdapterOrder is the body of a request to load or unload an adapter.
-type AdapterOrder struct {
+// AdapterRequest is the body of a request to load or unload an adapter.
+type AdapterRequest struct {
 	Name string `json:"lora_name"`
 	Path string `json:"lora_path,omitempty"`
 }
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -74,7 +74,7 @@
 	case err != nil:
 		ctx.SetStatusCode(fasthttp.StatusGatewayTimeout)
 	default:
-		writeJSON(ctx, fasthttp.StatusOK, driver.Appended{
+		writeJSON(ctx, fasthttp.StatusOK, driver.AppendResponse{
 			Offset: offset,
 		})
 	}
@@ -97,12 +97,12 @@
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
-	body := driver.WirePage{
+	body := driver.LogPage{
 		First: page.First,
 		Next:  page.Next,
 	}
 	for _, r := range page.Records {
-		body.Records = append(body.Records, driver.WireRecord{
+		body.Records = append(body.Records, driver.LogRecord{
 			Offset: r.Offset,
 			Time:   r.Time,
 			Data:   r.Data,
@@ -159,7 +159,7 @@
 
 // serveSlotOrder executes an order to load or unload an adapter and waits for its result.
 func serveSlotOrder(ctx *fasthttp.RequestCtx, do func(wardturn.SlotOrder, func(error))) {
-	var body driver.AdapterOrder
+	var body driver.AdapterRequest
 	if err := json.Unmarshal(ctx.PostBody(), &body); err != nil {
 		writeError(ctx, fasthttp.StatusBadRequest, "bad_request", err.Error())
 		return
@@ -170,7 +170,7 @@
 		return
 	}
 	fence, _ := strconv.ParseInt(string(ctx.Request.Header.Peek(driver.HeaderFence)), 10, 64)
-	id, _ := strconv.ParseUint(string(ctx.Request.Header.Peek(driver.HeaderOrder)), 10, 64)
+	id, _ := strconv.ParseUint(string(ctx.Request.Header.Peek(driver.HeaderOrderID)), 10, 64)
 	result := make(chan error, 1)
 	do(wardturn.SlotOrder{
 		ID:      wardturn.OrderID(id),
@@ -239,7 +239,7 @@
 	}
 	a := responseFormatter{
 		model: body.Model,
-		id:    string(ctx.Request.Header.Peek(driver.HeaderAttempt)),
+		id:    string(ctx.Request.Header.Peek(driver.HeaderRequestID)),
 		chat:  string(ctx.Path()) == driver.PathChatCompletions,
 	}
 	attempt := wardturn.AttemptID{
