--- a/agent/agent.go
+++ b/agent/agent.go
@@ -120,7 +120,7 @@
 		Role:     peer.RoleAgent,
 		Process:  a.cfg.Process,
 		Upstream: a.cfg.Upstream,
-		Config:   a.replica.Applied,
+		Config:   a.replica.AppliedOffset,
 	}
 }
 
@@ -287,7 +287,7 @@
 		Hint:    a.core.Hint(),
 		Slots:   a.core.Slots(),
 		Fence:   a.fence,
-		Config:  a.replica.Applied(),
+		Config:  a.replica.AppliedOffset(),
 		Leaving: a.leaving,
 		Policy:  a.core.PolicyName(),
 
--- a/agent/inbound.go
+++ b/agent/inbound.go
@@ -82,7 +82,7 @@
 // the entry. The time for that counts against the attempt's deadline.
 func (a *Agent) onSubmit(c *peer.Conn, m *peer.Submit) {
 	arrived := a.clock.Now()
-	if a.replica.Applied() >= m.Config {
+	if a.replica.AppliedOffset() >= m.Config {
 		a.admit(c, m, arrived, true)
 		return
 	}
@@ -280,8 +280,8 @@
 }
 
 func (a *Agent) onConfigPull(c *peer.Conn, m *peer.ConfigPull) {
-	page, pages, applied := a.replica.Page(m.Page)
-	data, err := control.EncodePage(page)
+	page, pages, applied := a.replica.ConfigPage(m.Page)
+	data, err := control.EncodeConfigPage(page)
 	if err != nil {
 		a.logger.Error("encoding configuration page failed", "error", err)
 		return
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -89,7 +89,7 @@
 func (a *Agent) acquireFence() {
 	wait := minFenceRetry
 	for a.tasks.Context().Err() == nil {
-		fence, err := a.replica.AppendStart(a.tasks.Context(), control.Start{
+		fence, err := a.replica.AppendStart(a.tasks.Context(), control.AgentStart{
 			Upstream: a.cfg.Upstream,
 			Process:  a.cfg.Process,
 		})
@@ -227,14 +227,14 @@
 	defer a.mu.Unlock()
 	a.core.SetPolicy(active)
 	a.core.SetShadow(shadow)
-	a.logger.Info("policy applied", "policy", active.Name(), "config", a.replica.Applied())
+	a.logger.Info("policy applied", "policy", active.Name(), "config", a.replica.AppliedOffset())
 }
 
 // applyShares applies the teams' shares of the configuration.
 func (a *Agent) applyShares() {
 	a.applyMu.Lock()
 	defer a.applyMu.Unlock()
-	weights := control.Shares(a.replica)
+	weights := control.TeamShares(a.replica)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.core.SetWeights(weights)
--- a/agent/policy_internal_test.go
+++ b/agent/policy_internal_test.go
@@ -93,6 +93,6 @@
 	}()
 	publishPolicy(t, a, "quick", quickSource)
 	g.Eventually(ended).WithTimeout(20 * time.Second).Should(gomega.BeClosed())
-	g.Eventually(a.replica.Applied).WithTimeout(20 * time.Second).Should(gomega.BeNumerically(">=", 2))
+	g.Eventually(a.replica.AppliedOffset).WithTimeout(20 * time.Second).Should(gomega.BeNumerically(">=", 2))
 	g.Expect(inForce()).To(gomega.Equal("quick"))
 }
--- a/cli/helpers_test.go
+++ b/cli/helpers_test.go
@@ -44,7 +44,7 @@
 
 func publishAdapter(t *testing.T, log *standin.Log) {
 	t.Helper()
-	data, err := control.Encode(control.Record{
+	data, err := control.EncodeRecord(control.Record{
 		Change: &control.Change{
 			ID: "setup",
 			Docs: []control.DocChange{{
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -71,7 +71,7 @@
 func validateDocs(files []docFile) []error {
 	var list []error
 	for _, f := range files {
-		if err := control.CheckDoc(f.path, f.key, f.body); err != nil {
+		if err := control.ValidateDoc(f.path, f.key, f.body); err != nil {
 			list = append(list, err)
 		}
 	}
@@ -115,7 +115,7 @@
 			Body: string(f.body),
 		})
 	}
-	var res control.Result
+	var res control.PublicationResult
 	if err := cl.do(fasthttp.MethodPost, entry.PathChanges, req, &res); err != nil {
 		return err
 	}
@@ -249,7 +249,7 @@
 	return printOutput(s.Out, c.Output, page.Entries, func(w io.Writer) {
 		fmt.Fprintln(w, "version\tat\twho\taccepted\tdocuments\tdeleted")
 		for _, e := range page.Entries {
-			fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%s\t%s\n", e.Version, e.At.UTC().Format(time.RFC3339), e.Who, e.Accepted, formatKeys(e.Keys), formatKeys(e.Deleted))
+			fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%s\t%s\n", e.Version, e.Time.UTC().Format(time.RFC3339), e.Author, e.Accepted, formatKeys(e.Keys), formatKeys(e.Deleted))
 		}
 	})
 }
@@ -345,7 +345,7 @@
 			Body:   "reason: " + string(body) + "\n",
 		}},
 	}
-	var res control.Result
+	var res control.PublicationResult
 	if err := cl.do(fasthttp.MethodPost, entry.PathChanges, req, &res); err != nil {
 		return err
 	}
--- a/cli/policy.go
+++ b/cli/policy.go
@@ -25,9 +25,9 @@
 	if err != nil {
 		return errors.Mark(err, ErrUsage)
 	}
-	rows, err := policy.Check(c.File, string(text))
+	rows, err := policy.CheckProgram(c.File, string(text))
 	for _, row := range rows {
-		fmt.Fprintf(s.Out, "%-5s  %-42s  %g\n", row.Function, row.Sample, row.Value)
+		fmt.Fprintf(s.Out, "%-5s  %-42s  %g\n", row.Function, row.Input, row.Value)
 	}
 	return err
 }
--- a/control/catalog.go
+++ b/control/catalog.go
@@ -139,16 +139,16 @@
 	return d, ok
 }
 
-// CallerOfKey returns the caller that the key with the given digest belongs to.
-func (c *Catalog) CallerOfKey(digest string) (wardturn.CallerID, bool) {
+// CallerByKeyDigest returns the caller that the key with the given digest belongs to.
+func (c *Catalog) CallerByKeyDigest(digest string) (wardturn.CallerID, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	id, ok := c.callerByKey[digest]
 	return id, ok
 }
 
-// TeamOfKey returns the team that the operator key with the given digest belongs to.
-func (c *Catalog) TeamOfKey(digest string) (wardturn.TeamID, bool) {
+// TeamByKeyDigest returns the team that the operator key with the given digest belongs to.
+func (c *Catalog) TeamByKeyDigest(digest string) (wardturn.TeamID, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	id, ok := c.teamByKey[digest]
@@ -160,9 +160,9 @@
 	return wardturn.DigestKey(key).String()
 }
 
-// Allowed reports whether a name matches one of the patterns. A pattern is a name, or a
+// MatchesPattern reports whether a name matches one of the patterns. A pattern is a name, or a
 // prefix followed by *.
-func Allowed(patterns []string, name string) bool {
+func MatchesPattern(patterns []string, name string) bool {
 	return slices.ContainsFunc(patterns, func(p string) bool {
 		if prefix, ok := strings.CutSuffix(p, "*"); ok {
 			return strings.HasPrefix(name, prefix)
--- a/control/catalog_internal_test.go
+++ b/control/catalog_internal_test.go
@@ -26,9 +26,9 @@
 		_, err := r.Publish(ctx, Change{
 			ID: id,
 			Docs: []DocChange{{
-				Key:  "adapter/a",
-				Base: base,
-				Body: []byte(body),
+				Key:         "adapter/a",
+				BaseVersion: base,
+				Body:        []byte(body),
 			}},
 		})
 		g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/control/check.go
+++ b/control/check.go
@@ -16,28 +16,28 @@
 	"wardturn/report"
 )
 
-// CheckDoc validates a document before publication. The error is a *DocProblem.
-func CheckDoc(file string, key Key, body []byte) error {
+// ValidateDoc validates a document before publication. The error is a *DocError.
+func ValidateDoc(file string, key Key, body []byte) error {
 	if !wardturn.ValidName(NameOf(key)) {
-		return newDocProblem(file, 1, fmt.Sprintf("key %q is not kind/name", key))
+		return newDocError(file, 1, fmt.Sprintf("key %q is not kind/name", key))
 	}
 	doc, err := newDoc(KindOf(key))
 	if err != nil {
-		return newDocProblem(file, 1, err.Error())
+		return newDocError(file, 1, err.Error())
 	}
 	dec := yaml.NewDecoder(bytes.NewReader(body))
 	dec.KnownFields(true)
 	if err := dec.Decode(doc); err != nil {
-		return newDocProblem(file, errorLine(err), strings.TrimPrefix(err.Error(), "yaml: "))
+		return newDocError(file, errorLine(err), strings.TrimPrefix(err.Error(), "yaml: "))
 	}
 	if field, reason := doc.invalidField(); reason != "" {
-		return newDocProblem(file, fieldLine(body, field), field+" "+reason)
+		return newDocError(file, fieldLine(body, field), field+" "+reason)
 	}
 	return doc.checkText(file, body)
 }
 
-func newDocProblem(file string, line int, reason string) error {
-	return &DocProblem{
+func newDocError(file string, line int, reason string) error {
+	return &DocError{
 		File:   file,
 		Line:   line,
 		Reason: reason,
@@ -172,12 +172,12 @@
 
 // checkText checks the policy program. Lines in errors are lines of the document.
 func (d *checkPolicy) checkText(file string, body []byte) error {
-	_, err := policy.Check(file, d.Source)
-	var p *policy.Problem
+	_, err := policy.CheckProgram(file, d.Source)
+	var p *policy.ProgramError
 	if !errors.As(err, &p) {
 		return err
 	}
-	return newDocProblem(file, fieldLine(body, "source")+p.Line, p.Reason)
+	return newDocError(file, fieldLine(body, "source")+p.Line, p.Reason)
 }
 
 type checkObjective struct {
--- a/control/claims.go
+++ b/control/claims.go
@@ -78,7 +78,7 @@
 	}
 	c.replica.mu.Lock()
 	defer c.replica.mu.Unlock()
-	res, ok := c.replica.state.First(claim.Caller, claim.Key)
+	res, ok := c.replica.state.FirstClaim(claim.Caller, claim.Key)
 	if !ok {
 		// The claim was applied and has already expired, so an earlier claim of
 		// the key may have expired too.
@@ -147,11 +147,11 @@
 	for _, p := range batch {
 		list = append(list, p.claim)
 	}
-	data, err := Encode(Record{
-		Claims: &Claims{
+	data, err := EncodeRecord(Record{
+		ClaimBatch: &ClaimBatch{
 			Upstream: c.upstream,
 			Process:  c.process,
-			List:     list,
+			Claims:   list,
 		},
 	})
 	if err != nil {
--- a/control/claimstate.go
+++ b/control/claimstate.go
@@ -4,8 +4,8 @@
 	"wardturn"
 )
 
-func (s *State) applyClaims(lr wardturn.LogRecord, c *Claims) {
-	for _, cl := range c.List {
+func (s *State) applyClaims(lr wardturn.LogRecord, c *ClaimBatch) {
+	for _, cl := range c.Claims {
 		key := claimKey{
 			caller: cl.Caller,
 			key:    cl.Key,
@@ -40,18 +40,18 @@
 // the comparison with claimHorizon would not show that a claim may be missing.
 func (s *State) tooOld(cl Claim) bool {
 	age := s.logTime.Sub(cl.Created)
-	if age > ClaimWindow || age < -KeySkew {
+	if age > MaxKeyAge || age < -MaxKeySkew {
 		return true
 	}
-	return !s.claimHorizon.IsZero() && cl.Created.Before(s.claimHorizon.Add(KeySkew))
+	return !s.claimHorizon.IsZero() && cl.Created.Before(s.claimHorizon.Add(MaxKeySkew))
 }
 
 func (s *State) expireClaims() {
 	for len(s.claimOrder) > 0 {
 		c := s.claims[s.claimOrder[0]]
-		// Claims are kept for twice ClaimWindow: once for the time in which the
+		// Claims are kept for twice MaxKeyAge: once for the time in which the
 		// key may be used, and once as a margin for clock skew and delays.
-		if s.logTime.Sub(c.Claim.Created) <= 2*ClaimWindow {
+		if s.logTime.Sub(c.Claim.Created) <= 2*MaxKeyAge {
 			return
 		}
 		delete(s.claims, s.claimOrder[0])
--- a/control/docs.go
+++ b/control/docs.go
@@ -90,15 +90,15 @@
 	return nil
 }
 
-// DocProblem says where and why a document was rejected.
-type DocProblem struct {
+// DocError says where and why a document was rejected.
+type DocError struct {
 	File   string
 	Line   int
 	Reason string
 }
 
 // Error implements error.
-func (p *DocProblem) Error() string {
+func (p *DocError) Error() string {
 	return p.File + ":" + strconv.Itoa(p.Line) + ": " + p.Reason
 }
 
@@ -138,8 +138,8 @@
 	return d
 }
 
-// Shares returns the configured weights by team. Teams without one are left out.
-func Shares(r *Replica) map[wardturn.TeamID]float64 {
+// TeamShares returns the configured weights by team. Teams without one are left out.
+func TeamShares(r *Replica) map[wardturn.TeamID]float64 {
 	weights := make(map[wardturn.TeamID]float64)
 	for _, d := range r.Docs(KindTeam) {
 		var t TeamDoc
@@ -186,21 +186,21 @@
 	return best, best.Version > 0
 }
 
-// EncodePage encodes a page for a peer. DecodePage decodes it.
-func EncodePage(p Page) ([]byte, error) {
+// EncodeConfigPage encodes a page for a peer. DecodeConfigPage decodes it.
+func EncodeConfigPage(p ConfigPage) ([]byte, error) {
 	data, err := msgpack.Marshal(p)
 	return data, errors.Wrap(err, "control: encode page")
 }
 
-// DecodePage decodes a page that was received from a peer.
-func DecodePage(data []byte) (p Page, err error) {
+// DecodeConfigPage decodes a page that was received from a peer.
+func DecodeConfigPage(data []byte) (p ConfigPage, err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			err = errors.Wrapf(ErrBadRecord, "%v", v)
 		}
 	}()
 	if err := msgpack.Unmarshal(data, &p); err != nil {
-		return Page{}, errors.Wrapf(ErrBadRecord, "%v", err)
+		return ConfigPage{}, errors.Wrapf(ErrBadRecord, "%v", err)
 	}
 	return p, nil
 }
--- a/control/history.go
+++ b/control/history.go
@@ -10,23 +10,23 @@
 // history. The log has all of them until its retention ends.
 const maxHistory = 10_000
 
-// Entry is an entry of the audit history: who published what, when, and whether it was
+// HistoryEntry is an entry of the audit history: who published what, when, and whether it was
 // accepted.
-type Entry struct {
+type HistoryEntry struct {
 	Version  wardturn.Offset `json:"version"` // offset of the record
-	At       time.Time       `json:"at"`      // by the clock of the log
-	Who      string          `json:"who"`
+	Time     time.Time       `json:"at"`      // by the clock of the log
+	Author   string          `json:"who"`
 	ID       PublicationID   `json:"id"`
 	Accepted bool            `json:"accepted"`
 	Keys     []Key           `json:"keys"`
 	Deleted  []Key           `json:"deleted,omitempty"`
 }
 
-func (s *State) addHistory(lr wardturn.LogRecord, c *Change, res Result) {
-	e := Entry{
+func (s *State) addHistory(lr wardturn.LogRecord, c *Change, res PublicationResult) {
+	e := HistoryEntry{
 		Version:  lr.Offset,
-		At:       lr.Time,
-		Who:      c.Who,
+		Time:     lr.Time,
+		Author:   c.Author,
 		ID:       c.ID,
 		Accepted: res.Accepted,
 	}
@@ -45,10 +45,10 @@
 
 // History returns up to limit entries after an offset, oldest first. If key is not
 // empty, only entries that change this document are returned.
-func (r *Replica) History(key Key, after wardturn.Offset, limit int) []Entry {
+func (r *Replica) History(key Key, after wardturn.Offset, limit int) []HistoryEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var list []Entry
+	var list []HistoryEntry
 	for _, e := range r.state.history {
 		if e.Version <= after || !e.changes(key) {
 			continue
@@ -61,7 +61,7 @@
 	return list
 }
 
-func (e Entry) changes(key Key) bool {
+func (e HistoryEntry) changes(key Key) bool {
 	if key == "" {
 		return true
 	}
--- a/control/record.go
+++ b/control/record.go
@@ -22,36 +22,36 @@
 
 // Record is a record of the platform's log. Exactly one of the fields is set.
 type Record struct {
-	Change   *Change   `msgpack:"c,omitempty"`
-	Snapshot *Snapshot `msgpack:"s,omitempty"`
-	Claims   *Claims   `msgpack:"k,omitempty"`
-	Start    *Start    `msgpack:"a,omitempty"`
+	Change     *Change     `msgpack:"c,omitempty"`
+	Snapshot   *Snapshot   `msgpack:"s,omitempty"`
+	ClaimBatch *ClaimBatch `msgpack:"k,omitempty"`
+	AgentStart *AgentStart `msgpack:"a,omitempty"`
 }
 
 // Change is one publication. Either all of its documents are accepted or none is.
 type Change struct {
-	ID   PublicationID `msgpack:"i"`
-	Who  string        `msgpack:"w"`
-	At   time.Time     `msgpack:"t"`
-	Docs []DocChange   `msgpack:"d"`
+	ID     PublicationID `msgpack:"i"`
+	Author string        `msgpack:"w"`
+	Time   time.Time     `msgpack:"t"`
+	Docs   []DocChange   `msgpack:"d"`
 }
 
 // DocChange replaces, creates or deletes one document.
 type DocChange struct {
-	Key    Key             `msgpack:"k"`
-	Base   wardturn.Offset `msgpack:"b"` // version that is replaced; zero: the document must not exist
-	Delete bool            `msgpack:"x,omitempty"`
-	Body   []byte          `msgpack:"y,omitempty"`
+	Key         Key             `msgpack:"k"`
+	BaseVersion wardturn.Offset `msgpack:"b"` // version that is replaced; zero: the document must not exist
+	Delete      bool            `msgpack:"x,omitempty"`
+	Body        []byte          `msgpack:"y,omitempty"`
 }
 
 // Snapshot is one part of a snapshot of all current documents as of the record at
 // offset Through.
 type Snapshot struct {
-	Through wardturn.Offset `msgpack:"t"`
-	Part    int             `msgpack:"p"`
-	Parts   int             `msgpack:"n"`
-	Docs    []Doc           `msgpack:"d"`
-	Results []Result        `msgpack:"r,omitempty"` // of recent publications
+	Through wardturn.Offset     `msgpack:"t"`
+	Part    int                 `msgpack:"p"`
+	Parts   int                 `msgpack:"n"`
+	Docs    []Doc               `msgpack:"d"`
+	Results []PublicationResult `msgpack:"r,omitempty"` // of recent publications
 }
 
 // Doc is the current version of a document.
@@ -59,15 +59,15 @@
 	Key     Key             `msgpack:"k"`
 	Version wardturn.Offset `msgpack:"v"`
 	Body    []byte          `msgpack:"y"`
-	Who     string          `msgpack:"w,omitempty"`
-	At      time.Time       `msgpack:"t"`
+	Author  string          `msgpack:"w,omitempty"`
+	Time    time.Time       `msgpack:"t"`
 }
 
-// Claims is a batch of claims by one agent.
-type Claims struct {
+// ClaimBatch is a batch of claims by one agent.
+type ClaimBatch struct {
 	Upstream wardturn.UpstreamID  `msgpack:"u"`
 	Process  wardturn.Incarnation `msgpack:"p"`
-	List     []Claim              `msgpack:"l"`
+	Claims   []Claim              `msgpack:"l"`
 }
 
 // Claim announces that an attempt is about to run a request that may not be repeated.
@@ -82,9 +82,9 @@
 	Supersedes wardturn.AttemptID `msgpack:"s,omitempty"`
 }
 
-// Start is the first record of an agent process. Its offset is the fencing token of
+// AgentStart is the first record of an agent process. Its offset is the fencing token of
 // the process.
-type Start struct {
+type AgentStart struct {
 	Upstream wardturn.UpstreamID  `msgpack:"u"`
 	Process  wardturn.Incarnation `msgpack:"p"`
 }
@@ -93,8 +93,8 @@
 // with another byte were appended by other users of the log.
 const recordVersion = 0xd1
 
-// Encode encodes a record for the log.
-func Encode(rec Record) ([]byte, error) {
+// EncodeRecord encodes a record for the log.
+func EncodeRecord(rec Record) ([]byte, error) {
 	body, err := msgpack.Marshal(&rec)
 	if err != nil {
 		return nil, errors.Wrap(err, "control: encode")
@@ -102,8 +102,8 @@
 	return append([]byte{recordVersion}, body...), nil
 }
 
-// Decode decodes a record of the log.
-func Decode(data []byte) (rec Record, err error) {
+// DecodeRecord decodes a record of the log.
+func DecodeRecord(data []byte) (rec Record, err error) {
 	if len(data) == 0 || data[0] != recordVersion {
 		return rec, ErrBadRecord
 	}
--- a/control/replica.go
+++ b/control/replica.go
@@ -89,9 +89,9 @@
 	r.watchers = append(r.watchers, f)
 }
 
-// Applied returns the newest offset that was applied and for which all watchers have
+// AppliedOffset returns the newest offset that was applied and for which all watchers have
 // been called.
-func (r *Replica) Applied() wardturn.Offset {
+func (r *Replica) AppliedOffset() wardturn.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.notifiedOffset
@@ -118,20 +118,20 @@
 	return r.state.Fence(id)
 }
 
-// LastRead returns the time of the latest successful read of the log.
-func (r *Replica) LastRead() time.Time {
+// LastReadTime returns the time of the latest successful read of the log.
+func (r *Replica) LastReadTime() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lastRead
 }
 
-// Seed installs the configuration of a peer; see State.Seed.
-func (r *Replica) Seed(page Page, applied wardturn.Offset) {
+// InstallPeerConfig installs the configuration of a peer; see State.InstallPeerConfig.
+func (r *Replica) InstallPeerConfig(page ConfigPage, applied wardturn.Offset) {
 	r.updateMu.Lock()
 	defer r.updateMu.Unlock()
 	r.mu.Lock()
 	r.changedKeys = r.changedKeys[:0]
-	r.state.Seed(page, applied)
+	r.state.InstallPeerConfig(page, applied)
 	r.mu.Unlock()
 	r.notifyWatchers()
 }
@@ -149,7 +149,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.notifiedOffset = r.state.Applied()
+	r.notifiedOffset = r.state.AppliedOffset()
 	r.wakeWaiters()
 }
 
@@ -189,7 +189,7 @@
 func (r *Replica) nextOffset() wardturn.Offset {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.state.Read() + 1
+	return r.state.ReadOffset() + 1
 }
 
 // startNearEnd skips all but the last tailRecords records of the log. If the log cannot
@@ -201,7 +201,7 @@
 	}
 	if page.Next-page.First > tailRecords {
 		r.mu.Lock()
-		r.state.Skip(page.Next - tailRecords)
+		r.state.SkipTo(page.Next - tailRecords)
 		r.startedNearEnd = true
 		r.mu.Unlock()
 	}
@@ -212,7 +212,7 @@
 func (r *Replica) restartFromFirst() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.startedNearEnd || r.state.Based() {
+	if !r.startedNearEnd || r.state.HasBaseline() {
 		return
 	}
 	r.startedNearEnd = false
@@ -227,7 +227,7 @@
 	defer r.updateMu.Unlock()
 	r.mu.Lock()
 	r.changedKeys = r.changedKeys[:0]
-	r.state.Skip(first)
+	r.state.SkipTo(first)
 	r.mu.Unlock()
 	r.notifyWatchers()
 }
@@ -262,7 +262,7 @@
 // WaitFor returns when the record at an offset has been applied.
 func (r *Replica) WaitFor(ctx context.Context, offset wardturn.Offset) error {
 	return r.waitUntil(ctx, func(s *State) bool {
-		return s.Applied() >= offset
+		return s.AppliedOffset() >= offset
 	})
 }
 
@@ -271,7 +271,7 @@
 func (r *Replica) waitUntil(ctx context.Context, condition func(*State) bool) error {
 	for {
 		r.mu.Lock()
-		ok := r.notifiedOffset == r.state.Applied() && condition(r.state)
+		ok := r.notifiedOffset == r.state.AppliedOffset() && condition(r.state)
 		changed := r.updated
 		r.mu.Unlock()
 		if ok {
@@ -288,27 +288,27 @@
 // Publish appends a change and returns its result. After an error other than
 // ErrConflict it is unknown whether the change was accepted. It is safe to publish it
 // again with the same ID, which returns the result of the first append.
-func (r *Replica) Publish(ctx context.Context, c Change) (Result, error) {
-	data, err := Encode(Record{
+func (r *Replica) Publish(ctx context.Context, c Change) (PublicationResult, error) {
+	data, err := EncodeRecord(Record{
 		Change: &c,
 	})
 	if err != nil {
-		return Result{}, err
+		return PublicationResult{}, err
 	}
 	if err := r.append(ctx, data); err != nil {
-		return Result{}, err
+		return PublicationResult{}, err
 	}
-	var res Result
+	var res PublicationResult
 	err = r.waitUntil(ctx, func(s *State) bool {
 		var ok bool
 		res, ok = s.Result(c.ID)
 		return ok
 	})
 	if err != nil {
-		return Result{}, err
+		return PublicationResult{}, err
 	}
 	if !res.Accepted {
-		return res, errors.Wrapf(ErrConflict, "%s is at version %d", res.Conflict, res.InForce)
+		return res, errors.Wrapf(ErrConflict, "%s is at version %d", res.Conflict, res.CurrentVersion)
 	}
 	return res, nil
 }
@@ -335,9 +335,9 @@
 
 // AppendStart appends the start record of an agent process and returns its fencing
 // token.
-func (r *Replica) AppendStart(ctx context.Context, s Start) (wardturn.Fence, error) {
-	data, err := Encode(Record{
-		Start: &s,
+func (r *Replica) AppendStart(ctx context.Context, s AgentStart) (wardturn.Fence, error) {
+	data, err := EncodeRecord(Record{
+		AgentStart: &s,
 	})
 	if err != nil {
 		return 0, err
--- a/control/replica_test.go
+++ b/control/replica_test.go
@@ -44,12 +44,12 @@
 
 func newChange(id string, base wardturn.Offset, body string) control.Change {
 	return control.Change{
-		ID:  control.PublicationID(id),
-		Who: "test",
+		ID:     control.PublicationID(id),
+		Author: "test",
 		Docs: []control.DocChange{{
-			Key:  "adapter/a",
-			Base: base,
-			Body: []byte(body),
+			Key:         "adapter/a",
+			BaseVersion: base,
+			Body:        []byte(body),
 		}},
 	}
 }
@@ -76,7 +76,7 @@
 		wg.Wait()
 		Expect(errs).To(ContainElement(BeNil()))
 		Expect(errs).To(ContainElement(MatchError(control.ErrConflict)))
-		Eventually(z.Applied).Should(BeNumerically(">=", 2))
+		Eventually(z.AppliedOffset).Should(BeNumerically(">=", 2))
 		want, _ := x.Get("adapter/a")
 		for _, r := range []*control.Replica{y, z} {
 			got, ok := r.Get("adapter/a")
@@ -122,7 +122,7 @@
 		_, err := first.Publish(ctx, newChange("p", 0, "body"))
 		Expect(err).NotTo(HaveOccurred())
 		clock.Advance(50 * time.Minute)
-		Expect(first.Snapshot(ctx)).To(Succeed())
+		Expect(first.AppendSnapshot(ctx)).To(Succeed())
 		clock.Advance(20 * time.Minute)
 		second := newReplica(log)
 		Eventually(func() bool {
@@ -157,10 +157,10 @@
 			return int(counting.records.Load())
 		}
 		Expect(recordsRead()).To(BeNumerically(">", 20_002), "no snapshot: reads the end, then all records")
-		Expect(first.Snapshot(ctx)).To(Succeed())
+		Expect(first.AppendSnapshot(ctx)).To(Succeed())
 		fill()
 		Expect(recordsRead()).To(BeNumerically(">", 20_002), "the snapshot is before the last 20 000 records")
-		Expect(first.Snapshot(ctx)).To(Succeed())
+		Expect(first.AppendSnapshot(ctx)).To(Succeed())
 		Expect(recordsRead()).To(BeNumerically("<=", 20_002))
 	})
 
@@ -172,7 +172,7 @@
 			Key:  "adapter/a",
 			Body: []byte("old"),
 		}
-		r.Seed(control.Page{
+		r.InstallPeerConfig(control.ConfigPage{
 			Docs: []control.Doc{old},
 		}, 1)
 		doc, _ := r.Get("adapter/a")
--- a/control/seed_test.go
+++ b/control/seed_test.go
@@ -51,23 +51,23 @@
 		var t watchedKeys
 		r.Watch(t.add)
 		catalog := control.NewCatalog(r)
-		r.Seed(control.Page{
+		r.InstallPeerConfig(control.ConfigPage{
 			Docs: []control.Doc{
 				docAt("adapter/a", 1, "{base_model: m, team: t, version: 1}"),
 				docAt("caller/c", 2, "{team: t, key_digests: [d]}"),
 			},
 		}, 10)
 		Expect(t.take()).To(ConsistOf(control.Key("adapter/a"), control.Key("caller/c")))
-		_, known := catalog.CallerOfKey("d")
+		_, known := catalog.CallerByKeyDigest("d")
 		Expect(known).To(BeTrue())
 
-		r.Seed(control.Page{
+		r.InstallPeerConfig(control.ConfigPage{
 			Docs: []control.Doc{
 				docAt("adapter/a", 1, "{base_model: m, team: t, version: 1}"),
 			},
 		}, 20)
 		Expect(t.take()).To(ContainElement(control.Key("caller/c")))
-		_, known = catalog.CallerOfKey("d")
+		_, known = catalog.CallerByKeyDigest("d")
 		Expect(known).To(BeFalse(), "the key of a caller that was deleted")
 	})
 
@@ -75,7 +75,7 @@
 		const peerAt, first = 200, 250
 		record := func(offset wardturn.Offset, base wardturn.Offset, body string) wardturn.LogRecord {
 			c := newChange(body, base, body)
-			data, err := control.Encode(control.Record{
+			data, err := control.EncodeRecord(control.Record{
 				Change: &c,
 			})
 			Expect(err).NotTo(HaveOccurred())
@@ -85,16 +85,16 @@
 			}
 		}
 		s := control.NewState(false)
-		s.Skip(first)
+		s.SkipTo(first)
 		// The skipped record at 230 published version 230, which the record at
 		// 250 replaces.
 		s.Apply(record(first, 230, "newest"))
-		s.Seed(control.Page{
+		s.InstallPeerConfig(control.ConfigPage{
 			Docs: []control.Doc{
 				docAt("adapter/a", 100, "old"),
 			},
 		}, peerAt)
-		Expect(s.Based()).To(BeFalse())
-		Expect(s.Applied()).To(BeZero(), "the current version at 250 is unknown")
+		Expect(s.HasBaseline()).To(BeFalse())
+		Expect(s.AppliedOffset()).To(BeZero(), "the current version at 250 is unknown")
 	})
 })
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -30,14 +30,14 @@
 	return append(list, part)
 }
 
-// Snapshot appends all current documents again, with their versions. Several processes
+// AppendSnapshot appends all current documents again, with their versions. Several processes
 // may append a snapshot at the same time; the later ones have no effect.
-func (r *Replica) Snapshot(ctx context.Context) error {
+func (r *Replica) AppendSnapshot(ctx context.Context) error {
 	r.mu.Lock()
-	through := r.state.Applied()
+	through := r.state.AppliedOffset()
 	docs := r.state.Docs("")
-	results := r.state.Recent()
-	based := r.state.Based()
+	results := r.state.RecentResults()
+	based := r.state.HasBaseline()
 	r.mu.Unlock()
 	if !based {
 		return errors.Wrap(wardturn.ErrUnavailable, "control: no baseline to make a snapshot from")
@@ -53,7 +53,7 @@
 		if i == 0 {
 			snap.Results = results
 		}
-		data, err := Encode(Record{
+		data, err := EncodeRecord(Record{
 			Snapshot: &snap,
 		})
 		if err != nil {
@@ -71,7 +71,7 @@
 func (r *Replica) snapshotDue(maxAge time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.state.Based() || len(r.state.docs) == 0 {
+	if !r.state.HasBaseline() || len(r.state.docs) == 0 {
 		return false
 	}
 	if r.state.readOffset-r.state.snapshotOffset > tailRecords/2 {
@@ -80,10 +80,10 @@
 	return r.clock.Now().Sub(r.state.SnapshotTime()) > maxAge
 }
 
-// KeepSnapshots appends a snapshot whenever one is due, until ctx ends. Every entry
+// RunSnapshots appends a snapshot whenever one is due, until ctx ends. Every entry
 // host runs it. Each waits for a random time before it appends, so that usually one
 // host appends the snapshot and the others see it in time.
-func (r *Replica) KeepSnapshots(ctx context.Context, interval time.Duration) {
+func (r *Replica) RunSnapshots(ctx context.Context, interval time.Duration) {
 	for ctx.Err() == nil {
 		r.sleepWithJitter(ctx, interval/snapshotChecksPerInterval)
 		if !r.snapshotDue(interval) {
@@ -93,7 +93,7 @@
 		if ctx.Err() != nil || !r.snapshotDue(interval) {
 			continue
 		}
-		if err := r.Snapshot(ctx); err != nil && ctx.Err() == nil {
+		if err := r.AppendSnapshot(ctx); err != nil && ctx.Err() == nil {
 			r.logger.Warn("snapshot failed", "error", err)
 		}
 	}
@@ -103,16 +103,16 @@
 // whether a snapshot is due.
 const snapshotChecksPerInterval = 4
 
-// Page is a part of the configuration of a process. Peers exchange pages while the log
+// ConfigPage is a part of the configuration of a process. Peers exchange pages while the log
 // is unavailable.
-type Page struct {
-	Docs    []Doc    `msgpack:"d"`
-	Results []Result `msgpack:"r"` // of recent publications; only in the first page
+type ConfigPage struct {
+	Docs    []Doc               `msgpack:"d"`
+	Results []PublicationResult `msgpack:"r"` // of recent publications; only in the first page
 }
 
-// Page returns the page with index i of the configuration, the number of pages, and the
+// ConfigPage returns the page with index i of the configuration, the number of pages, and the
 // offset of the record up to which the configuration was applied.
-func (r *Replica) Page(i int) (p Page, pages int, applied wardturn.Offset) {
+func (r *Replica) ConfigPage(i int) (p ConfigPage, pages int, applied wardturn.Offset) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := splitDocs(r.state.Docs(""))
@@ -120,7 +120,7 @@
 		p.Docs = list[i]
 	}
 	if i == 0 {
-		p.Results = r.state.Recent()
+		p.Results = r.state.RecentResults()
 	}
-	return p, len(list), r.state.Applied()
+	return p, len(list), r.state.AppliedOffset()
 }
--- a/control/state.go
+++ b/control/state.go
@@ -8,13 +8,13 @@
 	"wardturn"
 )
 
-// ClaimWindow is the maximum age of an idempotency key, by the clock of the log. Older
+// MaxKeyAge is the maximum age of an idempotency key, by the clock of the log. Older
 // keys are refused.
-const ClaimWindow = 10 * time.Minute
+const MaxKeyAge = 10 * time.Minute
 
-// KeySkew is how far the clock that gave a key its creation time may be ahead of the
+// MaxKeySkew is how far the clock that gave a key its creation time may be ahead of the
 // clock of the log.
-const KeySkew = time.Minute
+const MaxKeySkew = time.Minute
 
 const (
 	// maxResults is the maximum number of publications whose results are kept.
@@ -24,13 +24,13 @@
 	maxSnapshotResults = 256
 )
 
-// Result is the outcome of a publication.
-type Result struct {
-	ID       PublicationID   `msgpack:"i"`
-	Accepted bool            `msgpack:"a"`
-	Version  wardturn.Offset `msgpack:"v"`           // offset of the record
-	Conflict Key             `msgpack:"c,omitempty"` // first document whose version differed from its Base
-	InForce  wardturn.Offset `msgpack:"f,omitempty"` // current version of that document
+// PublicationResult is the outcome of a publication.
+type PublicationResult struct {
+	ID             PublicationID   `msgpack:"i"`
+	Accepted       bool            `msgpack:"a"`
+	Version        wardturn.Offset `msgpack:"v"`           // offset of the record
+	Conflict       Key             `msgpack:"c,omitempty"` // first document whose version differed from its Base
+	CurrentVersion wardturn.Offset `msgpack:"f,omitempty"` // current version of that document
 }
 
 // ClaimResult is the first claim of a key and its origin.
@@ -66,9 +66,9 @@
 	skipped          bool       // records just before the next one were not read
 	claimHorizon     time.Time  // claims before this time may have been missed; zero: none
 	fences           map[wardturn.UpstreamID]wardturn.Offset
-	results          map[PublicationID]Result
+	results          map[PublicationID]PublicationResult
 	resultOrder      []PublicationID
-	history          []Entry
+	history          []HistoryEntry
 	partialSnapshots map[wardturn.Offset]*partialSnapshot
 	keepClaims       bool
 	onChange         func(Key)
@@ -89,7 +89,7 @@
 type partialSnapshot struct {
 	received map[int]bool
 	docs     map[Key]Doc
-	results  []Result
+	results  []PublicationResult
 }
 
 // NewState returns the state of an empty log. Claims are kept only if keepClaims is
@@ -101,27 +101,27 @@
 		docs:             make(map[Key]Doc),
 		claims:           make(map[claimKey]ClaimResult),
 		fences:           make(map[wardturn.UpstreamID]wardturn.Offset),
-		results:          make(map[PublicationID]Result),
+		results:          make(map[PublicationID]PublicationResult),
 		partialSnapshots: make(map[wardturn.Offset]*partialSnapshot),
 		keepClaims:       keepClaims,
 		onChange:         func(Key) {},
 	}
 }
 
-// Read returns the offset of the newest record that was read.
-func (s *State) Read() wardturn.Offset {
+// ReadOffset returns the offset of the newest record that was read.
+func (s *State) ReadOffset() wardturn.Offset {
 	return s.readOffset
 }
 
-// Based reports whether the state has a baseline, so that publications are applied as
+// HasBaseline reports whether the state has a baseline, so that publications are applied as
 // they are read.
-func (s *State) Based() bool {
+func (s *State) HasBaseline() bool {
 	return s.hasBaseline
 }
 
-// Applied returns the offset of the record up to which the documents are current.
+// AppliedOffset returns the offset of the record up to which the documents are current.
 // Without a baseline it is lower than Read.
-func (s *State) Applied() wardturn.Offset {
+func (s *State) AppliedOffset() wardturn.Offset {
 	return s.applied
 }
 
@@ -146,7 +146,7 @@
 }
 
 // Result returns the outcome of a publication, if it is still kept.
-func (s *State) Result(id PublicationID) (Result, bool) {
+func (s *State) Result(id PublicationID) (PublicationResult, bool) {
 	r, ok := s.results[id]
 	return r, ok
 }
@@ -157,8 +157,8 @@
 	return s.fences[id]
 }
 
-// First returns the first claim of a key, or the claim that superseded it.
-func (s *State) First(caller wardturn.CallerID, key wardturn.IdempotencyKey) (ClaimResult, bool) {
+// FirstClaim returns the first claim of a key, or the claim that superseded it.
+func (s *State) FirstClaim(caller wardturn.CallerID, key wardturn.IdempotencyKey) (ClaimResult, bool) {
 	r, ok := s.claims[claimKey{
 		caller: caller,
 		key:    key,
@@ -181,7 +181,7 @@
 		s.skipped = false
 		s.claimHorizon = lr.Time
 	}
-	rec, err := Decode(lr.Data)
+	rec, err := DecodeRecord(lr.Data)
 	if err != nil {
 		return
 	}
@@ -195,10 +195,10 @@
 		})
 	case rec.Snapshot != nil:
 		s.applySnapshot(lr, rec.Snapshot)
-	case rec.Claims != nil && s.keepClaims:
-		s.applyClaims(lr, rec.Claims)
-	case rec.Start != nil:
-		s.fences[rec.Start.Upstream] = lr.Offset
+	case rec.ClaimBatch != nil && s.keepClaims:
+		s.applyClaims(lr, rec.ClaimBatch)
+	case rec.AgentStart != nil:
+		s.fences[rec.AgentStart.Upstream] = lr.Offset
 	}
 }
 
@@ -208,10 +208,10 @@
 	}
 }
 
-// Skip makes first the offset of the next record without reading the records before it,
+// SkipTo makes first the offset of the next record without reading the records before it,
 // for example because they are out of retention. The state loses its baseline, since
 // the publications and claims in the skipped records are unknown.
-func (s *State) Skip(first wardturn.Offset) {
+func (s *State) SkipTo(first wardturn.Offset) {
 	if first-1 <= s.readOffset {
 		return
 	}
@@ -227,19 +227,19 @@
 	if _, seen := s.results[c.ID]; seen {
 		return // appended again after a lost reply
 	}
-	res := Result{
+	res := PublicationResult{
 		ID:       c.ID,
 		Accepted: true,
 		Version:  lr.Offset,
 	}
 	for _, dc := range c.Docs {
 		current := s.docs[dc.Key].Version
-		if current == dc.Base {
+		if current == dc.BaseVersion {
 			continue
 		}
 		res.Accepted = false
 		res.Conflict = dc.Key
-		res.InForce = current
+		res.CurrentVersion = current
 		break
 	}
 	s.addResult(res)
@@ -260,16 +260,16 @@
 			Key:     dc.Key,
 			Version: lr.Offset,
 			Body:    dc.Body,
-			Who:     c.Who,
-			At:      lr.Time,
+			Author:  c.Author,
+			Time:    lr.Time,
 		}
 	}
 	s.onChange(dc.Key)
 }
 
-// Recent returns the results of the newest publications, for a snapshot.
-func (s *State) Recent() []Result {
-	list := make([]Result, 0, maxSnapshotResults)
+// RecentResults returns the results of the newest publications, for a snapshot.
+func (s *State) RecentResults() []PublicationResult {
+	list := make([]PublicationResult, 0, maxSnapshotResults)
 	for _, id := range s.resultOrder[max(0, len(s.resultOrder)-maxSnapshotResults):] {
 		list = append(list, s.results[id])
 	}
@@ -281,7 +281,7 @@
 	return s.snapshotTime
 }
 
-func (s *State) addResult(res Result) {
+func (s *State) addResult(res PublicationResult) {
 	s.results[res.ID] = res
 	s.resultOrder = append(s.resultOrder, res.ID)
 	if len(s.resultOrder) > maxResults {
@@ -350,11 +350,11 @@
 	}
 }
 
-// Seed installs the configuration of a peer while the log is unavailable: the documents
+// InstallPeerConfig installs the configuration of a peer while the log is unavailable: the documents
 // as of the record at offset applied, and the results of publications up to it. It does
 // nothing if the configuration is not newer than the present one, or if records between
 // it and the oldest record that was read are missing.
-func (s *State) Seed(page Page, applied wardturn.Offset) {
+func (s *State) InstallPeerConfig(page ConfigPage, applied wardturn.Offset) {
 	missed := s.readOffset > applied && s.firstReadOffset > applied+1
 	if applied <= s.applied || missed {
 		return
--- a/control/state_model_test.go
+++ b/control/state_model_test.go
@@ -79,7 +79,7 @@
 }
 
 func (m *logModel) append(t *rapid.T, rec control.Record) {
-	data, err := control.Encode(rec)
+	data, err := control.EncodeRecord(rec)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,17 +101,17 @@
 	r := m.readers[rapid.IntRange(0, modelReaders-1).Draw(t, "by")]
 	m.next++
 	c := control.Change{
-		ID:  control.PublicationID(fmt.Sprint(m.next)),
-		Who: "model",
+		ID:     control.PublicationID(fmt.Sprint(m.next)),
+		Author: "model",
 	}
 	for i := range rapid.IntRange(1, 2).Draw(t, "docs") {
 		key := control.Key(fmt.Sprintf("adapter/a%d", (rapid.IntRange(0, modelKeys-1).Draw(t, "key")+i)%modelKeys))
 		have, _ := r.state.Get(key)
 		c.Docs = append(c.Docs, control.DocChange{
-			Key:    key,
-			Base:   have.Version,
-			Delete: have.Version > 0 && rapid.IntRange(0, 3).Draw(t, "delete") == 0,
-			Body:   []byte(fmt.Sprint(m.next)),
+			Key:         key,
+			BaseVersion: have.Version,
+			Delete:      have.Version > 0 && rapid.IntRange(0, 3).Draw(t, "delete") == 0,
+			Body:        []byte(fmt.Sprint(m.next)),
 		})
 	}
 	m.sent = append(m.sent, c)
@@ -138,18 +138,18 @@
 // Snapshot appends a snapshot of one process, in one or two parts.
 func (m *logModel) Snapshot(t *rapid.T) {
 	r := m.readers[rapid.IntRange(0, modelReaders-1).Draw(t, "by")]
-	if !r.state.Based() {
+	if !r.state.HasBaseline() {
 		t.Skip("no baseline")
 	}
 	docs := r.state.Docs("")
-	through := r.state.Applied()
+	through := r.state.AppliedOffset()
 	parts := rapid.IntRange(1, 2).Draw(t, "parts")
 	for i := range parts {
 		snap := control.Snapshot{
 			Through: through,
 			Part:    i,
 			Parts:   parts,
-			Results: r.state.Recent(),
+			Results: r.state.RecentResults(),
 		}
 		for j, d := range docs {
 			if j%parts == i {
@@ -167,7 +167,7 @@
 func (m *logModel) Drop(t *rapid.T) {
 	covered := 0
 	for i := len(m.log) - 1; i >= 0 && covered == 0; i-- {
-		rec, err := control.Decode(m.log[i].Data)
+		rec, err := control.DecodeRecord(m.log[i].Data)
 		if err == nil && rec.Snapshot != nil && rec.Snapshot.Parts == 1 {
 			covered = int(rec.Snapshot.Through)
 		}
@@ -186,9 +186,9 @@
 }
 
 func (m *logModel) read(r *reader, n int) {
-	next := int(r.state.Read())
+	next := int(r.state.ReadOffset())
 	if next < m.first {
-		r.state.Skip(wardturn.Offset(m.first + 1))
+		r.state.SkipTo(wardturn.Offset(m.first + 1))
 		next = m.first
 	}
 	for i := next; i < min(next+n, len(m.log)); i++ {
@@ -217,9 +217,9 @@
 		m.created[key] = created
 	}
 	m.append(t, control.Record{
-		Claims: &control.Claims{
+		ClaimBatch: &control.ClaimBatch{
 			Upstream: "u",
-			List: []control.Claim{{
+			Claims: []control.Claim{{
 				Caller:  "c",
 				Key:     wardturn.IdempotencyKey(key),
 				Digest:  "d",
@@ -229,7 +229,7 @@
 		},
 	})
 	m.read(r, len(m.log))
-	res, ok := r.state.First("c", wardturn.IdempotencyKey(key))
+	res, ok := r.state.FirstClaim("c", wardturn.IdempotencyKey(key))
 	if ok && res.Claim.Attempt == id && !res.TooOld {
 		m.ran[key]++
 	}
@@ -254,7 +254,7 @@
 				t.Fatalf("process %d holds version %d of %s, which was never accepted", i, d.Version, d.Key)
 			}
 		}
-		if int(r.state.Applied()) == len(m.log) {
+		if int(r.state.AppliedOffset()) == len(m.log) {
 			m.compare(t, i, r)
 		}
 	}
--- a/demo/system.go
+++ b/demo/system.go
@@ -313,10 +313,10 @@
 		part := docs[:min(docsPerChange, len(docs))]
 		docs = docs[len(part):]
 		_, err := s.Entries[0].Replica().Publish(ctx, control.Change{
-			ID:   control.PublicationID(fmt.Sprintf("demo-%d", n)),
-			Who:  "demo",
-			At:   s.cfg.Clock.Now(),
-			Docs: part,
+			ID:     control.PublicationID(fmt.Sprintf("demo-%d", n)),
+			Author: "demo",
+			Time:   s.cfg.Clock.Now(),
+			Docs:   part,
 		})
 		if err != nil {
 			return errors.Wrap(err, "publish")
@@ -328,7 +328,7 @@
 // waitReady waits until every entry has read the host list and the published
 // configuration.
 func (s *System) waitReady(ctx context.Context) error {
-	last := s.Entries[0].Replica().Applied()
+	last := s.Entries[0].Replica().AppliedOffset()
 	for _, e := range s.Entries {
 		if err := e.Replica().WaitFor(ctx, last); err != nil {
 			return err
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -83,7 +83,7 @@
 			}, true
 		}
 	}
-	if team, ok := e.catalog.TeamOfKey(digest); ok {
+	if team, ok := e.catalog.TeamByKeyDigest(digest); ok {
 		return operator{
 			name: string(team) + "-operator",
 			team: team,
@@ -94,7 +94,7 @@
 
 // HistoryPage is a page of the audit log.
 type HistoryPage struct {
-	Entries []control.Entry `json:"entries"`
+	Entries []control.HistoryEntry `json:"entries"`
 }
 
 func (e *Entry) getHistory(ctx *fasthttp.RequestCtx, _ operator) {
@@ -102,7 +102,7 @@
 	after, _ := strconv.ParseInt(string(args.Peek("after")), 10, 64)
 	entries := e.replica.History(control.Key(args.Peek("key")), wardturn.Offset(after), pageSize(ctx))
 	if entries == nil {
-		entries = []control.Entry{}
+		entries = []control.HistoryEntry{}
 	}
 	writeJSON(ctx, fasthttp.StatusOK, HistoryPage{
 		Entries: entries,
@@ -133,8 +133,8 @@
 	st := StatusView{
 		Process: e.cfg.Process,
 		Ready:   e.Ready(),
-		Config:  e.replica.Applied(),
-		LogRead: e.replica.LastRead(),
+		Config:  e.replica.AppliedOffset(),
+		LogRead: e.replica.LastReadTime(),
 		Open:    e.openRequests.Load(),
 	}
 	e.mu.Lock()
--- a/entry/admin_test.go
+++ b/entry/admin_test.go
@@ -155,7 +155,7 @@
 		Expect(json.Unmarshal(admin.do("GET", "/admin/v1/history?key=adapter/a0001", "").Body(), &page)).To(Succeed())
 		Expect(page.Entries).NotTo(BeEmpty())
 		last := page.Entries[len(page.Entries)-1]
-		Expect(last.Who).To(Equal("demo"))
+		Expect(last.Author).To(Equal("demo"))
 		Expect(last.Deleted).To(ConsistOf(control.Key("adapter/a0001")))
 	})
 
--- a/entry/api.go
+++ b/entry/api.go
@@ -119,7 +119,7 @@
 	if errResp.code != "" {
 		return nil, errResp
 	}
-	config := e.replica.Applied()
+	config := e.replica.AppliedOffset()
 	ref, model, ok := e.catalog.Resolve(c.ref)
 	if !ok {
 		return nil, unknownAdapter(c.ref)
@@ -150,7 +150,7 @@
 // callService forwards a request to a plain HTTP service.
 func (e *Entry) callService(ctx *fasthttp.RequestCtx, caller wardturn.CallerID) {
 	name := wardturn.ServiceName(ctx.UserValue("name").(string))
-	config := e.replica.Applied()
+	config := e.replica.AppliedOffset()
 	doc, ok := e.catalog.Service(name)
 	if !ok {
 		writeError(ctx, unknownService(name))
@@ -236,10 +236,10 @@
 	if err != nil {
 		return badRequest(HeaderKeyCreated, "must be the time the key was made, as in 2026-01-02T15:04:05Z")
 	}
-	if created.After(now.Add(control.KeySkew)) {
+	if created.After(now.Add(control.MaxKeySkew)) {
 		return badRequest(HeaderKeyCreated, "is in the future")
 	}
-	if now.Sub(created) > control.ClaimWindow {
+	if now.Sub(created) > control.MaxKeyAge {
 		return errorResponse{
 			status:  fasthttp.StatusConflict,
 			code:    string(wardturn.ReasonKeyTooOld),
--- a/entry/auth.go
+++ b/entry/auth.go
@@ -29,7 +29,7 @@
 	if digest == "" {
 		return anonymous, e.cfg.Open
 	}
-	if id, ok := e.catalog.CallerOfKey(digest); ok {
+	if id, ok := e.catalog.CallerByKeyDigest(digest); ok {
 		return id, true
 	}
 	for _, k := range e.cfg.CallerKeys {
@@ -51,7 +51,7 @@
 // that exist only in the settings may use all of them.
 func (e *Entry) mayUse(caller wardturn.CallerID, name string, patterns patternsFunc) bool {
 	d, ok := e.catalog.Caller(caller)
-	return !ok || control.Allowed(patterns(d), name)
+	return !ok || control.MatchesPattern(patterns(d), name)
 }
 
 // callerTeam returns the caller's team. Callers that exist only in the settings have
--- a/entry/behind_test.go
+++ b/entry/behind_test.go
@@ -80,9 +80,9 @@
 		res, err := sys.Entries[0].Replica().Publish(ctx, control.Change{
 			ID: "newer",
 			Docs: []control.DocChange{{
-				Key:  key,
-				Base: old.Version,
-				Body: []byte("base_model: base\nteam: demo\nversion: 2\n"),
+				Key:         key,
+				BaseVersion: old.Version,
+				Body:        []byte("base_model: base\nteam: demo\nversion: 2\n"),
 			}},
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -96,9 +96,9 @@
 		res, err = e.Replica().Publish(ctx, control.Change{
 			ID: "own",
 			Docs: []control.DocChange{{
-				Key:  key,
-				Base: res.Version,
-				Body: []byte("base_model: base\nteam: demo\nversion: 3\n"),
+				Key:         key,
+				BaseVersion: res.Version,
+				Body:        []byte("base_model: base\nteam: demo\nversion: 3\n"),
 			}},
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -108,13 +108,13 @@
 		res, err = sys.Entries[0].Replica().Publish(ctx, control.Change{
 			ID: "newest",
 			Docs: []control.DocChange{{
-				Key:    key,
-				Base:   res.Version,
-				Delete: true,
+				Key:         key,
+				BaseVersion: res.Version,
+				Delete:      true,
 			}},
 		})
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(e.Replica().Applied).WithTimeout(10 * time.Second).Should(BeNumerically(">=", res.Version))
+		Eventually(e.Replica().AppliedOffset).WithTimeout(10 * time.Second).Should(BeNumerically(">=", res.Version))
 		_, ok = e.Replica().Get(key)
 		Expect(ok).To(BeFalse())
 	})
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -229,7 +229,7 @@
 		x.ended = true
 		return
 	}
-	x.config = x.entry.replica.Applied()
+	x.config = x.entry.replica.AppliedOffset()
 	ref, model, ok := x.entry.catalog.Resolve(wardturn.AdapterRef{
 		Adapter: x.req.Adapter.Adapter,
 	})
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -36,8 +36,8 @@
 	return DocView{
 		Key:     d.Key,
 		Version: d.Version,
-		Who:     d.Who,
-		At:      d.At,
+		Who:     d.Author,
+		At:      d.Time,
 		Body:    string(d.Body),
 	}
 }
@@ -61,7 +61,7 @@
 	limit := pageSize(ctx)
 	page := DocPage{
 		Docs:   []DocView{},
-		Config: e.replica.Applied(),
+		Config: e.replica.AppliedOffset(),
 	}
 	for _, d := range e.replica.Docs(string(ctx.QueryArgs().Peek("kind"))) {
 		if d.Key <= after {
@@ -144,7 +144,7 @@
 		return
 	}
 	d.Key = docKey(ctx)
-	d.Base = base
+	d.BaseVersion = base
 	e.publish(ctx, op, control.Change{
 		Docs: []control.DocChange{d},
 	})
@@ -181,10 +181,10 @@
 	}
 	for _, d := range req.Docs {
 		c.Docs = append(c.Docs, control.DocChange{
-			Key:    d.Key,
-			Base:   d.Base,
-			Delete: d.Delete,
-			Body:   []byte(d.Body),
+			Key:         d.Key,
+			BaseVersion: d.Base,
+			Delete:      d.Delete,
+			Body:        []byte(d.Body),
 		})
 	}
 	e.publish(ctx, op, c)
@@ -201,8 +201,8 @@
 	if c.ID == "" {
 		c.ID = control.PublicationID(assignedRequestID(ctx))
 	}
-	c.Who = op.name
-	c.At = e.clock.Now()
+	c.Author = op.name
+	c.Time = e.clock.Now()
 	publishCtx, cancel := e.tasks.Limit(publishTimeout)
 	defer cancel()
 	res, err := e.replica.Publish(publishCtx, c)
@@ -211,7 +211,7 @@
 		writeError(ctx, errorResponse{
 			status:  fasthttp.StatusPreconditionFailed,
 			code:    "conflict",
-			message: string(res.Conflict) + " is at version " + strconv.FormatInt(int64(res.InForce), 10) + " by now",
+			message: string(res.Conflict) + " is at version " + strconv.FormatInt(int64(res.CurrentVersion), 10) + " by now",
 		})
 		return
 	case err != nil:
@@ -223,7 +223,7 @@
 		})
 		return
 	}
-	e.logger.Info("published", "who", c.Who, "id", c.ID, "version", res.Version, "documents", len(c.Docs))
+	e.logger.Info("published", "who", c.Author, "id", c.ID, "version", res.Version, "documents", len(c.Docs))
 	ctx.Response.Header.Set(fasthttp.HeaderETag, etag(res.Version))
 	writeJSON(ctx, fasthttp.StatusOK, res)
 }
@@ -236,7 +236,7 @@
 	if d.Delete {
 		return errorResponse{}
 	}
-	if err := control.CheckDoc(string(d.Key), d.Key, d.Body); err != nil {
+	if err := control.ValidateDoc(string(d.Key), d.Key, d.Body); err != nil {
 		return errorResponse{
 			status:  fasthttp.StatusUnprocessableEntity,
 			code:    "invalid_document",
@@ -265,6 +265,6 @@
 	var doc struct {
 		Team wardturn.TeamID `yaml:"team"`
 	}
-	_ = yaml.Unmarshal(body, &doc) // CheckDoc reports malformed YAML
+	_ = yaml.Unmarshal(body, &doc) // ValidateDoc reports malformed YAML
 	return doc.Team
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -143,7 +143,7 @@
 	e.tasks.Go(e.watchHosts)
 	e.tasks.Go(e.pollPeersForConfig)
 	e.tasks.Go(func() {
-		e.replica.KeepSnapshots(e.tasks.Context(), e.cfg.SnapshotEvery)
+		e.replica.RunSnapshots(e.tasks.Context(), e.cfg.SnapshotEvery)
 	})
 	e.tasks.Go(func() {
 		if err := e.server.Serve(e.listener); err != nil {
@@ -157,7 +157,7 @@
 	return peer.Identity{
 		Role:    peer.RoleEntry,
 		Process: e.cfg.Process,
-		Config:  e.replica.Applied,
+		Config:  e.replica.AppliedOffset,
 	}
 }
 
@@ -176,7 +176,7 @@
 // Ready reports whether the entry can handle requests: it has the host list and the
 // configuration, and it is not shutting down.
 func (e *Entry) Ready() bool {
-	if e.shuttingDown.Load() || e.replica.Applied() == 0 {
+	if e.shuttingDown.Load() || e.replica.AppliedOffset() == 0 {
 		return false
 	}
 	e.mu.Lock()
--- a/entry/seed.go
+++ b/entry/seed.go
@@ -27,7 +27,7 @@
 // partialConfig is the part of an agent's configuration that has been received so far.
 type partialConfig struct {
 	config   wardturn.Offset
-	received control.Page
+	received control.ConfigPage
 	nextPage int
 }
 
@@ -36,7 +36,7 @@
 // than its own.
 func (e *Entry) pollPeersForConfig() {
 	for e.tasks.Pause(peerPollInterval) {
-		if e.clock.Now().Sub(e.replica.LastRead()) < maxLogReadAge {
+		if e.clock.Now().Sub(e.replica.LastReadTime()) < maxLogReadAge {
 			continue
 		}
 		for _, h := range e.pickDiverseHosts(peersPerPoll) {
@@ -56,7 +56,7 @@
 	conn := l.waitConn(e.cfg.ConnectLimit)
 	switch {
 	case conn == nil:
-	case conn.Config() > e.replica.Applied():
+	case conn.Config() > e.replica.AppliedOffset():
 		_ = conn.Send(&peer.ConfigPull{})
 	default:
 		_ = conn.Send(&peer.Ping{})
@@ -96,7 +96,7 @@
 // onConfigPage adds a page to an agent's configuration. It then requests the next page,
 // or passes the complete configuration to the replica.
 func (e *Entry) onConfigPage(from wardturn.UpstreamID, m *peer.ConfigPage) {
-	page, err := control.DecodePage(m.Data)
+	page, err := control.DecodeConfigPage(m.Data)
 	if err != nil {
 		return
 	}
@@ -128,5 +128,5 @@
 		return
 	}
 	e.logger.Info("configuration received from an agent", "upstream", from, "config", cfg.config, "documents", len(cfg.received.Docs))
-	e.replica.Seed(cfg.received, cfg.config)
+	e.replica.InstallPeerConfig(cfg.received, cfg.config)
 }
--- a/policy/check.go
+++ b/policy/check.go
@@ -6,10 +6,10 @@
 	"wardturn"
 )
 
-// Sample is the result of one function for one sample input.
-type Sample struct {
+// SampleResult is the result of one function for one sample input.
+type SampleResult struct {
 	Function string
-	Sample   string
+	Input    string
 	Value    float64
 }
 
@@ -82,35 +82,35 @@
 	}
 }
 
-// Check compiles a program and evaluates its functions on sample inputs, which every
+// CheckProgram compiles a program and evaluates its functions on sample inputs, which every
 // program has to handle without failing. The error is a *Problem with the position.
-func Check(file, src string) ([]Sample, error) {
+func CheckProgram(file, src string) ([]SampleResult, error) {
 	p, err := Compile(file, src)
 	if err != nil {
 		return nil, err
 	}
-	var rows []Sample
+	var rows []SampleResult
 	if p.slot != nil {
 		for _, s := range slotSamples() {
-			rows = append(rows, Sample{
+			rows = append(rows, SampleResult{
 				Function: funcSlot,
-				Sample:   s.name,
+				Input:    s.name,
 				Value:    p.Slot(s.in),
 			})
 		}
 	}
 	for _, s := range queueSamples() {
 		if p.hold != nil {
-			rows = append(rows, Sample{
+			rows = append(rows, SampleResult{
 				Function: funcHold,
-				Sample:   s.name,
+				Input:    s.name,
 				Value:    p.Hold(s.in).Seconds(),
 			})
 		}
 		if p.order != nil {
-			rows = append(rows, Sample{
+			rows = append(rows, SampleResult{
 				Function: funcOrder,
-				Sample:   s.name,
+				Input:    s.name,
 				Value:    p.Order(s.in),
 			})
 		}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -28,8 +28,8 @@
 	// 0s
 }
 
-func ExampleCheck() {
-	_, err := policy.Check("mine.star", "def slot(a):\n    return a.rte\n")
+func ExampleCheckProgram() {
+	_, err := policy.CheckProgram("mine.star", "def slot(a):\n    return a.rte\n")
 	fmt.Println(err)
 	// Output: mine.star:2:13: adapter has no .rte field or method (did you mean .rate?)
 }
--- a/policy/inputs.go
+++ b/policy/inputs.go
@@ -11,9 +11,9 @@
 
 // Field describes one attribute of the parameter of a policy function.
 type Field struct {
-	Name string
-	Unit string
-	Text string
+	Name        string
+	Unit        string
+	Description string
 }
 
 // SlotFields lists the attributes of slot's parameter.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -22,10 +22,10 @@
 var _ = Describe("Compile", func() {
 	DescribeTable("names line, column and reason",
 		func(src string, line, column int, reason string) {
-			_, err := policy.Check("p.star", src)
-			var p *policy.Problem
+			_, err := policy.CheckProgram("p.star", src)
+			var p *policy.ProgramError
 			Expect(err).To(BeAssignableToTypeOf(p))
-			p = err.(*policy.Problem)
+			p = err.(*policy.ProgramError)
 			Expect(p.Line).To(Equal(line), p.Error())
 			Expect(p.Column).To(Equal(column), p.Error())
 			Expect(p.Reason).To(ContainSubstring(reason))
@@ -62,7 +62,7 @@
 		p, err := policy.Compile("p", "def slot(a):\n  n = 0\n  for i in range(1000000):\n    n += i\n  return n")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p.Slot(in)).To(Equal(policy.Default{}.Slot(in)))
-		Expect(p.Counters()).To(Equal(policy.Counters{Calls: 1, Failures: 1, Overruns: 1}))
+		Expect(p.Counters()).To(Equal(policy.Counters{Calls: 1, Failures: 1, StepLimitExceeded: 1}))
 		Expect(p.Slot(in)).To(Equal(policy.Default{}.Slot(in)), "each call has its own step limit")
 	})
 
@@ -74,9 +74,9 @@
 	})
 
 	It("cannot change its inputs or keep state", func() {
-		_, err := policy.Check("p", "def slot(a):\n  a.rate = 3\n  return 1")
+		_, err := policy.CheckProgram("p", "def slot(a):\n  a.rate = 3\n  return 1")
 		Expect(err).To(HaveOccurred())
-		_, err = policy.Check("p", "seen = []\ndef slot(a):\n  seen.append(a.adapter)\n  return 1")
+		_, err = policy.CheckProgram("p", "seen = []\ndef slot(a):\n  seen.append(a.adapter)\n  return 1")
 		Expect(err).To(MatchError(ContainSubstring("frozen")))
 	})
 
@@ -91,11 +91,11 @@
 var _ = Describe("Inputs", func() {
 	It("lists every field that a program can read", func() {
 		for _, f := range policy.SlotFields() {
-			_, err := policy.Check("p", "def slot(a):\n  x = a."+f.Name+"\n  return 1")
+			_, err := policy.CheckProgram("p", "def slot(a):\n  x = a."+f.Name+"\n  return 1")
 			Expect(err).NotTo(HaveOccurred(), f.Name)
 		}
 		for _, f := range policy.QueueFields() {
-			_, err := policy.Check("p", "def hold(r):\n  x = r."+f.Name+"\n  return 1")
+			_, err := policy.CheckProgram("p", "def hold(r):\n  x = r."+f.Name+"\n  return 1")
 			Expect(err).NotTo(HaveOccurred(), f.Name)
 		}
 	})
@@ -109,7 +109,7 @@
 		blocks := regexp.MustCompile("(?s)```python\n(.*?)```").FindAllStringSubmatch(string(page), -1)
 		Expect(len(blocks)).To(BeNumerically(">=", 3))
 		for _, b := range blocks {
-			_, err := policy.Check("example", b[1])
+			_, err := policy.CheckProgram("example", b[1])
 			Expect(err).NotTo(HaveOccurred(), b[1])
 		}
 	})
--- a/policy/program.go
+++ b/policy/program.go
@@ -23,8 +23,8 @@
 	maxHold = 24 * time.Hour
 )
 
-// Problem is the error for a program that was rejected, or for a call that failed.
-type Problem struct {
+// ProgramError is the error for a program that was rejected, or for a call that failed.
+type ProgramError struct {
 	File   string
 	Line   int
 	Column int
@@ -32,16 +32,16 @@
 }
 
 // Error implements error.
-func (p *Problem) Error() string {
+func (p *ProgramError) Error() string {
 	pos := syntax.MakePosition(&p.File, int32(p.Line), int32(p.Column))
 	return pos.String() + ": " + p.Reason
 }
 
 // Counters counts the calls of a program.
 type Counters struct {
-	Calls    int
-	Failures int // calls that used the fallback, including overruns
-	Overruns int // calls that exceeded the step limit
+	Calls             int
+	Failures          int // calls that used the fallback, including overruns
+	StepLimitExceeded int // calls that exceeded the step limit
 }
 
 // Program is a compiled policy. It is not safe for concurrent use.
@@ -66,7 +66,7 @@
 // Compile parses a program and runs its top level. The error is a *Problem.
 func Compile(name, src string) (*Program, error) {
 	if len(src) > maxSourceBytes {
-		return nil, newProblem(name, 1, 1, "program is larger than 64 KiB")
+		return nil, newProgramError(name, 1, 1, "program is larger than 64 KiB")
 	}
 	globals, err := execute(name, src)
 	if err != nil {
@@ -89,7 +89,7 @@
 		}
 	}
 	if p.slot == nil && p.hold == nil && p.order == nil {
-		return nil, newProblem(name, 1, 1, "program defines none of slot, hold and order")
+		return nil, newProgramError(name, 1, 1, "program defines none of slot, hold and order")
 	}
 	return p, nil
 }
@@ -103,7 +103,7 @@
 	opts := &syntax.FileOptions{}
 	globals, err := starlark.ExecFileOptions(opts, thread, name, src, starlark.StringDict{})
 	if err != nil {
-		return nil, problemOf(name, err)
+		return nil, programErrorOf(name, err)
 	}
 	globals.Freeze()
 	return globals, nil
@@ -116,18 +116,18 @@
 	}
 	fn, ok := v.(*starlark.Function)
 	if !ok {
-		return newProblem(file, 1, 1, name+" is not a function")
+		return newProgramError(file, 1, 1, name+" is not a function")
 	}
 	if fn.NumParams() != 1 || fn.HasVarargs() || fn.HasKwargs() {
 		pos := fn.Position()
-		return newProblem(file, int(pos.Line), int(pos.Col), name+" must take exactly one parameter")
+		return newProgramError(file, int(pos.Line), int(pos.Col), name+" must take exactly one parameter")
 	}
 	*dst = fn
 	return nil
 }
 
-func newProblem(file string, line, column int, reason string) *Problem {
-	return &Problem{
+func newProgramError(file string, line, column int, reason string) *ProgramError {
+	return &ProgramError{
 		File:   file,
 		Line:   line,
 		Column: column,
@@ -135,29 +135,29 @@
 	}
 }
 
-// problemOf converts an error of the Starlark library to a Problem. It uses the position
+// programErrorOf converts an error of the Starlark library to a Problem. It uses the position
 // in the error, or line 1, column 1 if the error has none.
-func problemOf(file string, err error) *Problem {
+func programErrorOf(file string, err error) *ProgramError {
 	var syntaxErr syntax.Error
 	if errors.As(err, &syntaxErr) {
-		return newProblem(file, int(syntaxErr.Pos.Line), int(syntaxErr.Pos.Col), syntaxErr.Msg)
+		return newProgramError(file, int(syntaxErr.Pos.Line), int(syntaxErr.Pos.Col), syntaxErr.Msg)
 	}
 	var resolveErrs resolve.ErrorList
 	if errors.As(err, &resolveErrs) && len(resolveErrs) > 0 {
 		first := resolveErrs[0]
-		return newProblem(file, int(first.Pos.Line), int(first.Pos.Col), first.Msg)
+		return newProgramError(file, int(first.Pos.Line), int(first.Pos.Col), first.Msg)
 	}
 	var evalErr *starlark.EvalError
 	if errors.As(err, &evalErr) {
 		for i := len(evalErr.CallStack) - 1; i >= 0; i-- {
 			pos := evalErr.CallStack[i].Pos
 			if pos.Line > 0 {
-				return newProblem(file, int(pos.Line), int(pos.Col), evalErr.Msg)
+				return newProgramError(file, int(pos.Line), int(pos.Col), evalErr.Msg)
 			}
 		}
-		return newProblem(file, 1, 1, evalErr.Msg)
+		return newProgramError(file, 1, 1, evalErr.Msg)
 	}
-	return newProblem(file, 1, 1, err.Error())
+	return newProgramError(file, 1, 1, err.Error())
 }
 
 // Name implements wardturn.Policy.
@@ -222,15 +222,15 @@
 	p.args[0] = arg
 	v, err := starlark.Call(&thread, fn, p.args[:], nil)
 	if err != nil {
-		p.recordFailure(problemOf(p.name, err))
+		p.recordFailure(programErrorOf(p.name, err))
 		if thread.Steps >= maxCallSteps {
-			p.counters.Overruns++
+			p.counters.StepLimitExceeded++
 		}
 		return 0, false
 	}
 	f, ok := starlark.AsFloat(v)
 	if !ok || math.IsNaN(f) || math.IsInf(f, 0) {
-		p.recordFailure(newProblem(p.name, 1, 1, fn.Name()+" returned "+v.String()+", not a finite number"))
+		p.recordFailure(newProgramError(p.name, 1, 1, fn.Name()+" returned "+v.String()+", not a finite number"))
 		return 0, false
 	}
 	return f, true
--- a/policy/shipped.go
+++ b/policy/shipped.go
@@ -20,8 +20,8 @@
 	NameTampere = "tampere"
 )
 
-// ErrUnknown is returned for a name that is not that of a built-in policy.
-var ErrUnknown = errors.New("policy: no such built-in policy")
+// ErrUnknownPolicy is returned for a name that is not that of a built-in policy.
+var ErrUnknownPolicy = errors.New("policy: no such built-in policy")
 
 // ShippedSource returns the source of a shipped program.
 func ShippedSource(name string) (string, bool) {
@@ -48,7 +48,7 @@
 	}
 	src, ok := ShippedSource(name)
 	if !ok {
-		return nil, errors.Wrapf(ErrUnknown, "%q", name)
+		return nil, errors.Wrapf(ErrUnknownPolicy, "%q", name)
 	}
 	return Compile(name, src)
 }
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -494,7 +494,7 @@
 
 // knows UPSTREAM: waits until an agent has applied the configuration of the first entry.
 func waitConfig(ts *testscript.TestScript, s *scenario, args []string) {
-	want := s.sys.Entries[0].Replica().Applied()
+	want := s.sys.Entries[0].Replica().AppliedOffset()
 	waitUntil(ts, "configuration at "+args[0], func() bool {
 		return s.upstream(ts, args[0]).Agent.Status().Config >= want
 	})
