--- a/cli/burn.go
+++ b/cli/burn.go
@@ -35,17 +35,17 @@
 	if err != nil {
 		return err
 	}
-	var batches []report.Batch
+	var batches []report.ProcessCounts
 	missing := []string{}
 	for _, addr := range c.Entry {
-		var b report.Batch
+		var b report.ProcessCounts
 		if err := client.doAddr(addr, fasthttp.MethodGet, entry.PathWindows, nil, &b); err != nil {
 			missing = append(missing, addr)
 			continue
 		}
 		batches = append(batches, b)
 	}
-	burn := report.Compute(time.Now(), objectives, batches, missing)
+	burn := report.ComputeBurn(time.Now(), objectives, batches, missing)
 	if c.HTML != "" {
 		if err := writeFile(c.HTML, burn.WriteHTML); err != nil {
 			return err
@@ -56,8 +56,8 @@
 	} else {
 		err = burn.WriteText(s.Out)
 	}
-	if err == nil && c.Fail && len(burn.Firing()) > 0 {
-		err = errors.Newf("alerts are firing for %d objectives", len(burn.Firing()))
+	if err == nil && c.Fail && len(burn.FiringObjectives()) > 0 {
+		err = errors.Newf("alerts are firing for %d objectives", len(burn.FiringObjectives()))
 	}
 	return err
 }
--- a/entry/windows.go
+++ b/entry/windows.go
@@ -14,12 +14,12 @@
 // the burn report is made.
 func (e *Entry) getWindows(ctx *fasthttp.RequestCtx, _ operator) {
 	since, _ := time.Parse(time.RFC3339, string(ctx.QueryArgs().Peek("since")))
-	writeJSON(ctx, fasthttp.StatusOK, e.recorder.Batch(since))
+	writeJSON(ctx, fasthttp.StatusOK, e.recorder.Counts(since))
 }
 
 // recordIndicators updates the service-level indicators with a request that has ended.
 func (e *Entry) recordIndicators(x *exchange) {
-	key := report.Key{
+	key := report.SeriesKey{
 		Team:   e.requestTeam(x),
 		Policy: e.activePolicyName(),
 	}
--- a/report/burn.go
+++ b/report/burn.go
@@ -21,54 +21,54 @@
 // Alert is a multi-window burn-rate alert. It fires if the burn rate is at least Rate
 // over both windows. A rate of 14.4 over an hour uses 2% of a 30-day budget.
 type Alert struct {
-	Name  string
-	Long  time.Duration
-	Short time.Duration
-	Rate  float64
+	Name     string
+	Long     time.Duration
+	Short    time.Duration
+	BurnRate float64
 }
 
 // Alerts returns the fast and the slow alert.
 func Alerts() []Alert {
 	return []Alert{
 		{
-			Name:  "fast",
-			Long:  time.Hour,
-			Short: 5 * time.Minute,
-			Rate:  14.4,
+			Name:     "fast",
+			Long:     time.Hour,
+			Short:    5 * time.Minute,
+			BurnRate: 14.4,
 		},
 		{
-			Name:  "slow",
-			Long:  6 * time.Hour,
-			Short: 30 * time.Minute,
-			Rate:  6,
+			Name:     "slow",
+			Long:     6 * time.Hour,
+			Short:    30 * time.Minute,
+			BurnRate: 6,
 		},
 	}
 }
 
-// Span has the events and the burn rate of one alert window.
-type Span struct {
-	Length time.Duration `json:"length_ns"`
-	Events uint64        `json:"events"`
-	Bad    uint64        `json:"bad"`
-	Burn   float64       `json:"burn"`    // burn rate; meaningless without events
-	Known  float64       `json:"known"`   // fraction of the minutes of all processes that have counts
-	NoData bool          `json:"no_data"` // no events, so the burn rate is unknown, not zero
+// WindowBurn has the events and the burn rate of one alert window.
+type WindowBurn struct {
+	Length        time.Duration `json:"length_ns"`
+	Events        uint64        `json:"events"`
+	Bad           uint64        `json:"bad"`
+	BurnRate      float64       `json:"burn"`    // burn rate; meaningless without events
+	KnownFraction float64       `json:"known"`   // fraction of the minutes of all processes that have counts
+	NoData        bool          `json:"no_data"` // no events, so the burn rate is unknown, not zero
 }
 
-// Firing is the state of an alert.
-type Firing struct {
-	Alert string `json:"alert"`
-	Long  Span   `json:"long"`
-	Short Span   `json:"short"`
-	Fires bool   `json:"fires"`
+// AlertState is the state of an alert.
+type AlertState struct {
+	Alert  string     `json:"alert"`
+	Long   WindowBurn `json:"long"`
+	Short  WindowBurn `json:"short"`
+	Firing bool       `json:"fires"`
 }
 
-// Line is the report on one objective, over all policies if Policy is empty and
+// ObjectiveReport is the report on one objective, over all policies if Policy is empty and
 // otherwise for one.
-type Line struct {
+type ObjectiveReport struct {
 	Objective Objective     `json:"objective"`
 	Policy    string        `json:"policy,omitempty"`
-	Alerts    []Firing      `json:"alerts"`
+	Alerts    []AlertState  `json:"alerts"`
 	Minutes   []MinutePoint `json:"minutes"`
 }
 
@@ -80,26 +80,26 @@
 	Known  bool      `json:"known"`
 }
 
-// Burn is a report on the burn rates of objectives.
-type Burn struct {
-	At        time.Time `json:"at"`
-	Processes int       `json:"processes"`
-	Missing   []string  `json:"missing"` // processes that did not answer
-	Lines     []Line    `json:"lines"`
+// BurnReport is a report on the burn rates of objectives.
+type BurnReport struct {
+	Time       time.Time         `json:"at"`
+	Processes  int               `json:"processes"`
+	Missing    []string          `json:"missing"` // processes that did not answer
+	Objectives []ObjectiveReport `json:"lines"`
 }
 
-// Compute computes a report from the counts of the processes. Processes that did not
+// ComputeBurn computes a report from the counts of the processes. Processes that did not
 // answer are listed in missing; their minutes are unknown.
-func Compute(at time.Time, objectives []Objective, batches []Batch, missing []string) Burn {
-	b := Burn{
-		At:        at,
+func ComputeBurn(at time.Time, objectives []Objective, batches []ProcessCounts, missing []string) BurnReport {
+	b := BurnReport{
+		Time:      at,
 		Processes: len(batches) + len(missing),
 		Missing:   missing,
 	}
 	for _, o := range objectives {
-		b.Lines = append(b.Lines, newLine(at, o, "", batches, len(missing)))
+		b.Objectives = append(b.Objectives, newObjectiveReport(at, o, "", batches, len(missing)))
 		for _, policy := range policiesOf(o, batches) {
-			b.Lines = append(b.Lines, newLine(at, o, policy, batches, len(missing)))
+			b.Objectives = append(b.Objectives, newObjectiveReport(at, o, policy, batches, len(missing)))
 		}
 	}
 	return b
@@ -107,11 +107,11 @@
 
 // policiesOf returns the policies that were active during the events of an objective,
 // sorted, or nil if there are fewer than two.
-func policiesOf(o Objective, batches []Batch) []string {
+func policiesOf(o Objective, batches []ProcessCounts) []string {
 	var list []string
 	for _, b := range batches {
 		for _, w := range b.Windows {
-			if matches(o, "", w.Key) && !slices.Contains(list, w.Policy) {
+			if matches(o, "", w.SeriesKey) && !slices.Contains(list, w.Policy) {
 				list = append(list, w.Policy)
 			}
 		}
@@ -123,34 +123,34 @@
 	return list
 }
 
-func matches(o Objective, policy string, k Key) bool {
+func matches(o Objective, policy string, k SeriesKey) bool {
 	return k.Indicator == o.Indicator && (o.Team == "" || k.Team == o.Team) && (policy == "" || k.Policy == policy)
 }
 
-func newLine(at time.Time, o Objective, policy string, batches []Batch, missing int) Line {
-	l := Line{
+func newObjectiveReport(at time.Time, o Objective, policy string, batches []ProcessCounts, missing int) ObjectiveReport {
+	l := ObjectiveReport{
 		Objective: o,
 		Policy:    policy,
 	}
 	for _, a := range Alerts() {
-		f := Firing{
+		f := AlertState{
 			Alert: a.Name,
-			Long:  newSpan(at, a.Long, o, policy, batches, missing),
-			Short: newSpan(at, a.Short, o, policy, batches, missing),
+			Long:  newWindowBurn(at, a.Long, o, policy, batches, missing),
+			Short: newWindowBurn(at, a.Short, o, policy, batches, missing),
 		}
-		f.Fires = !f.Long.NoData && !f.Short.NoData && f.Long.Burn >= a.Rate && f.Short.Burn >= a.Rate
+		f.Firing = !f.Long.NoData && !f.Short.NoData && f.Long.BurnRate >= a.BurnRate && f.Short.BurnRate >= a.BurnRate
 		l.Alerts = append(l.Alerts, f)
 	}
 	l.Minutes = minutePoints(at, o, policy, batches)
 	return l
 }
 
-// newSpan computes the Span of the given length that ends with the last full minute
+// newWindowBurn computes the Span of the given length that ends with the last full minute
 // before at.
-func newSpan(at time.Time, length time.Duration, o Objective, policy string, batches []Batch, missing int) Span {
+func newWindowBurn(at time.Time, length time.Duration, o Objective, policy string, batches []ProcessCounts, missing int) WindowBurn {
 	end := at.Truncate(Minute)
 	start := end.Add(-length)
-	s := Span{
+	s := WindowBurn{
 		Length: length,
 	}
 	var sum Histogram
@@ -158,28 +158,28 @@
 	for _, b := range batches {
 		known += knownMinutes(b, start, end)
 		for _, w := range b.Windows {
-			if !w.Start.Before(start) && w.Start.Before(end) && matches(o, policy, w.Key) {
+			if !w.Start.Before(start) && w.Start.Before(end) && matches(o, policy, w.SeriesKey) {
 				sum.Merge(w.Histogram)
 			}
 		}
 	}
 	total := (len(batches) + missing) * int(length/Minute)
 	if total > 0 {
-		s.Known = float64(known) / float64(total)
+		s.KnownFraction = float64(known) / float64(total)
 	}
-	s.Events = sum.Total()
+	s.Events = sum.TotalCount()
 	s.NoData = s.Events == 0
 	if s.NoData {
 		return s
 	}
-	s.Bad = s.Events - sum.Good(o.Threshold)
-	s.Burn = float64(s.Bad) / float64(s.Events) / (1 - o.Target)
+	s.Bad = s.Events - sum.GoodCount(o.Threshold)
+	s.BurnRate = float64(s.Bad) / float64(s.Events) / (1 - o.Target)
 	return s
 }
 
 // knownMinutes returns the number of full minutes between start and end for which a
 // process has counts.
-func knownMinutes(b Batch, start, end time.Time) int {
+func knownMinutes(b ProcessCounts, start, end time.Time) int {
 	from := b.Started.Truncate(Minute)
 	if !from.Equal(b.Started) {
 		from = from.Add(Minute)
@@ -187,7 +187,7 @@
 	if from.Before(start) {
 		from = start
 	}
-	to := b.At.Truncate(Minute)
+	to := b.Time.Truncate(Minute)
 	if to.After(end) {
 		to = end
 	}
@@ -197,7 +197,7 @@
 // plotMinutes is the number of minutes in a plot.
 const plotMinutes = 60
 
-func minutePoints(at time.Time, o Objective, policy string, batches []Batch) []MinutePoint {
+func minutePoints(at time.Time, o Objective, policy string, batches []ProcessCounts) []MinutePoint {
 	end := at.Truncate(Minute)
 	var list []MinutePoint
 	for start := end.Add(-plotMinutes * Minute); start.Before(end); start = start.Add(Minute) {
@@ -210,23 +210,23 @@
 				p.Known = true
 			}
 			for _, w := range b.Windows {
-				if w.Start.Equal(start) && matches(o, policy, w.Key) {
+				if w.Start.Equal(start) && matches(o, policy, w.SeriesKey) {
 					sum.Merge(w.Histogram)
 				}
 			}
 		}
-		p.Events = sum.Total()
-		p.Bad = p.Events - sum.Good(o.Threshold)
+		p.Events = sum.TotalCount()
+		p.Bad = p.Events - sum.GoodCount(o.Threshold)
 		list = append(list, p)
 	}
 	return list
 }
 
-// Firing returns the lines with at least one firing alert.
-func (b Burn) Firing() []Line {
-	var list []Line
-	for _, l := range b.Lines {
-		if slices.ContainsFunc(l.Alerts, func(f Firing) bool { return f.Fires }) {
+// FiringObjectives returns the lines with at least one firing alert.
+func (b BurnReport) FiringObjectives() []ObjectiveReport {
+	var list []ObjectiveReport
+	for _, l := range b.Objectives {
+		if slices.ContainsFunc(l.Alerts, func(f AlertState) bool { return f.Firing }) {
 			list = append(list, l)
 		}
 	}
--- a/report/burn_test.go
+++ b/report/burn_test.go
@@ -19,7 +19,7 @@
 	Window:    30 * 24 * time.Hour,
 }
 
-var key = report.Key{
+var key = report.SeriesKey{
 	Indicator: report.LoadStall,
 	Team:      "t",
 	Policy:    "p",
@@ -27,7 +27,7 @@
 
 // countEvents returns the counts of a process with good and bad events in each of the last
 // minutes, and the time at the end of them.
-func countEvents(minutes, good, bad int) (report.Batch, time.Time) {
+func countEvents(minutes, good, bad int) (report.ProcessCounts, time.Time) {
 	clock := standin.NewClock()
 	r := report.NewRecorder(clock, "p")
 	for range minutes {
@@ -39,21 +39,21 @@
 		}
 		clock.Advance(time.Minute)
 	}
-	b := r.Batch(time.Time{})
+	b := r.Counts(time.Time{})
 	return b, clock.Now()
 }
 
 func TestBurnRate(t *testing.T) {
 	b, at := countEvents(60, 80, 20)
-	burn := report.Compute(at, []report.Objective{stall}, []report.Batch{b, b}, nil)
-	fast := burn.Lines[0].Alerts[0]
+	burn := report.ComputeBurn(at, []report.Objective{stall}, []report.ProcessCounts{b, b}, nil)
+	fast := burn.Objectives[0].Alerts[0]
 	if fast.Long.Events != 2*60*100 || fast.Long.Bad != 2*60*20 {
 		t.Fatalf("%+v", fast.Long)
 	}
-	if d := fast.Long.Burn - 2; d > 1e-9 || d < -1e-9 {
-		t.Fatalf("burn %v, want 2: 20%% bad with 10%% allowed", fast.Long.Burn)
+	if d := fast.Long.BurnRate - 2; d > 1e-9 || d < -1e-9 {
+		t.Fatalf("burn %v, want 2: 20%% bad with 10%% allowed", fast.Long.BurnRate)
 	}
-	if fast.Long.Known != 1 || fast.Fires {
+	if fast.Long.KnownFraction != 1 || fast.Firing {
 		t.Fatalf("%+v", fast)
 	}
 }
@@ -62,13 +62,13 @@
 	objective := stall
 	objective.Target = 0.99
 	burning, at := countEvents(60, 80, 20)
-	if b := report.Compute(at, []report.Objective{objective}, []report.Batch{burning}, nil); !b.Lines[0].Alerts[0].Fires {
-		t.Fatalf("burn %v over both windows does not fire", b.Lines[0].Alerts[0].Long.Burn)
+	if b := report.ComputeBurn(at, []report.Objective{objective}, []report.ProcessCounts{burning}, nil); !b.Objectives[0].Alerts[0].Firing {
+		t.Fatalf("burn %v over both windows does not fire", b.Objectives[0].Alerts[0].Long.BurnRate)
 	}
 	// The same hour without bad events in the last ten minutes.
-	var recovered report.Batch
+	var recovered report.ProcessCounts
 	recovered.Started = burning.Started
-	recovered.At = burning.At
+	recovered.Time = burning.Time
 	for _, w := range burning.Windows {
 		if w.Start.After(at.Add(-11 * time.Minute)) {
 			w.Histogram = report.Histogram{}
@@ -76,23 +76,23 @@
 		}
 		recovered.Windows = append(recovered.Windows, w)
 	}
-	if b := report.Compute(at, []report.Objective{objective}, []report.Batch{recovered}, nil); b.Lines[0].Alerts[0].Fires {
+	if b := report.ComputeBurn(at, []report.Objective{objective}, []report.ProcessCounts{recovered}, nil); b.Objectives[0].Alerts[0].Firing {
 		t.Fatal("the alert still fires after the burn rate of the short window fell")
 	}
 }
 
-// TestGapsAreUnknown checks a report with one of two processes missing: the burn rate is
+// TestMissingProcessIsUnknown checks a report with one of two processes missing: the burn rate is
 // that of the other process, and half of the minutes are unknown. Counting them as
 // minutes without bad events would halve the burn rate.
-func TestGapsAreUnknown(t *testing.T) {
+func TestMissingProcessIsUnknown(t *testing.T) {
 	b, at := countEvents(60, 80, 20)
-	burn := report.Compute(at, []report.Objective{stall}, []report.Batch{b}, []string{"gone"})
-	long := burn.Lines[0].Alerts[0].Long
-	if long.Known != 0.5 || long.Burn < 1.99 {
-		t.Fatalf("known %v, burn %v; want 0.5 and 2", long.Known, long.Burn)
+	burn := report.ComputeBurn(at, []report.Objective{stall}, []report.ProcessCounts{b}, []string{"gone"})
+	long := burn.Objectives[0].Alerts[0].Long
+	if long.KnownFraction != 0.5 || long.BurnRate < 1.99 {
+		t.Fatalf("known %v, burn %v; want 0.5 and 2", long.KnownFraction, long.BurnRate)
 	}
-	empty := report.Compute(at, []report.Objective{stall}, nil, []string{"gone"})
-	if s := empty.Lines[0].Alerts[0].Long; !s.NoData {
+	empty := report.ComputeBurn(at, []report.Objective{stall}, nil, []string{"gone"})
+	if s := empty.Objectives[0].Alerts[0].Long; !s.NoData {
 		t.Fatalf("%+v, want no data", s)
 	}
 	var text bytes.Buffer
@@ -112,16 +112,16 @@
 	answered := stall
 	answered.Indicator = report.Answered
 	answered.Threshold = 0
-	burn := report.Compute(clock.Now(), []report.Objective{answered}, []report.Batch{r.Batch(time.Time{})}, nil)
-	if s := burn.Lines[0].Alerts[0].Long; s.Events != 2 || s.Bad != 1 {
+	burn := report.ComputeBurn(clock.Now(), []report.Objective{answered}, []report.ProcessCounts{r.Counts(time.Time{})}, nil)
+	if s := burn.Objectives[0].Alerts[0].Long; s.Events != 2 || s.Bad != 1 {
 		t.Fatalf("%+v", s)
 	}
 }
 
-func TestHTMLStandsAlone(t *testing.T) {
+func TestHTMLIsSelfContained(t *testing.T) {
 	b, at := countEvents(60, 80, 20)
 	var page bytes.Buffer
-	if err := report.Compute(at, []report.Objective{stall}, []report.Batch{b}, nil).WriteHTML(&page); err != nil {
+	if err := report.ComputeBurn(at, []report.Objective{stall}, []report.ProcessCounts{b}, nil).WriteHTML(&page); err != nil {
 		t.Fatal(err)
 	}
 	html := page.String()
--- a/report/text.go
+++ b/report/text.go
@@ -18,19 +18,19 @@
 )
 
 // WriteText writes the report as a table.
-func (b Burn) WriteText(w io.Writer) error {
-	fmt.Fprintf(w, "service-level burn at %s, %d processes", b.At.UTC().Format(time.RFC3339), b.Processes)
+func (b BurnReport) WriteText(w io.Writer) error {
+	fmt.Fprintf(w, "service-level burn at %s, %d processes", b.Time.UTC().Format(time.RFC3339), b.Processes)
 	if len(b.Missing) > 0 {
 		fmt.Fprintf(w, ", %d did not answer: %v", len(b.Missing), b.Missing)
 	}
 	fmt.Fprintln(w)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "objective\tteam\tindicator\tgood if\ttarget\tpolicy\talert\tlong burn\tshort burn\tevents\tknown\t")
-	for _, l := range b.Lines {
+	for _, l := range b.Objectives {
 		for _, f := range l.Alerts {
 			fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%g%%\t%s\t%s\t%s\t%s\t%d\t%.0f%%\t\n",
 				l.Objective.Name, l.Objective.Team, l.Objective.Indicator, l.Objective.goodCondition(),
-				100*l.Objective.Target, l.Policy, f.stateText(), f.Long.burnText(), f.Short.burnText(), f.Long.Events, 100*f.Long.Known)
+				100*l.Objective.Target, l.Policy, f.stateText(), f.Long.burnText(), f.Short.burnText(), f.Long.Events, 100*f.Long.KnownFraction)
 		}
 	}
 	return t.Flush()
@@ -43,18 +43,18 @@
 	return "<= " + o.Threshold.String()
 }
 
-func (f Firing) stateText() string {
-	if f.Fires {
+func (f AlertState) stateText() string {
+	if f.Firing {
 		return f.Alert + " FIRES"
 	}
 	return f.Alert
 }
 
-func (s Span) burnText() string {
+func (s WindowBurn) burnText() string {
 	if s.NoData {
 		return "unknown"
 	}
-	return fmt.Sprintf("%.2f", s.Burn)
+	return fmt.Sprintf("%.2f", s.BurnRate)
 }
 
 // pageTemplate is the template of the HTML report. The page refers to no other files.
@@ -108,13 +108,13 @@
 }
 
 // WriteHTML writes the report as a self-contained HTML page with plots.
-func (b Burn) WriteHTML(w io.Writer) error {
+func (b BurnReport) WriteHTML(w io.Writer) error {
 	data := pageData{
-		At:        b.At.UTC().Format(time.RFC3339),
+		At:        b.Time.UTC().Format(time.RFC3339),
 		Processes: b.Processes,
 		Missing:   b.Missing,
 	}
-	for _, l := range b.Lines {
+	for _, l := range b.Objectives {
 		pl, err := l.pageLine()
 		if err != nil {
 			return err
@@ -124,7 +124,7 @@
 	return errors.Wrap(pageTemplate.Execute(w, data), "report")
 }
 
-func (l Line) pageLine() (pageLine, error) {
+func (l ObjectiveReport) pageLine() (pageLine, error) {
 	o := l.Objective
 	pl := pageLine{
 		Title: fmt.Sprintf("%s: %s", o.Team, o.Name),
@@ -134,7 +134,7 @@
 		pl.Title += ", policy " + l.Policy
 	}
 	for _, f := range l.Alerts {
-		for _, s := range []Span{f.Long, f.Short} {
+		for _, s := range []WindowBurn{f.Long, f.Short} {
 			pl.Rows = append(pl.Rows, newPageRow(f, s))
 		}
 	}
@@ -143,17 +143,17 @@
 	return pl, err
 }
 
-func newPageRow(f Firing, s Span) pageRow {
+func newPageRow(f AlertState, s WindowBurn) pageRow {
 	r := pageRow{
 		Alert:  f.Alert,
 		Window: s.Length.String(),
 		Burn:   s.burnText(),
 		Bad:    s.Bad,
 		Events: s.Events,
-		Known:  fmt.Sprintf("%.0f%%", 100*s.Known),
+		Known:  fmt.Sprintf("%.0f%%", 100*s.KnownFraction),
 	}
 	switch {
-	case f.Fires:
+	case f.Firing:
 		r.Class = "fires"
 	case s.NoData:
 		r.Class = "unknown"
@@ -163,7 +163,7 @@
 
 // plotSVG returns an SVG plot of the burn rate by minute of the last hour. Minutes
 // without events are gaps.
-func (l Line) plotSVG() (string, error) {
+func (l ObjectiveReport) plotSVG() (string, error) {
 	p := plot.New()
 	p.Title.Text = "burn rate by minute, last hour (gaps: unknown)"
 	p.X.Label.Text = "minutes ago"
@@ -205,7 +205,7 @@
 }
 
 // segments returns the burn rates of each run of consecutive minutes with events.
-func (l Line) segments() []plotter.XYs {
+func (l ObjectiveReport) segments() []plotter.XYs {
 	var list []plotter.XYs
 	var run plotter.XYs
 	for i, m := range l.Minutes {
--- a/report/windows.go
+++ b/report/windows.go
@@ -26,8 +26,8 @@
 	return []Indicator{LoadStall, FirstToken, TokenGap, Lookup, Answered}
 }
 
-// Key identifies a series of windows.
-type Key struct {
+// SeriesKey identifies a series of windows.
+type SeriesKey struct {
 	Indicator Indicator       `json:"indicator"`
 	Team      wardturn.TeamID `json:"team"`
 	Policy    string          `json:"policy"`
@@ -74,8 +74,8 @@
 	h.Bad += other.Bad
 }
 
-// Total returns the number of events.
-func (h *Histogram) Total() uint64 {
+// TotalCount returns the number of events.
+func (h *Histogram) TotalCount() uint64 {
 	n := uint64(h.Bad)
 	for _, c := range h.Counts {
 		n += uint64(c)
@@ -83,10 +83,10 @@
 	return n
 }
 
-// Good returns the number of events at or below a threshold, which is rounded up to the
+// GoodCount returns the number of events at or below a threshold, which is rounded up to the
 // upper bound of its bucket. With a zero threshold it returns the number of all events
 // that are not in Bad.
-func (h *Histogram) Good(threshold time.Duration) uint64 {
+func (h *Histogram) GoodCount(threshold time.Duration) uint64 {
 	last := bucketCount
 	if threshold > 0 {
 		last, _ = slices.BinarySearch(bucketBounds, threshold)
@@ -100,7 +100,7 @@
 
 // Window has the counts of one series in one minute.
 type Window struct {
-	Key
+	SeriesKey
 	Start time.Time `json:"start"`
 	Histogram
 }
@@ -128,7 +128,7 @@
 
 type minuteCounts struct {
 	start  time.Time
-	series map[Key]*Histogram
+	series map[SeriesKey]*Histogram
 }
 
 // NewRecorder returns a recorder for the events of a process from now on.
@@ -141,26 +141,26 @@
 }
 
 // Add counts an event of a series with its duration.
-func (r *Recorder) Add(k Key, d time.Duration) {
+func (r *Recorder) Add(k SeriesKey, d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.histogram(k).Add(d)
 }
 
 // AddBad counts an event that is bad at any threshold.
-func (r *Recorder) AddBad(k Key) {
+func (r *Recorder) AddBad(k SeriesKey) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.histogram(k).Bad++
 }
 
-func (r *Recorder) histogram(k Key) *Histogram {
+func (r *Recorder) histogram(k SeriesKey) *Histogram {
 	start := r.clock.Now().Truncate(Minute)
 	n := len(r.minutes)
 	if n == 0 || r.minutes[n-1].start.Before(start) {
 		r.minutes = append(r.minutes, minuteCounts{
 			start:  start,
-			series: make(map[Key]*Histogram),
+			series: make(map[SeriesKey]*Histogram),
 		})
 		if len(r.minutes) > maxMinutes {
 			r.minutes = r.minutes[1:]
@@ -169,7 +169,7 @@
 	}
 	m := r.minutes[n-1]
 	if m.series[k] == nil && len(m.series) >= maxSeries {
-		k = Key{
+		k = SeriesKey{
 			Indicator: k.Indicator,
 		}
 	}
@@ -181,23 +181,23 @@
 	return h
 }
 
-// Batch has the counts of one process. It counts since Started; At is the time at which
+// ProcessCounts has the counts of one process. It counts since Started; At is the time at which
 // the counts were taken.
-type Batch struct {
+type ProcessCounts struct {
 	Process wardturn.Incarnation `json:"process"`
 	Started time.Time            `json:"started"`
-	At      time.Time            `json:"at"`
+	Time    time.Time            `json:"at"`
 	Windows []Window             `json:"windows"`
 }
 
-// Batch returns the windows that start at or after since.
-func (r *Recorder) Batch(since time.Time) Batch {
+// Counts returns the windows that start at or after since.
+func (r *Recorder) Counts(since time.Time) ProcessCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b := Batch{
+	b := ProcessCounts{
 		Process: r.process,
 		Started: r.started,
-		At:      r.clock.Now(),
+		Time:    r.clock.Now(),
 		Windows: []Window{},
 	}
 	for _, m := range r.minutes {
@@ -206,7 +206,7 @@
 		}
 		for k, h := range m.series {
 			b.Windows = append(b.Windows, Window{
-				Key:       k,
+				SeriesKey: k,
 				Start:     m.start,
 				Histogram: *h,
 			})
@@ -216,12 +216,12 @@
 		if c := x.Start.Compare(y.Start); c != 0 {
 			return c
 		}
-		return strings.Compare(x.Key.String(), y.Key.String())
+		return strings.Compare(x.SeriesKey.String(), y.SeriesKey.String())
 	})
 	return b
 }
 
 // String returns the key in the form indicator/team/policy.
-func (k Key) String() string {
+func (k SeriesKey) String() string {
 	return string(k.Indicator) + "/" + string(k.Team) + "/" + k.Policy
 }
