--- a/chaos/history.go
+++ b/chaos/history.go
@@ -225,8 +225,8 @@
 		res := &fasthttp.Response{}
 		req.SetRequestURI("http://" + h.sys.Addrs()[(firstEntry+i)%2] + "/v1/services/" + string(demo.Service) + "/charge")
 		req.Header.SetMethod(fasthttp.MethodPost)
-		req.Header.Set(entry.HeaderKey, c.key)
-		req.Header.Set(entry.HeaderKeyCreated, c.created.UTC().Format(time.RFC3339))
+		req.Header.Set(entry.HeaderIdempotencyKey, c.key)
+		req.Header.Set(entry.HeaderIdempotencyKeyCreated, c.created.UTC().Format(time.RFC3339))
 		req.SetBodyString(c.key)
 		if err := h.http.DoTimeout(req, res, maxWait); err != nil {
 			h.addViolation("%s: no answer: %v", c.key, err)
--- a/cli/entryd.go
+++ b/cli/entryd.go
@@ -32,14 +32,14 @@
 
 func (s *entrySettings) config(p wardturn.Incarnation) entry.Config {
 	cfg := entry.Config{
-		Process:     p,
-		Region:      wardturn.Region(s.Region),
-		Domain:      wardturn.FailureDomain(s.Domain),
-		MaxBody:     s.MaxBody,
-		MaxRequests: s.MaxRequests,
-		Deadline:    s.Deadline,
-		RetryShare:  s.RetryShare,
-		Open:        s.Open,
+		Process:        p,
+		Region:         wardturn.Region(s.Region),
+		Domain:         wardturn.FailureDomain(s.Domain),
+		MaxBody:        s.MaxBody,
+		MaxRequests:    s.MaxRequests,
+		Deadline:       s.Deadline,
+		RetryShare:     s.RetryShare,
+		AllowAnonymous: s.Open,
 	}
 	cfg.CallerKeys, _ = parseKeys(s.CallerKeys)
 	cfg.OperatorKeys, _ = parseKeys(s.OperatorKeys)
@@ -168,7 +168,7 @@
 		<-ctx.Done()
 		shutdownCtx, cancel := wardturn.WithTimeout(context.Background(), clock, settings.ShutdownLimit)
 		defer cancel()
-		e.Leave(shutdownCtx)
+		e.Shutdown(shutdownCtx)
 		e.Close()
 	})
 }
--- a/cli/fleet/fleet.go
+++ b/cli/fleet/fleet.go
@@ -138,15 +138,15 @@
 		Output:     w,
 		TimeFormat: "15:04:05.000",
 	})
-	return process.NewBudgetedLogger(l, process.Clock{}, process.LogRates{
-		Of: map[string]float64{
+	return process.NewRateLimitedLogger(l, process.Clock{}, process.LogRates{
+		ByMessage: map[string]float64{
 			"refused":        failureLogRate,
 			"beyond the cap": failureLogRate,
 			"failed":         failureLogRate,
 			"answer cut":     failureLogRate,
 			"send failed":    failureLogRate,
 		},
-		Others: defaultLogRate,
+		Default: defaultLogRate,
 	})
 }
 
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -296,7 +296,7 @@
 
 func printStatus(w io.Writer, st entry.StatusView) {
 	fmt.Fprintf(w, "entry %s  ready %v  configuration %d  log read %s  open requests %d  connections %d\n",
-		st.Process, st.Ready, st.Config, st.LogRead.UTC().Format(time.RFC3339), st.Open, st.Links)
+		st.Process, st.Ready, st.Config, st.LogRead.UTC().Format(time.RFC3339), st.OpenRequests, st.Connections)
 	fmt.Fprintln(w, "upstream\tserves\tdomain\tstate\trunning\tqueued\twaiting adapters\tspare slots\thint age s\tejected")
 	for _, u := range st.Upstreams {
 		serves := string(u.Model)
@@ -312,7 +312,7 @@
 			age = fmt.Sprintf("%.1f", u.HintAge)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%s\t%v\n", u.Upstream, serves, u.Domain, state,
-			u.Hint.Running, u.Hint.Queued, u.Hint.WaitingAdapters, u.Hint.SpareSlots, age, u.Open)
+			u.Hint.Running, u.Hint.Queued, u.Hint.WaitingAdapters, u.Hint.SpareSlots, age, u.BreakerOpen)
 	}
 }
 
--- a/demo/system.go
+++ b/demo/system.go
@@ -271,14 +271,14 @@
 	s.metrics = append(s.metrics, metrics)
 	s.Entries = append(s.Entries, entry.New(entry.Deps{
 		Config: entry.Config{
-			Process:       s.newProcess("e"),
-			Region:        Region,
-			Domain:        s.failureDomain(i),
-			Open:          true,
-			Deadline:      s.cfg.Deadline,
-			DeadlineGrace: s.cfg.Grace,
-			ConnectLimit:  s.cfg.ConnectLimit,
-			OperatorKeys:  []entry.KeyGrant{{Name: "demo", Digest: control.KeyDigest(OperatorKey)}},
+			Process:        s.newProcess("e"),
+			Region:         Region,
+			Domain:         s.failureDomain(i),
+			AllowAnonymous: true,
+			Deadline:       s.cfg.Deadline,
+			DeadlineGrace:  s.cfg.Grace,
+			ConnectTimeout: s.cfg.ConnectLimit,
+			OperatorKeys:   []entry.KeyGrant{{Name: "demo", Digest: control.KeyDigest(OperatorKey)}},
 		},
 		Clock:    s.cfg.Clock,
 		Logger:   s.cfg.Logger.Named("entry"),
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -111,34 +111,34 @@
 
 // StatusView is the state of the system as an entry sees it.
 type StatusView struct {
-	Process   wardturn.Incarnation `json:"process"`
-	Ready     bool                 `json:"ready"`
-	Config    wardturn.Offset      `json:"config"`
-	LogRead   time.Time            `json:"log_read"` // last successful read of the log
-	Open      int64                `json:"open_requests"`
-	Links     int                  `json:"connections"`
-	Upstreams []UpstreamView       `json:"upstreams"`
+	Process      wardturn.Incarnation `json:"process"`
+	Ready        bool                 `json:"ready"`
+	Config       wardturn.Offset      `json:"config"`
+	LogRead      time.Time            `json:"log_read"` // last successful read of the log
+	OpenRequests int64                `json:"open_requests"`
+	Connections  int                  `json:"connections"`
+	Upstreams    []UpstreamView       `json:"upstreams"`
 }
 
 // UpstreamView is the state of an upstream as an entry sees it. The hint, which the
 // upstream's agent sends about its load, may be out of date.
 type UpstreamView struct {
 	wardturn.Host
-	Hint    decide.Hint `json:"hint"`
-	HintAge float64     `json:"hint_age_seconds"` // negative if there is no hint
-	Open    bool        `json:"breaker_open"`
+	Hint        decide.Hint `json:"hint"`
+	HintAge     float64     `json:"hint_age_seconds"` // negative if there is no hint
+	BreakerOpen bool        `json:"breaker_open"`
 }
 
 func (e *Entry) getStatus(ctx *fasthttp.RequestCtx, _ operator) {
 	st := StatusView{
-		Process: e.cfg.Process,
-		Ready:   e.Ready(),
-		Config:  e.replica.AppliedOffset(),
-		LogRead: e.replica.LastReadTime(),
-		Open:    e.openRequests.Load(),
+		Process:      e.cfg.Process,
+		Ready:        e.Ready(),
+		Config:       e.replica.AppliedOffset(),
+		LogRead:      e.replica.LastReadTime(),
+		OpenRequests: e.openRequests.Load(),
 	}
 	e.mu.Lock()
-	st.Links = len(e.links)
+	st.Connections = len(e.links)
 	e.mu.Unlock()
 	now := e.clock.Now()
 	e.routerMu.Lock()
@@ -146,10 +146,10 @@
 	e.routerMu.Unlock()
 	for _, v := range views {
 		st.Upstreams = append(st.Upstreams, UpstreamView{
-			Host:    v.Host,
-			Hint:    v.Hint,
-			HintAge: v.HintAge.Seconds(),
-			Open:    v.Ejected,
+			Host:        v.Host,
+			Hint:        v.Hint,
+			HintAge:     v.HintAge.Seconds(),
+			BreakerOpen: v.Ejected,
 		})
 	}
 	writeJSON(ctx, fasthttp.StatusOK, st)
--- a/entry/admin_test.go
+++ b/entry/admin_test.go
@@ -262,7 +262,7 @@
 		Expect(open.do("GET", "/readyz", "").StatusCode()).To(Equal(200))
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		sys.Entries[1].Leave(ctx)
+		sys.Entries[1].Shutdown(ctx)
 		Expect(open.do("GET", "/readyz", "").StatusCode()).To(Equal(503))
 		Expect(open.do("GET", "/healthz", "").StatusCode()).To(Equal(200))
 		Expect(errorCode(open.do("POST", "/v1/completions", `{"model":"a0003","prompt":"x"}`))).To(Equal("leaving"))
--- a/entry/api.go
+++ b/entry/api.go
@@ -14,17 +14,17 @@
 
 // Headers of the caller API.
 const (
-	HeaderRequestID     = "X-Request-Id"
-	HeaderClass         = "X-Wardturn-Class"
-	HeaderDeadline      = "X-Wardturn-Deadline-Ms"
-	HeaderNotRepeatable = "X-Wardturn-Not-Repeatable"
-	HeaderKey           = "Idempotency-Key"
-	HeaderKeyCreated    = "Idempotency-Key-Created"
-	HeaderAdapter       = "X-Wardturn-Adapter"
-	HeaderVersion       = "X-Wardturn-Version"
-	HeaderOutcome       = "X-Wardturn-Outcome"
-	HeaderReason        = "X-Wardturn-Reason"
-	HeaderStall         = "X-Wardturn-Load-Stall-Ms"
+	HeaderRequestID             = "X-Request-Id"
+	HeaderClass                 = "X-Wardturn-Class"
+	HeaderDeadline              = "X-Wardturn-Deadline-Ms"
+	HeaderNotRepeatable         = "X-Wardturn-Not-Repeatable"
+	HeaderIdempotencyKey        = "Idempotency-Key"
+	HeaderIdempotencyKeyCreated = "Idempotency-Key-Created"
+	HeaderAdapter               = "X-Wardturn-Adapter"
+	HeaderVersion               = "X-Wardturn-Version"
+	HeaderOutcome               = "X-Wardturn-Outcome"
+	HeaderReason                = "X-Wardturn-Reason"
+	HeaderLoadStall             = "X-Wardturn-Load-Stall-Ms"
 )
 
 func (e *Entry) handler() fasthttp.RequestHandler {
@@ -218,7 +218,7 @@
 // setIdempotencyKey sets the idempotency key of a request that is not repeatable. If the
 // caller sent no key, it generates one, so that the request still runs at most once.
 func (e *Entry) setIdempotencyKey(ctx *fasthttp.RequestCtx, req *wardturn.Request) errorResponse {
-	key := string(ctx.Request.Header.Peek(HeaderKey))
+	key := string(ctx.Request.Header.Peek(HeaderIdempotencyKey))
 	if req.Repeatable {
 		return errorResponse{}
 	}
@@ -230,14 +230,14 @@
 		return errorResponse{}
 	}
 	if len(key) > maxIdempotencyKeyLen {
-		return badRequest(HeaderKey, "must not be longer than 256 bytes")
+		return badRequest(HeaderIdempotencyKey, "must not be longer than 256 bytes")
 	}
-	created, err := time.Parse(time.RFC3339, string(ctx.Request.Header.Peek(HeaderKeyCreated)))
+	created, err := time.Parse(time.RFC3339, string(ctx.Request.Header.Peek(HeaderIdempotencyKeyCreated)))
 	if err != nil {
-		return badRequest(HeaderKeyCreated, "must be the time the key was made, as in 2026-01-02T15:04:05Z")
+		return badRequest(HeaderIdempotencyKeyCreated, "must be the time the key was made, as in 2026-01-02T15:04:05Z")
 	}
 	if created.After(now.Add(control.MaxKeySkew)) {
-		return badRequest(HeaderKeyCreated, "is in the future")
+		return badRequest(HeaderIdempotencyKeyCreated, "is in the future")
 	}
 	if now.Sub(created) > control.MaxKeyAge {
 		return errorResponse{
--- a/entry/auth.go
+++ b/entry/auth.go
@@ -27,7 +27,7 @@
 func (e *Entry) authenticate(ctx *fasthttp.RequestCtx) (wardturn.CallerID, bool) {
 	digest := keyDigest(ctx)
 	if digest == "" {
-		return anonymous, e.cfg.Open
+		return anonymous, e.cfg.AllowAnonymous
 	}
 	if id, ok := e.catalog.CallerByKeyDigest(digest); ok {
 		return id, true
--- a/entry/behind_test.go
+++ b/entry/behind_test.go
@@ -56,10 +56,10 @@
 		}
 		e := entry.New(entry.Deps{
 			Config: entry.Config{
-				Process: "cut",
-				Region:  demo.Region,
-				Domain:  "d",
-				Open:    true,
+				Process:        "cut",
+				Region:         demo.Region,
+				Domain:         "d",
+				AllowAnonymous: true,
 			},
 			Clock:    clock,
 			Logger:   hclog.NewNullLogger(),
--- a/entry/config.go
+++ b/entry/config.go
@@ -14,26 +14,26 @@
 
 // Config holds the settings of an Entry.
 type Config struct {
-	Process       wardturn.Incarnation
-	Region        wardturn.Region
-	Domain        wardturn.FailureDomain
-	Router        decide.RouterConfig
-	HostsEvery    time.Duration // interval between reads of the host list
-	MaxBody       int           // maximum size of a request body in bytes
-	MaxRequests   int           // maximum number of concurrent requests
-	Deadline      time.Duration // default for requests without a deadline
-	MaxDeadline   time.Duration
-	DeadlineGrace time.Duration // how long a request waits after its deadline for the agent's result
-	AttachLimit   time.Duration // timeout for reattaching to an attempt whose connection was lost
-	ConnectLimit  time.Duration // timeout for the first connection to an agent
-	IdleLink      time.Duration // after which an unused connection is closed
-	Tries         int           // maximum number of upstreams tried for a request
-	SnapshotEvery time.Duration // interval between snapshots of the configuration
-	RetryShare    float64       // maximum ratio of retries to requests
-	Open          bool          // requests need no key; only for loopback
-	CallerKeys    []KeyGrant    // in addition to the keys in the configuration
-	OperatorKeys  []KeyGrant
-	DefaultOutput wardturn.Tokens // expected output of requests that set no maximum
+	Process          wardturn.Incarnation
+	Region           wardturn.Region
+	Domain           wardturn.FailureDomain
+	Router           decide.RouterConfig
+	HostsInterval    time.Duration // interval between reads of the host list
+	MaxBody          int           // maximum size of a request body in bytes
+	MaxRequests      int           // maximum number of concurrent requests
+	Deadline         time.Duration // default for requests without a deadline
+	MaxDeadline      time.Duration
+	DeadlineGrace    time.Duration // how long a request waits after its deadline for the agent's result
+	ReattachTimeout  time.Duration // timeout for reattaching to an attempt whose connection was lost
+	ConnectTimeout   time.Duration // timeout for the first connection to an agent
+	IdleTimeout      time.Duration // after which an unused connection is closed
+	MaxTries         int           // maximum number of upstreams tried for a request
+	SnapshotInterval time.Duration // interval between snapshots of the configuration
+	RetryShare       float64       // maximum ratio of retries to requests
+	AllowAnonymous   bool          // requests need no key; only for loopback
+	CallerKeys       []KeyGrant    // in addition to the keys in the configuration
+	OperatorKeys     []KeyGrant
+	DefaultOutput    wardturn.Tokens // expected output of requests that set no maximum
 }
 
 // KeyGrant grants the holder of a key access under a name.
@@ -44,35 +44,35 @@
 
 // Default values of Config.
 const (
-	DefaultHostsEvery   = time.Second
-	DefaultMaxBody      = 1 << 20
-	DefaultMaxRequests  = 20_000
-	DefaultDeadline     = 60 * time.Second
-	DefaultMaxDeadline  = 24 * time.Hour
-	DefaultGrace        = 500 * time.Millisecond
-	DefaultAttachLimit  = 5 * time.Second
-	DefaultConnectLimit = 500 * time.Millisecond
-	DefaultIdleLink     = 2 * time.Minute
-	DefaultTries        = 3
-	DefaultSnapshot     = time.Hour
-	DefaultRetryShare   = 0.1
-	DefaultOutput       = 64
+	DefaultHostsInterval    = time.Second
+	DefaultMaxBody          = 1 << 20
+	DefaultMaxRequests      = 20_000
+	DefaultDeadline         = 60 * time.Second
+	DefaultMaxDeadline      = 24 * time.Hour
+	DefaultDeadlineGrace    = 500 * time.Millisecond
+	DefaultReattachTimeout  = 5 * time.Second
+	DefaultConnectTimeout   = 500 * time.Millisecond
+	DefaultIdleTimeout      = 2 * time.Minute
+	DefaultMaxTries         = 3
+	DefaultSnapshotInterval = time.Hour
+	DefaultRetryShare       = 0.1
+	DefaultOutput           = 64
 )
 
 // WithDefaults returns a copy of the configuration in which zero values are replaced by
 // the defaults.
 func (c Config) WithDefaults() Config {
-	c.HostsEvery = cmp.Or(c.HostsEvery, DefaultHostsEvery)
+	c.HostsInterval = cmp.Or(c.HostsInterval, DefaultHostsInterval)
 	c.MaxBody = cmp.Or(c.MaxBody, DefaultMaxBody)
 	c.MaxRequests = cmp.Or(c.MaxRequests, DefaultMaxRequests)
 	c.Deadline = cmp.Or(c.Deadline, DefaultDeadline)
 	c.MaxDeadline = cmp.Or(c.MaxDeadline, DefaultMaxDeadline)
-	c.DeadlineGrace = cmp.Or(c.DeadlineGrace, DefaultGrace)
-	c.AttachLimit = cmp.Or(c.AttachLimit, DefaultAttachLimit)
-	c.ConnectLimit = cmp.Or(c.ConnectLimit, DefaultConnectLimit)
-	c.IdleLink = cmp.Or(c.IdleLink, DefaultIdleLink)
-	c.Tries = cmp.Or(c.Tries, DefaultTries)
-	c.SnapshotEvery = cmp.Or(c.SnapshotEvery, DefaultSnapshot)
+	c.DeadlineGrace = cmp.Or(c.DeadlineGrace, DefaultDeadlineGrace)
+	c.ReattachTimeout = cmp.Or(c.ReattachTimeout, DefaultReattachTimeout)
+	c.ConnectTimeout = cmp.Or(c.ConnectTimeout, DefaultConnectTimeout)
+	c.IdleTimeout = cmp.Or(c.IdleTimeout, DefaultIdleTimeout)
+	c.MaxTries = cmp.Or(c.MaxTries, DefaultMaxTries)
+	c.SnapshotInterval = cmp.Or(c.SnapshotInterval, DefaultSnapshotInterval)
 	c.RetryShare = cmp.Or(c.RetryShare, DefaultRetryShare)
 	c.DefaultOutput = cmp.Or(c.DefaultOutput, DefaultOutput)
 	c.Router.Region = c.Region
@@ -80,8 +80,8 @@
 	return c
 }
 
-// ErrBadKey is the error that ParseKeyGrant returns for malformed input.
-var ErrBadKey = errors.New("must be name:sha256 in hexadecimal")
+// ErrInvalidKeyGrant is the error that ParseKeyGrant returns for malformed input.
+var ErrInvalidKeyGrant = errors.New("must be name:sha256 in hexadecimal")
 
 // Check returns all invalid settings of the configuration.
 func (c Config) Check() wardturn.SettingProblems {
@@ -99,7 +99,7 @@
 func ParseKeyGrant(s string) (KeyGrant, error) {
 	name, digest, ok := strings.Cut(s, ":")
 	if !ok || !wardturn.ValidName(name) || len(digest) != len(control.KeyDigest("")) {
-		return KeyGrant{}, ErrBadKey
+		return KeyGrant{}, ErrInvalidKeyGrant
 	}
 	return KeyGrant{
 		Name:   name,
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -72,7 +72,7 @@
 		x.finishRequest(wardturn.Uncertain(wardturn.ReasonUpstreamLost), false)
 	case st.end != nil:
 		x.onAttemptEnd(st.end)
-	case st.lost && x.now().Sub(st.lostSince) >= x.entry.cfg.AttachLimit:
+	case st.lost && x.now().Sub(st.lostSince) >= x.entry.cfg.ReattachTimeout:
 		x.retryOrEnd(wardturn.Uncertain(wardturn.ReasonUpstreamLost), false)
 	case x.pastDeadline():
 		x.attempt.cancel()
@@ -94,7 +94,7 @@
 func (x *exchange) waitForChange(st attemptState) {
 	timeout := time.Minute
 	if st.lost {
-		timeout = x.entry.cfg.AttachLimit - x.now().Sub(st.lostSince)
+		timeout = x.entry.cfg.ReattachTimeout - x.now().Sub(st.lostSince)
 	}
 	if !x.req.Deadline.IsZero() {
 		timeout = min(timeout, x.req.Deadline.Add(x.entry.cfg.DeadlineGrace).Sub(x.now()))
@@ -152,7 +152,7 @@
 	if l == nil {
 		return false
 	}
-	conn := l.waitConn(x.entry.cfg.ConnectLimit)
+	conn := l.waitConn(x.entry.cfg.ConnectTimeout)
 	if conn == nil {
 		return false
 	}
@@ -225,7 +225,7 @@
 	x.endAttempt(true)
 	x.outcome = end.Outcome
 	x.versionRestarts++
-	if x.versionRestarts > x.entry.cfg.Tries || x.pastDeadline() || !x.waitForConfig(end.Config) {
+	if x.versionRestarts > x.entry.cfg.MaxTries || x.pastDeadline() || !x.waitForConfig(end.Config) {
 		x.ended = true
 		return
 	}
@@ -287,7 +287,7 @@
 // retryAllowed reports whether the number of attempts, the deadline and the retry budget
 // permit another attempt.
 func (x *exchange) retryAllowed() bool {
-	if len(x.tried) >= x.entry.cfg.Tries || x.pastDeadline() {
+	if len(x.tried) >= x.entry.cfg.MaxTries || x.pastDeadline() {
 		return false
 	}
 	x.entry.routerMu.Lock()
@@ -327,7 +327,7 @@
 		x.ended = true
 		return
 	}
-	conn := l.waitConn(x.entry.cfg.ConnectLimit)
+	conn := l.waitConn(x.entry.cfg.ConnectTimeout)
 	if conn == nil {
 		x.ended = true
 		return
@@ -348,7 +348,7 @@
 	x.endAttempt(true)
 	x.outcome = outcome
 	x.takeovers++
-	if x.takeovers > x.entry.cfg.Tries {
+	if x.takeovers > x.entry.cfg.MaxTries {
 		x.ended = true
 		return
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -143,7 +143,7 @@
 	e.tasks.Go(e.watchHosts)
 	e.tasks.Go(e.pollPeersForConfig)
 	e.tasks.Go(func() {
-		e.replica.RunSnapshots(e.tasks.Context(), e.cfg.SnapshotEvery)
+		e.replica.RunSnapshots(e.tasks.Context(), e.cfg.SnapshotInterval)
 	})
 	e.tasks.Go(func() {
 		if err := e.server.Serve(e.listener); err != nil {
@@ -189,10 +189,10 @@
 	return e.replica
 }
 
-// Leave starts a graceful shutdown: the entry reports that it is not ready and refuses
+// Shutdown starts a graceful shutdown: the entry reports that it is not ready and refuses
 // new requests with the outcome "not run". It returns when all open requests have ended
 // or ctx is done.
-func (e *Entry) Leave(ctx context.Context) {
+func (e *Entry) Shutdown(ctx context.Context) {
 	e.shuttingDown.Store(true)
 	e.logger.Info("leaving", "requests", e.openRequests.Load())
 	for e.openRequests.Load() > 0 && ctx.Err() == nil {
@@ -236,7 +236,7 @@
 		if err == nil && len(hosts) > 0 {
 			e.setHosts(hosts)
 		}
-		if !e.tasks.Pause(e.cfg.HostsEvery) {
+		if !e.tasks.Pause(e.cfg.HostsInterval) {
 			return
 		}
 	}
--- a/entry/link.go
+++ b/entry/link.go
@@ -187,7 +187,7 @@
 	for id, l := range e.links {
 		since, idle := l.idleSince()
 		_, listed := e.hosts[id]
-		if idle && (!listed || now.Sub(since) > e.cfg.IdleLink) {
+		if idle && (!listed || now.Sub(since) > e.cfg.IdleTimeout) {
 			delete(e.links, id)
 			e.closeLink(l)
 		}
--- a/entry/reply.go
+++ b/entry/reply.go
@@ -24,7 +24,7 @@
 		h.Set(HeaderVersion, strconv.FormatInt(int64(x.req.Adapter.Version), 10))
 	}
 	if x.head != nil {
-		h.Set(HeaderStall, strconv.FormatInt(x.head.AdapterWait.Milliseconds(), 10))
+		h.Set(HeaderLoadStall, strconv.FormatInt(x.head.AdapterWait.Milliseconds(), 10))
 	}
 	if outcome.Kind != 0 {
 		h.Set(HeaderOutcome, outcome.Kind.String())
--- a/entry/seed.go
+++ b/entry/seed.go
@@ -53,7 +53,7 @@
 	if l == nil {
 		return
 	}
-	conn := l.waitConn(e.cfg.ConnectLimit)
+	conn := l.waitConn(e.cfg.ConnectTimeout)
 	switch {
 	case conn == nil:
 	case conn.Config() > e.replica.AppliedOffset():
@@ -86,7 +86,7 @@
 	if l == nil {
 		return
 	}
-	if conn := l.waitConn(e.cfg.ConnectLimit); conn != nil {
+	if conn := l.waitConn(e.cfg.ConnectTimeout); conn != nil {
 		_ = conn.Send(&peer.ConfigPull{
 			Page: page,
 		})
--- a/gateway/list_bench_test.go
+++ b/gateway/list_bench_test.go
@@ -100,8 +100,8 @@
 		Level:  hclog.Info,
 		Output: io.Discard,
 	})
-	return process.NewBudgetedLogger(l, process.Clock{}, process.LogRates{
-		Others: 20,
+	return process.NewRateLimitedLogger(l, process.Clock{}, process.LogRates{
+		Default: 20,
 	})
 }
 
--- a/load/load.go
+++ b/load/load.go
@@ -155,7 +155,7 @@
 		return
 	}
 	firstByte, complete, err := r.readResponse(res)
-	stall, _ := strconv.Atoi(string(res.Header.Peek(entry.HeaderStall)))
+	stall, _ := strconv.Atoi(string(res.Header.Peek(entry.HeaderLoadStall)))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.classify(res, complete, err)
--- a/process/logbudget.go
+++ b/process/logbudget.go
@@ -15,8 +15,8 @@
 
 // LogRates holds the maximum number of log lines per second for each message.
 type LogRates struct {
-	Of     map[string]float64
-	Others float64 // for each message that is not in the map
+	ByMessage map[string]float64
+	Default   float64 // for each message that is not in the map
 }
 
 // rateLimitedLogger limits the rate of lines for each message. A line that is written
@@ -36,10 +36,10 @@
 	suppressed int
 }
 
-// NewBudgetedLogger returns a logger that limits the rate of lines for each message
+// NewRateLimitedLogger returns a logger that limits the rate of lines for each message
 // separately, so that one kind of event can't crowd out the others. Bursts of up to one
 // second's worth of lines are allowed.
-func NewBudgetedLogger(l hclog.Logger, clock wardturn.Clock, rates LogRates) hclog.Logger {
+func NewRateLimitedLogger(l hclog.Logger, clock wardturn.Clock, rates LogRates) hclog.Logger {
 	return &rateLimitedLogger{
 		Logger:   l,
 		clock:    clock,
@@ -49,10 +49,10 @@
 }
 
 func (l *rateLimitedLogger) rate(msg string) float64 {
-	if r, ok := l.rates.Of[msg]; ok {
+	if r, ok := l.rates.ByMessage[msg]; ok {
 		return r
 	}
-	return l.rates.Others
+	return l.rates.Default
 }
 
 // allow reports whether a line may be written and, if so, how many lines with the same
--- a/process/logbudget_test.go
+++ b/process/logbudget_test.go
@@ -25,14 +25,14 @@
 	clock := &fixedClock{
 		now: time.Unix(1000, 0),
 	}
-	l := process.NewBudgetedLogger(hclog.New(&hclog.LoggerOptions{
+	l := process.NewRateLimitedLogger(hclog.New(&hclog.LoggerOptions{
 		Output:      &buf,
 		DisableTime: true,
 	}), clock, process.LogRates{
-		Of: map[string]float64{
+		ByMessage: map[string]float64{
 			"refused": 3,
 		},
-		Others: 1,
+		Default: 1,
 	})
 	written := func(msg string, n int) []string {
 		buf.Reset()
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -231,8 +231,8 @@
 	req.Header.SetMethod(rest[1])
 	if k := opts["key"]; k != "" {
 		created := s.clock.Now().Add(-time.Duration(intOption(opts, "age", 0)) * time.Second)
-		req.Header.Set(entry.HeaderKey, k)
-		req.Header.Set(entry.HeaderKeyCreated, created.UTC().Format(time.RFC3339))
+		req.Header.Set(entry.HeaderIdempotencyKey, k)
+		req.Header.Set(entry.HeaderIdempotencyKeyCreated, created.UTC().Format(time.RFC3339))
 	}
 	if d := opts["deadline"]; d != "" {
 		req.Header.Set(entry.HeaderDeadline, d)
