--- a/chaos/faults.go
+++ b/chaos/faults.go
@@ -21,7 +21,7 @@
 	return []Fault{
 		{
 			Name:   "connection cut",
-			inject: func(h *history) { h.randomUpstream().Relay.Cut() },
+			inject: func(h *history) { h.randomUpstream().Relay.CloseConns() },
 			heal:   noop,
 		},
 		{
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -249,12 +249,12 @@
 	log := standin.NewLog(clock, standin.LogConfig{})
 	hosts := standin.NewHostList(clock, 0)
 	store := standin.NewStore(clock, standin.StoreConfig{
-		Rate:     100,
-		Parallel: 4,
-		Fetch:    time.Millisecond,
+		Rate:        100,
+		MaxParallel: 4,
+		FetchTime:   time.Millisecond,
 	})
 	cfg := standin.DefaultEngine()
-	cfg.ReportLag = 0
+	cfg.ReportAge = 0
 	engine := standin.NewEngine(clock, store, cfg)
 	publishAdapter(t, log)
 	return testPlatform{
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -111,7 +111,7 @@
 	}
 	totals := sys.Totals()
 	fmt.Fprintf(w, "outcomes: done %d, not run %d, unknown %d, failed %d\n", summary.Done, summary.NotRun, summary.Unknown, summary.Failed)
-	fmt.Fprintf(w, "batch efficiency %.3f over %d steps, %d loads, %d log records\n", totals.Efficiency, totals.Steps, totals.Loads, sys.Log.Appends())
+	fmt.Fprintf(w, "batch efficiency %.3f over %d steps, %d loads, %d log records\n", totals.Efficiency, totals.Steps, totals.Loads, sys.Log.AppendCount())
 	return nil
 }
 
--- a/control/replica_test.go
+++ b/control/replica_test.go
@@ -97,7 +97,7 @@
 		res, err := r.Publish(ctx, newChange("p", 0, "body"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(res.Version).To(Equal(wardturn.Offset(1)), "offset of the first of the three appends")
-		Expect(log.Appends()).To(Equal(3))
+		Expect(log.AppendCount()).To(Equal(3))
 	})
 
 	It("fails to publish while the log is unavailable, and keeps its documents", func() {
--- a/demo/path_bench_test.go
+++ b/demo/path_bench_test.go
@@ -26,7 +26,7 @@
 	cfg.Engine.StepSequence = 0
 	cfg.Engine.StepPrompt = 0
 	cfg.Engine.StepTokens = 1 << 20
-	cfg.Store.Fetch = time.Millisecond
+	cfg.Store.FetchTime = time.Millisecond
 	sys, err := demo.Start(context.Background(), cfg)
 	if err != nil {
 		b.Fatal(err)
--- a/demo/system.go
+++ b/demo/system.go
@@ -54,9 +54,9 @@
 		Slots:    8,
 		Batch:    16,
 		Store: standin.StoreConfig{
-			Rate:     9,
-			Parallel: 4,
-			Fetch:    400 * time.Millisecond,
+			Rate:        9,
+			MaxParallel: 4,
+			FetchTime:   400 * time.Millisecond,
 		},
 		HostLag: 2 * time.Second,
 		Engine:  standin.DefaultEngine(),
@@ -80,8 +80,8 @@
 	Engine     *standin.Engine  // nil for a plain service
 	Service    *standin.Service // nil for a model engine
 	Agent      *agent.Agent
-	Relay      *standin.Relay // to the agent; nil without Config.Relays
-	addr       string         // of the upstream itself
+	Relay      *standin.FaultProxy // to the agent; nil without Config.Relays
+	addr       string              // of the upstream itself
 	stopServer func()
 }
 
@@ -181,7 +181,7 @@
 	if i < s.cfg.Engines {
 		cfg := s.cfg.Engine
 		cfg.Slots = s.cfg.Slots
-		cfg.Batch = s.cfg.Batch
+		cfg.MaxBatch = s.cfg.Batch
 		u.Engine = standin.NewEngine(s.cfg.Clock, s.Store, cfg)
 		u.Host.Model = Model
 		u.stopServer = standin.Serve(ln, standin.EngineHandler(u.Engine))
@@ -212,7 +212,7 @@
 			Service:  u.Host.Service,
 			Store: decide.StoreLimit{
 				Rate:     s.cfg.Store.Rate,
-				Parallel: s.cfg.Store.Parallel,
+				Parallel: s.cfg.Store.MaxParallel,
 			},
 			StoreAgents:  s.cfg.Engines,
 			MaxRunning:   s.cfg.Batch,
@@ -249,7 +249,7 @@
 		return nil
 	}
 	if u.Relay == nil {
-		r, err := standin.NewRelay(u.Agent.Addr())
+		r, err := standin.NewFaultProxy(u.Agent.Addr())
 		if err != nil {
 			return err
 		}
--- a/experiment/compare.go
+++ b/experiment/compare.go
@@ -216,7 +216,7 @@
 
 // efficiency returns the mean fraction of the batch that engine steps used.
 func (s *sim) efficiency(steps, sequences int) float64 {
-	batch := s.setup.Engine.Batch
+	batch := s.setup.Engine.MaxBatch
 	if s.setup.Batch > 0 {
 		batch = s.setup.Batch
 	}
--- a/experiment/node.go
+++ b/experiment/node.go
@@ -107,12 +107,12 @@
 			Output:   req.OutputTokens,
 			Path:     string(req.Caller),
 		},
-		Token: func(i int) {
+		OnToken: func(i int) {
 			if i == 0 {
 				sm.ttft = n.sim.elapsed() - c.sentAt
 			}
 		},
-		End: func(_ wardturn.EngineResult, err error) {
+		OnEnd: func(_ wardturn.EngineResult, err error) {
 			n.finish(c, err)
 		},
 	}
--- a/experiment/sim.go
+++ b/experiment/sim.go
@@ -88,9 +88,9 @@
 		samples: make([]sample, len(trace)),
 	}
 	s.store = standin.NewStore(s.clock, standin.StoreConfig{
-		Rate:     setup.StoreRate,
-		Parallel: setup.StoreParallel,
-		Fetch:    setup.LoadTime,
+		Rate:        setup.StoreRate,
+		MaxParallel: setup.StoreParallel,
+		FetchTime:   setup.LoadTime,
 	})
 	s.addAllocators()
 	for i := range setup.Upstreams {
@@ -138,12 +138,12 @@
 	engineCfg := s.setup.Engine
 	engineCfg.Slots = s.setup.Slots
 	if s.setup.Batch > 0 {
-		engineCfg.Batch = s.setup.Batch
+		engineCfg.MaxBatch = s.setup.Batch
 	}
 	agentCfg := s.setup.Agent
 	agentCfg.Upstream = wardturn.UpstreamID(fmt.Sprintf("u%03d", i))
 	agentCfg.Slots = engineCfg.Slots
-	agentCfg.MaxRunning = engineCfg.Batch
+	agentCfg.MaxRunning = engineCfg.MaxBatch
 	if agentCfg.MaxQueue == 0 {
 		agentCfg.MaxQueue = len(s.trace)
 	}
--- a/gateway/announcements_relays_test.go
+++ b/gateway/announcements_relays_test.go
@@ -23,18 +23,18 @@
 type secondGatewayRig struct {
 	*rig
 	unavailable *atomic.Bool // the store is unavailable to the second gateway
-	proxies     []*standin.Relay
+	proxies     []*standin.FaultProxy
 }
 
 // proxyKeepers makes gateways started from now on reach the keepers through proxies of
 // their own.
-func (x *rig) proxyKeepers() []*standin.Relay {
+func (x *rig) proxyKeepers() []*standin.FaultProxy {
 	hosts := []string{"127.0.0.11", "127.0.0.12"}
 	list, port := listenAll(hosts...)
-	var proxies []*standin.Relay
+	var proxies []*standin.FaultProxy
 	for i, host := range hosts {
 		list[i].Close()
-		proxy, err := standin.NewRelayAt(net.JoinHostPort(host, port), net.JoinHostPort(host, x.keeperPort))
+		proxy, err := standin.NewFaultProxyAt(net.JoinHostPort(host, port), net.JoinHostPort(host, x.keeperPort))
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(proxy.Close)
 		proxies = append(proxies, proxy)
@@ -88,13 +88,13 @@
 			time.Sleep(300 * time.Millisecond) // calls in progress have ended
 			x.putEntry(x.apps[0], "app", "a0", "draining")
 			Eventually(func() int {
-				before := x.apps[0].Total()
+				before := x.apps[0].TotalRuns()
 				for range 4 {
 					x.get("leave", "/charge/", "")
 				}
-				return x.apps[0].Total() - before
+				return x.apps[0].TotalRuns() - before
 			}, announcedConfigBound, pollInterval).Should(BeZero())
-			Expect(x.apps[1].Total()).To(BeNumerically(">", 0))
+			Expect(x.apps[1].TotalRuns()).To(BeNumerically(">", 0))
 		},
 		Entry("through two keepers in its failure domain", []string{"d", "d"}, wardturn.FailureDomain("d"), func(*secondGatewayRig) {}),
 		Entry("when one of them is unreachable", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -92,7 +92,7 @@
 	m.worker.Restart(m.id)
 	m.serve(ln)
 	m.x.putEntry(m.worker, m.service, m.id, "ready")
-	m.x.store.DropServer(old)
+	m.x.store.DeleteServer(old)
 }
 
 func (m *crashingUpstream) crashCount() int {
@@ -119,7 +119,7 @@
 		}))
 	}
 	for _, m := range x.apps {
-		x.store.DropServer(m.ID())
+		x.store.DeleteServer(m.ID())
 		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("upstream left the list: upstream=" + m.ID()))
 	}
 	second, front, _ := x.startGateway("second", platform.NewStore(x.storeAddr, x.metrics))
@@ -287,7 +287,7 @@
 		x.fronts = append(x.fronts, front)
 		x.awaitServing(2)
 		x.store.SetFaults(standin.MetaFaults{
-			Away: true,
+			Unavailable: true,
 		})
 		x.sendThrough(2, "/charge/", crashBody)
 		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("alone: crashes not recorded: crashes=1"))
@@ -353,7 +353,7 @@
 			held <- x.send(http.MethodPost, "held", "/ask/x", "m0", "held")
 		}()
 		heldNow := func() int {
-			return x.engines[0].Held() + x.engines[1].Held()
+			return x.engines[0].Delayed() + x.engines[1].Delayed()
 		}
 		Eventually(heldNow, eventTimeout, pollInterval).Should(Equal(1))
 		recordCrashes("/ask/x", "held")
@@ -381,7 +381,7 @@
 		for _, m := range x.upstreams {
 			m.worker.SetFaults(standin.WorkerFaults{})
 		}
-		x.store.DropAll("keyed.wardturn.crashes")
+		x.store.DeleteAll("keyed.wardturn.crashes")
 		Eventually(func() int {
 			return x.sendThrough(1, "/charge/", crashBody).status
 		}, eventTimeout, 50*time.Millisecond).Should(Equal(http.StatusOK))
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -20,12 +20,12 @@
 // evacuate evacuates a failure domain in the store. It returns the time from which its
 // upstreams must receive no requests.
 func (x *rig) evacuate(domain string) time.Time {
-	x.store.Evacuate(domain, true)
+	x.store.SetEvacuated(domain, true)
 	return time.Now().Add(evacuationBound)
 }
 
 func (x *rig) revokeEvacuation(domain string) {
-	x.store.Evacuate(domain, false)
+	x.store.SetEvacuated(domain, false)
 }
 
 // domainArrivalsAfter counts the requests that reached workers of a failure domain after
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -51,8 +51,8 @@
 		}
 		wg.Wait()
 		for _, e := range x.engines {
-			Expect(e.Fell()).To(BeFalse())
-			Expect(e.Adapters()).To(BeNumerically("<=", 2))
+			Expect(e.SlotsExceeded()).To(BeFalse())
+			Expect(e.AdapterCount()).To(BeNumerically("<=", 2))
 		}
 	})
 
@@ -78,7 +78,7 @@
 		wg.Wait()
 		Expect(x.get("after", "/ask/x", "m0/a1").status).To(Equal(http.StatusOK))
 		for _, e := range x.engines {
-			Expect(e.Fell()).To(BeFalse())
+			Expect(e.SlotsExceeded()).To(BeFalse())
 		}
 	})
 
@@ -193,11 +193,11 @@
 	It("sends nothing to a draining worker", func() {
 		x.putEntry(x.apps[0], "app", "a0", "draining")
 		Eventually(func() int {
-			before := x.apps[0].Total()
+			before := x.apps[0].TotalRuns()
 			for range 4 {
 				x.get("drain", "/charge/", "")
 			}
-			return x.apps[0].Total() - before
+			return x.apps[0].TotalRuns() - before
 		}, eventTimeout, pollInterval).Should(BeZero())
 	})
 
@@ -206,7 +206,7 @@
 		for range 6 {
 			Expect(x.get("reuse", "/charge/", "").status).To(Equal(http.StatusOK))
 		}
-		Expect(x.apps[0].Total()).To(BeZero())
+		Expect(x.apps[0].TotalRuns()).To(BeZero())
 	})
 
 	It("applies a new configuration and keeps it while the store is unavailable", func() {
@@ -216,7 +216,7 @@
 			return x.get("new", "/new/", "").status
 		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		x.store.SetFaults(standin.MetaFaults{
-			Away: true,
+			Unavailable: true,
 		})
 		time.Sleep(100 * time.Millisecond)
 		Expect(x.get("new", "/new/", "").status).To(Equal(http.StatusOK))
@@ -224,7 +224,7 @@
 
 	It("learns of a change soon after a read of the store that never gets a response", func() {
 		x.store.SetFaults(standin.MetaFaults{
-			Silent: true,
+			NoResponse: true,
 		})
 		x.store.PutConfig(config(2, "")) // ends the current long poll; the next one hangs
 		time.Sleep(100 * time.Millisecond)
@@ -252,11 +252,11 @@
 
 	It("keeps upstreams whose entries expired while the store was unavailable for a grace period", func() {
 		x.store.SetFaults(standin.MetaFaults{
-			Away: true,
+			Unavailable: true,
 		})
 		time.Sleep(400 * time.Millisecond) // a read has failed
-		x.store.DropServer("a0")
-		x.store.DropServer("a1")
+		x.store.DeleteServer("a0")
+		x.store.DeleteServer("a1")
 		x.store.SetFaults(standin.MetaFaults{})
 		time.Sleep(400 * time.Millisecond) // the list was read without them
 		Expect(x.get("lapsed", "/charge/", "").status).To(Equal(http.StatusOK))
@@ -268,7 +268,7 @@
 	It("serves a new version of an adapter once it is published", func() {
 		Expect(x.get("v", "/ask/x", "m0/a3").status).To(Equal(http.StatusOK))
 		for _, e := range x.engines {
-			e.Name("a3", 2)
+			e.SetNewestVersion("a3", 2)
 		}
 		x.store.Put("keyed.op", "version/m0.a3", []byte(`{"model":"m0","adapter":"a3","version":2}`))
 		time.Sleep(50 * time.Millisecond)
@@ -279,7 +279,7 @@
 		Expect(x.get("r", "/ask/x", "m0/a5").status).To(Equal(http.StatusOK))
 		for i, e := range x.engines {
 			e.Restart(fmt.Sprintf("e%d-again", i))
-			x.store.DropServer(fmt.Sprintf("e%d", i))
+			x.store.DeleteServer(fmt.Sprintf("e%d", i))
 			x.putEntry(e, "llm", fmt.Sprintf("e%d-again", i), "ready")
 		}
 		Eventually(func() int {
@@ -289,14 +289,14 @@
 
 	It("uses an engine that restarted under the same id, and treats it as empty", func() {
 		for i, e := range x.engines {
-			e.StartAgain(int64(1000 + i))
+			e.RestartSameID(int64(1000 + i))
 			x.putEntry(e, "llm", fmt.Sprintf("e%d", i), "ready")
 		}
 		Eventually(func() int {
 			return x.get("b", "/ask/x", "m0/a5").status
 		}, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		for i, e := range x.engines {
-			e.StartAgain(int64(2000 + i))
+			e.RestartSameID(int64(2000 + i))
 			x.putEntry(e, "llm", fmt.Sprintf("e%d", i), "ready")
 		}
 		Eventually(func() bool {
--- a/gateway/keys_test.go
+++ b/gateway/keys_test.go
@@ -172,7 +172,7 @@
 		}
 		Eventually(status, eventTimeout, pollInterval).Should(Equal(http.StatusOK))
 		x.store.SetFaults(standin.MetaFaults{
-			Away: true,
+			Unavailable: true,
 		})
 		unavailableSince := time.Now()
 		lastServed := unavailableSince
--- a/gateway/leavingresponses_test.go
+++ b/gateway/leavingresponses_test.go
@@ -85,7 +85,7 @@
 	It("gets none after further reads of the list, also if it is not listed for a while", func() {
 		after := setLeaving(x.apps[0])
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, 500*time.Millisecond)
-		x.store.DropServer("a0")
+		x.store.DeleteServer("a0")
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, time.Second)
 		x.putEntry(x.apps[0], "app", "a0", "ready")
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, time.Second)
@@ -96,7 +96,7 @@
 		setLeaving(x.apps[0])
 		x.callAll(fronts, "/look/a", "", 2, 20*time.Millisecond, 500*time.Millisecond)
 		x.apps[0].SetFaults(standin.WorkerFaults{})
-		x.apps[0].StartAgain(time.Now().UnixMilli())
+		x.apps[0].RestartSameID(time.Now().UnixMilli())
 		x.putEntry(x.apps[0], "app", "a0", "ready")
 		before := len(x.apps[0].Arrivals())
 		Eventually(func() int {
--- a/gateway/oldversion_test.go
+++ b/gateway/oldversion_test.go
@@ -50,7 +50,7 @@
 
 // delayed returns the number of requests that have arrived at the engines and not started.
 func (x *rig) delayed() int {
-	return x.engines[0].Held() + x.engines[1].Held()
+	return x.engines[0].Delayed() + x.engines[1].Delayed()
 }
 
 // configAge returns the age of the gateway's configuration in seconds, as last recorded in
@@ -137,7 +137,7 @@
 	It("is not lost", func() {
 		x := newOldVersionRig()
 		x.store.SetFaults(standin.MetaFaults{
-			Away: true,
+			Unavailable: true,
 		})
 		Eventually(x.configAge, 3*eventTimeout, pollInterval).Should(BeNumerically(">", oldVersionLimit.Seconds()))
 		x.setFaults(standin.WorkerFaults{
@@ -190,7 +190,7 @@
 			x.sendLong(fmt.Sprint("held-up-", i), "/long/x", "m0/a1")
 		}
 		Eventually(x.delayed, eventTimeout, pollInterval).Should(BeNumerically(">", 2))
-		perEngine := []int{x.engines[0].Held(), x.engines[1].Held()}
+		perEngine := []int{x.engines[0].Delayed(), x.engines[1].Delayed()}
 		x.publishNewer()
 		Eventually(x.delayed, 4*eventTimeout, pollInterval).Should(Equal(0))
 		for i, e := range x.engines {
@@ -213,7 +213,7 @@
 	It("is not aborted when the older versions are retired", func() {
 		x := newOldVersionRig()
 		for _, e := range x.engines {
-			e.Name("a1", 2)
+			e.SetNewestVersion("a1", 2)
 		}
 		x.publishNewer()
 		n := 0
--- a/gateway/parts_test.go
+++ b/gateway/parts_test.go
@@ -31,7 +31,7 @@
 			}
 			x.store.ServeHTTP(w, r)
 		}))
-		x.store.SetPage(3)
+		x.store.SetPageSize(3)
 		late, x.frontURL, x.readyURL = x.startGateway("late", platform.NewStore(ln.Addr().String(), tally.NoopScope))
 	}
 	status := func(path, model string) func() int {
@@ -67,9 +67,9 @@
 	It("uses no engine before the list is complete", func() {
 		start()
 		Eventually(status("/charge/", ""), eventTimeout, pollInterval).Should(Equal(http.StatusOK))
-		before := x.engines[0].Total()
+		before := x.engines[0].TotalRuns()
 		Expect(status("/ask/x", "m0")()).NotTo(Equal(http.StatusOK))
-		Expect(x.engines[0].Total()).To(Equal(before))
+		Expect(x.engines[0].TotalRuns()).To(Equal(before))
 		secondPage.Store(true)
 		Eventually(late.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		Eventually(status("/ask/x", "m0"), eventTimeout, pollInterval).Should(Equal(http.StatusOK))
--- a/gateway/resumemismatch_test.go
+++ b/gateway/resumemismatch_test.go
@@ -22,7 +22,7 @@
 func (x *rig) loadAndSetFaults(f standin.WorkerFaults) {
 	Eventually(func() bool {
 		x.get("hold", "/resume/x", "m0/a1")
-		return x.engines[0].Adapters() > 0 || x.engines[1].Adapters() > 0
+		return x.engines[0].AdapterCount() > 0 || x.engines[1].AdapterCount() > 0
 	}, eventTimeout, pollInterval).Should(BeTrue())
 	for _, e := range x.engines {
 		e.SetFaults(f)
--- a/gateway/retained_test.go
+++ b/gateway/retained_test.go
@@ -16,11 +16,11 @@
 	It("are removed at the end of the grace period, without a read of the list", func() {
 		x := newRigWithDrain(6*time.Second, "d", "d") // the list is read every 3 s
 		x.store.SetFaults(standin.MetaFaults{
-			Away: true,
+			Unavailable: true,
 		})
 		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("store unavailable, keeping the current list"))
-		x.store.DropServer("a0")
-		x.store.DropServer("a1")
+		x.store.DeleteServer("a0")
+		x.store.DeleteServer("a1")
 		x.store.SetFaults(standin.MetaFaults{})
 		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("upstream left the list: upstream=a0"))
 		Expect(x.get("lapsed", "/charge/", "").status).To(Equal(http.StatusOK))
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -67,7 +67,7 @@
 	readyURL   string
 	keeperPort string // port of the keepers
 	keepers    []*keeper.Keeper
-	relay      *standin.Relay         // in front of the first keeper
+	relay      *standin.FaultProxy    // in front of the first keeper
 	domain     wardturn.FailureDomain // of gateways that are started
 	metrics    tally.TestScope
 	client     *http.Client
@@ -155,11 +155,11 @@
 
 // behindRelay replaces a listener by a relay, and returns the listener to which the relay
 // forwards connections.
-func behindRelay(ln net.Listener) (*standin.Relay, net.Listener) {
+func behindRelay(ln net.Listener) (*standin.FaultProxy, net.Listener) {
 	addr := ln.Addr().String()
 	ln.Close()
 	target := listen("127.0.0.1:0")
-	relay, err := standin.NewRelayAt(addr, target.Addr().String())
+	relay, err := standin.NewFaultProxyAt(addr, target.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(relay.Close)
 	return relay, target
@@ -220,12 +220,12 @@
 	x.keeperPort = port
 	for i, host := range hosts {
 		m := x.addWorker("llm", host, domains[i], standin.ModelWorkerConfig{
-			ID:       fmt.Sprintf("e%d", i),
-			Model:    "m0",
-			Slots:    2,
-			LoadTime: 20 * time.Millisecond,
-			Pieces:   4,
-			Pause:    5 * time.Millisecond,
+			ID:            fmt.Sprintf("e%d", i),
+			Model:         "m0",
+			Slots:         2,
+			LoadTime:      20 * time.Millisecond,
+			StreamEvents:  4,
+			EventInterval: 5 * time.Millisecond,
 		})
 		x.engines = append(x.engines, m)
 		ln := keepers[i]
--- a/gateway/storecalls_test.go
+++ b/gateway/storecalls_test.go
@@ -30,14 +30,14 @@
 		store.PutConfig(config(1, ""))
 		x.startGateway("alone", platform.NewStore(ln.Addr().String(), x.metrics))
 		time.Sleep(3 * time.Second)
-		Expect(store.ReadsOf(topicOperator)).To(BeNumerically("<=", 3))
-		Expect(store.ReadsOf(topicCrashes)).To(BeZero())
+		Expect(store.TopicReads(topicOperator)).To(BeNumerically("<=", 3))
+		Expect(store.TopicReads(topicCrashes)).To(BeZero())
 		store.PutConfig(config(2, newRoute))
 		Eventually(x.log.String, 500*time.Millisecond, pollInterval).Should(ContainSubstring("configuration in force: version=2"), "a change is applied immediately")
 		m := x.apps[0]
 		store.PutServer(m.ID(), m.Entry("app", x.addrs[m], "d", "ready"))
 		Eventually(func() int {
-			return store.ReadsOf(topicCrashes)
+			return store.TopicReads(topicCrashes)
 		}, eventTimeout, pollInterval).Should(Equal(1))
 	})
 })
@@ -58,7 +58,7 @@
 			Eventually(g.Ready, eventTimeout, pollInterval).Should(BeTrue())
 		}
 		time.Sleep(drain) // all have received announcements of the one that reads
-		before := x.store.ReadsOf(topicServers)
+		before := x.store.TopicReads(topicServers)
 		n := 0
 		for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 			for range 100 {
@@ -67,6 +67,6 @@
 			}
 		}
 		readsEach := int(span/(drain/2)) + 1
-		Expect(x.store.ReadsOf(topicServers) - before).To(BeNumerically("<=", readsEach*(1+extraGateways)))
+		Expect(x.store.TopicReads(topicServers) - before).To(BeNumerically("<=", readsEach*(1+extraGateways)))
 	})
 })
--- a/gateway/storereads_test.go
+++ b/gateway/storereads_test.go
@@ -39,9 +39,9 @@
 
 	It("read it about as often as a single gateway", func() {
 		time.Sleep(1500 * time.Millisecond) // both have received announcements of each other
-		operator, servers := x.store.Reads()
+		operator, servers := x.store.KeyedReads()
 		time.Sleep(3 * time.Second)
-		operatorNow, serversNow := x.store.Reads()
+		operatorNow, serversNow := x.store.KeyedReads()
 		// In 3 s, one gateway alone makes 2.5 configuration and 12 list reads, two 5 and 24.
 		Expect(operatorNow - operator).To(BeNumerically("<=", 4))
 		Expect(serversNow - servers).To(BeNumerically("<=", 16))
@@ -57,13 +57,13 @@
 		time.Sleep(300 * time.Millisecond)
 		x.putEntry(x.apps[0], "app", "a0", "draining")
 		Eventually(func() int {
-			before := x.apps[0].Total()
+			before := x.apps[0].TotalRuns()
 			for range 4 {
 				x.get("leave", "/charge/", "")
 			}
-			return x.apps[0].Total() - before
+			return x.apps[0].TotalRuns() - before
 		}, eventTimeout, pollInterval).Should(BeZero())
-		Expect(x.apps[1].Total()).To(BeNumerically(">", 0))
+		Expect(x.apps[1].TotalRuns()).To(BeNumerically(">", 0))
 	})
 
 	It("apply a configuration change immediately", func() {
--- a/gateway/storerestore_test.go
+++ b/gateway/storerestore_test.go
@@ -60,7 +60,7 @@
 		}
 		time.Sleep(configBound) // all gateways have read these changes
 		x.store.SetFaults(standin.MetaFaults{
-			Away: true,
+			Unavailable: true,
 		})
 		time.Sleep(time.Second)
 		x.store.Restore(old)
@@ -88,7 +88,7 @@
 		expectInForce("/new/a")
 		x.putEntry(x.apps[0], "app", "a0", "draining")
 		time.Sleep(configBound)
-		x.store.DropServer("a0")
+		x.store.DeleteServer("a0")
 		x.putEntry(x.apps[1], "app", "a1", "ready")
 		time.Sleep(configBound)
 		x.store.Restore(old)
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -424,7 +424,7 @@
 	r := s.upstream(ts, args[1]).Relay
 	switch args[0] {
 	case "cut":
-		r.Cut()
+		r.CloseConns()
 	case "block":
 		r.Block(true)
 	case "freeze":
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -201,7 +201,7 @@
 	if res.StatusCode != http.StatusOK {
 		return
 	}
-	if got := res.Header.Get(standin.HeaderReceipt); got != "seal-"+id {
+	if got := res.Header.Get(standin.HeaderSeal); got != "seal-"+id {
 		c.addViolation("%s: the answer has the receipt %q", id, got)
 	}
 	want := "echo:" + id
@@ -257,7 +257,7 @@
 	}
 	c.checkKeys()
 	for _, u := range c.world.upstreams {
-		if u.worker.Fell() {
+		if u.worker.SlotsExceeded() {
 			c.addViolation("upstream %s was ordered to hold more than it can", u.id)
 		}
 	}
--- a/soak/evacuations.go
+++ b/soak/evacuations.go
@@ -66,10 +66,10 @@
 				return nil
 			}
 			began := time.Now()
-			s.world.store.Evacuate(domain, true)
+			s.world.store.SetEvacuated(domain, true)
 			return func() {
 				s.checkEvacuated(domain, began)
-				s.world.store.Evacuate(domain, false)
+				s.world.store.SetEvacuated(domain, false)
 				s.evacuations.end(domain)
 			}
 		},
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -19,10 +19,10 @@
 	begin    func() (undo func())
 }
 
-type storeLink = *standin.Relay
+type storeLink = *standin.FaultProxy
 
 func (s *soak) newStoreLink() (storeLink, error) {
-	return standin.NewRelay(s.world.storeAddr)
+	return standin.NewFaultProxy(s.world.storeAddr)
 }
 
 // randomFault returns a random fault.
@@ -88,8 +88,8 @@
 }
 
 // links returns the links between processes.
-func (s *soak) links() []*standin.Relay {
-	var list []*standin.Relay
+func (s *soak) links() []*standin.FaultProxy {
+	var list []*standin.FaultProxy
 	for _, u := range s.world.upstreams {
 		list = append(list, u.relay)
 		if u.keeperRelay != nil {
@@ -120,8 +120,8 @@
 		{
 			name: "silence one way",
 			begin: func() func() {
-				link.Silence(direction, true)
-				return func() { link.Silence(direction, false) }
+				link.FreezeDirection(direction, true)
+				return func() { link.FreezeDirection(direction, false) }
 			},
 		},
 		{
@@ -134,7 +134,7 @@
 		{
 			name: "reset",
 			begin: func() func() {
-				link.Reset()
+				link.ResetConns()
 				return nil
 			},
 		},
@@ -155,13 +155,13 @@
 func (s *soak) randomStoreFault(r *rand.Rand) fault {
 	list := map[string]standin.MetaFaults{
 		"store away": {
-			Away: true,
+			Unavailable: true,
 		},
 		"store silent": {
-			Silent: true,
+			NoResponse: true,
 		},
 		"store loses answers": {
-			Lost: true,
+			LoseResponses: true,
 		},
 		"store slow": {
 			Delay: 300 * time.Millisecond,
@@ -219,7 +219,7 @@
 			target: u.addr,
 			begin: func() func() {
 				s.world.restart(u)
-				u.relay.Reset()
+				u.relay.ResetConns()
 				started := time.Now()
 				s.wg.Go(func() {
 					if s.sleep(coldDuration) {
--- a/soak/storereturn.go
+++ b/soak/storereturn.go
@@ -23,13 +23,13 @@
 	w.writes.mu.Lock()
 	defer w.writes.mu.Unlock()
 	w.writes.droppedEntries = append(w.writes.droppedEntries, id)
-	w.store.DropServer(id)
+	w.store.DeleteServer(id)
 }
 
 // announceVersion announces a new version of an adapter.
 func (s *soak) announceVersion(adapter string, version int64) {
 	for _, u := range s.world.upstreams {
-		u.worker.Name(adapter, version)
+		u.worker.SetNewestVersion(adapter, version)
 	}
 	w := &s.world.writes
 	w.mu.Lock()
@@ -48,7 +48,7 @@
 			saved := s.world.store.Copy()
 			return func() {
 				s.world.store.SetFaults(standin.MetaFaults{
-					Away: true,
+					Unavailable: true,
 				})
 				time.Sleep(outageBeforeRestore)
 				s.world.store.Restore(saved)
@@ -63,7 +63,7 @@
 func (s *soak) repeatStoreWrites() {
 	s.evacuations.mu.Lock()
 	for _, domain := range domains {
-		s.world.store.Evacuate(domain, s.evacuations.active[domain])
+		s.world.store.SetEvacuated(domain, s.evacuations.active[domain])
 	}
 	s.evacuations.mu.Unlock()
 	s.mu.Lock()
@@ -76,7 +76,7 @@
 		s.world.store.PutVersion("m0", adapter, version)
 	}
 	for _, id := range w.droppedEntries {
-		s.world.store.DropServer(id)
+		s.world.store.DeleteServer(id)
 	}
 	for _, u := range s.world.upstreams {
 		s.world.writeEntry(u)
--- a/soak/world.go
+++ b/soak/world.go
@@ -25,9 +25,9 @@
 	worker      *standin.ModelWorker
 	service     string
 	domain      string
-	addr        string         // address for gateways, that of relay
-	relay       *standin.Relay // from gateways to the upstream
-	keeperRelay *standin.Relay // from gateways to the upstream's keeper; nil for a plain service
+	addr        string              // address for gateways, that of relay
+	relay       *standin.FaultProxy // from gateways to the upstream
+	keeperRelay *standin.FaultProxy // from gateways to the upstream's keeper; nil for a plain service
 	server      *http.Server
 
 	mu       sync.Mutex
@@ -102,12 +102,12 @@
 	}
 	for i := range engines {
 		if err := w.addUpstream("llm", i, standin.ModelWorkerConfig{
-			ID:       fmt.Sprintf("e%d", i),
-			Model:    "m0",
-			Slots:    adapterSlots,
-			LoadTime: loadTime,
-			Pieces:   streamEvents,
-			Pause:    eventInterval,
+			ID:            fmt.Sprintf("e%d", i),
+			Model:         "m0",
+			Slots:         adapterSlots,
+			LoadTime:      loadTime,
+			StreamEvents:  streamEvents,
+			EventInterval: eventInterval,
 		}); err != nil {
 			return nil, err
 		}
@@ -156,7 +156,7 @@
 	if err != nil {
 		return err
 	}
-	u.relay, err = standin.NewRelayAt(frontHost(i)+":0", backAddr)
+	u.relay, err = standin.NewFaultProxyAt(frontHost(i)+":0", backAddr)
 	if err != nil {
 		return err
 	}
@@ -200,7 +200,7 @@
 // addKeeperLink opens the relay to a keeper. All keepers use the same port.
 func (w *world) addKeeperLink(u *upstream, i int) error {
 	var err error
-	u.keeperRelay, err = standin.NewRelayAt(net.JoinHostPort(frontHost(i), w.keeperPort), net.JoinHostPort(backHost(i), w.keeperPort))
+	u.keeperRelay, err = standin.NewFaultProxyAt(net.JoinHostPort(frontHost(i), w.keeperPort), net.JoinHostPort(backHost(i), w.keeperPort))
 	return err
 }
 
@@ -235,9 +235,9 @@
 	u.mu.Lock()
 	old := u.id
 	u.restarts++
-	u.worker.TurnCold(coldDuration)
+	u.worker.SetCold(coldDuration)
 	if u.restarts%2 == 0 {
-		u.worker.StartAgain(time.Now().UnixMilli())
+		u.worker.RestartSameID(time.Now().UnixMilli())
 		u.mu.Unlock()
 		w.writeEntry(u)
 		return
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -11,13 +11,13 @@
 // EngineConfig configures a model engine.
 type EngineConfig struct {
 	Slots         int           // adapter slots
-	Batch         int           // maximum number of sequences in a step
+	MaxBatch      int           // maximum number of sequences in a step
 	StepTokens    int           // maximum number of tokens in a step
 	StepBase      time.Duration // duration of an empty step
 	StepSequence  time.Duration // added for each decoding sequence
 	StepPrompt    time.Duration // added for each prompt token
-	Unload        time.Duration // duration of an unload
-	ReportLag     time.Duration // age of reports
+	UnloadTime    time.Duration // duration of an unload
+	ReportAge     time.Duration // age of reports
 	ChecksFences  bool          // orders with an old fence are refused, repeated ones ignored
 	PrefixEntries int           // entries of the prefix cache
 	PrefixShare   float64       // fraction of a cached prompt that needs no prefill
@@ -28,13 +28,13 @@
 func DefaultEngine() EngineConfig {
 	return EngineConfig{
 		Slots:         8,
-		Batch:         16,
+		MaxBatch:      16,
 		StepTokens:    512,
 		StepBase:      20 * time.Millisecond,
 		StepSequence:  250 * time.Microsecond,
 		StepPrompt:    40 * time.Microsecond,
-		Unload:        5 * time.Millisecond,
-		ReportLag:     500 * time.Millisecond,
+		UnloadTime:    5 * time.Millisecond,
+		ReportAge:     500 * time.Millisecond,
 		ChecksFences:  true,
 		PrefixEntries: 64,
 		PrefixShare:   0.5,
@@ -45,8 +45,8 @@
 // once, both without the engine's lock held.
 type Generation struct {
 	Request wardturn.EngineRequest
-	Token   func(index int)
-	End     func(wardturn.EngineResult, error)
+	OnToken func(index int)
+	OnEnd   func(wardturn.EngineResult, error)
 }
 
 // EngineStats are counters of an engine's steps.
@@ -188,18 +188,18 @@
 	e.mu.Unlock()
 	for _, s := range lost {
 		if !s.cancel {
-			s.gen.End(wardturn.EngineResult{}, wardturn.ErrUnavailable)
+			s.gen.OnEnd(wardturn.EngineResult{}, wardturn.ErrUnavailable)
 		}
 	}
 }
 
-// Report returns the engine's state as it was ReportLag ago.
+// Report returns the engine's state as it was ReportAge ago.
 func (e *Engine) Report() wardturn.EngineReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock.Now()
 	e.reports = append(e.reports, e.currentReport(now))
-	limit := now.Add(-e.cfg.ReportLag)
+	limit := now.Add(-e.cfg.ReportAge)
 	expired := 0
 	for expired+1 < len(e.reports) && !e.reports[expired+1].At.After(limit) {
 		expired++
@@ -214,7 +214,7 @@
 		At:      now,
 		Fence:   e.fence,
 		Slots:   e.cfg.Slots,
-		Batch:   e.cfg.Batch,
+		Batch:   e.cfg.MaxBatch,
 		Loading: slices.Clone(e.loading),
 	}
 	for _, r := range e.resident {
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -14,8 +14,8 @@
 func TestTokensComeInOrder(t *testing.T) {
 	clock := standin.NewClock()
 	store := standin.NewStore(clock, standin.StoreConfig{
-		Rate:     10,
-		Parallel: 1,
+		Rate:        10,
+		MaxParallel: 1,
 	})
 	engine := standin.NewEngine(clock, store, standin.DefaultEngine())
 	ref := wardturn.AdapterRef{
@@ -38,7 +38,7 @@
 			Adapter: ref,
 			Output:  tokens,
 		},
-		Token: func(i int) {
+		OnToken: func(i int) {
 			if i == 0 {
 				close(blocked)
 				<-release
@@ -47,7 +47,7 @@
 			defer mu.Unlock()
 			got = append(got, i)
 		},
-		End: func(wardturn.EngineResult, error) {
+		OnEnd: func(wardturn.EngineResult, error) {
 			close(ended)
 		},
 	})
--- a/standin/engineorders.go
+++ b/standin/engineorders.go
@@ -80,7 +80,7 @@
 		done(err)
 		return
 	}
-	e.clock.AfterFunc(e.cfg.Unload, func() {
+	e.clock.AfterFunc(e.cfg.UnloadTime, func() {
 		done(nil)
 	})
 }
--- a/standin/enginestep.go
+++ b/standin/enginestep.go
@@ -30,7 +30,7 @@
 
 // fillBatch moves waiting sequences into the batch, ordered by priority and then by age.
 func (e *Engine) fillBatch() {
-	for len(e.active) < e.cfg.Batch && len(e.waiting) > 0 {
+	for len(e.active) < e.cfg.MaxBatch && len(e.waiting) > 0 {
 		best := 0
 		for i, s := range e.waiting {
 			if s.gen.Request.Priority < e.waiting[best].gen.Request.Priority {
@@ -170,8 +170,8 @@
 func (e *Engine) deliver(events []event) {
 	for _, ev := range events {
 		gen := ev.s.gen
-		if ev.token >= 0 && gen.Token != nil {
-			gen.Token(ev.token)
+		if ev.token >= 0 && gen.OnToken != nil {
+			gen.OnToken(ev.token)
 		}
 		if !ev.end {
 			continue
@@ -180,6 +180,6 @@
 			Adapter: gen.Request.Adapter,
 			Output:  wardturn.Tokens(ev.s.produced),
 		}
-		gen.End(res, ev.err)
+		gen.OnEnd(res, ev.err)
 	}
 }
--- a/standin/heads.go
+++ b/standin/heads.go
@@ -4,5 +4,5 @@
 const (
 	HeaderLimit   = "Server-Limit"
 	HeaderLeaving = "Server-Leaving"
-	HeaderReceipt = "X-Wardturn-Server-Seal"
+	HeaderSeal    = "X-Wardturn-Server-Seal"
 )
--- a/standin/log.go
+++ b/standin/log.go
@@ -63,8 +63,8 @@
 	l.wake()
 }
 
-// Appends returns the number of records ever added.
-func (l *Log) Appends() int {
+// AppendCount returns the number of records ever added.
+func (l *Log) AppendCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.appends
--- a/standin/metastore.go
+++ b/standin/metastore.go
@@ -36,10 +36,10 @@
 
 // MetaFaults are the faults of a MetaStore.
 type MetaFaults struct {
-	Away   bool          // every call is answered with 503
-	Silent bool          // no call is answered
-	Lost   bool          // appends are executed and not answered
-	Delay  time.Duration // before each response
+	Unavailable   bool          // every call is answered with 503
+	NoResponse    bool          // no call is answered
+	LoseResponses bool          // appends are executed and not answered
+	Delay         time.Duration // before each response
 }
 
 type metaTopic struct {
@@ -71,16 +71,16 @@
 	s.faults = f
 }
 
-// Reads returns the numbers of read calls for the operator's records and for the list
+// KeyedReads returns the numbers of read calls for the operator's records and for the list
 // of upstreams.
-func (s *MetaStore) Reads() (operator, servers int) {
+func (s *MetaStore) KeyedReads() (operator, servers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads["keyed.op"], s.reads["keyed.servers"]
 }
 
-// ReadsOf returns the number of read calls for a topic.
-func (s *MetaStore) ReadsOf(topic string) int {
+// TopicReads returns the number of read calls for a topic.
+func (s *MetaStore) TopicReads(topic string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reads[topic]
@@ -121,9 +121,9 @@
 	s.Put("keyed.op", "config", []byte(config))
 }
 
-// Evacuate writes the operator's record that a failure domain must get no requests, or
+// SetEvacuated writes the operator's record that a failure domain must get no requests, or
 // deletes it.
-func (s *MetaStore) Evacuate(domain string, on bool) {
+func (s *MetaStore) SetEvacuated(domain string, on bool) {
 	if !on {
 		s.Put("keyed.op", "evacuate/"+domain, nil)
 		return
@@ -147,13 +147,13 @@
 	s.Put("keyed.servers", id, []byte(entry))
 }
 
-// DropServer deletes the entry of an upstream.
-func (s *MetaStore) DropServer(id string) {
+// DeleteServer deletes the entry of an upstream.
+func (s *MetaStore) DeleteServer(id string) {
 	s.Put("keyed.servers", id, nil)
 }
 
-// DropAll deletes all keys of a topic.
-func (s *MetaStore) DropAll(topic string) {
+// DeleteAll deletes all keys of a topic.
+func (s *MetaStore) DeleteAll(topic string) {
 	s.mu.Lock()
 	keys := slices.Collect(maps.Keys(s.topic(topic).newest))
 	s.mu.Unlock()
@@ -219,11 +219,11 @@
 	f := s.faults
 	s.setEraHeader(w)
 	s.mu.Unlock()
-	if f.Away {
+	if f.Unavailable {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if f.Silent {
+	if f.NoResponse {
 		<-r.Context().Done()
 		return
 	}
@@ -240,7 +240,7 @@
 	case "GET /wardturn/log-read":
 		s.serveRead(w, r, topic)
 	case "POST /wardturn/log-append":
-		s.serveAppend(w, r, topic, f.Lost)
+		s.serveAppend(w, r, topic, f.LoseResponses)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
@@ -251,8 +251,8 @@
 	w.Header().Set("Store-Era", strconv.Itoa(s.era))
 }
 
-// SetPage sets the maximum number of items in a response of log-newest.
-func (s *MetaStore) SetPage(n int) {
+// SetPageSize sets the maximum number of items in a response of log-newest.
+func (s *MetaStore) SetPageSize(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pageSize = n
--- a/standin/modelrun.go
+++ b/standin/modelrun.go
@@ -103,7 +103,7 @@
 	case <-r.Context().Done():
 		return
 	}
-	h.Set(HeaderReceipt, "seal-"+attempt)
+	h.Set(HeaderSeal, "seal-"+attempt)
 	if f.CrashOn != "" && string(body) == f.CrashOn {
 		if m.cfg.Crash != nil {
 			m.cfg.Crash(r.URL.Path)
@@ -117,7 +117,7 @@
 		m.respondTwice(w, attempt, m.completeResponse(r, body))
 	case f.Error:
 		w.WriteHeader(http.StatusInternalServerError)
-	case m.cfg.Pieces > 0:
+	case m.cfg.StreamEvents > 0:
 		m.writeStream(w, r, f)
 	default:
 		_, _ = w.Write(m.completeResponse(r, body))
--- a/standin/modelstream.go
+++ b/standin/modelstream.go
@@ -25,11 +25,11 @@
 // completeResponse returns the complete response to a request. A stream starts after the
 // event Last-Event-Id.
 func (m *ModelWorker) completeResponse(r *http.Request, body []byte) []byte {
-	if m.cfg.Pieces == 0 {
+	if m.cfg.StreamEvents == 0 {
 		return append([]byte("echo:"), body...)
 	}
 	var b []byte
-	for i := lastEventID(r) + 1; i <= m.cfg.Pieces; i++ {
+	for i := lastEventID(r) + 1; i <= m.cfg.StreamEvents; i++ {
 		b = append(b, StreamShape{}.Event(i)...)
 	}
 	return b
@@ -43,7 +43,7 @@
 	if r.Header.Get("Last-Event-Id") == "" {
 		shape, last = f.Fresh, max(f.CutAfter, f.CutFresh)
 	}
-	for i := max(lastEventID(r)+1+shape.Shift, 1); i <= m.cfg.Pieces; i++ {
+	for i := max(lastEventID(r)+1+shape.Shift, 1); i <= m.cfg.StreamEvents; i++ {
 		if last > 0 && i > last {
 			fmt.Fprintf(w, "id: %d\ndata: ha", i) // the cut is within an event
 			w.(http.Flusher).Flush()
@@ -52,7 +52,7 @@
 		_, _ = w.Write(shape.Event(i))
 		w.(http.Flusher).Flush()
 		select {
-		case <-time.After(m.cfg.Pause + f.Linger):
+		case <-time.After(m.cfg.EventInterval + f.Linger):
 		case <-r.Context().Done():
 			return
 		}
--- a/standin/modelworker.go
+++ b/standin/modelworker.go
@@ -40,12 +40,12 @@
 
 // ModelWorkerConfig configures a ModelWorker.
 type ModelWorkerConfig struct {
-	ID       string
-	Model    string // base model; empty: an application worker
-	Slots    int    // adapter slots
-	LoadTime time.Duration
-	Pieces   int           // events of a stream; zero: responses are not streams
-	Pause    time.Duration // between events
+	ID            string
+	Model         string // base model; empty: an application worker
+	Slots         int    // adapter slots
+	LoadTime      time.Duration
+	StreamEvents  int           // events of a stream; zero: responses are not streams
+	EventInterval time.Duration // between events
 	// Crash is called with the path of a request that crashes the worker. It closes the
 	// worker's connections and stops or restarts it. If it is nil, only the connection of
 	// that request is closed.
@@ -96,8 +96,8 @@
 	m.faults = f
 }
 
-// Name sets the newest version of an adapter. Later loads load this version.
-func (m *ModelWorker) Name(adapter string, version int64) {
+// SetNewestVersion sets the newest version of an adapter. Later loads load this version.
+func (m *ModelWorker) SetNewestVersion(adapter string, version int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.newest[adapter] = version
@@ -116,9 +116,9 @@
 	clear(m.loading)
 }
 
-// StartAgain starts a new lifetime with the same id. From then on the worker reports the
+// RestartSameID starts a new lifetime with the same id. From then on the worker reports the
 // start of its lifetime, in Unix milliseconds.
-func (m *ModelWorker) StartAgain(startMS int64) {
+func (m *ModelWorker) RestartSameID(startMS int64) {
 	m.mu.Lock()
 	id := m.id
 	m.startMS = startMS
@@ -161,8 +161,8 @@
 	return slices.Clone(m.arrivals)
 }
 
-// Total returns the number of runs.
-func (m *ModelWorker) Total() int {
+// TotalRuns returns the number of runs.
+func (m *ModelWorker) TotalRuns() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := 0
@@ -172,8 +172,8 @@
 	return n
 }
 
-// Held returns the number of requests that HoldUp delays at present.
-func (m *ModelWorker) Held() int {
+// Delayed returns the number of requests that HoldUp delays at present.
+func (m *ModelWorker) Delayed() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.delayed
@@ -195,15 +195,15 @@
 	return n
 }
 
-// Fell reports whether an order asked for more adapters than the worker has slots.
-func (m *ModelWorker) Fell() bool {
+// SlotsExceeded reports whether an order asked for more adapters than the worker has slots.
+func (m *ModelWorker) SlotsExceeded() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.slotsExceeded
 }
 
-// Adapters returns the number of loaded adapters.
-func (m *ModelWorker) Adapters() int {
+// AdapterCount returns the number of loaded adapters.
+func (m *ModelWorker) AdapterCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.completeLoads()
@@ -225,8 +225,8 @@
 	return fmt.Sprintf(`{"service":%q,"address":%q,"zone":%q,"slots":8,"state":%q%s,"seq":1%s}`, service, addr, zone, state, cold, start)
 }
 
-// TurnCold makes the worker report for the duration d that it is cold.
-func (m *ModelWorker) TurnCold(d time.Duration) {
+// SetCold makes the worker report for the duration d that it is cold.
+func (m *ModelWorker) SetCold(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.coldUntil = time.Now().Add(d)
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -18,9 +18,9 @@
 	FromTarget
 )
 
-// Relay is a TCP proxy that injects network faults between two processes. It forwards
+// FaultProxy is a TCP proxy that injects network faults between two processes. It forwards
 // connections to a target and can close, reset, refuse, delay or stall them.
-type Relay struct {
+type FaultProxy struct {
 	ln     net.Listener
 	target string
 
@@ -34,18 +34,18 @@
 	wg      sync.WaitGroup
 }
 
-// NewRelay starts a proxy on a free loopback port.
-func NewRelay(target string) (*Relay, error) {
-	return NewRelayAt("127.0.0.1:0", target)
+// NewFaultProxy starts a proxy on a free loopback port.
+func NewFaultProxy(target string) (*FaultProxy, error) {
+	return NewFaultProxyAt("127.0.0.1:0", target)
 }
 
-// NewRelayAt starts a proxy that listens on addr.
-func NewRelayAt(addr, target string) (*Relay, error) {
+// NewFaultProxyAt starts a proxy that listens on addr.
+func NewFaultProxyAt(addr, target string) (*FaultProxy, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "relay")
 	}
-	r := &Relay{
+	r := &FaultProxy{
 		ln:     ln,
 		target: target,
 		conns:  make(map[net.Conn]bool),
@@ -60,32 +60,32 @@
 }
 
 // Addr returns the address to connect to.
-func (r *Relay) Addr() string {
+func (r *FaultProxy) Addr() string {
 	return r.ln.Addr().String()
 }
 
 // Target returns the address to which connections are forwarded.
-func (r *Relay) Target() string {
+func (r *FaultProxy) Target() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.target
 }
 
 // SetTarget changes the target of new connections.
-func (r *Relay) SetTarget(addr string) {
+func (r *FaultProxy) SetTarget(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.target = addr
 }
 
-// Cut closes the open connections. New ones are forwarded.
-func (r *Relay) Cut() {
+// CloseConns closes the open connections. New ones are forwarded.
+func (r *FaultProxy) CloseConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closeConns()
 }
 
-func (r *Relay) closeConns() {
+func (r *FaultProxy) closeConns() {
 	for c := range r.conns {
 		c.Close()
 	}
@@ -94,7 +94,7 @@
 
 // Block with on set closes the open connections and makes the proxy close new ones at
 // once; otherwise new connections are forwarded again.
-func (r *Relay) Block(on bool) {
+func (r *FaultProxy) Block(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.blocked = on
@@ -104,15 +104,15 @@
 }
 
 // Freeze stalls or resumes the traffic in both directions, as a paused host does.
-func (r *Relay) Freeze(on bool) {
+func (r *FaultProxy) Freeze(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stalled = [2]bool{on, on}
 	r.resumed.Broadcast()
 }
 
-// Silence stalls or resumes the traffic in one direction.
-func (r *Relay) Silence(dir Direction, on bool) {
+// FreezeDirection stalls or resumes the traffic in one direction.
+func (r *FaultProxy) FreezeDirection(dir Direction, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stalled[dir] = on
@@ -120,14 +120,14 @@
 }
 
 // Delay sets the time by which each chunk of data is delayed.
-func (r *Relay) Delay(d time.Duration) {
+func (r *FaultProxy) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Reset resets the open connections with a TCP RST. Data that was not yet read is lost.
-func (r *Relay) Reset() {
+// ResetConns resets the open connections with a TCP RST. Data that was not yet read is lost.
+func (r *FaultProxy) ResetConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for c := range r.conns {
@@ -139,7 +139,7 @@
 }
 
 // Close closes the listener and all connections, and waits for the goroutines.
-func (r *Relay) Close() {
+func (r *FaultProxy) Close() {
 	r.mu.Lock()
 	r.closed = true
 	r.stalled = [2]bool{}
@@ -150,7 +150,7 @@
 	r.wg.Wait()
 }
 
-func (r *Relay) accept() {
+func (r *FaultProxy) accept() {
 	for {
 		c, err := r.ln.Accept()
 		if err != nil {
@@ -165,7 +165,7 @@
 }
 
 // forward forwards a connection to the target until either side is closed.
-func (r *Relay) forward(c net.Conn) {
+func (r *FaultProxy) forward(c net.Conn) {
 	r.mu.Lock()
 	target := r.target
 	refused := r.blocked || r.closed
@@ -202,7 +202,7 @@
 }
 
 // addConns registers connections. It returns false if the proxy is blocked or closed.
-func (r *Relay) addConns(conns ...net.Conn) bool {
+func (r *FaultProxy) addConns(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.blocked || r.closed {
@@ -214,7 +214,7 @@
 	return true
 }
 
-func (r *Relay) copy(dir Direction, dst io.Writer, src io.Reader) {
+func (r *FaultProxy) copy(dir Direction, dst io.Writer, src io.Reader) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
@@ -231,7 +231,7 @@
 }
 
 // waitResumed waits while the direction is stalled, and then for the delay.
-func (r *Relay) waitResumed(dir Direction) {
+func (r *FaultProxy) waitResumed(dir Direction) {
 	r.mu.Lock()
 	for r.stalled[dir] {
 		r.resumed.Wait()
--- a/standin/serve.go
+++ b/standin/serve.go
@@ -254,12 +254,12 @@
 			Prompt:   wardturn.Tokens(max(1, len(ctx.PostBody())/bytesPerToken)),
 			Output:   wardturn.Tokens(body.MaxTokens),
 		},
-		Token: func(i int) {
+		OnToken: func(i int) {
 			events <- streamEvent{
 				token: i,
 			}
 		},
-		End: func(_ wardturn.EngineResult, err error) {
+		OnEnd: func(_ wardturn.EngineResult, err error) {
 			events <- streamEvent{
 				end: true,
 				err: err,
@@ -291,11 +291,11 @@
 
 // choice is a choice of a completion or of a chunk of a streamed one.
 type choice struct {
-	Index   int      `json:"index"`
-	Text    string   `json:"text,omitempty"`
-	Delta   *message `json:"delta,omitempty"`
-	Message *message `json:"message,omitempty"`
-	Finish  *string  `json:"finish_reason"`
+	Index        int      `json:"index"`
+	Text         string   `json:"text,omitempty"`
+	Delta        *message `json:"delta,omitempty"`
+	Message      *message `json:"message,omitempty"`
+	FinishReason *string  `json:"finish_reason"`
 }
 
 type message struct {
@@ -378,8 +378,8 @@
 	}
 	finish := "stop"
 	c := choice{
-		Text:   text,
-		Finish: &finish,
+		Text:         text,
+		FinishReason: &finish,
 	}
 	object := "text_completion"
 	if a.chat {
--- a/standin/store.go
+++ b/standin/store.go
@@ -9,10 +9,10 @@
 
 // StoreConfig configures a weight store.
 type StoreConfig struct {
-	Rate     float64       // fetches per second
-	Parallel int           // concurrent fetches at full speed
-	Fetch    time.Duration // duration of a fetch at full speed
-	Burst    float64       // burst of the rate limit; zero: Parallel
+	Rate        float64       // fetches per second
+	MaxParallel int           // concurrent fetches at full speed
+	FetchTime   time.Duration // duration of a fetch at full speed
+	Burst       float64       // burst of the rate limit; zero: Parallel
 }
 
 // StoreFaults are the faults of a Store.
@@ -48,7 +48,7 @@
 // NewStore returns an idle store with its full burst available.
 func NewStore(clock wardturn.Clock, cfg StoreConfig) *Store {
 	if cfg.Burst == 0 {
-		cfg.Burst = float64(cfg.Parallel)
+		cfg.Burst = float64(cfg.MaxParallel)
 	}
 	return &Store{
 		clock:     clock,
@@ -105,7 +105,7 @@
 	s.tokens--
 	s.fetches = append(s.fetches, &fetch{
 		ref:       ref,
-		remaining: s.cfg.Fetch.Seconds(),
+		remaining: s.cfg.FetchTime.Seconds(),
 		done:      done,
 	})
 	s.schedule()
@@ -115,8 +115,8 @@
 // speed returns the fraction of full speed at which each fetch runs.
 func (s *Store) speed() float64 {
 	v := 1.0
-	if n := len(s.fetches); n > s.cfg.Parallel {
-		v = float64(s.cfg.Parallel) / float64(n)
+	if n := len(s.fetches); n > s.cfg.MaxParallel {
+		v = float64(s.cfg.MaxParallel) / float64(n)
 	}
 	if s.faults.Slow > 1 {
 		v /= s.faults.Slow
