--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -49,7 +49,7 @@
 	p.Duration = c.Duration
 	p.ShiftAt = c.ShiftAt
 	p.Deadline = c.Deadline
-	p.Day = c.Day
+	p.DayLength = c.Day
 	if c.Rate != 0 {
 		p.Rate = c.Rate
 	}
@@ -139,7 +139,7 @@
 	setup.StoreParallel = c.StoreParallel
 	setup.LoadTime = c.LoadTime
 	setup.Share = experiment.StoreShare(c.StoreShare)
-	setup.NoBatch = c.NoBatch
+	setup.OmitBatch = c.NoBatch
 	if min(c.Upstreams, c.Slots, c.Batch, c.Entries, c.StoreParallel) < 1 || c.StoreRate <= 0 || c.LoadTime <= 0 {
 		return setup, errors.New("--upstreams, --slots, --batch, --entries, --store-rate, --store-parallel and --load-time must be positive")
 	}
@@ -190,7 +190,7 @@
 	if !ok {
 		return nil
 	}
-	if f.For, err = time.ParseDuration(duration); err != nil {
+	if f.Duration, err = time.ParseDuration(duration); err != nil {
 		return errFormat
 	}
 	return nil
--- a/experiment/clairvoyant.go
+++ b/experiment/clairvoyant.go
@@ -23,7 +23,7 @@
 func newClairvoyant(trace []Request) func(clock wardturn.Clock) wardturn.Policy {
 	arrivals := make(map[wardturn.AdapterID][]time.Duration)
 	for _, r := range trace {
-		arrivals[r.Adapter] = append(arrivals[r.Adapter], r.At())
+		arrivals[r.Adapter] = append(arrivals[r.Adapter], r.ArrivalTime())
 	}
 	return func(clock wardturn.Clock) wardturn.Policy {
 		return &clairvoyant{
--- a/experiment/compare.go
+++ b/experiment/compare.go
@@ -54,17 +54,17 @@
 	NotRun          int            `json:"not_run"`
 
 	// The following fields are for tables and plots and not part of the JSON document.
-	Unknown     int             `json:"-"`
-	LongestWait time.Duration   `json:"-"`
-	Stalls      []time.Duration `json:"-"` // ascending
-	Fill        []FillPoint     `json:"-"`
-	StallAt     []StallPoint    `json:"-"`
+	Unknown          int               `json:"-"`
+	LongestWait      time.Duration     `json:"-"`
+	Stalls           []time.Duration   `json:"-"` // ascending
+	EfficiencyPoints []EfficiencyPoint `json:"-"`
+	StallPoints      []StallPoint      `json:"-"`
 }
 
-// FillPoint is the batch efficiency during one interval.
-type FillPoint struct {
-	At   time.Duration
-	Fill float64
+// EfficiencyPoint is the batch efficiency during one interval.
+type EfficiencyPoint struct {
+	At         time.Duration
+	Efficiency float64
 }
 
 // StallPoint is the stall of one request at its arrival time.
@@ -119,7 +119,7 @@
 		return Result{}, err
 	}
 	meter := newEfficiencyMeter(s)
-	last := trace[len(trace)-1].At()
+	last := trace[len(trace)-1].ArrivalTime()
 	s.onSecond = func(at time.Duration) {
 		meter.sample(at)
 		if progress != nil {
@@ -128,7 +128,7 @@
 	}
 	s.run()
 	res := s.result(c.Name)
-	res.Fill = meter.points
+	res.EfficiencyPoints = meter.points
 	return res, nil
 }
 
@@ -189,7 +189,7 @@
 		}
 		if sm.class == wardturn.Interactive && sm.ended {
 			res.Stalls = append(res.Stalls, sm.stall)
-			res.StallAt = append(res.StallAt, StallPoint{
+			res.StallPoints = append(res.StallPoints, StallPoint{
 				At:    sm.arrival,
 				Stall: sm.stall,
 			})
@@ -271,7 +271,7 @@
 // efficiencyMeter samples the batch efficiency over time.
 type efficiencyMeter struct {
 	sim       *sim
-	points    []FillPoint
+	points    []EfficiencyPoint
 	steps     int // at the previous sample
 	sequences int // at the previous sample
 }
@@ -296,9 +296,9 @@
 		sequences += st.Sequences
 	}
 	if steps > m.steps {
-		m.points = append(m.points, FillPoint{
-			At:   at,
-			Fill: m.sim.efficiency(steps-m.steps, sequences-m.sequences),
+		m.points = append(m.points, EfficiencyPoint{
+			At:         at,
+			Efficiency: m.sim.efficiency(steps-m.steps, sequences-m.sequences),
 		})
 	}
 	m.steps = steps
--- a/experiment/node.go
+++ b/experiment/node.go
@@ -19,7 +19,7 @@
 		Output:  req.OutputTokens,
 	}
 	if req.DeadlineMS > 0 {
-		w.Deadline = standin.Epoch.Add(req.At() + time.Duration(req.DeadlineMS)*time.Millisecond)
+		w.Deadline = standin.Epoch.Add(req.ArrivalTime() + time.Duration(req.DeadlineMS)*time.Millisecond)
 	}
 	n.calls[c.id] = c
 	n.agent.Admit(n.sim.clock.Now(), w, &n.orders)
@@ -155,7 +155,7 @@
 	if n.alloc == nil {
 		return
 	}
-	n.sim.clock.AfterFunc(n.sim.setup.Hop, func() {
+	n.sim.clock.AfterFunc(n.sim.setup.NetworkDelay, func() {
 		n.alloc.send(n.alloc.core.Request(n.sim.clock.Now(), w, nil))
 	})
 }
--- a/experiment/plot.go
+++ b/experiment/plot.go
@@ -65,10 +65,10 @@
 		if err := addLine(stalls, r.Name, col, distribution(r.Stalls)); err != nil {
 			return nil, err
 		}
-		if err := addLine(meanStalls, r.Name, col, stallsOverTime(r.StallAt)); err != nil {
+		if err := addLine(meanStalls, r.Name, col, stallsOverTime(r.StallPoints)); err != nil {
 			return nil, err
 		}
-		if err := addLine(efficiency, r.Name, col, efficiencyOverTime(r.Fill)); err != nil {
+		if err := addLine(efficiency, r.Name, col, efficiencyOverTime(r.EfficiencyPoints)); err != nil {
 			return nil, err
 		}
 	}
@@ -150,12 +150,12 @@
 	return 0
 }
 
-func efficiencyOverTime(list []FillPoint) plotter.XYs {
+func efficiencyOverTime(list []EfficiencyPoint) plotter.XYs {
 	pts := make(plotter.XYs, 0, len(list))
 	for _, p := range list {
 		pts = append(pts, plotter.XY{
 			X: p.At.Seconds(),
-			Y: p.Fill,
+			Y: p.Efficiency,
 		})
 	}
 	return pts
--- a/experiment/profile.go
+++ b/experiment/profile.go
@@ -14,22 +14,22 @@
 
 // Profile describes the traffic of a deployment.
 type Profile struct {
-	Name       string
-	Adapters   int
-	Exponent   float64 // of the Zipf popularity of adapters: the weight of rank k is k^-Exponent
-	Rate       float64 // mean requests per second
-	BatchShare float64 // fraction of batch requests
-	Duration   time.Duration
-	ShiftAt    time.Duration          // time at which the popularity ranks are reassigned; zero: never
-	Day        time.Duration          // period of the daily variation of the rate
-	DayDepth   float64                // amplitude of the daily variation, as a fraction of Rate
-	Deadline   time.Duration          // of interactive requests; zero: none
-	Lengths    [2]Lengths             // by class
-	Callers    [2][]wardturn.CallerID // by class
+	Name           string
+	Adapters       int
+	Exponent       float64 // of the Zipf popularity of adapters: the weight of rank k is k^-Exponent
+	Rate           float64 // mean requests per second
+	BatchShare     float64 // fraction of batch requests
+	Duration       time.Duration
+	ShiftAt        time.Duration          // time at which the popularity ranks are reassigned; zero: never
+	DayLength      time.Duration          // period of the daily variation of the rate
+	DailyAmplitude float64                // amplitude of the daily variation, as a fraction of Rate
+	Deadline       time.Duration          // of interactive requests; zero: none
+	TokenCounts    [2]TokenCounts         // by class
+	Callers        [2][]wardturn.CallerID // by class
 }
 
-// Lengths are the medians of the log-normal distributions of token counts.
-type Lengths struct {
+// TokenCounts are the medians of the log-normal distributions of token counts.
+type TokenCounts struct {
 	Prompt float64
 	Output float64
 }
@@ -49,22 +49,22 @@
 // NewProfile returns the profile with the given name, in its present size.
 func NewProfile(name string) (Profile, error) {
 	p := Profile{
-		Name:     name,
-		Adapters: 3000,
-		Exponent: 0.9,
-		Duration: 10 * time.Minute,
-		Day:      24 * time.Hour,
-		DayDepth: 0.3,
+		Name:           name,
+		Adapters:       3000,
+		Exponent:       0.9,
+		Duration:       10 * time.Minute,
+		DayLength:      24 * time.Hour,
+		DailyAmplitude: 0.3,
 	}
 	switch name {
 	case ProfileZurich:
 		p.Rate = 15
-		p.Lengths = [2]Lengths{{Prompt: 180, Output: 60}, {Prompt: 900, Output: 120}}
+		p.TokenCounts = [2]TokenCounts{{Prompt: 180, Output: 60}, {Prompt: 900, Output: 120}}
 		p.Callers = [2][]wardturn.CallerID{{"machines", "handhelds", "clerks"}, {"settlement"}}
 	case ProfileTampere:
 		p.Rate = 8
 		p.BatchShare = 0.5
-		p.Lengths = [2]Lengths{{Prompt: 400, Output: 100}, {Prompt: 900, Output: 200}}
+		p.TokenCounts = [2]TokenCounts{{Prompt: 400, Output: 100}, {Prompt: 900, Output: 200}}
 		p.Callers = [2][]wardturn.CallerID{{"maintainers", "schools", "firms"}, {"summaries"}}
 	default:
 		return Profile{}, errors.Wrapf(ErrUnknownProfile, "%q", name)
@@ -111,7 +111,7 @@
 // run generates the arrivals as a Poisson process of varying rate, by thinning.
 func (g *generator) run() []Request {
 	p := g.profile
-	peak := p.Rate * (1 + p.DayDepth)
+	peak := p.Rate * (1 + p.DailyAmplitude)
 	var trace []Request
 	at := time.Duration(0)
 	for {
@@ -132,8 +132,8 @@
 
 // rateAt returns the rate at a time of the trace, which starts at the mean rate.
 func (p Profile) rateAt(at time.Duration) float64 {
-	phase := 2 * math.Pi * float64(at) / float64(p.Day)
-	return p.Rate * (1 + p.DayDepth*math.Sin(phase))
+	phase := 2 * math.Pi * float64(at) / float64(p.DayLength)
+	return p.Rate * (1 + p.DailyAmplitude*math.Sin(phase))
 }
 
 func (g *generator) request(at time.Duration) Request {
@@ -141,7 +141,7 @@
 	if g.rng.Float64() < g.profile.BatchShare {
 		class = wardturn.Batch
 	}
-	lengths := g.profile.Lengths[class]
+	lengths := g.profile.TokenCounts[class]
 	callers := g.profile.Callers[class]
 	r := Request{
 		AtMS:         at.Milliseconds(),
--- a/experiment/setup.go
+++ b/experiment/setup.go
@@ -29,10 +29,10 @@
 	StoreRate     float64
 	StoreParallel int
 	LoadTime      time.Duration
-	Hop           time.Duration // delay of a message between two hosts
+	NetworkDelay  time.Duration // delay of a message between two hosts
 	Share         StoreShare
 	Faults        []Fault
-	NoBatch       bool // omit batch requests
+	OmitBatch     bool // omit batch requests
 	Engine        standin.EngineConfig
 	Router        decide.RouterConfig
 	Agent         decide.AgentConfig
@@ -51,9 +51,9 @@
 
 // Fault is a fault that starts at a time and lasts for another. A restart has no end.
 type Fault struct {
-	Kind FaultKind
-	At   time.Duration
-	For  time.Duration
+	Kind     FaultKind
+	At       time.Duration
+	Duration time.Duration
 	// Factor is the slowdown of a slow store, the fraction of loads that fail, or the
 	// fraction of engines that restart.
 	Factor float64
@@ -68,7 +68,7 @@
 		StoreRate:     9,
 		StoreParallel: 4,
 		LoadTime:      400 * time.Millisecond,
-		Hop:           500 * time.Microsecond,
+		NetworkDelay:  500 * time.Microsecond,
 		Share:         ShareAllocator,
 		Engine:        standin.DefaultEngine(),
 	}
--- a/experiment/sim.go
+++ b/experiment/sim.go
@@ -189,7 +189,7 @@
 func (s *sim) run() {
 	s.openRequests = len(s.trace)
 	s.scheduleArrival()
-	end := s.trace[len(s.trace)-1].At() + drainLimit
+	end := s.trace[len(s.trace)-1].ArrivalTime() + drainLimit
 	second := time.Duration(0)
 	for s.openRequests > 0 && s.elapsed() < end && s.clock.Step() {
 		if s.onSecond != nil && s.elapsed() >= second {
@@ -208,7 +208,7 @@
 	if s.nextArrival == len(s.trace) {
 		return
 	}
-	s.clock.AfterFunc(s.trace[s.nextArrival].At()-s.elapsed(), func() {
+	s.clock.AfterFunc(s.trace[s.nextArrival].ArrivalTime()-s.elapsed(), func() {
 		i := s.nextArrival
 		s.nextArrival++
 		s.arrive(i)
@@ -222,9 +222,9 @@
 	class, _ := wardturn.ParseClass(req.Class)
 	s.samples[i] = sample{
 		class:   class,
-		arrival: req.At(),
+		arrival: req.ArrivalTime(),
 	}
-	if s.setup.NoBatch && class == wardturn.Batch {
+	if s.setup.OmitBatch && class == wardturn.Batch {
 		s.openRequests--
 		return
 	}
@@ -235,7 +235,7 @@
 			Entry: "trace",
 			Seq:   uint64(i) + 1,
 		},
-		sentAt: req.At(),
+		sentAt: req.ArrivalTime(),
 	}
 	s.send(c)
 }
@@ -254,7 +254,7 @@
 	c.tried = append(c.tried, id)
 	c.node = s.node(id)
 	c.entry.router.RequestSent(id)
-	s.clock.AfterFunc(s.setup.Hop, func() {
+	s.clock.AfterFunc(s.setup.NetworkDelay, func() {
 		c.node.admit(c)
 	})
 }
@@ -271,7 +271,7 @@
 // reply sends an outcome and a hint back to the entry, which may retry the request.
 func (s *sim) reply(c *call, outcome wardturn.Outcome) {
 	hint := c.node.agent.Hint()
-	s.clock.AfterFunc(s.setup.Hop, func() {
+	s.clock.AfterFunc(s.setup.NetworkDelay, func() {
 		c.entry.router.RequestEnded(s.clock.Now(), c.node.host.Upstream, true)
 		c.entry.router.Hint(s.clock.Now(), c.node.host.Upstream, hint)
 		retry := outcome.Reason == wardturn.ReasonQueueFull || outcome.Reason == wardturn.ReasonLeaving
@@ -298,7 +298,7 @@
 func (a *allocator) send(grants []decide.Grant) {
 	for _, g := range grants {
 		n := a.sim.node(g.Upstream)
-		a.sim.clock.AfterFunc(a.sim.setup.Hop, func() {
+		a.sim.clock.AfterFunc(a.sim.setup.NetworkDelay, func() {
 			n.handleEvent(func(now time.Time, out *decide.Orders) {
 				n.agent.Granted(now, g, out)
 			})
@@ -321,8 +321,8 @@
 		s.clock.AfterFunc(f.At, func() {
 			s.injectFault(f)
 		})
-		if f.For > 0 {
-			s.clock.AfterFunc(f.At+f.For, func() {
+		if f.Duration > 0 {
+			s.clock.AfterFunc(f.At+f.Duration, func() {
 				s.store.SetFaults(standin.StoreFaults{})
 			})
 		}
--- a/experiment/trace.go
+++ b/experiment/trace.go
@@ -25,8 +25,8 @@
 	DeadlineMS   int64              `json:"deadline_ms,omitempty"` // after the arrival; zero: none
 }
 
-// At returns the arrival time, since the start of the trace.
-func (r Request) At() time.Duration {
+// ArrivalTime returns the arrival time, since the start of the trace.
+func (r Request) ArrivalTime() time.Duration {
 	return time.Duration(r.AtMS) * time.Millisecond
 }
 
--- a/load/load.go
+++ b/load/load.go
@@ -110,7 +110,7 @@
 	start := r.plan.Clock.Now()
 	var wg sync.WaitGroup
 	for i, req := range r.plan.Trace {
-		scheduled := start.Add(req.At())
+		scheduled := start.Add(req.ArrivalTime())
 		if !wardturn.Sleep(ctx, r.plan.Clock, scheduled.Sub(r.plan.Clock.Now())) {
 			break
 		}
