--- a/chaos/history.go
+++ b/chaos/history.go
@@ -35,8 +35,8 @@
 	maxWait = 40 * time.Second
 )
 
-// Outcome is the result of a history.
-type Outcome struct {
+// Result is the result of a history.
+type Result struct {
 	Seed       uint64
 	Faults     [2]string
 	Violations []string
@@ -79,10 +79,10 @@
 }
 
 // Run runs the history of a seed.
-func Run(ctx context.Context, seed uint64) (Outcome, error) {
+func Run(ctx context.Context, seed uint64) (Result, error) {
 	rng := rand.New(rand.NewPCG(seed, 0x6368616f73))
 	pair := randomFaultPair(rng)
-	out := Outcome{
+	out := Result{
 		Seed:   seed,
 		Faults: [2]string{pair[0].Name, pair[1].Name},
 	}
@@ -106,17 +106,17 @@
 }
 
 func config() demo.Config {
-	cfg := demo.Zurich()
+	cfg := demo.ZurichConfig()
 	cfg.Clock = standin.NewFastClock(clockSpeed)
 	cfg.Relays = true
 	cfg.Logger = hclog.NewNullLogger()
-	cfg.HostLag = time.Second
-	cfg.Work = 400 * time.Millisecond
+	cfg.HostListDelay = time.Second
+	cfg.ServiceTime = 400 * time.Millisecond
 	cfg.Engines = engineCount
 	cfg.Services = serviceCount
 	cfg.Entries = 2
 	cfg.Adapters = adapterCount
-	cfg.Slots = 2
+	cfg.AdapterSlots = 2
 	cfg.Store.Rate = 50
 	return cfg
 }
@@ -223,7 +223,7 @@
 	for i := range maxAttempts {
 		req := fasthttp.AcquireRequest()
 		res := &fasthttp.Response{}
-		req.SetRequestURI("http://" + h.sys.Addrs()[(firstEntry+i)%2] + "/v1/services/" + string(demo.Service) + "/charge")
+		req.SetRequestURI("http://" + h.sys.EntryAddrs()[(firstEntry+i)%2] + "/v1/services/" + string(demo.Service) + "/charge")
 		req.Header.SetMethod(fasthttp.MethodPost)
 		req.Header.Set(entry.HeaderIdempotencyKey, c.key)
 		req.Header.Set(entry.HeaderIdempotencyKeyCreated, c.created.UTC().Format(time.RFC3339))
@@ -297,7 +297,7 @@
 func (h *history) stream(adapter string, entryIndex int) {
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
-	req.SetRequestURI("http://" + h.sys.Addrs()[entryIndex] + "/v1/completions")
+	req.SetRequestURI("http://" + h.sys.EntryAddrs()[entryIndex] + "/v1/completions")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, adapter, streamTokens))
 	if err := h.http.DoTimeout(req, res, maxWait); err != nil {
@@ -335,7 +335,7 @@
 func (h *history) lookup(entryIndex int) {
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
-	req.SetRequestURI("http://" + h.sys.Addrs()[entryIndex] + "/v1/services/" + string(demo.Service) + "/tariff")
+	req.SetRequestURI("http://" + h.sys.EntryAddrs()[entryIndex] + "/v1/services/" + string(demo.Service) + "/tariff")
 	if err := h.http.DoTimeout(req, res, maxWait); err != nil {
 		h.addViolation("lookup: no answer: %v", err)
 		return
@@ -372,7 +372,7 @@
 func (h *history) served(entryIndex int, adapter string) bool {
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
-	req.SetRequestURI("http://" + h.sys.Addrs()[entryIndex] + "/v1/completions")
+	req.SetRequestURI("http://" + h.sys.EntryAddrs()[entryIndex] + "/v1/completions")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetBodyString(fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":1}`, adapter))
 	return h.http.DoTimeout(req, res, maxWait) == nil && res.StatusCode() == fasthttp.StatusOK
--- a/cli/chaos.go
+++ b/cli/chaos.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func printHistory(s Streams, outcome chaos.Outcome) {
+func printHistory(s Streams, outcome chaos.Result) {
 	verdict := "ok"
 	if len(outcome.Violations) > 0 {
 		verdict = "BROKEN"
--- a/cli/demo.go
+++ b/cli/demo.go
@@ -30,7 +30,7 @@
 
 // Run starts the system, sends traffic and prints the outcomes and latencies.
 func (c *demoCmd) Run(ctx context.Context, s Streams) error {
-	cfg := demo.Zurich()
+	cfg := demo.ZurichConfig()
 	cfg.Logger = newLogger(s, "demo", c.LogLevel)
 	if c.LogLevel == "error" {
 		cfg.Logger = hclog.NewNullLogger()
@@ -51,7 +51,7 @@
 	profile.Duration = c.Duration
 	profile.Adapters = c.Adapters
 	runner := load.NewRunner(load.Plan{
-		Addrs:  sys.Addrs(),
+		Addrs:  sys.EntryAddrs(),
 		Trace:  profile.Generate(c.Seed),
 		Stream: true,
 		Clock:  process.Clock{},
@@ -103,21 +103,21 @@
 	row := func(name string, l load.Latency) {
 		fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\n", name, l.Mean, l.P50, l.P95, l.P99, l.Max)
 	}
-	row("load stall, ms", summary.Stall)
-	row("first byte, ms", summary.First)
-	row("whole answer, ms", summary.Whole)
+	row("load stall, ms", summary.LoadStall)
+	row("first byte, ms", summary.FirstByte)
+	row("whole answer, ms", summary.Total)
 	if err := t.Flush(); err != nil {
 		return err
 	}
 	totals := sys.Totals()
 	fmt.Fprintf(w, "outcomes: done %d, not run %d, unknown %d, failed %d\n", summary.Done, summary.NotRun, summary.Unknown, summary.Failed)
-	fmt.Fprintf(w, "batch efficiency %.3f over %d steps, %d loads, %d log records\n", totals.Efficiency, totals.Steps, totals.Loads, sys.Log.AppendCount())
+	fmt.Fprintf(w, "batch efficiency %.3f over %d steps, %d loads, %d log records\n", totals.BatchEfficiency, totals.Steps, totals.Loads, sys.Log.AppendCount())
 	return nil
 }
 
 func printEndpoints(w io.Writer, sys *demo.System) {
 	fmt.Fprintf(w, "log at %s, host list at %s, operator key %s\n", sys.LogAddr, sys.HostsAddr, demo.OperatorKey)
-	fmt.Fprintf(w, "serving; try:\ncurl -sN http://%s/v1/completions -H 'Content-Type: application/json' -d '{\"model\":\"a0001\",\"prompt\":\"Why is my fare 6.40?\",\"max_tokens\":12,\"stream\":true}'\n", sys.Addrs()[0])
+	fmt.Fprintf(w, "serving; try:\ncurl -sN http://%s/v1/completions -H 'Content-Type: application/json' -d '{\"model\":\"a0001\",\"prompt\":\"Why is my fare 6.40?\",\"max_tokens\":12,\"stream\":true}'\n", sys.EntryAddrs()[0])
 }
 
 // loadCmd sends traffic to running entry hosts.
@@ -142,12 +142,12 @@
 		return err
 	}
 	summary := load.NewRunner(load.Plan{
-		Addrs:  c.Addr,
-		Trace:  trace,
-		Key:    c.Key,
-		Stream: c.Stream,
-		Clock:  process.Clock{},
-		Limit:  c.Limit,
+		Addrs:       c.Addr,
+		Trace:       trace,
+		Key:         c.Key,
+		Stream:      c.Stream,
+		Clock:       process.Clock{},
+		MaxInFlight: c.Limit,
 	}).Run(ctx)
 	enc := json.NewEncoder(s.Out)
 	if !c.JSON {
--- a/cli/soak.go
+++ b/cli/soak.go
@@ -39,21 +39,21 @@
 		log = f
 	}
 	rep, err := soak.Run(ctx, soak.Config{
-		Binary:   c.Binary,
-		Seed:     c.Seed,
-		For:      c.For,
-		Gateways: c.Gateways,
-		Engines:  c.Engines,
-		Apps:     c.Apps,
-		Callers:  c.Callers,
-		AtOnce:   c.AtOnce,
-		Log:      log,
+		Binary:        c.Binary,
+		Seed:          c.Seed,
+		FaultDuration: c.For,
+		Gateways:      c.Gateways,
+		Engines:       c.Engines,
+		Services:      c.Apps,
+		Callers:       c.Callers,
+		MaxFaults:     c.AtOnce,
+		Log:           log,
 	})
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(s.Out, "seed %d: done %d, not run %d, unknown %d, cut %d, full service again after %v\n",
-		c.Seed, rep.Counts.Done, rep.Counts.NotRun, rep.Counts.Unknown, rep.Counts.Cut, rep.Recovered.Round(time.Millisecond))
+		c.Seed, rep.Counts.Done, rep.Counts.NotRun, rep.Counts.Unknown, rep.Counts.Cut, rep.RecoveryTime.Round(time.Millisecond))
 	for _, name := range slices.Sorted(maps.Keys(rep.Faults)) {
 		fmt.Fprintf(s.Out, "  %3d %s\n", rep.Faults[name], name)
 	}
--- a/demo/path_bench_test.go
+++ b/demo/path_bench_test.go
@@ -15,13 +15,13 @@
 // benchmarks measure the request path alone.
 func benchSystem(b *testing.B) *demo.System {
 	b.Helper()
-	cfg := demo.Zurich()
+	cfg := demo.ZurichConfig()
 	cfg.Engines = 1
 	cfg.Services = 0
 	cfg.Entries = 1
 	cfg.Adapters = 8
 	cfg.Batch = 512
-	cfg.HostLag = 0
+	cfg.HostListDelay = 0
 	cfg.Engine.StepBase = 0
 	cfg.Engine.StepSequence = 0
 	cfg.Engine.StepPrompt = 0
@@ -33,7 +33,7 @@
 	}
 	b.Cleanup(sys.Close)
 	// The first request loads the adapter.
-	send(b, &fasthttp.Client{}, "http://"+sys.Addrs()[0]+"/v1/completions", "a0001")
+	send(b, &fasthttp.Client{}, "http://"+sys.EntryAddrs()[0]+"/v1/completions", "a0001")
 	return sys
 }
 
@@ -70,21 +70,21 @@
 	b.ReportMetric(float64(times[len(times)*99/100].Microseconds()), "p99-µs")
 }
 
-// BenchmarkOneByOne compares sequential requests through entry and agent with direct
+// BenchmarkSequential compares sequential requests through entry and agent with direct
 // requests to the stand-in engine.
-func BenchmarkOneByOne(b *testing.B) {
+func BenchmarkSequential(b *testing.B) {
 	sys := benchSystem(b)
 	b.Run("direct", func(b *testing.B) {
 		benchSequential(b, "http://"+sys.Upstreams[0].Addr()+"/v1/completions", "a0001@1")
 	})
 	b.Run("through", func(b *testing.B) {
-		benchSequential(b, "http://"+sys.Addrs()[0]+"/v1/completions", "a0001")
+		benchSequential(b, "http://"+sys.EntryAddrs()[0]+"/v1/completions", "a0001")
 	})
 }
 
-// BenchmarkTogether measures the throughput of parallel requests, with the same
-// comparison as BenchmarkOneByOne.
-func BenchmarkTogether(b *testing.B) {
+// BenchmarkParallel measures the throughput of parallel requests, with the same
+// comparison as BenchmarkSequential.
+func BenchmarkParallel(b *testing.B) {
 	sys := benchSystem(b)
 	run := func(name, url, model string) {
 		b.Run(name, func(b *testing.B) {
@@ -103,5 +103,5 @@
 		})
 	}
 	run("direct", "http://"+sys.Upstreams[0].Addr()+"/v1/completions", "a0001@1")
-	run("through", "http://"+sys.Addrs()[0]+"/v1/completions", "a0001")
+	run("through", "http://"+sys.EntryAddrs()[0]+"/v1/completions", "a0001")
 }
--- a/demo/system.go
+++ b/demo/system.go
@@ -23,46 +23,46 @@
 
 // Config configures a system.
 type Config struct {
-	Engines      int
-	Services     int
-	Entries      int
-	Domains      int
-	Adapters     int
-	Slots        int
-	Batch        int
-	Store        standin.StoreConfig
-	Log          standin.LogConfig
-	HostLag      time.Duration
-	Engine       standin.EngineConfig
-	Work         time.Duration // service time of a call to a plain service
-	Logger       hclog.Logger
-	Clock        wardturn.Clock
-	Deadline     time.Duration // of requests without their own; zero: the entry's default
-	Grace        time.Duration // how long after a deadline an entry waits for the agent's result; zero: the entry's default
-	ConnectLimit time.Duration // timeout of the first connection to an agent; zero: the entry's default
-	Relays       bool          // reach each agent through a relay that can simulate network faults
+	Engines        int
+	Services       int
+	Entries        int
+	Domains        int
+	Adapters       int
+	AdapterSlots   int
+	Batch          int
+	Store          standin.StoreConfig
+	Log            standin.LogConfig
+	HostListDelay  time.Duration
+	Engine         standin.EngineConfig
+	ServiceTime    time.Duration // service time of a call to a plain service
+	Logger         hclog.Logger
+	Clock          wardturn.Clock
+	Deadline       time.Duration // of requests without their own; zero: the entry's default
+	DeadlineGrace  time.Duration // how long after a deadline an entry waits for the agent's result; zero: the entry's default
+	ConnectTimeout time.Duration // timeout of the first connection to an agent; zero: the entry's default
+	Relays         bool          // reach each agent through a relay that can simulate network faults
 }
 
-// Zurich returns a configuration of the size of the present Zurich deployment.
-func Zurich() Config {
+// ZurichConfig returns a configuration of the size of the present Zurich deployment.
+func ZurichConfig() Config {
 	return Config{
-		Engines:  18,
-		Services: 3,
-		Entries:  3,
-		Domains:  3,
-		Adapters: 3000,
-		Slots:    8,
-		Batch:    16,
+		Engines:      18,
+		Services:     3,
+		Entries:      3,
+		Domains:      3,
+		Adapters:     3000,
+		AdapterSlots: 8,
+		Batch:        16,
 		Store: standin.StoreConfig{
 			Rate:        9,
 			MaxParallel: 4,
 			FetchTime:   400 * time.Millisecond,
 		},
-		HostLag: 2 * time.Second,
-		Engine:  standin.DefaultEngine(),
-		Work:    5 * time.Millisecond,
-		Logger:  hclog.NewNullLogger(),
-		Clock:   process.Clock{},
+		HostListDelay: 2 * time.Second,
+		Engine:        standin.DefaultEngine(),
+		ServiceTime:   5 * time.Millisecond,
+		Logger:        hclog.NewNullLogger(),
+		Clock:         process.Clock{},
 	}
 }
 
@@ -106,7 +106,7 @@
 	s := &System{
 		cfg:   cfg,
 		Log:   standin.NewLog(cfg.Clock, cfg.Log),
-		Hosts: standin.NewHostList(cfg.Clock, cfg.HostLag),
+		Hosts: standin.NewHostList(cfg.Clock, cfg.HostListDelay),
 		Store: standin.NewStore(cfg.Clock, cfg.Store),
 	}
 	if err := s.start(ctx); err != nil {
@@ -180,13 +180,13 @@
 	u.addr = ln.Addr().String()
 	if i < s.cfg.Engines {
 		cfg := s.cfg.Engine
-		cfg.Slots = s.cfg.Slots
+		cfg.Slots = s.cfg.AdapterSlots
 		cfg.MaxBatch = s.cfg.Batch
 		u.Engine = standin.NewEngine(s.cfg.Clock, s.Store, cfg)
 		u.Host.Model = Model
 		u.stopServer = standin.Serve(ln, standin.EngineHandler(u.Engine))
 	} else {
-		u.Service = standin.NewService(s.cfg.Clock, s.cfg.Work)
+		u.Service = standin.NewService(s.cfg.Clock, s.cfg.ServiceTime)
 		u.Host.Service = Service
 		u.stopServer = standin.Serve(ln, u.Service.Handler())
 	}
@@ -228,7 +228,7 @@
 	}
 	if u.Engine != nil {
 		deps.Engine = driver.NewEngine(u.addr)
-		deps.Config.Slots = s.cfg.Slots
+		deps.Config.Slots = s.cfg.AdapterSlots
 	} else {
 		deps.Service = driver.NewService(u.addr)
 	}
@@ -276,8 +276,8 @@
 			Domain:         s.failureDomain(i),
 			AllowAnonymous: true,
 			Deadline:       s.cfg.Deadline,
-			DeadlineGrace:  s.cfg.Grace,
-			ConnectTimeout: s.cfg.ConnectLimit,
+			DeadlineGrace:  s.cfg.DeadlineGrace,
+			ConnectTimeout: s.cfg.ConnectTimeout,
 			OperatorKeys:   []entry.KeyGrant{{Name: "demo", Digest: control.KeyDigest(OperatorKey)}},
 		},
 		Clock:    s.cfg.Clock,
--- a/demo/totals.go
+++ b/demo/totals.go
@@ -2,15 +2,15 @@
 
 // Totals are sums over the agents and engines of a system.
 type Totals struct {
-	Running    int
-	Queued     int
-	Loads      int
-	Steps      int
-	Efficiency float64 // mean fraction of the batch that an engine step used
+	Running         int
+	Queued          int
+	Loads           int
+	Steps           int
+	BatchEfficiency float64 // mean fraction of the batch that an engine step used
 }
 
-// Addrs returns the addresses of the entries.
-func (s *System) Addrs() []string {
+// EntryAddrs returns the addresses of the entries.
+func (s *System) EntryAddrs() []string {
 	list := make([]string, 0, len(s.Entries))
 	for _, e := range s.Entries {
 		list = append(list, e.Addr())
@@ -35,7 +35,7 @@
 	}
 	t.Loads, _ = s.Store.Counts()
 	if t.Steps > 0 {
-		t.Efficiency = float64(sequences) / float64(t.Steps*s.cfg.Batch)
+		t.BatchEfficiency = float64(sequences) / float64(t.Steps*s.cfg.Batch)
 	}
 	return t
 }
--- a/entry/admin_test.go
+++ b/entry/admin_test.go
@@ -89,19 +89,19 @@
 	var admin, team, unknownKey api
 
 	BeforeAll(func() {
-		cfg := demo.Zurich()
+		cfg := demo.ZurichConfig()
 		cfg.Engines = 1
 		cfg.Services = 0
 		cfg.Entries = 2
 		cfg.Adapters = 5
-		cfg.HostLag = 0
+		cfg.HostListDelay = 0
 		var err error
 		sys, err = demo.Start(context.Background(), cfg)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(sys.Close)
-		admin = api{sys.Addrs()[0], demo.OperatorKey}
-		team = api{sys.Addrs()[1], "team-key"}
-		unknownKey = api{sys.Addrs()[0], "nobody"}
+		admin = api{sys.EntryAddrs()[0], demo.OperatorKey}
+		team = api{sys.EntryAddrs()[1], "team-key"}
+		unknownKey = api{sys.EntryAddrs()[0], "nobody"}
 		res := admin.do("PUT", "/admin/v1/docs/team/demo", "operators: ["+control.KeyDigest("team-key")+"]\n", "If-None-Match", "*")
 		Expect(res.StatusCode()).To(Equal(200), string(res.Body()))
 		Eventually(func() int {
@@ -111,7 +111,7 @@
 
 	It("rejects unknown keys", func() {
 		Expect(unknownKey.do("GET", "/admin/v1/docs", "").StatusCode()).To(Equal(401))
-		Expect(api{sys.Addrs()[0], ""}.do("GET", "/admin/v1/status", "").StatusCode()).To(Equal(401))
+		Expect(api{sys.EntryAddrs()[0], ""}.do("GET", "/admin/v1/status", "").StatusCode()).To(Equal(401))
 	})
 
 	It("changes documents by compare-and-set", func() {
@@ -193,7 +193,7 @@
 	It("enforces the adapters and the quota of a caller's document", func() {
 		doc := "team: demo\nkey_digests: [" + control.KeyDigest("caller-key") + "]\nadapters: [a0003]\nservices: []\nrate: 0.001\nburst: 1\n"
 		Expect(admin.do("PUT", "/admin/v1/docs/caller/clerks", doc, "If-None-Match", "*").StatusCode()).To(Equal(200))
-		caller := api{sys.Addrs()[0], "caller-key"}
+		caller := api{sys.EntryAddrs()[0], "caller-key"}
 		Expect(errorCode(caller.do("POST", "/v1/completions", `{"model":"a0004","prompt":"x"}`))).To(Equal("forbidden"))
 		Expect(string(caller.do("GET", "/v1/models", "").Body())).To(ContainSubstring(`"data":[{"id":"a0003"`))
 		Expect(caller.do("POST", "/v1/completions", `{"model":"a0003","prompt":"x","max_tokens":1}`).StatusCode()).To(Equal(200))
@@ -204,7 +204,7 @@
 	})
 
 	It("responds to invalid requests with specific errors", func() {
-		open := api{sys.Addrs()[0], ""}
+		open := api{sys.EntryAddrs()[0], ""}
 		Expect(errorCode(open.do("POST", "/v1/completions", `{`))).To(Equal("bad_request"))
 		Expect(open.do("GET", "/v1/completions", "").StatusCode()).To(Equal(405))
 		Expect(open.do("GET", "/nothing", "").StatusCode()).To(Equal(404))
@@ -225,7 +225,7 @@
 	//	read tcp 127.0.0.1:...: read: connection reset by peer
 	DescribeTable("delivers the error response to a caller that still writes after the refusal",
 		func(head, want string) {
-			c, err := net.Dial("tcp", sys.Addrs()[0])
+			c, err := net.Dial("tcp", sys.EntryAddrs()[0])
 			Expect(err).NotTo(HaveOccurred())
 			defer c.Close()
 			_, err = io.WriteString(c, head)
@@ -258,7 +258,7 @@
 	})
 
 	It("is not ready and refuses new requests after a graceful shutdown", func() {
-		open := api{sys.Addrs()[1], ""}
+		open := api{sys.EntryAddrs()[1], ""}
 		Expect(open.do("GET", "/readyz", "").StatusCode()).To(Equal(200))
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
--- a/entry/behind_test.go
+++ b/entry/behind_test.go
@@ -37,13 +37,13 @@
 	It("gets the configuration from an agent", func() {
 		const speed = 10
 		clock := standin.NewFastClock(speed)
-		cfg := demo.Zurich()
+		cfg := demo.ZurichConfig()
 		cfg.Clock = clock
 		cfg.Engines = 1
 		cfg.Services = 0
 		cfg.Entries = 1
 		cfg.Adapters = 2
-		cfg.HostLag = 0
+		cfg.HostListDelay = 0
 		sys, err := demo.Start(context.Background(), cfg)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(sys.Close)
--- a/load/load.go
+++ b/load/load.go
@@ -30,9 +30,9 @@
 	Key    string // bearer key; empty: none
 	Stream bool
 	Clock  wardturn.Clock
-	// Limit is the maximum number of requests in flight; a request beyond it is not
-	// sent and counts as skipped. Zero means DefaultLimit.
-	Limit int
+	// MaxInFlight is the maximum number of requests in flight; a request beyond it is not
+	// sent and counts as skipped. Zero means DefaultMaxInFlight.
+	MaxInFlight int
 }
 
 // The range of the histograms, in microseconds.
@@ -44,18 +44,18 @@
 
 // Summary is the result of a run. Latencies are in milliseconds.
 type Summary struct {
-	Sent    int            `json:"sent"`
-	Done    int            `json:"done"`
-	NotRun  int            `json:"not_run"`
-	Unknown int            `json:"unknown"`
-	Failed  int            `json:"failed"` // no response, or one that could not be read
-	Skipped int            `json:"skipped"`
-	Reasons map[string]int `json:"reasons,omitempty"`
-	Whole   Latency        `json:"whole_ms"`
-	First   Latency        `json:"first_byte_ms"`
-	Stall   Latency        `json:"load_stall_ms"`
-	Seconds float64        `json:"seconds"`
-	PerSec  float64        `json:"done_per_second"`
+	Sent          int            `json:"sent"`
+	Done          int            `json:"done"`
+	NotRun        int            `json:"not_run"`
+	Unknown       int            `json:"unknown"`
+	Failed        int            `json:"failed"` // no response, or one that could not be read
+	Skipped       int            `json:"skipped"`
+	Reasons       map[string]int `json:"reasons,omitempty"`
+	Total         Latency        `json:"whole_ms"`
+	FirstByte     Latency        `json:"first_byte_ms"`
+	LoadStall     Latency        `json:"load_stall_ms"`
+	Seconds       float64        `json:"seconds"`
+	DonePerSecond float64        `json:"done_per_second"`
 }
 
 // Latency holds the mean and quantiles of a latency in milliseconds.
@@ -80,18 +80,18 @@
 	loadStall *hdrhistogram.Histogram
 }
 
-// DefaultLimit is the default of Plan.Limit.
-const DefaultLimit = 20_000
+// DefaultMaxInFlight is the default of Plan.MaxInFlight.
+const DefaultMaxInFlight = 20_000
 
 // NewRunner returns a runner for a plan.
 func NewRunner(p Plan) *Runner {
-	if p.Limit == 0 {
-		p.Limit = DefaultLimit
+	if p.MaxInFlight == 0 {
+		p.MaxInFlight = DefaultMaxInFlight
 	}
 	return &Runner{
 		plan: p,
 		client: &fasthttp.Client{
-			MaxConnsPerHost:           p.Limit,
+			MaxConnsPerHost:           p.MaxInFlight,
 			StreamResponseBody:        true,
 			MaxIdemponentCallAttempts: 1,
 		},
@@ -114,7 +114,7 @@
 		if !wardturn.Sleep(ctx, r.plan.Clock, scheduled.Sub(r.plan.Clock.Now())) {
 			break
 		}
-		if r.inFlight.Load() >= int64(r.plan.Limit) {
+		if r.inFlight.Load() >= int64(r.plan.MaxInFlight) {
 			r.updateTotals(func(s *Summary) { s.Skipped++ })
 			continue
 		}
@@ -249,12 +249,12 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.totals
-	s.Whole = latency(r.total)
-	s.First = latency(r.firstByte)
-	s.Stall = latency(r.loadStall)
+	s.Total = latency(r.total)
+	s.FirstByte = latency(r.firstByte)
+	s.LoadStall = latency(r.loadStall)
 	s.Seconds = took.Seconds()
 	if took > 0 {
-		s.PerSec = float64(s.Done) / took.Seconds()
+		s.DonePerSecond = float64(s.Done) / took.Seconds()
 	}
 	return s
 }
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -156,22 +156,22 @@
 	opts, _ := parseOptions(args)
 	speed := intOption(opts, "speed", defaultSpeed)
 	s.clock = standin.NewFastClock(speed)
-	cfg := demo.Zurich()
+	cfg := demo.ZurichConfig()
 	cfg.Clock = s.clock
 	cfg.Relays = true
 	cfg.Logger = hclog.NewNullLogger()
-	cfg.HostLag = 0
-	cfg.Work = 0
+	cfg.HostListDelay = 0
+	cfg.ServiceTime = 0
 	cfg.Engines = intOption(opts, "engines", 1)
 	cfg.Services = intOption(opts, "services", 0)
 	cfg.Entries = intOption(opts, "entries", 1)
 	cfg.Adapters = intOption(opts, "adapters", 5)
-	cfg.Slots = intOption(opts, "slots", 2)
+	cfg.AdapterSlots = intOption(opts, "slots", 2)
 	cfg.Log.Retention = time.Duration(intOption(opts, "retention", 0)) * time.Second
 	cfg.Deadline = time.Duration(intOption(opts, "deadline", 0)) * time.Second
 	cfg.Store.Rate = 100
-	cfg.ConnectLimit = connectTimeout * time.Duration(speed)
-	cfg.Grace = deadlineGrace * time.Duration(speed)
+	cfg.ConnectTimeout = connectTimeout * time.Duration(speed)
+	cfg.DeadlineGrace = deadlineGrace * time.Duration(speed)
 	sys, err := demo.Start(context.Background(), cfg)
 	ts.Check(err)
 	s.sys = sys
@@ -197,7 +197,7 @@
 func startCall(ts *testscript.TestScript, s *scenario, args []string) {
 	opts, rest := parseOptions(args)
 	req := fasthttp.AcquireRequest()
-	req.SetRequestURI("http://" + s.sys.Addrs()[intOption(opts, "entry", 0)] + "/v1/completions")
+	req.SetRequestURI("http://" + s.sys.EntryAddrs()[intOption(opts, "entry", 0)] + "/v1/completions")
 	req.Header.SetMethod(fasthttp.MethodPost)
 	if c := opts["class"]; c != "" {
 		req.Header.Set(entry.HeaderClass, c)
@@ -213,7 +213,7 @@
 // vanish ADAPTER tokens=N: requests a stream, reads its first byte and disconnects.
 func disconnect(ts *testscript.TestScript, s *scenario, args []string) {
 	opts, rest := parseOptions(args)
-	c, err := net.Dial("tcp", s.sys.Addrs()[0])
+	c, err := net.Dial("tcp", s.sys.EntryAddrs()[0])
 	ts.Check(err)
 	defer c.Close()
 	body := fmt.Sprintf(`{"model":%q,"prompt":"x","max_tokens":%d,"stream":true}`, rest[0], intOption(opts, "tokens", 3))
@@ -227,7 +227,7 @@
 func startService(_ *testscript.TestScript, s *scenario, args []string) {
 	opts, rest := parseOptions(args)
 	req := fasthttp.AcquireRequest()
-	req.SetRequestURI("http://" + s.sys.Addrs()[intOption(opts, "entry", 0)] + "/v1/services/" + string(demo.Service) + rest[2])
+	req.SetRequestURI("http://" + s.sys.EntryAddrs()[intOption(opts, "entry", 0)] + "/v1/services/" + string(demo.Service) + rest[2])
 	req.Header.SetMethod(rest[1])
 	if k := opts["key"]; k != "" {
 		created := s.clock.Now().Add(-time.Duration(intOption(opts, "age", 0)) * time.Second)
@@ -465,7 +465,7 @@
 // publish KEY FILE [entry=N]: publishes a document as an operator.
 func publishDoc(ts *testscript.TestScript, s *scenario, args []string) {
 	opts, rest := parseOptions(args)
-	base := "http://" + s.sys.Addrs()[intOption(opts, "entry", 0)] + entry.PathDocs + "/" + rest[0]
+	base := "http://" + s.sys.EntryAddrs()[intOption(opts, "entry", 0)] + entry.PathDocs + "/" + rest[0]
 	req := fasthttp.AcquireRequest()
 	res := &fasthttp.Response{}
 	req.SetRequestURI(base)
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -21,23 +21,23 @@
 
 // Config configures a soak.
 type Config struct {
-	Binary   string // path of the daemons' executable
-	Seed     uint64
-	For      time.Duration // time in which faults are injected
-	Gateways int
-	Engines  int // each with a keeper
-	Apps     int // plain services
-	Callers  int
-	AtOnce   int       // maximum number of concurrent faults
-	Log      io.Writer // receives the output of the daemons and a line for each fault
+	Binary        string // path of the daemons' executable
+	Seed          uint64
+	FaultDuration time.Duration // time in which faults are injected
+	Gateways      int
+	Engines       int // each with a keeper
+	Services      int // plain services
+	Callers       int
+	MaxFaults     int       // maximum number of concurrent faults
+	Log           io.Writer // receives the output of the daemons and a line for each fault
 }
 
 // Report is the result of a soak.
 type Report struct {
-	Counts     Counts
-	Faults     map[string]int // number of injected faults by name
-	Recovered  time.Duration  // from the last fault to full service
-	Violations []string
+	Counts       Counts
+	Faults       map[string]int // number of injected faults by name
+	RecoveryTime time.Duration  // from the last fault to full service
+	Violations   []string
 }
 
 // gatewayProcess is a gateway with its link to the store.
@@ -68,7 +68,7 @@
 
 // Run runs a soak and returns its result.
 func Run(ctx context.Context, cfg Config) (Report, error) {
-	w, err := newWorld(cfg.Engines, cfg.Apps)
+	w, err := newWorld(cfg.Engines, cfg.Services)
 	if err != nil {
 		return Report{}, err
 	}
@@ -110,10 +110,10 @@
 	s.requests.check()
 	s.checkCrashes()
 	return Report{
-		Counts:     s.requests.counts,
-		Faults:     s.faultCounts,
-		Recovered:  took,
-		Violations: s.requests.violations,
+		Counts:       s.requests.counts,
+		Faults:       s.faultCounts,
+		RecoveryTime: took,
+		Violations:   s.requests.violations,
 	}, nil
 }
 
@@ -250,12 +250,12 @@
 	return s.unplannedFaults == 0 && s.lastFaultEnd.Before(t)
 }
 
-// injectFaults injects random faults, up to cfg.AtOnce concurrently, until cfg.For has
+// injectFaults injects random faults, up to cfg.MaxFaults concurrently, until cfg.For has
 // passed, and then heals all of them.
 func (s *soak) injectFaults(ctx context.Context) {
 	var wg sync.WaitGroup
-	until := time.Now().Add(s.cfg.For)
-	for i := range s.cfg.AtOnce {
+	until := time.Now().Add(s.cfg.FaultDuration)
+	for i := range s.cfg.MaxFaults {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -22,15 +22,15 @@
 		t.Fatalf("build: %v\n%s", err, out)
 	}
 	rep, err := Run(context.Background(), Config{
-		Binary:   binary,
-		Seed:     1,
-		For:      5 * time.Second,
-		Gateways: 2,
-		Engines:  2,
-		Apps:     2,
-		Callers:  6,
-		AtOnce:   2,
-		Log:      io.Discard,
+		Binary:        binary,
+		Seed:          1,
+		FaultDuration: 5 * time.Second,
+		Gateways:      2,
+		Engines:       2,
+		Services:      2,
+		Callers:       6,
+		MaxFaults:     2,
+		Log:           io.Discard,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	res.Body.Close()
 }
 
-func TestChecksCanFail(t *testing.T) {
+func TestRequestCheckDetectsViolations(t *testing.T) {
 	w, err := newWorld(0, 2)
 	if err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestEvacuationAndColdChecksCanFail(t *testing.T) {
+func TestEvacuationAndColdChecksDetectViolations(t *testing.T) {
 	w, err := newWorld(0, 2)
 	if err != nil {
 		t.Fatal(err)
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestKeyChecksCanFail(t *testing.T) {
+func TestKeyCheckDetectsViolations(t *testing.T) {
 	w, err := newWorld(0, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestLimitChecksCanFail(t *testing.T) {
+func TestLimitCheckDetectsViolations(t *testing.T) {
 	w, err := newWorld(0, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestAnswerChecksCanFail(t *testing.T) {
+func TestResponseChecksDetectViolations(t *testing.T) {
 	w, err := newWorld(0, 1)
 	if err != nil {
 		t.Fatal(err)
