--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -65,7 +65,7 @@
 	golden(t, "wardturn-entry.help", run(cli.EntryMain, "--help").out)
 }
 
-func TestEveryBadSettingIsReported(t *testing.T) {
+func TestAllInvalidSettingsAreReported(t *testing.T) {
 	r := run(cli.EntryMain,
 		"--listen=nowhere", "--region=a b", "--domain=d", "--log-addr=127.0.0.1:1", "--host-list=x",
 		"--plain", "--caller-keys=me:short", "--retry-share=3")
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestCompareRefuses(t *testing.T) {
+func TestCompareRejectsBadInput(t *testing.T) {
 	trace := filepath.Join(t.TempDir(), "t.jsonl")
 	writeFile(t, trace, `{"at_ms":1,"caller":"c","adapter":"a","version":1,"class":"x","prompt_tokens":1,"output_tokens":1}`+"\n")
 	r := run(cli.Main, "compare", "--trace="+trace, "--policy=zurich")
--- a/cli/fleet/fleet_test.go
+++ b/cli/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 	return code, e.String()
 }
 
-func TestCheckReportsAllFaultsAtOnce(t *testing.T) {
+func TestCheckReportsAllInvalidSettings(t *testing.T) {
 	code, errs := run("gateway", "--check", "--node=n", "--domain=d", "--port=7380",
 		"--store=nowhere", "--listen=127.0.0.1:0", "--ready=x", "--drain=10ms", "--loads-at-start=0")
 	if code != fleet.ExitUsage {
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestMissingSettings(t *testing.T) {
+func TestMissingRequiredSettings(t *testing.T) {
 	if code, _ := run("keeper"); code != fleet.ExitUsage {
 		t.Fatalf("exit %d", code)
 	}
--- a/cli/fleet/settings_test.go
+++ b/cli/fleet/settings_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestSettingsAreReadAgain(t *testing.T) {
+func TestSettingsAreReloaded(t *testing.T) {
 	signal.Ignore(syscall.SIGHUP)
 	path := filepath.Join(t.TempDir(), "settings")
 	writeSettings(t, path, "log-level=info\n")
--- a/cli/losses_test.go
+++ b/cli/losses_test.go
@@ -40,7 +40,7 @@
 10:00:05.900 [INFO]  gateway: prompts of a route: route=r sizes="640:30,7168:1,9216:1,28672:1,32768:1,8192:"
 `
 
-func TestLossesOfTheLargestTenth(t *testing.T) {
+func TestLossesLargestTenth(t *testing.T) {
 	var out, errs strings.Builder
 	code := cli.Main(context.Background(), []string{"losses"}, cli.Streams{
 		In:  strings.NewReader(tenthLog),
@@ -66,7 +66,7 @@
 	golden(t, "losses", out.String())
 }
 
-func TestLossesOfNothing(t *testing.T) {
+func TestLossesWithoutMatchingLines(t *testing.T) {
 	var out, errs strings.Builder
 	code := cli.Main(context.Background(), []string{"losses"}, cli.Streams{
 		In:  strings.NewReader("nothing\n"),
