--- a/agent/inbound.go
+++ b/agent/inbound.go
@@ -87,7 +87,7 @@
 		return
 	}
 	a.tasks.Go(func() {
-		ctx, cancel := a.tasks.Limit(catchUpTimeout)
+		ctx, cancel := a.tasks.WithTimeout(catchUpTimeout)
 		defer cancel()
 		a.admit(c, m, arrived, a.replica.WaitFor(ctx, m.Config) == nil)
 	})
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -102,7 +102,7 @@
 		}
 		// If the reply was lost, the retry appends a second start record. That is
 		// harmless: it only gives this agent a higher fence.
-		if !a.tasks.Pause(wait) {
+		if !a.tasks.Sleep(wait) {
 			return
 		}
 		wait = min(2*wait, maxFenceRetry)
@@ -111,7 +111,7 @@
 
 // watchEngine polls the engine's report.
 func (a *Agent) watchEngine() {
-	for a.tasks.Pause(a.cfg.ReportInterval) {
+	for a.tasks.Sleep(a.cfg.ReportInterval) {
 		rep, err := a.engine.Report(a.tasks.Context())
 		if err != nil {
 			continue
@@ -129,7 +129,7 @@
 		if err == nil {
 			a.onHosts(hosts)
 		}
-		if !a.tasks.Pause(a.cfg.HostsInterval) {
+		if !a.tasks.Sleep(a.cfg.HostsInterval) {
 			return
 		}
 	}
--- a/chaos/faults.go
+++ b/chaos/faults.go
@@ -21,17 +21,17 @@
 	return []Fault{
 		{
 			Name:   "connection cut",
-			inject: func(h *history) { h.randomUpstream().Relay.CloseConns() },
+			inject: func(h *history) { h.randomUpstream().FaultProxy.CloseConns() },
 			heal:   noop,
 		},
 		{
 			Name:   "agent unreachable",
-			inject: func(h *history) { h.randomUpstream().Relay.Block(true) },
+			inject: func(h *history) { h.randomUpstream().FaultProxy.Block(true) },
 			heal:   healNetwork,
 		},
 		{
 			Name:   "network frozen",
-			inject: func(h *history) { h.randomUpstream().Relay.Freeze(true) },
+			inject: func(h *history) { h.randomUpstream().FaultProxy.Freeze(true) },
 			heal:   healNetwork,
 		},
 		{
@@ -97,8 +97,8 @@
 
 func healNetwork(h *history) {
 	for _, u := range h.sys.Upstreams {
-		u.Relay.Block(false)
-		u.Relay.Freeze(false)
+		u.FaultProxy.Block(false)
+		u.FaultProxy.Freeze(false)
 	}
 }
 
--- a/chaos/history.go
+++ b/chaos/history.go
@@ -108,7 +108,7 @@
 func config() demo.Config {
 	cfg := demo.ZurichConfig()
 	cfg.Clock = standin.NewFastClock(clockSpeed)
-	cfg.Relays = true
+	cfg.FaultProxies = true
 	cfg.Logger = hclog.NewNullLogger()
 	cfg.HostListDelay = time.Second
 	cfg.ServiceTime = 400 * time.Millisecond
--- a/demo/system.go
+++ b/demo/system.go
@@ -40,7 +40,7 @@
 	Deadline       time.Duration // of requests without their own; zero: the entry's default
 	DeadlineGrace  time.Duration // how long after a deadline an entry waits for the agent's result; zero: the entry's default
 	ConnectTimeout time.Duration // timeout of the first connection to an agent; zero: the entry's default
-	Relays         bool          // reach each agent through a relay that can simulate network faults
+	FaultProxies   bool          // reach each agent through a relay that can simulate network faults
 }
 
 // ZurichConfig returns a configuration of the size of the present Zurich deployment.
@@ -80,7 +80,7 @@
 	Engine     *standin.Engine  // nil for a plain service
 	Service    *standin.Service // nil for a model engine
 	Agent      *agent.Agent
-	Relay      *standin.FaultProxy // to the agent; nil without Config.Relays
+	FaultProxy *standin.FaultProxy // to the agent; nil without Config.FaultProxies
 	addr       string              // of the upstream itself
 	stopServer func()
 }
@@ -245,18 +245,18 @@
 // to it.
 func (s *System) setListedAddr(u *Upstream) error {
 	u.Host.Addr = u.Agent.Addr()
-	if !s.cfg.Relays {
+	if !s.cfg.FaultProxies {
 		return nil
 	}
-	if u.Relay == nil {
+	if u.FaultProxy == nil {
 		r, err := standin.NewFaultProxy(u.Agent.Addr())
 		if err != nil {
 			return err
 		}
-		u.Relay = r
+		u.FaultProxy = r
 	}
-	u.Relay.SetTarget(u.Agent.Addr())
-	u.Host.Addr = u.Relay.Addr()
+	u.FaultProxy.SetTarget(u.Agent.Addr())
+	u.Host.Addr = u.FaultProxy.Addr()
 	return nil
 }
 
@@ -353,8 +353,8 @@
 		if u.Agent != nil {
 			u.Agent.Close()
 		}
-		if u.Relay != nil {
-			u.Relay.Close()
+		if u.FaultProxy != nil {
+			u.FaultProxy.Close()
 		}
 		u.stopServer()
 	}
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -246,7 +246,7 @@
 // waitForConfig waits until the replica has applied the configuration at the given offset
 // and reports whether it has.
 func (x *exchange) waitForConfig(config wardturn.Offset) bool {
-	ctx, cancel := x.entry.tasks.Limit(configWaitTimeout)
+	ctx, cancel := x.entry.tasks.WithTimeout(configWaitTimeout)
 	defer cancel()
 	return x.entry.replica.WaitFor(ctx, config) == nil
 }
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -203,7 +203,7 @@
 	}
 	c.Author = op.name
 	c.Time = e.clock.Now()
-	publishCtx, cancel := e.tasks.Limit(publishTimeout)
+	publishCtx, cancel := e.tasks.WithTimeout(publishTimeout)
 	defer cancel()
 	res, err := e.replica.Publish(publishCtx, c)
 	switch {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -236,7 +236,7 @@
 		if err == nil && len(hosts) > 0 {
 			e.setHosts(hosts)
 		}
-		if !e.tasks.Pause(e.cfg.HostsInterval) {
+		if !e.tasks.Sleep(e.cfg.HostsInterval) {
 			return
 		}
 	}
--- a/entry/seed.go
+++ b/entry/seed.go
@@ -35,7 +35,7 @@
 // Each complete configuration is passed to the replica, which ignores it if it is older
 // than its own.
 func (e *Entry) pollPeersForConfig() {
-	for e.tasks.Pause(peerPollInterval) {
+	for e.tasks.Sleep(peerPollInterval) {
 		if e.clock.Now().Sub(e.replica.LastReadTime()) < maxLogReadAge {
 			continue
 		}
--- a/experiment/node.go
+++ b/experiment/node.go
@@ -13,7 +13,7 @@
 	req := n.sim.trace[c.index]
 	w := decide.Work{
 		Attempt: c.id,
-		Adapter: req.Ref(),
+		Adapter: req.AdapterRef(),
 		Class:   n.sim.samples[c.index].class,
 		Prompt:  req.PromptTokens,
 		Output:  req.OutputTokens,
@@ -101,7 +101,7 @@
 	gen := standin.Generation{
 		Request: wardturn.EngineRequest{
 			Attempt:  c.id,
-			Adapter:  req.Ref(),
+			Adapter:  req.AdapterRef(),
 			Priority: int(sm.class),
 			Prompt:   req.PromptTokens,
 			Output:   req.OutputTokens,
--- a/experiment/sim.go
+++ b/experiment/sim.go
@@ -244,7 +244,7 @@
 func (s *sim) send(c *call) {
 	req := s.trace[c.index]
 	id, ok := c.entry.router.Pick(s.clock.Now(), decide.RouteRequest{
-		Adapter: req.Ref(),
+		Adapter: req.AdapterRef(),
 		Tried:   c.tried,
 	})
 	if !ok {
--- a/experiment/trace.go
+++ b/experiment/trace.go
@@ -30,8 +30,8 @@
 	return time.Duration(r.AtMS) * time.Millisecond
 }
 
-// Ref returns the requested adapter version.
-func (r Request) Ref() wardturn.AdapterRef {
+// AdapterRef returns the requested adapter version.
+func (r Request) AdapterRef() wardturn.AdapterRef {
 	return wardturn.AdapterRef{
 		Adapter: r.Adapter,
 		Version: r.Version,
--- a/gateway/crashes.go
+++ b/gateway/crashes.go
@@ -101,7 +101,7 @@
 		defer c.mu.Unlock()
 		delete(c.checking, m.ID)
 	}()
-	if !c.g.tasks.Pause(crashCheckPause) || c.g.pool.listens(c.g.tasks.Context(), m.Addr) {
+	if !c.g.tasks.Sleep(crashCheckPause) || c.g.pool.listens(c.g.tasks.Context(), m.Addr) {
 		return
 	}
 	c.g.recordRefused(m.ID)
--- a/gateway/crashrecord.go
+++ b/gateway/crashrecord.go
@@ -122,10 +122,10 @@
 
 // writeLoop writes due records to the store whenever requested, until the gateway shuts down.
 func (c *crashes) writeLoop() {
-	for c.awaitSignal(c.writeSignal) && c.g.tasks.Pause(crashBatchDelay) {
+	for c.awaitSignal(c.writeSignal) && c.g.tasks.Sleep(crashBatchDelay) {
 		pause := crashRetryDelay
 		for !c.writeDue() {
-			if !c.g.tasks.Pause(pause) {
+			if !c.g.tasks.Sleep(pause) {
 				return
 			}
 			pause = min(2*pause, crashMaxRetryDelay)
--- a/gateway/fleetfacts.go
+++ b/gateway/fleetfacts.go
@@ -36,7 +36,7 @@
 			return
 		}
 		g.logger.Warn("failed to read the window of loads from the store", "error", err)
-		if !g.tasks.Pause(restoreRetryInterval) {
+		if !g.tasks.Sleep(restoreRetryInterval) {
 			return
 		}
 	}
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -48,7 +48,7 @@
 		}
 		unavailable = true
 		g.reads.readFailed(g.reads.config)
-		if !g.tasks.Pause(pause) {
+		if !g.tasks.Sleep(pause) {
 			return
 		}
 		pause = min(2*pause, configMaxRetryDelay)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -176,12 +176,12 @@
 	g.tasks.Go(g.caps.sendUrgent)
 	g.tasks.Go(func() {
 		g.restoreFleetFacts()
-		for g.tasks.Pause(saveInterval) {
+		for g.tasks.Sleep(saveInterval) {
 			g.saveFleetFacts()
 		}
 	})
 	g.tasks.Go(func() {
-		if g.tasks.Pause(configStartTimeout) {
+		if g.tasks.Sleep(configStartTimeout) {
 			g.startServing()
 		}
 	})
--- a/gateway/readcoordinator.go
+++ b/gateway/readcoordinator.go
@@ -109,7 +109,7 @@
 	if !until.IsZero() {
 		left = min(left, until.Sub(now))
 	}
-	limit, cancel = rc.g.tasks.Limit(left)
+	limit, cancel = rc.g.tasks.WithTimeout(left)
 	return limit, cancel, rc.scheduleChanged, false
 }
 
--- a/keeper/keeper.go
+++ b/keeper/keeper.go
@@ -149,7 +149,7 @@
 			}
 			// If the record was written but the reply was lost, that fence is skipped.
 			k.logger.Warn("taking a fence failed; no orders are given until it succeeds", "error", err)
-			if !k.tasks.Pause(fenceRetryDelay) {
+			if !k.tasks.Sleep(fenceRetryDelay) {
 				return
 			}
 		}
--- a/keeper/relay.go
+++ b/keeper/relay.go
@@ -112,7 +112,7 @@
 		return
 	}
 	rs.tasks.Go(func() {
-		if rs.tasks.Pause(idleRelayTime) {
+		if rs.tasks.Sleep(idleRelayTime) {
 			rs.closeIdle(r)
 		}
 	})
--- a/process/tasks.go
+++ b/process/tasks.go
@@ -73,13 +73,13 @@
 	})
 }
 
-// Pause sleeps for d. It reports false if Stop was called.
-func (t *Tasks) Pause(d time.Duration) bool {
+// Sleep sleeps for d. It reports false if Stop was called.
+func (t *Tasks) Sleep(d time.Duration) bool {
 	return wardturn.Sleep(t.ctx, t.clock, d)
 }
 
-// Limit returns a context that ends after d or on Stop.
-func (t *Tasks) Limit(d time.Duration) (context.Context, context.CancelFunc) {
+// WithTimeout returns a context that ends after d or on Stop.
+func (t *Tasks) WithTimeout(d time.Duration) (context.Context, context.CancelFunc) {
 	return wardturn.WithTimeout(t.ctx, t.clock, d)
 }
 
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -158,7 +158,7 @@
 	s.clock = standin.NewFastClock(speed)
 	cfg := demo.ZurichConfig()
 	cfg.Clock = s.clock
-	cfg.Relays = true
+	cfg.FaultProxies = true
 	cfg.Logger = hclog.NewNullLogger()
 	cfg.HostListDelay = 0
 	cfg.ServiceTime = 0
@@ -421,7 +421,7 @@
 
 // net cut|block|freeze|heal UPSTREAM
 func netFault(ts *testscript.TestScript, s *scenario, args []string) {
-	r := s.upstream(ts, args[1]).Relay
+	r := s.upstream(ts, args[1]).FaultProxy
 	switch args[0] {
 	case "cut":
 		r.CloseConns()
--- a/soak/answers.go
+++ b/soak/answers.go
@@ -102,7 +102,7 @@
 			return func() {
 				u.setFaults(standin.WorkerFaults{})
 				s.world.restart(u)
-				u.relay.ResetConns()
+				u.proxy.ResetConns()
 			}
 		},
 	}
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -45,7 +45,7 @@
 	w.fatals.crashes[path]++
 	w.fatals.mu.Unlock()
 	w.restart(u)
-	u.relay.ResetConns()
+	u.proxy.ResetConns()
 }
 
 // sendFatal sends a request that crashes its upstream and returns the status of the
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -91,9 +91,9 @@
 func (s *soak) links() []*standin.FaultProxy {
 	var list []*standin.FaultProxy
 	for _, u := range s.world.upstreams {
-		list = append(list, u.relay)
-		if u.keeperRelay != nil {
-			list = append(list, u.keeperRelay)
+		list = append(list, u.proxy)
+		if u.keeperProxy != nil {
+			list = append(list, u.keeperProxy)
 		}
 	}
 	for _, g := range s.gateways {
@@ -219,7 +219,7 @@
 			target: u.addr,
 			begin: func() func() {
 				s.world.restart(u)
-				u.relay.ResetConns()
+				u.proxy.ResetConns()
 				started := time.Now()
 				s.wg.Go(func() {
 					if s.sleep(coldDuration) {
--- a/soak/limits.go
+++ b/soak/limits.go
@@ -193,7 +193,7 @@
 // upstreamOf returns the upstream behind a link between it and gateways, or nil.
 func (w *world) upstreamOf(l *standin.FaultProxy) *upstream {
 	for _, u := range w.upstreams {
-		if u.relay == l {
+		if u.proxy == l {
 			return u
 		}
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -119,7 +119,7 @@
 
 func (s *soak) startDaemons() error {
 	for i, u := range s.world.upstreams {
-		if u.keeperRelay == nil {
+		if u.keeperProxy == nil {
 			continue
 		}
 		k, err := s.startKeeper(i, u)
--- a/soak/world.go
+++ b/soak/world.go
@@ -26,8 +26,8 @@
 	service     string
 	domain      string
 	addr        string              // address for gateways, that of relay
-	relay       *standin.FaultProxy // from gateways to the upstream
-	keeperRelay *standin.FaultProxy // from gateways to the upstream's keeper; nil for a plain service
+	proxy       *standin.FaultProxy // from gateways to the upstream
+	keeperProxy *standin.FaultProxy // from gateways to the upstream's keeper; nil for a plain service
 	server      *http.Server
 
 	mu       sync.Mutex
@@ -156,11 +156,11 @@
 	if err != nil {
 		return err
 	}
-	u.relay, err = standin.NewFaultProxyAt(frontHost(i)+":0", backAddr)
+	u.proxy, err = standin.NewFaultProxyAt(frontHost(i)+":0", backAddr)
 	if err != nil {
 		return err
 	}
-	u.addr = u.relay.Addr()
+	u.addr = u.proxy.Addr()
 	if cfg.Model != "" {
 		if err := w.addKeeperLink(u, i); err != nil {
 			return err
@@ -200,13 +200,13 @@
 // addKeeperLink opens the relay to a keeper. All keepers use the same port.
 func (w *world) addKeeperLink(u *upstream, i int) error {
 	var err error
-	u.keeperRelay, err = standin.NewFaultProxyAt(net.JoinHostPort(frontHost(i), w.keeperPort), net.JoinHostPort(backHost(i), w.keeperPort))
+	u.keeperProxy, err = standin.NewFaultProxyAt(net.JoinHostPort(frontHost(i), w.keeperPort), net.JoinHostPort(backHost(i), w.keeperPort))
 	return err
 }
 
 // backAddr returns the address at which the keeper reaches its engine, without a relay.
 func (u *upstream) backAddr() string {
-	return u.relay.Target()
+	return u.proxy.Target()
 }
 
 func (w *world) writeEntry(u *upstream) {
@@ -280,9 +280,9 @@
 	close(w.stop)
 	w.wg.Wait()
 	for _, u := range w.upstreams {
-		u.relay.Close()
-		if u.keeperRelay != nil {
-			u.keeperRelay.Close()
+		u.proxy.Close()
+		if u.keeperProxy != nil {
+			u.keeperProxy.Close()
 		}
 		_ = u.server.Close()
 	}
