--- a/agent/agent.go
+++ b/agent/agent.go
@@ -158,9 +158,9 @@
 	a.tasks.Wait()
 }
 
-// Leave makes the agent refuse new requests and return the queued ones as not run. It
+// Shutdown makes the agent refuse new requests and return the queued ones as not run. It
 // returns a channel that is closed when the last running request has ended.
-func (a *Agent) Leave() <-chan struct{} {
+func (a *Agent) Shutdown() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.startLeaving("signal")
--- a/agent/policy_internal_test.go
+++ b/agent/policy_internal_test.go
@@ -74,18 +74,18 @@
 	}
 }
 
-// TestNewerPolicyStaysInForce checks that a policy that takes long to compile, as at the
+// TestNewerPolicyStaysCurrent checks that a policy that takes long to compile, as at the
 // start of the agent, does not replace a policy that was published meanwhile.
-func TestNewerPolicyStaysInForce(t *testing.T) {
+func TestNewerPolicyStaysCurrent(t *testing.T) {
 	g := gomega.NewWithT(t)
 	clock := process.Clock{}
 	log := standin.NewLog(clock, standin.LogConfig{
 		Latency: appendTime,
 	})
 	a := newPlainAgent(t, clock, log, nil)
-	inForce := func() string { return a.Status().Policy }
+	currentPolicy := func() string { return a.Status().Policy }
 	publishPolicy(t, a, "slow", slowSource)
-	g.Eventually(inForce).WithTimeout(20 * time.Second).Should(gomega.Equal("slow"))
+	g.Eventually(currentPolicy).WithTimeout(20 * time.Second).Should(gomega.Equal("slow"))
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -94,5 +94,5 @@
 	publishPolicy(t, a, "quick", quickSource)
 	g.Eventually(ended).WithTimeout(20 * time.Second).Should(gomega.BeClosed())
 	g.Eventually(a.replica.AppliedOffset).WithTimeout(20 * time.Second).Should(gomega.BeNumerically(">=", 2))
-	g.Expect(inForce()).To(gomega.Equal("quick"))
+	g.Expect(currentPolicy()).To(gomega.Equal("quick"))
 }
--- a/chaos/faults.go
+++ b/chaos/faults.go
@@ -132,7 +132,7 @@
 func (h *history) drainAgent(u *demo.Upstream) {
 	old := u.Agent
 	select {
-	case <-old.Leave():
+	case <-old.Shutdown():
 	case <-h.timeout():
 		h.addViolation("%s does not end its requests", u.ID)
 	}
--- a/cli/agent.go
+++ b/cli/agent.go
@@ -128,7 +128,7 @@
 	}
 	return c.Invoke(func(a *agent.Agent) {
 		<-ctx.Done()
-		<-a.Leave()
+		<-a.Shutdown()
 		a.Close()
 	})
 }
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -110,9 +110,9 @@
 			return err
 		}
 		req.Docs = append(req.Docs, entry.DocRequest{
-			Key:  f.key,
-			Base: current.Version,
-			Body: string(f.body),
+			Key:         f.key,
+			BaseVersion: current.Version,
+			Body:        string(f.body),
 		})
 	}
 	var res control.PublicationResult
@@ -339,10 +339,10 @@
 	req := entry.ChangeRequest{
 		ID: control.PublicationID("cli-" + string(process.NewIncarnation())),
 		Docs: []entry.DocRequest{{
-			Key:    key,
-			Base:   current.Version,
-			Delete: c.Undo,
-			Body:   "reason: " + string(body) + "\n",
+			Key:         key,
+			BaseVersion: current.Version,
+			Delete:      c.Undo,
+			Body:        "reason: " + string(body) + "\n",
 		}},
 	}
 	var res control.PublicationResult
--- a/decide/leaving_test.go
+++ b/decide/leaving_test.go
@@ -48,7 +48,7 @@
 			Expect(x.takes(x.now, "n0")).To(BeFalse())
 			x.out.LoadRequests = nil
 			x.admit("r1", "a")
-			x.tick(wishRepeatOver)
+			x.tick(afterLoadRequestInterval)
 			for _, r := range x.out.LoadRequests {
 				Expect(r.Upstream).NotTo(BeEquivalentTo("n0"))
 			}
@@ -93,5 +93,5 @@
 	})
 })
 
-// wishRepeatOver is longer than the interval between two load requests for one adapter.
-const wishRepeatOver = 400 * time.Millisecond
+// afterLoadRequestInterval is longer than the interval between two load requests for one adapter.
+const afterLoadRequestInterval = 400 * time.Millisecond
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -160,10 +160,10 @@
 // DocRequest is a document of a ChangeRequest. Base is the version that it replaces; it
 // is zero for a new document.
 type DocRequest struct {
-	Key    control.Key     `json:"key"`
-	Base   wardturn.Offset `json:"base"`
-	Delete bool            `json:"delete,omitempty"`
-	Body   string          `json:"body,omitempty"`
+	Key         control.Key     `json:"key"`
+	BaseVersion wardturn.Offset `json:"base"`
+	Delete      bool            `json:"delete,omitempty"`
+	Body        string          `json:"body,omitempty"`
 }
 
 func (e *Entry) postChange(ctx *fasthttp.RequestCtx, op operator) {
@@ -182,7 +182,7 @@
 	for _, d := range req.Docs {
 		c.Docs = append(c.Docs, control.DocChange{
 			Key:         d.Key,
-			BaseVersion: d.Base,
+			BaseVersion: d.BaseVersion,
 			Delete:      d.Delete,
 			Body:        []byte(d.Body),
 		})
--- a/gateway/announcements_relays_test.go
+++ b/gateway/announcements_relays_test.go
@@ -98,10 +98,10 @@
 		},
 		Entry("through two keepers in its failure domain", []string{"d", "d"}, wardturn.FailureDomain("d"), func(*secondGatewayRig) {}),
 		Entry("when one of them is unreachable", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
-			x.relay.Block(true)
+			x.keeperProxy.Block(true)
 		}),
 		Entry("when one of them is frozen", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
-			x.relay.Freeze(true)
+			x.keeperProxy.Freeze(true)
 		}),
 		Entry("when the other one is frozen for this gateway only", []string{"d", "d"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
 			x.proxies[1].Freeze(true)
@@ -116,7 +116,7 @@
 		}),
 		Entry("in a failure domain without keepers", []string{"f", "f"}, wardturn.FailureDomain("g"), func(*secondGatewayRig) {}),
 		Entry("when the keepers of its failure domain are unreachable", []string{"d", "f"}, wardturn.FailureDomain("d"), func(x *secondGatewayRig) {
-			x.relay.Block(true)
+			x.keeperProxy.Block(true)
 		}),
 	)
 
--- a/gateway/relays_test.go
+++ b/gateway/relays_test.go
@@ -64,7 +64,7 @@
 			loadAdapters()
 			return updates("relay")
 		}, eventTimeout, pollInterval).Should(BeNumerically(">", 0))
-		x.relay.Block(true)
+		x.keeperProxy.Block(true)
 		before := updates("direct")
 		Eventually(func() int64 {
 			loadAdapters()
@@ -77,7 +77,7 @@
 			loadAdapters()
 			return updates("relay")
 		}, eventTimeout, pollInterval).Should(BeNumerically(">", 0))
-		x.relay.Freeze(true)
+		x.keeperProxy.Freeze(true)
 		frozen := time.Now()
 		before := updates("direct")
 		Eventually(func() int64 {
@@ -89,9 +89,9 @@
 	})
 
 	It("is received through the relay again once it is reachable", func() {
-		x.relay.Block(true)
+		x.keeperProxy.Block(true)
 		loadAdapters()
-		x.relay.Block(false)
+		x.keeperProxy.Block(false)
 		before := updates("relay")
 		Eventually(func() int64 {
 			loadAdapters()
--- a/peer/conn_test.go
+++ b/peer/conn_test.go
@@ -87,13 +87,13 @@
 	srv := newRecorder()
 	server := peer.NewServer(ln, nil, process.Clock{}, identity(peer.RoleAgent, "a1"), srv)
 	defer server.Close()
-	relay, err := standin.NewFaultProxy(ln.Addr().String())
+	proxy, err := standin.NewFaultProxy(ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer relay.Close()
+	defer proxy.Close()
 	cli := newRecorder()
-	client := peer.NewClient(relay.Addr(), nil, standin.NewFastClock(10), identity(peer.RoleEntry, "e1"), cli)
+	client := peer.NewClient(proxy.Addr(), nil, standin.NewFastClock(10), identity(peer.RoleEntry, "e1"), cli)
 	defer client.Close()
 
 	cli.waitFor(t, "connection", func() bool { return cli.conns == 1 })
@@ -104,11 +104,11 @@
 		t.Fatal(err)
 	}
 	srv.waitFor(t, "message", func() bool { return len(srv.messages) > 0 })
-	relay.CloseConns()
+	proxy.CloseConns()
 	cli.waitFor(t, "second connection", func() bool { return cli.closed == 1 && cli.conns == 2 })
-	relay.Freeze(true)
+	proxy.Freeze(true)
 	cli.waitFor(t, "end of a silent connection", func() bool { return cli.closed == 2 })
-	relay.Freeze(false)
+	proxy.Freeze(false)
 	cli.waitFor(t, "third connection", func() bool { return cli.conns >= 3 })
 }
 
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -447,13 +447,13 @@
 		u.Agent.Close()
 		ts.Check(s.sys.StartAgent(u, "127.0.0.1:0"))
 	case "leave":
-		u.Agent.Leave()
+		u.Agent.Shutdown()
 	case "list-leaving":
 		s.sys.Hosts.Leave(u.ID)
 		waitUntil(ts, "leaving of "+args[1], func() bool { return u.Agent.Status().Leaving })
 	case "gone":
 		select {
-		case <-u.Agent.Leave():
+		case <-u.Agent.Shutdown():
 		case <-time.After(waitTimeout):
 			ts.Fatalf("%s did not finish", args[1])
 		}
