--- a/agent/agent.go
+++ b/agent/agent.go
@@ -53,7 +53,7 @@
 	tls     *tls.Config
 
 	// applyMu is held from the read of a configuration document until the document is
-	// in force, so that an older version is not applied after a newer one. It is
+	// current, so that an older version is not applied after a newer one. It is
 	// acquired before mu.
 	applyMu sync.Mutex
 
@@ -66,7 +66,7 @@
 	orders           decide.Orders
 	fence            wardturn.Fence
 	suppressedOrders int             // orders not sent because there is no fence yet
-	builtin          wardturn.Policy // in force while no policy is published
+	builtin          wardturn.Policy // used while no policy is published
 	allocator        *allocatorRole
 	started          time.Time
 	listing          listingState // states of this agent seen in the host list
@@ -146,7 +146,7 @@
 }
 
 // Close stops the agent immediately, as a crash would, without waiting for running
-// requests. For a planned shutdown call Leave first.
+// requests. For a planned shutdown call Shutdown first.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	a.closed = true
@@ -273,7 +273,7 @@
 	Fence   wardturn.Fence
 	Config  wardturn.Offset
 	Leaving bool
-	Policy  string // name of the policy in force
+	Policy  string // name of the current policy
 	// SuppressedOrders counts the orders that the agent did not send because it had no fence.
 	SuppressedOrders int
 	Shadow           *decide.ShadowStats // nil if there is no shadow policy
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -204,7 +204,7 @@
 
 // applyPolicy applies the active policy and the shadow policy of the configuration.
 // Programs are checked before publication; if the active one still does not compile
-// here, the present policies stay in force. Without a published active policy the
+// here, the present policies stay in use. Without a published active policy the
 // built-in one is used.
 func (a *Agent) applyPolicy() {
 	a.applyMu.Lock()
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -134,7 +134,7 @@
 	return t.Flush()
 }
 
-// diffCmd compares files with the documents in force.
+// diffCmd compares files with the current documents.
 type diffCmd struct {
 	entryFlags
 	Files []string `arg:"" help:"Files named kind/name.yaml, or directories of them."`
@@ -143,7 +143,7 @@
 // diffLine is one document that differs.
 type diffLine struct {
 	Key     control.Key     `json:"key"`
-	Version wardturn.Offset `json:"version"` // version in force; zero if there is none
+	Version wardturn.Offset `json:"version"` // current version; zero if there is none
 	Lines   []string        `json:"lines"`
 }
 
--- a/decide/leaving_test.go
+++ b/decide/leaving_test.go
@@ -93,5 +93,6 @@
 	})
 })
 
-// afterLoadRequestInterval is longer than the interval between two load requests for one adapter.
+// afterLoadRequestInterval is longer than the interval between two load requests for one
+// adapter.
 const afterLoadRequestInterval = 400 * time.Millisecond
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -14,7 +14,7 @@
 }
 
 // Acquire reports whether a request is admitted, and the delay after which to retry if it is
-// not. The caller calls Leave at the end of each admitted request.
+// not. The caller calls Release at the end of each admitted request.
 func (q *Quota) Acquire(now time.Time) (retryAfter time.Duration, ok bool) {
 	if q.Concurrency > 0 && q.active >= q.Concurrency {
 		return time.Second, false
--- a/entry/documents.go
+++ b/entry/documents.go
@@ -157,8 +157,8 @@
 	Docs []DocRequest          `json:"docs"`
 }
 
-// DocRequest is a document of a ChangeRequest. Base is the version that it replaces; it
-// is zero for a new document.
+// DocRequest is a document of a ChangeRequest. BaseVersion is the version that it
+// replaces; it is zero for a new document.
 type DocRequest struct {
 	Key         control.Key     `json:"key"`
 	BaseVersion wardturn.Offset `json:"base"`
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -153,7 +153,7 @@
 	return nil, ""
 }
 
-// behindProxy replaces a listener by a relay, and returns the listener to which the relay
+// behindProxy replaces a listener by a proxy, and returns the listener to which the proxy
 // forwards connections.
 func behindProxy(ln net.Listener) (*standin.FaultProxy, net.Listener) {
 	addr := ln.Addr().String()
--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -10,7 +10,7 @@
 
 // Mirror maintains the full state of an engine from the state updates of its keeper.
 type Mirror struct {
-	latest   EngineUpdate // without Adapters and Gone
+	latest   EngineUpdate // without Adapters and Unloaded
 	adapters map[wardturn.ModelAdapter]HeldAdapter
 }
 
--- a/policy/program.go
+++ b/policy/program.go
@@ -63,7 +63,7 @@
 	funcOrder = "order"
 )
 
-// Compile parses a program and runs its top level. The error is a *Problem.
+// Compile parses a program and runs its top level. The error is a *ProgramError.
 func Compile(name, src string) (*Program, error) {
 	if len(src) > maxSourceBytes {
 		return nil, newProgramError(name, 1, 1, "program is larger than 64 KiB")
@@ -135,8 +135,8 @@
 	}
 }
 
-// programErrorOf converts an error of the Starlark library to a Problem. It uses the position
-// in the error, or line 1, column 1 if the error has none.
+// programErrorOf converts an error of the Starlark library to a ProgramError. It uses the
+// position in the error, or line 1, column 1 if the error has none.
 func programErrorOf(file string, err error) *ProgramError {
 	var syntaxErr syntax.Error
 	if errors.As(err, &syntaxErr) {
--- a/report/burn.go
+++ b/report/burn.go
@@ -18,7 +18,7 @@
 	Window    time.Duration   `json:"window_ns"`
 }
 
-// Alert is a multi-window burn-rate alert. It fires if the burn rate is at least Rate
+// Alert is a multi-window burn-rate alert. It fires if the burn rate is at least BurnRate
 // over both windows. A rate of 14.4 over an hour uses 2% of a 30-day budget.
 type Alert struct {
 	Name     string
@@ -145,8 +145,8 @@
 	return l
 }
 
-// newWindowBurn computes the Span of the given length that ends with the last full minute
-// before at.
+// newWindowBurn computes the WindowBurn of the given length that ends with the last full
+// minute before at.
 func newWindowBurn(at time.Time, length time.Duration, o Objective, policy string, counts []ProcessCounts, missing int) WindowBurn {
 	end := at.Truncate(Minute)
 	start := end.Add(-length)
@@ -222,7 +222,7 @@
 	return list
 }
 
-// FiringObjectives returns the lines with at least one firing alert.
+// FiringObjectives returns the objectives with at least one firing alert.
 func (b BurnReport) FiringObjectives() []ObjectiveReport {
 	var list []ObjectiveReport
 	for _, l := range b.Objectives {
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,6 +1,6 @@
 // Package soak tests the daemons of the users' platform, gateways and keepers, as
 // separate processes on one machine. It sends them traffic and injects random faults
-// from outside: loopback relays delay, reset, refuse or hold back the traffic of links;
+// from outside: loopback proxies delay, reset, refuse or hold back the traffic of links;
 // processes are paused, killed, stopped and started; the store and the upstreams
 // misbehave; configurations and adapter versions change in quick succession.
 //
--- a/soak/world.go
+++ b/soak/world.go
@@ -25,7 +25,7 @@
 	worker      *standin.ModelWorker
 	service     string
 	domain      string
-	addr        string              // address for gateways, that of relay
+	addr        string              // address for gateways, that of proxy
 	proxy       *standin.FaultProxy // from gateways to the upstream
 	keeperProxy *standin.FaultProxy // from gateways to the upstream's keeper; nil for a plain service
 	server      *http.Server
@@ -197,14 +197,15 @@
 	return "", errors.New("soak: no port is free on all hosts")
 }
 
-// addKeeperLink opens the relay to a keeper. All keepers use the same port.
+// addKeeperLink opens the fault proxy to a keeper. All keepers use the same port.
 func (w *world) addKeeperLink(u *upstream, i int) error {
 	var err error
 	u.keeperProxy, err = standin.NewFaultProxyAt(net.JoinHostPort(frontHost(i), w.keeperPort), net.JoinHostPort(backHost(i), w.keeperPort))
 	return err
 }
 
-// backAddr returns the address at which the keeper reaches its engine, without a relay.
+// backAddr returns the address at which the keeper reaches its engine, without a fault
+// proxy.
 func (u *upstream) backAddr() string {
 	return u.proxy.Target()
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Generation is a request to an engine. Token is called for each output token and End
+// Generation is a request to an engine. OnToken is called for each output token and OnEnd
 // once, both without the engine's lock held.
 type Generation struct {
 	Request wardturn.EngineRequest
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// Cancel ends a generation by the end of the current step, without a call of End.
+// Cancel ends a generation by the end of the current step, without a call of OnEnd.
 func (e *Engine) Cancel(id wardturn.AttemptID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/store.go
+++ b/standin/store.go
@@ -12,7 +12,7 @@
 	Rate        float64       // fetches per second
 	MaxParallel int           // concurrent fetches at full speed
 	FetchTime   time.Duration // duration of a fetch at full speed
-	Burst       float64       // burst of the rate limit; zero: Parallel
+	Burst       float64       // burst of the rate limit; zero: MaxParallel
 }
 
 // StoreFaults are the faults of a Store.
@@ -24,7 +24,7 @@
 }
 
 // Store is a fake of the rate-limited weight store. Fetches above its rate are refused
-// at once. More than Parallel concurrent fetches share its bandwidth.
+// at once. More than MaxParallel concurrent fetches share its bandwidth.
 type Store struct {
 	clock wardturn.Clock
 	cfg   StoreConfig
