--- a/agent/policy_internal_test.go
+++ b/agent/policy_internal_test.go
@@ -83,9 +83,9 @@
 		Latency: appendTime,
 	})
 	a := newPlainAgent(t, clock, log, nil)
-	inForce := func() string { return a.Status().Policy }
+	currentPolicy := func() string { return a.Status().Policy }
 	publishPolicy(t, a, "slow", slowSource)
-	g.Eventually(inForce).WithTimeout(20 * time.Second).Should(gomega.Equal("slow"))
+	g.Eventually(currentPolicy).WithTimeout(20 * time.Second).Should(gomega.Equal("slow"))
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
--- a/cli/burn.go
+++ b/cli/report.go
@@ -43,7 +43,7 @@
 			missing = append(missing, addr)
 			continue
 		}
-		batches = append(batches, b)
+		counts = append(counts, b)
 	}
 	burn := report.ComputeBurn(time.Now(), objectives, batches, missing)
 	if c.HTML != "" {
--- a/demo/system.go
+++ b/demo/system.go
@@ -241,8 +241,8 @@
 	return nil
 }
 
-// setListedAddr sets the upstream's listed address to that of its agent, or of the relay
-// to it.
+// setListedAddr sets the upstream's listed address to that of its agent, or of the fault
+// proxy to it.
 func (s *System) setListedAddr(u *Upstream) error {
 	u.Host.Addr = u.Agent.Addr()
 	if !s.cfg.FaultProxies {
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -161,8 +161,8 @@
 	target := listen("127.0.0.1:0")
 	relay, err := standin.NewFaultProxyAt(addr, target.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
-	DeferCleanup(relay.Close)
-	return relay, target
+	DeferCleanup(proxy.Close)
+	return proxy, target
 }
 
 func (x *rig) startKeeper(host string, ln net.Listener, m *standin.ModelWorker, store *platform.Store) {
--- a/peer/conn_test.go
+++ b/peer/conn_test.go
@@ -91,9 +91,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer relay.Close()
+	defer proxy.Close()
 	cli := newRecorder()
-	client := peer.NewClient(relay.Addr(), nil, standin.NewFastClock(10), identity(peer.RoleEntry, "e1"), cli)
+	client := peer.NewClient(proxy.Addr(), nil, standin.NewFastClock(10), identity(peer.RoleEntry, "e1"), cli)
 	defer client.Close()
 
 	cli.waitFor(t, "connection", func() bool { return cli.conns == 1 })
@@ -106,9 +106,9 @@
 	srv.waitFor(t, "message", func() bool { return len(srv.messages) > 0 })
 	relay.CloseConns()
 	cli.waitFor(t, "second connection", func() bool { return cli.closed == 1 && cli.conns == 2 })
-	relay.Freeze(true)
+	proxy.Freeze(true)
 	cli.waitFor(t, "end of a silent connection", func() bool { return cli.closed == 2 })
-	relay.Freeze(false)
+	proxy.Freeze(false)
 	cli.waitFor(t, "third connection", func() bool { return cli.conns >= 3 })
 }
 
--- a/policy/program.go
+++ b/policy/program.go
@@ -63,7 +63,7 @@
 	funcOrder = "order"
 )
 
-// Compile parses a program and runs its top level. The error is a *Problem.
+// Compile parses a program and runs its top level. The error is a *ProgramError.
 func Compile(name, src string) (*Program, error) {
 	if len(src) > maxSourceBytes {
 		return nil, newProgramError(name, 1, 1, "program is larger than 64 KiB")
--- a/report/burn.go
+++ b/report/burn.go
@@ -18,7 +18,7 @@
 	Window    time.Duration   `json:"window_ns"`
 }
 
-// Alert is a multi-window burn-rate alert. It fires if the burn rate is at least Rate
+// Alert is a multi-window burn-rate alert. It fires if the burn rate is at least BurnRate
 // over both windows. A rate of 14.4 over an hour uses 2% of a 30-day budget.
 type Alert struct {
 	Name     string
@@ -109,7 +109,7 @@
 // sorted, or nil if there are fewer than two.
 func policiesOf(o Objective, batches []ProcessCounts) []string {
 	var list []string
-	for _, b := range batches {
+	for _, b := range counts {
 		for _, w := range b.Windows {
 			if matches(o, "", w.SeriesKey) && !slices.Contains(list, w.Policy) {
 				list = append(list, w.Policy)
@@ -141,7 +141,7 @@
 		f.Firing = !f.Long.NoData && !f.Short.NoData && f.Long.BurnRate >= a.BurnRate && f.Short.BurnRate >= a.BurnRate
 		l.Alerts = append(l.Alerts, f)
 	}
-	l.Minutes = minutePoints(at, o, policy, batches)
+	l.Minutes = minutePoints(at, o, policy, counts)
 	return l
 }
 
@@ -155,7 +155,7 @@
 	}
 	var sum Histogram
 	known := 0
-	for _, b := range batches {
+	for _, b := range counts {
 		known += knownMinutes(b, start, end)
 		for _, w := range b.Windows {
 			if !w.Start.Before(start) && w.Start.Before(end) && matches(o, policy, w.SeriesKey) {
@@ -163,7 +163,7 @@
 			}
 		}
 	}
-	total := (len(batches) + missing) * int(length/Minute)
+	total := (len(counts) + missing) * int(length/Minute)
 	if total > 0 {
 		s.KnownFraction = float64(known) / float64(total)
 	}
@@ -205,7 +205,7 @@
 			Start: start,
 		}
 		var sum Histogram
-		for _, b := range batches {
+		for _, b := range counts {
 			if knownMinutes(b, start, start.Add(Minute)) > 0 {
 				p.Known = true
 			}
--- a/standin/relay.go
+++ b/standin/faultproxy.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Direction is a direction of the traffic through a Relay.
+// Direction is a direction of the traffic through a FaultProxy.
 type Direction int
 
 // The directions.
--- a/standin/store.go
+++ b/standin/store.go
@@ -24,7 +24,7 @@
 }
 
 // Store is a fake of the rate-limited weight store. Fetches above its rate are refused
-// at once. More than Parallel concurrent fetches share its bandwidth.
+// at once. More than MaxParallel concurrent fetches share its bandwidth.
 type Store struct {
 	clock wardturn.Clock
 	cfg   StoreConfig
