--- a/agent/agent.go
+++ b/agent/agent.go
@@ -273,7 +273,7 @@
 	Fence   wardturn.Fence
 	Config  wardturn.Offset
 	Leaving bool
-	Policy  string // name of the policy in force
+	Policy  string // name of the current policy
 	// SuppressedOrders counts the orders that the agent did not send because it had no fence.
 	SuppressedOrders int
 	Shadow           *decide.ShadowStats // nil if there is no shadow policy
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -337,8 +337,9 @@
 	}
 }
 
-// TestKeptAnswersAreBounded ends two attempts whose responses together exceed RetainedBytes.
-// An entry that asks for the older one must get an unknown outcome, never a wrong one.
+// TestKeptAnswersAreBounded ends two attempts whose responses together exceed
+// RetainedBytes. An entry that asks for the older one must get an unknown outcome, never
+// a wrong one.
 func TestKeptAnswersAreBounded(t *testing.T) {
 	x := newTestEntry(t, agent.Config{
 		RetainedBytes: 15,
--- a/agent/catchup_test.go
+++ b/agent/catchup_test.go
@@ -17,8 +17,8 @@
 // eventTimeout is the timeout for expected events.
 const eventTimeout = 20 * time.Second
 
-// TestCatchUpCountsAgainstDeadline checks that the time in which the agent catches up with the
-// entry's configuration counts against the deadline of a request.
+// TestCatchUpCountsAgainstDeadline checks that the time in which the agent catches up
+// with the entry's configuration counts against the deadline of a request.
 func TestCatchUpCountsAgainstDeadline(t *testing.T) {
 	const left, behind = 200 * time.Millisecond, 300 * time.Millisecond
 	g := gomega.NewWithT(t)
--- a/agent/claim_internal_test.go
+++ b/agent/claim_internal_test.go
@@ -96,8 +96,8 @@
 	return outcome
 }
 
-// TestDeadlinePassesDuringClaim checks that a request whose deadline passes during its claim
-// is not sent to the service.
+// TestDeadlinePassesDuringClaim checks that a request whose deadline passes during its
+// claim is not sent to the service.
 func TestDeadlinePassesDuringClaim(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := newPendingClaim(t, 200*time.Millisecond)
--- a/agent/logunavailable_internal_test.go
+++ b/agent/logunavailable_internal_test.go
@@ -11,10 +11,10 @@
 	"wardturn/standin"
 )
 
-// TestRefusalsWhileLogUnavailable checks the refusal of a non-repeatable request while the log
-// is unavailable. An agent that has the entry's configuration reports that the log is
-// unavailable for the claim; an agent that is behind reports that its configuration is
-// stale. The request must run in neither case.
+// TestRefusalsWhileLogUnavailable checks the refusal of a non-repeatable request while
+// the log is unavailable. An agent that has the entry's configuration reports that the
+// log is unavailable for the claim; an agent that is behind reports that its
+// configuration is stale. The request must run in neither case.
 func TestRefusalsWhileLogUnavailable(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/agent/policy_internal_test.go
+++ b/agent/policy_internal_test.go
@@ -94,5 +94,5 @@
 	publishPolicy(t, a, "quick", quickSource)
 	g.Eventually(ended).WithTimeout(20 * time.Second).Should(gomega.BeClosed())
 	g.Eventually(a.replica.AppliedOffset).WithTimeout(20 * time.Second).Should(gomega.BeNumerically(">=", 2))
-	g.Expect(inForce()).To(gomega.Equal("quick"))
+	g.Expect(currentPolicy()).To(gomega.Equal("quick"))
 }
--- a/cli/report.go
+++ b/cli/report.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	var batches []report.ProcessCounts
+	var counts []report.ProcessCounts
 	missing := []string{}
 	for _, addr := range c.Entry {
 		var b report.ProcessCounts
@@ -45,7 +45,7 @@
 		}
 		counts = append(counts, b)
 	}
-	burn := report.ComputeBurn(time.Now(), objectives, batches, missing)
+	burn := report.ComputeBurn(time.Now(), objectives, counts, missing)
 	if c.HTML != "" {
 		if err := writeFile(c.HTML, burn.WriteHTML); err != nil {
 			return err
--- a/control/catalog.go
+++ b/control/catalog.go
@@ -160,8 +160,8 @@
 	return wardturn.DigestKey(key).String()
 }
 
-// MatchesPattern reports whether a name matches one of the patterns. A pattern is a name, or a
-// prefix followed by *.
+// MatchesPattern reports whether a name matches one of the patterns. A pattern is a name,
+// or a prefix followed by *.
 func MatchesPattern(patterns []string, name string) bool {
 	return slices.ContainsFunc(patterns, func(p string) bool {
 		if prefix, ok := strings.CutSuffix(p, "*"); ok {
--- a/control/history.go
+++ b/control/history.go
@@ -10,8 +10,8 @@
 // history. The log has all of them until its retention ends.
 const maxHistory = 10_000
 
-// HistoryEntry is an entry of the audit history: who published what, when, and whether it was
-// accepted.
+// HistoryEntry is an entry of the audit history: who published what, when, and whether it
+// was accepted.
 type HistoryEntry struct {
 	Version  wardturn.Offset `json:"version"` // offset of the record
 	Time     time.Time       `json:"at"`      // by the clock of the log
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -30,8 +30,8 @@
 	return append(list, part)
 }
 
-// AppendSnapshot appends all current documents again, with their versions. Several processes
-// may append a snapshot at the same time; the later ones have no effect.
+// AppendSnapshot appends all current documents again, with their versions. Several
+// processes may append a snapshot at the same time; the later ones have no effect.
 func (r *Replica) AppendSnapshot(ctx context.Context) error {
 	r.mu.Lock()
 	through := r.state.AppliedOffset()
@@ -103,15 +103,15 @@
 // whether a snapshot is due.
 const snapshotChecksPerInterval = 4
 
-// ConfigPage is a part of the configuration of a process. Peers exchange pages while the log
-// is unavailable.
+// ConfigPage is a part of the configuration of a process. Peers exchange pages while the
+// log is unavailable.
 type ConfigPage struct {
 	Docs    []Doc               `msgpack:"d"`
 	Results []PublicationResult `msgpack:"r"` // of recent publications; only in the first page
 }
 
-// ConfigPage returns the page with index i of the configuration, the number of pages, and the
-// offset of the record up to which the configuration was applied.
+// ConfigPage returns the page with index i of the configuration, the number of pages, and
+// the offset of the record up to which the configuration was applied.
 func (r *Replica) ConfigPage(i int) (p ConfigPage, pages int, applied wardturn.Offset) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/control/state.go
+++ b/control/state.go
@@ -29,7 +29,7 @@
 	ID             PublicationID   `msgpack:"i"`
 	Accepted       bool            `msgpack:"a"`
 	Version        wardturn.Offset `msgpack:"v"`           // offset of the record
-	Conflict       Key             `msgpack:"c,omitempty"` // first document whose version differed from its Base
+	Conflict       Key             `msgpack:"c,omitempty"` // first document whose version differed from its BaseVersion
 	CurrentVersion wardturn.Offset `msgpack:"f,omitempty"` // current version of that document
 }
 
@@ -120,7 +120,7 @@
 }
 
 // AppliedOffset returns the offset of the record up to which the documents are current.
-// Without a baseline it is lower than Read.
+// Without a baseline it is lower than ReadOffset.
 func (s *State) AppliedOffset() wardturn.Offset {
 	return s.applied
 }
@@ -350,10 +350,10 @@
 	}
 }
 
-// InstallPeerConfig installs the configuration of a peer while the log is unavailable: the documents
-// as of the record at offset applied, and the results of publications up to it. It does
-// nothing if the configuration is not newer than the present one, or if records between
-// it and the oldest record that was read are missing.
+// InstallPeerConfig installs the configuration of a peer while the log is unavailable:
+// the documents as of the record at offset applied, and the results of publications up to
+// it. It does nothing if the configuration is not newer than the present one, or if
+// records between it and the oldest record that was read are missing.
 func (s *State) InstallPeerConfig(page ConfigPage, applied wardturn.Offset) {
 	missed := s.readOffset > applied && s.firstReadOffset > applied+1
 	if applied <= s.applied || missed {
--- a/demo/system.go
+++ b/demo/system.go
@@ -40,7 +40,7 @@
 	Deadline       time.Duration // of requests without their own; zero: the entry's default
 	DeadlineGrace  time.Duration // how long after a deadline an entry waits for the agent's result; zero: the entry's default
 	ConnectTimeout time.Duration // timeout of the first connection to an agent; zero: the entry's default
-	FaultProxies   bool          // reach each agent through a relay that can simulate network faults
+	FaultProxies   bool          // reach each agent through a proxy that can simulate network faults
 }
 
 // ZurichConfig returns a configuration of the size of the present Zurich deployment.
--- a/gateway/rig_test.go
+++ b/gateway/rig_test.go
@@ -56,22 +56,22 @@
 // rig is a gateway with a store, two engines with keepers and two application workers, all
 // in this process on loopback addresses.
 type rig struct {
-	store      *standin.MetaStore
-	storeAddr  string
-	engines    []*standin.ModelWorker
-	apps       []*standin.ModelWorker
-	addrs      map[*standin.ModelWorker]string
-	domains    map[*standin.ModelWorker]string
-	gateway    *gateway.Gateway
-	frontURL   string
-	readyURL   string
-	keeperPort string // port of the keepers
-	keepers    []*keeper.Keeper
-	relay      *standin.FaultProxy    // in front of the first keeper
-	domain     wardturn.FailureDomain // of gateways that are started
-	metrics    tally.TestScope
-	client     *http.Client
-	log        *logBuffer // of gateways
+	store       *standin.MetaStore
+	storeAddr   string
+	engines     []*standin.ModelWorker
+	apps        []*standin.ModelWorker
+	addrs       map[*standin.ModelWorker]string
+	domains     map[*standin.ModelWorker]string
+	gateway     *gateway.Gateway
+	frontURL    string
+	readyURL    string
+	keeperPort  string // port of the keepers
+	keepers     []*keeper.Keeper
+	keeperProxy *standin.FaultProxy    // in front of the first keeper
+	domain      wardturn.FailureDomain // of gateways that are started
+	metrics     tally.TestScope
+	client      *http.Client
+	log         *logBuffer // of gateways
 	// shutdownDelay is how long gateways that are started accept requests after they begin
 	// to shut down.
 	shutdownDelay time.Duration
@@ -153,7 +153,7 @@
 	return nil, ""
 }
 
-// behindProxy replaces a listener by a relay, and returns the listener to which the relay
+// behindProxy replaces a listener by a proxy, and returns the listener to which the proxy
 // forwards connections.
 func behindProxy(ln net.Listener) (*standin.FaultProxy, net.Listener) {
 	addr := ln.Addr().String()
@@ -161,8 +161,8 @@
 	target := listen("127.0.0.1:0")
 	relay, err := standin.NewFaultProxyAt(addr, target.Addr().String())
 	Expect(err).NotTo(HaveOccurred())
-	DeferCleanup(proxy.Close)
-	return proxy, target
+	DeferCleanup(relay.Close)
+	return relay, target
 }
 
 func (x *rig) startKeeper(host string, ln net.Listener, m *standin.ModelWorker, store *platform.Store) {
@@ -230,7 +230,7 @@
 		x.engines = append(x.engines, m)
 		ln := keepers[i]
 		if i == 0 {
-			x.relay, ln = behindProxy(ln)
+			x.keeperProxy, ln = behindProxy(ln)
 		}
 		x.startKeeper(host, ln, m, store)
 		x.apps = append(x.apps, x.addWorker("app", host, domains[i], standin.ModelWorkerConfig{
--- a/peer/conn_test.go
+++ b/peer/conn_test.go
@@ -87,7 +87,7 @@
 	srv := newRecorder()
 	server := peer.NewServer(ln, nil, process.Clock{}, identity(peer.RoleAgent, "a1"), srv)
 	defer server.Close()
-	relay, err := standin.NewFaultProxy(ln.Addr().String())
+	proxy, err := standin.NewFaultProxy(ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	srv.waitFor(t, "message", func() bool { return len(srv.messages) > 0 })
-	relay.CloseConns()
+	proxy.CloseConns()
 	cli.waitFor(t, "second connection", func() bool { return cli.closed == 1 && cli.conns == 2 })
 	proxy.Freeze(true)
 	cli.waitFor(t, "end of a silent connection", func() bool { return cli.closed == 2 })
--- a/policy/check.go
+++ b/policy/check.go
@@ -83,7 +83,7 @@
 }
 
 // CheckProgram compiles a program and evaluates its functions on sample inputs, which every
-// program has to handle without failing. The error is a *Problem with the position.
+// program has to handle without failing. The error is a *ProgramError with the position.
 func CheckProgram(file, src string) ([]SampleResult, error) {
 	p, err := Compile(file, src)
 	if err != nil {
--- a/policy/program.go
+++ b/policy/program.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// programErrorOf converts an error of the Starlark library to a Problem. It uses the position
-// in the error, or line 1, column 1 if the error has none.
+// programErrorOf converts an error of the Starlark library to a ProgramError. It uses the
+// position in the error, or line 1, column 1 if the error has none.
 func programErrorOf(file string, err error) *ProgramError {
 	var syntaxErr syntax.Error
 	if errors.As(err, &syntaxErr) {
--- a/report/burn.go
+++ b/report/burn.go
@@ -90,16 +90,16 @@
 
 // ComputeBurn computes a report from the counts of the processes. Processes that did not
 // answer are listed in missing; their minutes are unknown.
-func ComputeBurn(at time.Time, objectives []Objective, batches []ProcessCounts, missing []string) BurnReport {
+func ComputeBurn(at time.Time, objectives []Objective, counts []ProcessCounts, missing []string) BurnReport {
 	b := BurnReport{
 		Time:      at,
-		Processes: len(batches) + len(missing),
+		Processes: len(counts) + len(missing),
 		Missing:   missing,
 	}
 	for _, o := range objectives {
-		b.Objectives = append(b.Objectives, newObjectiveReport(at, o, "", batches, len(missing)))
-		for _, policy := range policiesOf(o, batches) {
-			b.Objectives = append(b.Objectives, newObjectiveReport(at, o, policy, batches, len(missing)))
+		b.Objectives = append(b.Objectives, newObjectiveReport(at, o, "", counts, len(missing)))
+		for _, policy := range policiesOf(o, counts) {
+			b.Objectives = append(b.Objectives, newObjectiveReport(at, o, policy, counts, len(missing)))
 		}
 	}
 	return b
@@ -107,7 +107,7 @@
 
 // policiesOf returns the policies that were active during the events of an objective,
 // sorted, or nil if there are fewer than two.
-func policiesOf(o Objective, batches []ProcessCounts) []string {
+func policiesOf(o Objective, counts []ProcessCounts) []string {
 	var list []string
 	for _, b := range counts {
 		for _, w := range b.Windows {
@@ -127,7 +127,7 @@
 	return k.Indicator == o.Indicator && (o.Team == "" || k.Team == o.Team) && (policy == "" || k.Policy == policy)
 }
 
-func newObjectiveReport(at time.Time, o Objective, policy string, batches []ProcessCounts, missing int) ObjectiveReport {
+func newObjectiveReport(at time.Time, o Objective, policy string, counts []ProcessCounts, missing int) ObjectiveReport {
 	l := ObjectiveReport{
 		Objective: o,
 		Policy:    policy,
@@ -135,8 +135,8 @@
 	for _, a := range Alerts() {
 		f := AlertState{
 			Alert: a.Name,
-			Long:  newWindowBurn(at, a.Long, o, policy, batches, missing),
-			Short: newWindowBurn(at, a.Short, o, policy, batches, missing),
+			Long:  newWindowBurn(at, a.Long, o, policy, counts, missing),
+			Short: newWindowBurn(at, a.Short, o, policy, counts, missing),
 		}
 		f.Firing = !f.Long.NoData && !f.Short.NoData && f.Long.BurnRate >= a.BurnRate && f.Short.BurnRate >= a.BurnRate
 		l.Alerts = append(l.Alerts, f)
@@ -145,9 +145,9 @@
 	return l
 }
 
-// newWindowBurn computes the Span of the given length that ends with the last full minute
-// before at.
-func newWindowBurn(at time.Time, length time.Duration, o Objective, policy string, batches []ProcessCounts, missing int) WindowBurn {
+// newWindowBurn computes the WindowBurn of the given length that ends with the last full
+// minute before at.
+func newWindowBurn(at time.Time, length time.Duration, o Objective, policy string, counts []ProcessCounts, missing int) WindowBurn {
 	end := at.Truncate(Minute)
 	start := end.Add(-length)
 	s := WindowBurn{
@@ -197,7 +197,7 @@
 // plotMinutes is the number of minutes in a plot.
 const plotMinutes = 60
 
-func minutePoints(at time.Time, o Objective, policy string, batches []ProcessCounts) []MinutePoint {
+func minutePoints(at time.Time, o Objective, policy string, counts []ProcessCounts) []MinutePoint {
 	end := at.Truncate(Minute)
 	var list []MinutePoint
 	for start := end.Add(-plotMinutes * Minute); start.Before(end); start = start.Add(Minute) {
@@ -222,7 +222,7 @@
 	return list
 }
 
-// FiringObjectives returns the lines with at least one firing alert.
+// FiringObjectives returns the objectives with at least one firing alert.
 func (b BurnReport) FiringObjectives() []ObjectiveReport {
 	var list []ObjectiveReport
 	for _, l := range b.Objectives {
--- a/report/burn_test.go
+++ b/report/burn_test.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// TestMissingProcessIsUnknown checks a report with one of two processes missing: the burn rate is
-// that of the other process, and half of the minutes are unknown. Counting them as
-// minutes without bad events would halve the burn rate.
+// TestMissingProcessIsUnknown checks a report with one of two processes missing: the burn
+// rate is that of the other process, and half of the minutes are unknown. Counting them
+// as minutes without bad events would halve the burn rate.
 func TestMissingProcessIsUnknown(t *testing.T) {
 	b, at := countEvents(60, 80, 20)
 	burn := report.ComputeBurn(at, []report.Objective{stall}, []report.ProcessCounts{b}, []string{"gone"})
--- a/report/windows.go
+++ b/report/windows.go
@@ -83,9 +83,9 @@
 	return n
 }
 
-// GoodCount returns the number of events at or below a threshold, which is rounded up to the
-// upper bound of its bucket. With a zero threshold it returns the number of all events
-// that are not in Bad.
+// GoodCount returns the number of events at or below a threshold, which is rounded up to
+// the upper bound of its bucket. With a zero threshold it returns the number of all
+// events that are not in Bad.
 func (h *Histogram) GoodCount(threshold time.Duration) uint64 {
 	last := bucketCount
 	if threshold > 0 {
@@ -181,8 +181,8 @@
 	return h
 }
 
-// ProcessCounts has the counts of one process. It counts since Started; At is the time at which
-// the counts were taken.
+// ProcessCounts has the counts of one process. It counts since Started; Time is the time
+// at which the counts were taken.
 type ProcessCounts struct {
 	Process wardturn.Incarnation `json:"process"`
 	Started time.Time            `json:"started"`
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -250,8 +250,8 @@
 	return s.unplannedFaults == 0 && s.lastFaultEnd.Before(t)
 }
 
-// injectFaults injects random faults, up to cfg.MaxFaults concurrently, until cfg.For has
-// passed, and then heals all of them.
+// injectFaults injects random faults, up to cfg.MaxFaults concurrently, until
+// cfg.FaultDuration has passed, and then heals all of them.
 func (s *soak) injectFaults(ctx context.Context) {
 	var wg sync.WaitGroup
 	until := time.Now().Add(s.cfg.FaultDuration)
--- a/soak/world.go
+++ b/soak/world.go
@@ -25,7 +25,7 @@
 	worker      *standin.ModelWorker
 	service     string
 	domain      string
-	addr        string              // address for gateways, that of relay
+	addr        string              // address for gateways, that of proxy
 	proxy       *standin.FaultProxy // from gateways to the upstream
 	keeperProxy *standin.FaultProxy // from gateways to the upstream's keeper; nil for a plain service
 	server      *http.Server
--- a/standin/faultproxy.go
+++ b/standin/faultproxy.go
@@ -126,7 +126,8 @@
 	r.delay = d
 }
 
-// ResetConns resets the open connections with a TCP RST. Data that was not yet read is lost.
+// ResetConns resets the open connections with a TCP RST. Data that was not yet read is
+// lost.
 func (r *FaultProxy) ResetConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/standin/store.go
+++ b/standin/store.go
@@ -12,7 +12,7 @@
 	Rate        float64       // fetches per second
 	MaxParallel int           // concurrent fetches at full speed
 	FetchTime   time.Duration // duration of a fetch at full speed
-	Burst       float64       // burst of the rate limit; zero: Parallel
+	Burst       float64       // burst of the rate limit; zero: MaxParallel
 }
 
 // StoreFaults are the faults of a Store.
