--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -64,7 +64,7 @@
 	now := ms.clock.Now()
 	if err != nil {
 		if !ms.failing {
-			ms.logger.Warn("store unavailable, keeping the current list of upstreams", "error", err)
+			ms.logger.Warn("store away, the present list of upstreams stays", "error", err)
 		}
 		if !ms.failing {
 			ms.failingSince = now
--- a/gateway/retained_test.go
+++ b/gateway/retained_test.go
@@ -18,7 +18,7 @@
 		x.store.SetFaults(standin.MetaFaults{
 			Unavailable: true,
 		})
-		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("store unavailable, keeping the current list"))
+		Eventually(x.log.String, eventTimeout, pollInterval).Should(ContainSubstring("store away, the present list"))
 		x.store.DeleteServer("a0")
 		x.store.DeleteServer("a1")
 		x.store.SetFaults(standin.MetaFaults{})
